--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,6 @@
 # Every command that the README names. Programs are built into bin/.
+# gopls renames identifiers with all their uses; its own requirements differ from those of tools/go.mod.
+GOPLS := go run golang.org/x/tools/gopls@v0.23.0
 MODULES := core entry agent lychee trial platform
 PKGS := $(addprefix ./,$(addsuffix /...,$(MODULES)))
 SCENARIO ?=
