--- a/core/wire/bound.go
+++ b/core/wire/bound.go
@@ -6,10 +6,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxFields is the most headers that a request or an answer may carry. The
-// decoder allocates a slice from the length that the frame claims. A frame of a
-// few bytes that claims four thousand million elements would end the process
-// for want of memory, so slices of a message check the length first.
+// MaxFields is the maximum number of headers of a request or an answer. The decoder
+// allocates a slice of the length that a frame states, and a frame of a few bytes can
+// state four thousand million elements, which would exhaust the memory of the
+// process. So the slices of a message check the stated length first.
 const MaxFields = 256
 
 // Fields are the headers of a request or an answer.
@@ -22,7 +22,9 @@
 	return err
 }
 
-func boundedLen(d *msgpack.Decoder, limit int) (int, error) {
+// decodeBoundedLen reads the length of an array and returns an error if it is more
+// than limit. A nil array has the length zero.
+func decodeBoundedLen(d *msgpack.Decoder, limit int) (int, error) {
 	n, err := d.DecodeArrayLen()
 	if err != nil {
 		return 0, err
--- a/core/wire/chunk.go
+++ b/core/wire/chunk.go
@@ -13,8 +13,8 @@
 
 var errChunk = errors.New("not a chunk of an answer")
 
-// EncodeMsgpack writes the chunk as the array that its fields make. It spares
-// the reflection of other messages, because most frames are chunks.
+// EncodeMsgpack writes the chunk as an array of its fields. Most frames are chunks,
+// so it avoids the reflection that encodes other messages.
 func (c *Chunk) EncodeMsgpack(e *msgpack.Encoder) error {
 	if err := e.EncodeArrayLen(chunkFields); err != nil {
 		return err
--- a/core/wire/frame.go
+++ b/core/wire/frame.go
@@ -12,17 +12,20 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxFrame is the largest frame body in bytes that a reader accepts. A body of
-// a caller is at most 4 MiB, so a longer frame is damaged or hostile.
+// MaxFrame is the largest frame body in bytes that a reader accepts. The body of a
+// caller's request is at most 4 MiB, so a longer frame is damaged or hostile.
 const MaxFrame = 5 << 20
 
+// headerSize is the size in bytes of a frame's header: the body's length in four
+// bytes and the message's kind in one.
 const headerSize = 5
 
-// linkBuffer is the size of each of a link's two buffers. An entry has 115
-// links and 32 MB at the target's size; larger buffers carry no more tokens.
+// linkBuffer is the size in bytes of each of a link's two buffers. An entry has 115
+// links and 32 MB of memory at the planned fleet size, and larger buffers don't
+// increase the token throughput.
 const linkBuffer = 8 << 10
 
-// ErrFrameSize reports a frame whose length cannot be right.
+// ErrFrameSize reports a frame whose stated length is out of range.
 var ErrFrameSize = errors.New("wire: frame length out of range: the peer is not a lycheepond process of this version, or the stream is damaged; the link is closed")
 
 // FrameError reports a frame that could not be decoded.
@@ -34,7 +37,7 @@
 // Kind returns the type byte of the bad frame.
 func (e *FrameError) Kind() Kind { return e.kind }
 
-// Error names the frame and the remedy.
+// Error describes the frame, the cause and the remedy.
 func (e *FrameError) Error() string {
 	return fmt.Sprintf("wire: bad %s frame (type %d): %v: run the same version of lycheepond on both ends", e.kind, uint8(e.kind), e.err)
 }
@@ -49,7 +52,7 @@
 	enc *msgpack.Encoder
 }
 
-var encoders = sync.Pool{New: func() any {
+var encoderPool = sync.Pool{New: func() any {
 	e := new(encoder)
 	e.enc = msgpack.NewEncoder(&e.buf)
 	e.enc.UseCompactInts(true)
@@ -57,10 +60,11 @@
 	return e
 }}
 
-// Append adds the frame of m to dst.
+// Append appends the frame of m to dst. It returns a *FrameError if m cannot be
+// encoded and ErrFrameSize if its body is larger than MaxFrame.
 func Append(dst []byte, m Message) ([]byte, error) {
-	e := encoders.Get().(*encoder)
-	defer encoders.Put(e)
+	e := encoderPool.Get().(*encoder)
+	defer encoderPool.Put(e)
 	e.buf.Reset()
 	if err := e.enc.Encode(m); err != nil {
 		return dst, &FrameError{kind: m.Kind(), err: err}
@@ -73,16 +77,16 @@
 	return append(dst, e.buf.Bytes()...), nil
 }
 
-// Reader reads messages from a stream.
+// Reader reads messages from a stream. It is not safe for concurrent use.
 type Reader struct {
 	r *bufio.Reader
-	// buf holds the body of the frame that is being decoded; decoded messages
-	// never point into it.
+	// buf holds the body of the frame that is being decoded. Decoded messages never
+	// refer to it.
 	buf []byte
 	dec *msgpack.Decoder
 	src *bytes.Reader
-	// bytes counts what was read, split into control and data.
-	control, data uint64
+	// controlBytes and dataBytes count the bytes of the frames read so far.
+	controlBytes, dataBytes uint64
 }
 
 // NewReader returns a Reader on r.
@@ -91,8 +95,8 @@
 	return &Reader{r: bufio.NewReaderSize(r, linkBuffer), src: src, dec: msgpack.NewDecoder(src)}
 }
 
-// Wait returns when a frame has begun to arrive, without taking it. After an
-// error that passes, as of a deadline, it may be called again.
+// Wait blocks until the header of the next frame has arrived, without consuming it.
+// It may be called again after a temporary error such as a passed deadline.
 func (r *Reader) Wait() error {
 	_, err := r.r.Peek(headerSize)
 	if errors.Is(err, io.EOF) && r.r.Buffered() > 0 {
@@ -101,8 +105,9 @@
 	return err
 }
 
-// Next returns the next message. It returns io.EOF only between two frames and
-// io.ErrUnexpectedEOF inside one.
+// Next returns the next message. It returns io.EOF only between two frames,
+// io.ErrUnexpectedEOF inside one, ErrFrameSize for a frame that is too long and a
+// *FrameError for one that cannot be decoded.
 func (r *Reader) Next() (Message, error) {
 	var head [headerSize]byte
 	if _, err := io.ReadFull(r.r, head[:]); err != nil {
@@ -113,11 +118,11 @@
 	if n > MaxFrame {
 		return nil, ErrFrameSize
 	}
-	m := blank(kind)
+	m := newMessage(kind)
 	if m == nil {
 		return nil, &FrameError{kind: kind, err: errUnknownKind}
 	}
-	if err := r.fill(int(n)); err != nil {
+	if err := r.readBody(int(n)); err != nil {
 		return nil, err
 	}
 	r.count(kind, uint64(n)+headerSize)
@@ -127,16 +132,16 @@
 	return m, nil
 }
 
-// fill reads n bytes into buf. It grows buf only as bytes arrive, so that a
-// hostile length without a body behind it costs no memory.
-func (r *Reader) fill(n int) error {
+// readBody reads n bytes into buf. It grows buf only as bytes arrive, so that a
+// hostile length without a body costs no memory.
+func (r *Reader) readBody(n int) error {
 	const step = 64 << 10
 	r.buf = r.buf[:0]
 	for len(r.buf) < n {
 		want := min(n-len(r.buf), step)
-		at := len(r.buf)
+		start := len(r.buf)
 		r.buf = append(r.buf, make([]byte, want)...)
-		if _, err := io.ReadFull(r.r, r.buf[at:]); err != nil {
+		if _, err := io.ReadFull(r.r, r.buf[start:]); err != nil {
 			if errors.Is(err, io.EOF) {
 				return io.ErrUnexpectedEOF
 			}
@@ -146,10 +151,11 @@
 	return nil
 }
 
+// decode decodes the body in buf into m, which must use all of it.
 func (r *Reader) decode(m Message) (err error) {
 	defer func() {
-		// The decoder panics on some damaged input. One bad peer must not end
-		// the process, so the panic becomes an error of this link.
+		// The decoder panics on some damaged input. One faulty peer must not end the
+		// process, so the panic becomes an error of this link.
 		if p := recover(); p != nil {
 			err = fmt.Errorf("decoder: %v", p)
 		}
@@ -160,15 +166,16 @@
 		return err
 	}
 	if r.src.Len() != 0 {
-		return fmt.Errorf("%d bytes behind the message", r.src.Len())
+		return fmt.Errorf("%d bytes after the end of the message", r.src.Len())
 	}
 	return nil
 }
 
+// count adds the n bytes of a frame of kind k to the counters.
 func (r *Reader) count(k Kind, n uint64) {
 	if k.Control() {
-		r.control += n
+		r.controlBytes += n
 		return
 	}
-	r.data += n
+	r.dataBytes += n
 }
--- a/core/wire/frame_test.go
+++ b/core/wire/frame_test.go
@@ -9,7 +9,7 @@
 	"lycheepond/core/ident"
 )
 
-func samples() []Message {
+func sampleMessages() []Message {
 	id := ident.Make(3, 4)
 	return []Message{
 		&Hello{Version: 1, Role: RoleEntry, Name: "e1", Zone: "z1", Nonce: make([]byte, nonceSize)},
@@ -20,7 +20,7 @@
 		&Head{ID: id, Status: 200}, &Chunk{ID: id, Seq: 9, Data: []byte("data")},
 		&End{ID: id, Whole: true, Usage: Usage{OutputTokens: 4}}, &Cancel{ID: id},
 		&Attach{ID: id, Next: 2}, &Level{Pool: "p", Level: 2}, &News{Object: "class", Data: []byte("{}")},
-		&LeaseAsk{Seq: 1}, &LeaseAck{Seq: 1, Fresh: true}, &Fetch{}, &Fetched{Version: 3},
+		&LeaseAsk{Seq: 1}, &LeaseAck{Seq: 1, Fresh: true}, &Fetch{}, &FetchDone{Version: 3},
 		&Handover{
 			Pool: "p", From: Party{Name: "a", Incarnation: 1}, Took: 2, Last: true, Shares: Shares{{Slot: 4, Since: 5}},
 			Records: KeyRecords{{Key: []byte("k"), First: id, Status: 200, Header: Fields{{Name: "A", Value: "b"}}, Body: []byte("x")}},
@@ -36,7 +36,7 @@
 }
 
 func TestEveryKindRoundTrips(t *testing.T) {
-	all := samples()
+	all := sampleMessages()
 	if len(all) != int(kindLimit)-1 {
 		t.Fatalf("%d samples for %d kinds", len(all), kindLimit-1)
 	}
@@ -61,9 +61,9 @@
 	}
 }
 
-// A peer dies in the middle of a frame, or something that is not lycheepond
-// dials the link port. The link closes with an error that says so; nothing of
-// the half frame is handled.
+// A peer dies while it sends a frame, or a process that is not lycheepond dials the
+// link port. The link must close with an error that says so, and no part of the
+// incomplete frame may be handled.
 func TestDamagedFrames(t *testing.T) {
 	whole, err := Append(nil, &Chunk{ID: ident.Make(1, 1), Data: []byte("abc")})
 	if err != nil {
@@ -89,7 +89,7 @@
 }
 
 func FuzzReader(f *testing.F) {
-	for _, m := range samples() {
+	for _, m := range sampleMessages() {
 		buf, err := Append(nil, m)
 		if err != nil {
 			f.Fatal(err)
@@ -107,9 +107,10 @@
 	})
 }
 
-// A hostile peer sends a small frame that claims an enormous list, or one that
-// is nested without end. Without a bound the process dies for want of memory or
-// stack and every caller on it loses its answer; with it only the link closes.
+// A hostile peer sends a small frame that states an enormous list length, or one with
+// endlessly nested lists. Without a bound the process would run out of memory or
+// stack, and all its callers would lose their answers. With the bound only the link
+// closes.
 func TestHostileLengths(t *testing.T) {
 	id := ident.Make(1, 1)
 	frame := func(k Kind, body []byte) []byte {
--- a/core/wire/hand.go
+++ b/core/wire/hand.go
@@ -7,39 +7,40 @@
 )
 
 const (
-	// MaxRecords is the most records that one Handover may carry.
+	// MaxRecords is the maximum number of records in one Handover.
 	MaxRecords = 64
-	// MaxShares is the most slots that one Handover may name.
+	// MaxShares is the maximum number of slots in one Handover.
 	MaxShares = 4096
 )
 
-// Party is one agent process in a handover.
+// AgentProcess identifies one agent process in a handover.
 type Party struct {
 	_msgpack    struct{} `msgpack:",as_array"`
 	Name        string
 	Incarnation uint64
 }
 
-// Handover is one part of what an agent that leaves knows of the keys whose
-// slots went to another agent. Entries carry it from one to the other.
+// Handover is one part of the key records that a stopping agent passes on to the
+// agent that now owns their slots. Entries forward it from one agent to the other.
 type Handover struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Pool     string
 	From, To Party
-	// Took is the epoch in which the slots changed hands.
+	// Epoch is the epoch in which the slots changed their owner.
 	Took int64
-	// Seq counts the parts from zero. A part is sent again until its HandAck
-	// comes, and the next one follows only then.
+	// Seq numbers the parts from zero. A part is sent again until its HandoverAck
+	// arrives, and only then the next one is sent.
 	Seq     uint32
 	Records KeyRecords
-	// Last says that all records of Shares have been sent and that the sender
-	// will never act for any slot again. Shares is empty before.
+	// Last is set in the final part: all records of the slots in Shares have been
+	// sent, and the sender will never act for any slot again. Shares is empty in all
+	// other parts.
 	Last   bool
 	Shares Shares
 }
 
-// HandAck says that part Seq of a handover was taken in. From is the agent that
-// took it in.
+// HandoverAck acknowledges part Seq of a handover. From is the agent that received
+// the part.
 type HandAck struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Pool     string
@@ -48,22 +49,22 @@
 	Seq      uint32
 }
 
-// Share is a slot and the time in Unix milliseconds before which records of its
-// keys may be lost, zero if none can be.
+// Share is a slot and the time in Unix milliseconds before which records of its keys
+// may be lost, zero if none can be lost.
 type Share struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Slot     uint32
 	Since    int64
 }
 
-// KeyRecord is what is known of one idempotency key and its ended run.
+// KeyRecord holds what is known about one idempotency key and its finished run.
 type KeyRecord struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Key      []byte
 	First    ident.ID
 	Digest   uint64
-	// Gone is set when the answer is no longer kept; what follows is empty
-	// then. Status is zero when the answer never began.
+	// AnswerDropped is set when the answer is no longer kept; the fields after it are
+	// empty then. Status is zero if the answer never began.
 	Gone   bool
 	Status uint16
 	Header Fields
@@ -73,38 +74,40 @@
 	Usage  Usage
 }
 
-// KeyRecords is a bounded list of records.
+// KeyRecords is a list of at most MaxRecords records.
 type KeyRecords []KeyRecord
 
-// DecodeMsgpack reads at most MaxRecords records.
+// DecodeMsgpack reads at most MaxRecords records and returns an error for a longer
+// list.
 func (r *KeyRecords) DecodeMsgpack(d *msgpack.Decoder) error {
 	list, err := decodeList[KeyRecord](d, MaxRecords)
 	*r = list
 	return err
 }
 
-// Shares is a bounded list of slots.
+// Shares is a list of at most MaxShares slots.
 type Shares []Share
 
-// DecodeMsgpack reads at most MaxShares slots.
+// DecodeMsgpack reads at most MaxShares slots and returns an error for a longer list.
 func (s *Shares) DecodeMsgpack(d *msgpack.Decoder) error {
 	list, err := decodeList[Share](d, MaxShares)
 	*s = list
 	return err
 }
 
+// decodeList reads an array of at most limit elements.
 func decodeList[T any](d *msgpack.Decoder, limit int) ([]T, error) {
-	n, err := boundedLen(d, limit)
+	n, err := decodeBoundedLen(d, limit)
 	if err != nil {
 		return nil, err
 	}
-	var out []T
+	var list []T
 	for range n {
-		var one T
-		if err := d.Decode(&one); err != nil {
+		var elem T
+		if err := d.Decode(&elem); err != nil {
 			return nil, err
 		}
-		out = append(out, one)
+		list = append(list, elem)
 	}
-	return out, nil
+	return list, nil
 }
--- a/core/wire/kind.go
+++ b/core/wire/kind.go
@@ -1,10 +1,10 @@
 package wire
 
-// Kind is the type of a message, the byte that follows the length of a frame.
+// Kind is the type of a message: the byte that follows the length of a frame.
 type Kind uint8
 
-// The kinds of messages. Numbers are part of the protocol: they are never
-// reused, and new kinds are added at the end.
+// The kinds of messages. The numbers are part of the protocol: they are never reused,
+// and new kinds are added at the end.
 const (
 	KindHello Kind = 1 + iota
 	KindProof
@@ -15,39 +15,39 @@
 	KindGrant
 	KindDeny
 	KindReturn
-	KindKnown
+	KindKeyStatus
 	KindHead
 	KindChunk
 	KindEnd
 	KindCancel
 	KindAttach
-	KindLevel
-	KindNews
-	KindLeaseAsk
-	KindLeaseAck
+	KindShedLevel
+	KindObjectUpdate
+	KindLeaseRequest
+	KindLeaseReply
 	KindFetch
-	KindFetched
+	KindFetchDone
 	KindHandover
-	KindHandAck
+	KindHandoverAck
 	KindTally
 	KindSnapshot
 	KindRelay
-	KindPlaceAsk
-	KindPlaceAck
-	KindPlaceNote
+	KindPlaceRequest
+	KindPlaceReply
+	KindPlaceReport
 	kindLimit
 )
 
 var kindNames = [...]string{
 	KindHello: "hello", KindProof: "proof", KindBeat: "beat", KindOffer: "offer",
 	KindWithdraw: "withdraw", KindClaim: "claim", KindGrant: "grant", KindDeny: "deny",
-	KindReturn: "return", KindKnown: "known", KindHead: "head", KindChunk: "chunk",
-	KindEnd: "end", KindCancel: "cancel", KindAttach: "attach", KindLevel: "level",
-	KindNews: "news", KindLeaseAsk: "lease-ask", KindLeaseAck: "lease-ack",
-	KindFetch: "fetch", KindFetched: "fetched",
-	KindHandover: "handover", KindHandAck: "hand-ack",
+	KindReturn: "return", KindKeyStatus: "known", KindHead: "head", KindChunk: "chunk",
+	KindEnd: "end", KindCancel: "cancel", KindAttach: "attach", KindShedLevel: "level",
+	KindObjectUpdate: "news", KindLeaseRequest: "lease-ask", KindLeaseReply: "lease-ack",
+	KindFetch: "fetch", KindFetchDone: "fetched",
+	KindHandover: "handover", KindHandoverAck: "hand-ack",
 	KindTally: "tally", KindSnapshot: "snapshot", KindRelay: "relay",
-	KindPlaceAsk: "place-ask", KindPlaceAck: "place-ack", KindPlaceNote: "place-note",
+	KindPlaceRequest: "place-ask", KindPlaceReply: "place-ack", KindPlaceReport: "place-note",
 }
 
 // String returns the name of the kind as docs/PROTOCOL.md spells it.
@@ -59,7 +59,7 @@
 }
 
 // Control reports whether messages of this kind count as control traffic in
-// the figures of docs/CAPACITY.md: everything but the bytes of callers.
+// docs/CAPACITY.md: everything but callers' requests and answers.
 func (k Kind) Control() bool {
 	switch k {
 	case KindGrant, KindHead, KindChunk, KindEnd:
@@ -68,7 +68,8 @@
 	return true
 }
 
-func blank(k Kind) Message {
+// newMessage returns an empty message of kind k, nil if the kind is unknown.
+func newMessage(k Kind) Message {
 	switch k {
 	case KindHello:
 		return new(Hello)
@@ -88,7 +89,7 @@
 		return new(Deny)
 	case KindReturn:
 		return new(Return)
-	case KindKnown:
+	case KindKeyStatus:
 		return new(Known)
 	case KindHead:
 		return new(Head)
@@ -100,21 +101,21 @@
 		return new(Cancel)
 	case KindAttach:
 		return new(Attach)
-	case KindLevel:
+	case KindShedLevel:
 		return new(Level)
-	case KindNews:
+	case KindObjectUpdate:
 		return new(News)
-	case KindLeaseAsk:
+	case KindLeaseRequest:
 		return new(LeaseAsk)
-	case KindLeaseAck:
+	case KindLeaseReply:
 		return new(LeaseAck)
 	case KindFetch:
 		return new(Fetch)
-	case KindFetched:
-		return new(Fetched)
+	case KindFetchDone:
+		return new(FetchDone)
 	case KindHandover:
 		return new(Handover)
-	case KindHandAck:
+	case KindHandoverAck:
 		return new(HandAck)
 	case KindTally:
 		return new(Tally)
@@ -122,11 +123,11 @@
 		return new(Snapshot)
 	case KindRelay:
 		return new(Relay)
-	case KindPlaceAsk:
+	case KindPlaceRequest:
 		return new(PlaceAsk)
-	case KindPlaceAck:
+	case KindPlaceReply:
 		return new(PlaceAck)
-	case KindPlaceNote:
+	case KindPlaceReport:
 		return new(PlaceNote)
 	}
 	return nil
--- a/core/wire/kinds.go
+++ b/core/wire/kinds.go
@@ -28,7 +28,7 @@
 func (*Return) Kind() Kind { return KindReturn }
 
 // Kind returns KindKnown.
-func (*Known) Kind() Kind { return KindKnown }
+func (*Known) Kind() Kind { return KindKeyStatus }
 
 // Kind returns KindHead.
 func (*Head) Kind() Kind { return KindHead }
@@ -46,28 +46,28 @@
 func (*Attach) Kind() Kind { return KindAttach }
 
 // Kind returns KindLevel.
-func (*Level) Kind() Kind { return KindLevel }
+func (*Level) Kind() Kind { return KindShedLevel }
 
 // Kind returns KindNews.
-func (*News) Kind() Kind { return KindNews }
+func (*News) Kind() Kind { return KindObjectUpdate }
 
 // Kind returns KindLeaseAsk.
-func (*LeaseAsk) Kind() Kind { return KindLeaseAsk }
+func (*LeaseAsk) Kind() Kind { return KindLeaseRequest }
 
 // Kind returns KindLeaseAck.
-func (*LeaseAck) Kind() Kind { return KindLeaseAck }
+func (*LeaseAck) Kind() Kind { return KindLeaseReply }
 
 // Kind returns KindFetch.
 func (*Fetch) Kind() Kind { return KindFetch }
 
 // Kind returns KindFetched.
-func (*Fetched) Kind() Kind { return KindFetched }
+func (*FetchDone) Kind() Kind { return KindFetchDone }
 
 // Kind returns KindHandover.
 func (*Handover) Kind() Kind { return KindHandover }
 
 // Kind returns KindHandAck.
-func (*HandAck) Kind() Kind { return KindHandAck }
+func (*HandAck) Kind() Kind { return KindHandoverAck }
 
 // Kind returns KindTally.
 func (*Tally) Kind() Kind { return KindTally }
--- a/core/wire/last_test.go
+++ b/core/wire/last_test.go
@@ -11,7 +11,7 @@
 	"lycheepond/core/ring"
 )
 
-// tcpPair returns both ends of a connection.
+// tcpPair returns both ends of a TCP connection.
 func tcpPair(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,27 +31,29 @@
 	return n.(*net.TCPConn), f.(*net.TCPConn)
 }
 
-// An agent writes its last answers and ends. The entry is busy just then, and the
-// next that it does is to write: there is nobody any more. The answers came before
-// that and are handled. When the failed write closed the connection at once, "64 of
-// 200 pieces were handled; the link ended with write: connection reset by peer": one
-// buffer's worth, the rest lay in the kernel.
-func TestLastWordsOfAPeerAreHeard(t *testing.T) {
-	// All pieces fit the window of a fresh connection: none waits at the peer.
+// An agent writes its last answers and exits. The entry is busy at that moment, and
+// the next thing it does is to write to the closed connection. The answers arrived
+// before and must be handled. The link once closed its own connection as soon as a
+// write had failed. Only the 64 of 200 pieces that were in its buffer were handled
+// then; the rest was still in the kernel, and the link ended with "write: connection
+// reset by peer".
+func TestAnswersBeforePeerExitAreHandled(t *testing.T) {
+	// All pieces fit into the window of a new connection, so none is held back at the
+	// peer.
 	const pieces = 200
 	near, far := tcpPair(t)
 	l := New(near, Hello{}, Config{})
-	busy, free := make(chan struct{}), make(chan struct{})
-	got := uint32(0)
+	handling, goOn := make(chan struct{}), make(chan struct{})
+	handled := uint32(0)
 	ended := make(chan error, 1)
 	go func() {
 		ended <- l.Run(context.Background(), func(m Message) {
-			if got == 0 {
-				close(busy)
-				<-free
+			if handled == 0 {
+				close(handling)
+				<-goOn
 			}
-			if c, ok := m.(*Chunk); ok && c.Seq == got {
-				got++
+			if c, ok := m.(*Chunk); ok && c.Seq == handled {
+				handled++
 			}
 		})
 	}()
@@ -65,36 +67,36 @@
 	if _, err := far.Write(out); err != nil {
 		t.Fatal(err)
 	}
-	<-busy
-	// What the entry wrote stands unread, so the end is a reset.
+	<-handling
+	// The peer has not read what the entry wrote, so closing resets the connection.
 	if err := far.SetLinger(0); err != nil {
 		t.Fatal(err)
 	}
 	far.Close()
 	for end := time.Now().Add(10 * time.Second); l.Send(new(Known)) == nil; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("writing to a peer that has ended went on")
+			t.Fatal("writes to a closed peer still succeed")
 		}
 	}
-	close(free)
-	if err := <-ended; err == nil || got != pieces {
-		t.Errorf("%d of %d pieces were handled; the link ended with %v", got, pieces, err)
+	close(goOn)
+	if err := <-ended; err == nil || handled != pieces {
+		t.Errorf("%d of %d pieces were handled; the link ended with %v", handled, pieces, err)
 	}
 }
 
-// A peer reads too slowly for messages that must not wait. The link's owner, and
-// with it the log, learns that as the cause of the end.
-func TestFullLinkTellsWhy(t *testing.T) {
+// A peer reads too slowly, and the queue for messages that must not wait is full. Run
+// must return this as the cause, because the owner of the link logs it.
+func TestFullQueueIsReportedAsCause(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	l := New(near, Hello{}, Config{})
 	ended := make(chan error, 1)
 	go func() { ended <- l.Run(context.Background(), func(Message) {}) }()
-	var full error
-	for full == nil {
-		full = l.Send(new(Known))
+	var sendErr error
+	for sendErr == nil {
+		sendErr = l.Send(new(Known))
 	}
-	if err := <-ended; !errors.Is(full, ring.ErrFull) || !errors.Is(err, ring.ErrFull) {
-		t.Errorf("the link ended with %v, the send with %v", err, full)
+	if err := <-ended; !errors.Is(sendErr, ring.ErrFull) || !errors.Is(err, ring.ErrFull) {
+		t.Errorf("the link ended with %v, the send with %v", err, sendErr)
 	}
 }
--- a/core/wire/late_test.go
+++ b/core/wire/late_test.go
@@ -9,54 +9,55 @@
 	"time"
 )
 
-// stopped is a connection of a process that stops for a while in the middle of a
-// read. When it runs again, the timers that went off meanwhile come before the
-// bytes that came meanwhile, as they do in the runtime.
-type stopped struct {
+// pausedConn is a connection of a process that is paused during a read. When the
+// process runs again, its expired timers fire before the bytes that arrived meanwhile
+// are read, as in the Go runtime.
+type pausedConn struct {
 	net.Conn
-	mu    sync.Mutex
-	limit time.Time
-	// stop is taken by the read that is to stop, until again is closed.
-	stop, again chan struct{}
+	mu           sync.Mutex
+	readDeadline time.Time
+	// pause receives from the Read that is to block, and that Read blocks until
+	// resume is closed.
+	pause, resume chan struct{}
 }
 
-func newStopped(conn net.Conn) *stopped {
-	return &stopped{Conn: conn, stop: make(chan struct{}), again: make(chan struct{})}
+func newPausedConn(conn net.Conn) *pausedConn {
+	return &pausedConn{Conn: conn, pause: make(chan struct{}), resume: make(chan struct{})}
 }
 
-// SetReadDeadline notes the deadline.
-func (c *stopped) SetReadDeadline(t time.Time) error {
+// SetReadDeadline records the deadline and passes it on.
+func (c *pausedConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.limit = t
+	c.readDeadline = t
 	return c.Conn.SetReadDeadline(t)
 }
 
-func (c *stopped) left() time.Duration {
+func (c *pausedConn) deadlineLeft() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Until(c.limit)
+	return time.Until(c.readDeadline)
 }
 
-// Read stops if it was told to.
-func (c *stopped) Read(p []byte) (int, error) {
+// Read blocks if the test has requested a pause.
+func (c *pausedConn) Read(p []byte) (int, error) {
 	select {
-	case c.stop <- struct{}{}:
-		<-c.again
+	case c.pause <- struct{}{}:
+		<-c.resume
 	default:
 	}
-	if c.left() < 0 {
+	if c.deadlineLeft() < 0 {
 		return 0, os.ErrDeadlineExceeded
 	}
 	return c.Conn.Read(p)
 }
 
-// A machine stops for longer than the processes on it may be silent to each other.
-// When they run again, each has its peer's last heartbeats in its kernel, unread.
-// The links and the requests on them go on. Of 200 connections of a process that
-// was stopped by a signal all 200 found their read deadline passed when it went on,
-// and bytes behind it; each link "missed its heartbeats".
-func TestLinkOutlivesAStop(t *testing.T) {
+// A machine is paused for longer than a peer may be silent. When its processes run
+// again, the last heartbeats of their peers wait unread in the kernel. The links and
+// the requests on them must continue. In a process that was paused by a signal, all
+// 200 of its 200 connections had a passed read deadline and unread bytes, and each
+// link was closed because the peer had "missed its heartbeats".
+func TestLinkSurvivesPausedProcess(t *testing.T) {
 	const heartbeat = 20 * time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn := newStopped(dialled)
+	conn := newPausedConn(dialled)
 	a, b := New(conn, Hello{}, Config{Heartbeat: heartbeat}), New(accepted, Hello{}, Config{Heartbeat: heartbeat})
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -79,20 +80,20 @@
 	ended := make(chan error, 2)
 	go func() { ended <- a.Run(ctx, func(m Message) { got <- m }) }()
 	go func() { ended <- b.Run(ctx, func(Message) {}) }()
-	opening(t, got)
-	<-conn.stop
+	receiveOpening(t, got)
+	<-conn.pause
 	sent := b.Counts().ControlOut
-	for conn.left() >= 0 || b.Counts().ControlOut == sent {
+	for conn.deadlineLeft() >= 0 || b.Counts().ControlOut == sent {
 		time.Sleep(heartbeat)
 	}
-	close(conn.again)
+	close(conn.resume)
 	if err := b.Send(new(Known)); err != nil {
 		t.Errorf("the peer could not send: %v", err)
 	}
-	for whole := false; !whole; {
+	for received := false; !received; {
 		select {
 		case m := <-got:
-			whole = m.Kind() == KindKnown
+			received = m.Kind() == KindKeyStatus
 		case err := <-ended:
 			t.Fatalf("the link ended: %v", err)
 		}
--- a/core/wire/link.go
+++ b/core/wire/link.go
@@ -11,15 +11,18 @@
 	"lycheepond/core/ring"
 )
 
-// Timing of links. A peer is taken for dead after three missed heartbeats.
+// Timing and queue sizes of links. A peer counts as dead after three missed
+// heartbeats.
 const (
-	// DefaultHeartbeat is the longest silence of a healthy peer.
+	// DefaultHeartbeat is the default of the longest time in which a healthy peer
+	// sends nothing.
 	DefaultHeartbeat = time.Second
-	// MissedHeartbeats is how many heartbeats may be missed.
+	// MissedHeartbeats is the number of missed heartbeats after which a peer counts
+	// as dead.
 	MissedHeartbeats = 3
-	// ringSize is how many messages may wait for the writer of one link. At
-	// 31,000 tokens a second over 115 links it is several seconds of output.
-	ringSize = 1024
+	// queueSize is the capacity of each of a link's two queues, in messages. At
+	// 31,000 tokens a second over 115 links it holds several seconds of output.
+	queueSize = 1024
 )
 
 // ErrSilent reports a peer that missed its heartbeats.
@@ -28,64 +31,67 @@
 // ErrClosed reports a send on a link that has ended.
 var ErrClosed = errors.New("wire: link closed: offer the request to another agent")
 
-// Counts is a link's traffic in bytes, as framed, without TCP and IP headers.
+// Counts holds a link's traffic in bytes of frames, without TCP and IP headers.
 type Counts struct {
-	// ControlIn and ControlOut are everything but callers' requests and answers.
+	// ControlIn and ControlOut count everything but callers' requests and answers.
 	ControlIn, ControlOut uint64
-	// DataIn and DataOut are callers' requests and answers.
+	// DataIn and DataOut count callers' requests and answers.
 	DataIn, DataOut uint64
 }
 
-// Link is one connection to another lycheepond process.
+// Link is one connection to another lycheepond process. Its methods are safe for
+// concurrent use; Run is called once.
 type Link struct {
 	conn net.Conn
-	// steady is conn as frames pass through it.
-	steady *steady
-	peer   Hello
-	// out holds what Send queued and bulk what SendWait queued. They are apart
-	// because the producers of answers fill their ring whenever the peer reads
-	// more slowly than they write; in one ring a claim or a return would then
-	// find no room and end the link, just when there is most to do.
-	out, bulk *ring.Ring[Message]
-	// done is closed once, by cancel's owner Run, when the link has ended.
+	// timedConn is conn with its deadlines managed; all frames pass through it.
+	timedConn *deadlineConn
+	peer      Hello
+	// sendQueue holds the messages of Send and bulkQueue those of SendWait. They are
+	// separate because the producers of answers fill their queue whenever the peer
+	// reads more slowly than they write. In one shared queue a claim or a return
+	// would then find no room and end the link, just when the load is highest.
+	sendQueue, bulkQueue *ring.Ring[Message]
+	// done is closed by Run when the link has ended.
 	done chan struct{}
-	// stop is called with why the link ends; the first call counts.
-	stop context.CancelCauseFunc
-	ctx  context.Context
-	// sends ends, by hush or with ctx, when no message is taken any more.
-	sends context.Context
-	hush  context.CancelFunc
-	// finish is closed, once, when the link is to end after what is queued.
-	finish    chan struct{}
-	finishing sync.Once
-	// beat makes the heartbeat to send on an idle link; it may be nil.
-	beat      func() Message
-	heartbeat time.Duration
-	pace      *pace
+	// cancel ends the link; the cause of the first call is kept.
+	cancel context.CancelCauseFunc
+	ctx    context.Context
+	// sendCtx ends when no more messages are accepted: through stopSends or with ctx.
+	sendCtx   context.Context
+	stopSends context.CancelFunc
+	// finish is closed once, through finishOnce, when the link is to end after
+	// writing its queued messages.
+	finish     chan struct{}
+	finishOnce sync.Once
+	// newHeartbeat returns the heartbeat to send on an idle link.
+	newHeartbeat func() Message
+	heartbeat    time.Duration
+	liveness     *liveness
 	// lastOut is the time of the last write in nanoseconds since start.
 	lastOut atomic.Int64
 	start   time.Time
-	// queued and written count messages; they are equal when all that was
-	// sent has been handed to the kernel.
+	// queued and written count messages. They are equal when the kernel has accepted
+	// every message that was sent.
 	queued, written atomic.Uint64
 
 	controlIn, controlOut, dataIn, dataOut atomic.Uint64
 }
 
-// Config says how a link behaves.
+// Config configures a link.
 type Config struct {
-	// Heartbeat is the longest silence; zero means DefaultHeartbeat.
+	// Heartbeat is the longest time without a message while requests are on the link;
+	// zero means DefaultHeartbeat.
 	Heartbeat time.Duration
-	// Idle is the longest silence on a link that carries no requests and has
-	// nothing new to say; less than Heartbeat means Heartbeat. The peer's Hello
-	// may ask for a shorter one.
+	// Idle is the longest time without a message on a link that carries no requests
+	// and has no changed state to report. A value below Heartbeat means Heartbeat.
+	// The peer's Hello may ask for a shorter time.
 	Idle time.Duration
-	// Beat makes the heartbeat; nil sends an empty Beat.
+	// NewHeartbeat returns the heartbeat to send; nil sends an empty Heartbeat.
 	Beat func() Message
 }
 
-// New returns a link over conn to a peer whose Hello was checked. It does
-// nothing until Run.
+// New returns a link over conn to the peer whose Hello the handshake returned. It
+// sends and reads nothing until Run.
 func New(conn net.Conn, peer Hello, cfg Config) *Link {
 	if cfg.Heartbeat <= 0 {
 		cfg.Heartbeat = DefaultHeartbeat
@@ -93,13 +99,13 @@
 	if cfg.Beat == nil {
 		cfg.Beat = func() Message { return new(Beat) }
 	}
-	ctx, stop := context.WithCancelCause(context.Background())
-	sends, hush := context.WithCancel(ctx)
-	p := newPace(conn, cfg.Heartbeat, min(cfg.Idle, peer.Idle()))
+	ctx, cancel := context.WithCancelCause(context.Background())
+	sendCtx, stopSends := context.WithCancel(ctx)
+	live := newLiveness(conn, cfg.Heartbeat, min(cfg.Idle, peer.Idle()))
 	return &Link{
-		conn: conn, steady: &steady{Conn: conn, pace: p, patience: cfg.Heartbeat * MissedHeartbeats},
-		peer: peer, out: ring.New[Message](ringSize), bulk: ring.New[Message](ringSize), done: make(chan struct{}),
-		finish: make(chan struct{}), ctx: ctx, stop: stop, sends: sends, hush: hush, beat: cfg.Beat, heartbeat: cfg.Heartbeat, pace: p, start: time.Now(),
+		conn: conn, timedConn: &deadlineConn{Conn: conn, liveness: live, writeTimeout: cfg.Heartbeat * MissedHeartbeats},
+		peer: peer, sendQueue: ring.New[Message](queueSize), bulkQueue: ring.New[Message](queueSize), done: make(chan struct{}),
+		finish: make(chan struct{}), ctx: ctx, cancel: cancel, sendCtx: sendCtx, stopSends: stopSends, newHeartbeat: cfg.Beat, heartbeat: cfg.Heartbeat, liveness: live, start: time.Now(),
 	}
 }
 
@@ -109,36 +115,38 @@
 // Done returns a channel that is closed when the link has ended.
 func (l *Link) Done() <-chan struct{} { return l.done }
 
-// Send queues m without waiting. When the ring is full the peer reads too
-// slowly for messages that must not wait: the link is closed.
+// Send queues m without waiting. A full queue means that the peer reads too slowly
+// for messages that must not wait: Send then ends the link and returns ring.ErrFull.
+// On a link that has ended it returns ErrClosed.
 func (l *Link) Send(m Message) error {
-	if l.sends.Err() != nil {
+	if l.sendCtx.Err() != nil {
 		return ErrClosed
 	}
 	l.queued.Add(1)
-	if err := l.out.Offer(m); err != nil {
-		l.stop(err)
+	if err := l.sendQueue.Offer(m); err != nil {
+		l.cancel(err)
 		return err
 	}
 	return nil
 }
 
-// SendWait queues m and waits for room until ctx or the link ends. It is for
-// the pieces of answers, whose producer may be held back. What Send takes later
-// may overtake m; what it took before m arrives before it.
+// SendWait queues m and waits for room until ctx or the link ends. It is for the
+// pieces of answers, whose producers can be slowed down. Messages passed to Send
+// after m may overtake it; those passed to Send before m arrive before it. SendWait
+// returns ErrClosed if the link ends and the error of ctx if ctx ends.
 func (l *Link) SendWait(ctx context.Context, m Message) error {
-	if l.sends.Err() != nil {
+	if l.sendCtx.Err() != nil {
 		return ErrClosed
 	}
 	l.queued.Add(1)
-	if err := l.bulk.Offer(m); err == nil {
+	if err := l.bulkQueue.Offer(m); err == nil {
 		return nil
 	}
-	joined, cancel := context.WithCancel(ctx)
+	waitCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	unhook := context.AfterFunc(l.sends, cancel)
-	defer unhook()
-	if err := l.bulk.Put(joined, m); err != nil {
+	stopWatch := context.AfterFunc(l.sendCtx, cancel)
+	defer stopWatch()
+	if err := l.bulkQueue.Put(waitCtx, m); err != nil {
 		l.queued.Add(^uint64(0))
 		if ctx.Err() != nil {
 			return ctx.Err()
@@ -148,16 +156,18 @@
 	return nil
 }
 
-// Idle reports whether all that was sent has been handed to the kernel.
+// Idle reports whether the kernel has accepted every message that was sent.
 func (l *Link) Idle() bool { return l.queued.Load() == l.written.Load() }
 
-// Close ends the link; Run returns soon after.
-func (l *Link) Close() { l.stop(ErrClosed) }
+// Close ends the link without writing what is queued. It does not wait for Run to
+// return.
+func (l *Link) Close() { l.cancel(ErrClosed) }
 
-// Finish writes what is queued and then the end of what this process has to say.
-// The link reads on until the peer, which has read all of it by then, closes. A peer
-// that does not read would keep the link open, so its owner bounds the time.
-func (l *Link) Finish() { l.finishing.Do(func() { close(l.finish) }) }
+// Finish makes the link write its queued messages and then close its writing half.
+// The link keeps reading until the peer closes the connection after reading
+// everything. A peer that does not read would keep the link open, so the owner has to
+// limit the time.
+func (l *Link) Finish() { l.finishOnce.Do(func() { close(l.finish) }) }
 
 // Counts returns the traffic so far.
 func (l *Link) Counts() Counts {
@@ -167,21 +177,22 @@
 	}
 }
 
-// Run reads messages and gives each to handle, in order, until the link fails
-// or ctx ends. It returns why the link ended and is to be called once.
+// Run reads messages and passes each to handle, in order, until the link fails or ctx
+// ends. It returns the cause and must be called once. handle runs in the goroutine of
+// Run.
 func (l *Link) Run(ctx context.Context, handle func(Message)) error {
 	defer close(l.done)
-	defer l.stop(ErrClosed)
-	unhook := context.AfterFunc(ctx, func() { l.stop(context.Cause(ctx)) })
-	defer unhook()
+	defer l.cancel(ErrClosed)
+	stopWatch := context.AfterFunc(ctx, func() { l.cancel(context.Cause(ctx)) })
+	defer stopWatch()
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		l.unwritten(l.write(l.ctx))
+		l.handleWriteEnd(l.writeLoop(l.ctx))
 	}()
-	closer := context.AfterFunc(l.ctx, func() { l.conn.Close() })
-	defer closer()
-	l.stop(l.read(handle))
+	stopClose := context.AfterFunc(l.ctx, func() { l.conn.Close() })
+	defer stopClose()
+	l.cancel(l.readLoop(handle))
 	l.conn.Close()
 	<-written
 	if ctx.Err() != nil {
@@ -190,40 +201,42 @@
 	return context.Cause(l.ctx)
 }
 
-func (l *Link) read(handle func(Message)) error {
-	r := NewReader(l.steady)
+// readLoop reads messages and passes them to handle until an error ends the link.
+func (l *Link) readLoop(handle func(Message)) error {
+	r := NewReader(l.timedConn)
 	for {
-		if err := l.pace.listen(time.Now()); err != nil {
+		if err := l.liveness.recordReceived(time.Now()); err != nil {
 			return err
 		}
-		if err := l.await(r); err != nil {
+		if err := l.awaitFrame(r); err != nil {
 			return err
 		}
 		m, err := r.Next()
 		if err != nil {
-			return silent(err)
+			return silentOnTimeout(err)
 		}
-		if err := l.pace.pass(m.Kind(), time.Now()); err != nil {
+		if err := l.liveness.recordMessage(m.Kind(), time.Now()); err != nil {
 			return err
 		}
-		l.controlIn.Store(r.control)
-		l.dataIn.Store(r.data)
+		l.controlIn.Store(r.controlBytes)
+		l.dataIn.Store(r.dataBytes)
 		handle(m)
 	}
 }
 
-// await returns when a frame has begun to arrive.
-func (l *Link) await(r *Reader) error {
+// awaitFrame blocks until a frame has begun to arrive. It returns ErrSilent once the
+// peer has been silent for too long.
+func (l *Link) awaitFrame(r *Reader) error {
 	for {
-		err := silent(r.Wait())
-		if !errors.Is(err, ErrSilent) || !l.pace.patient(time.Now()) {
+		err := silentOnTimeout(r.Wait())
+		if !errors.Is(err, ErrSilent) || !l.liveness.extendIfAlive(time.Now()) {
 			return err
 		}
 	}
 }
 
-// silent turns a read that timed out into ErrSilent.
-func silent(err error) error {
+// silentOnTimeout replaces a read timeout by ErrSilent.
+func silentOnTimeout(err error) error {
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
 		return ErrSilent
--- a/core/wire/link_test.go
+++ b/core/wire/link_test.go
@@ -10,8 +10,9 @@
 	"lycheepond/core/ident"
 )
 
-// pair returns two ends that have shaken hands over loopback.
-func pair(t *testing.T, a, b Keys) (*Link, *Link, error, error) {
+// handshakePair returns two links over loopback whose handshake is done, or the errors of the
+// handshake.
+func handshakePair(t *testing.T, a, b Keys) (*Link, *Link, error, error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,8 +51,8 @@
 	return ra.l, rb.l, ra.err, rb.err
 }
 
-// opening takes the heartbeat that opens a link.
-func opening(t *testing.T, got <-chan Message) {
+// receiveOpening receives the heartbeat that opens a link.
+func receiveOpening(t *testing.T, got <-chan Message) {
 	t.Helper()
 	if m := <-got; m.Kind() != KindBeat {
 		t.Fatalf("the link opened with %s", m.Kind())
@@ -60,7 +61,7 @@
 
 func TestLinkCarriesMessages(t *testing.T) {
 	keys := OneKey([]byte("k"))
-	a, b, errA, errB := pair(t, keys, keys)
+	a, b, errA, errB := handshakePair(t, keys, keys)
 	if errA != nil || errB != nil {
 		t.Fatal(errA, errB)
 	}
@@ -76,7 +77,7 @@
 	if err := a.Send(want); err != nil {
 		t.Fatal(err)
 	}
-	opening(t, got)
+	receiveOpening(t, got)
 	m := <-got
 	o, ok := m.(*Offer)
 	if !ok || o.ID != want.ID || o.Pool != want.Pool || string(o.Key) != string(want.Key) || o.KeyMade != want.KeyMade {
@@ -86,18 +87,18 @@
 	<-ended
 	<-ended
 	if err := a.Send(want); !errors.Is(err, ErrClosed) {
-		t.Fatalf("Send after the end: %v", err)
+		t.Fatalf("Send on an ended link: %v", err)
 	}
 	if a.Counts().ControlOut == 0 || b.Counts().ControlIn != a.Counts().ControlOut {
 		t.Fatalf("counts %+v and %+v", a.Counts(), b.Counts())
 	}
 }
 
-// A process of another fleet, or one that was left out when the key was
-// replaced, dials a link port. Its operator sees the remedy, and no message of
-// its is ever handled.
+// A process of another fleet, or one that was left out when the fleet key was
+// replaced, dials a link port. Its operator must see the remedy, and none of its
+// messages may be handled.
 func TestHandshakeRefusesOtherKey(t *testing.T) {
-	_, _, errA, errB := pair(t, OneKey([]byte("one")), OneKey([]byte("two")))
+	_, _, errA, errB := handshakePair(t, OneKey([]byte("one")), OneKey([]byte("two")))
 	if !errors.Is(errA, ErrFleetKey) && !errors.Is(errB, ErrFleetKey) {
 		t.Fatalf("errors %v and %v", errA, errB)
 	}
@@ -106,47 +107,48 @@
 	}
 }
 
-func TestHandshakeAcceptsBothKeysWhileReplaced(t *testing.T) {
-	old, fresh := []byte("old"), []byte("new")
-	_, _, errA, errB := pair(t, Keys{Current: old, Accepted: [][]byte{old, fresh}}, Keys{Current: fresh, Accepted: [][]byte{fresh, old}})
+func TestHandshakeAcceptsBothKeysDuringReplacement(t *testing.T) {
+	oldKey, newKey := []byte("old"), []byte("new")
+	_, _, errA, errB := handshakePair(t, Keys{Current: oldKey, Accepted: [][]byte{oldKey, newKey}}, Keys{Current: newKey, Accepted: [][]byte{newKey, oldKey}})
 	if errA != nil || errB != nil {
 		t.Fatal(errA, errB)
 	}
 }
 
-// A caller reads slowly, so the pieces of its answer fill the link. Claims and
-// returns must still find room: a link that ends under load is dialled again
-// by everyone at once. And the notice of a joined answer must come before it.
-func TestFullOfAnswersStillTakesControl(t *testing.T) {
+// A caller reads slowly, so the pieces of its answer fill the link's queue. Claims
+// and returns must still be accepted: a link that ended under load would be dialled
+// again by every peer at once. The notice that an answer was joined must arrive
+// before the answer.
+func TestFullAnswerQueueAcceptsControlMessages(t *testing.T) {
 	keys := OneKey([]byte("k"))
-	a, b, errA, errB := pair(t, keys, keys)
+	a, b, errA, errB := handshakePair(t, keys, keys)
 	if errA != nil || errB != nil {
 		t.Fatal(errA, errB)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	for i := range uint32(ringSize) {
+	for i := range uint32(queueSize) {
 		if err := a.SendWait(ctx, &Chunk{Seq: i}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	full, hurry := context.WithCancel(ctx)
-	hurry()
-	if err := a.SendWait(full, &Chunk{}); !errors.Is(err, context.Canceled) {
-		t.Fatalf("the producer was not held back: %v", err)
+	canceled, cancelNow := context.WithCancel(ctx)
+	cancelNow()
+	if err := a.SendWait(canceled, &Chunk{}); !errors.Is(err, context.Canceled) {
+		t.Fatalf("SendWait into a full queue did not wait: %v", err)
 	}
 	if err := a.Send(&Known{}); err != nil {
 		t.Fatal(err)
 	}
-	got := make(chan Message, 2*ringSize)
+	got := make(chan Message, 2*queueSize)
 	ended := make(chan error, 2)
 	go func() { ended <- a.Run(ctx, func(Message) {}) }()
 	go func() { ended <- b.Run(ctx, func(m Message) { got <- m }) }()
-	opening(t, got)
-	if m := <-got; m.Kind() != KindKnown {
-		t.Fatalf("first came %s", m.Kind())
+	receiveOpening(t, got)
+	if m := <-got; m.Kind() != KindKeyStatus {
+		t.Fatalf("the first message is %s", m.Kind())
 	}
-	for i := range uint32(ringSize) {
+	for i := range uint32(queueSize) {
 		if c, ok := (<-got).(*Chunk); !ok || c.Seq != i {
 			t.Fatalf("piece %d: %#v", i, c)
 		}
@@ -157,14 +159,14 @@
 	if err := a.SendWait(ctx, &Head{}); err != nil {
 		t.Fatal(err)
 	}
-	if m := <-got; m.Kind() != KindKnown {
-		t.Fatalf("%s came before the notice", m.Kind())
+	if m := <-got; m.Kind() != KindKeyStatus {
+		t.Fatalf("%s arrived before the notice", m.Kind())
 	}
 	<-got
 	cancel()
 	<-ended
 	<-ended
 	if !a.Idle() {
-		t.Fatal("the link is not idle although all has arrived")
+		t.Fatal("the link is not idle although every message has arrived")
 	}
 }
--- a/core/wire/message.go
+++ b/core/wire/message.go
@@ -6,16 +6,16 @@
 	"lycheepond/core/ident"
 )
 
-// Version is the protocol version that a Hello carries.
+// Version is the protocol version that a Hello states.
 const Version = 1
 
-// Message is one frame's content.
+// Message is the content of one frame.
 type Message interface {
 	// Kind returns the type byte of the message.
 	Kind() Kind
 }
 
-// Role tells what a process is.
+// Role is the type of a process.
 type Role uint8
 
 // The roles of processes that speak this protocol.
@@ -25,7 +25,7 @@
 	RoleOperator
 )
 
-// Hello opens a link in both directions.
+// Hello is the first message on a link, in both directions.
 type Hello struct {
 	_msgpack    struct{} `msgpack:",as_array"`
 	Version     uint16
@@ -33,66 +33,67 @@
 	Name        string
 	Zone        string
 	Incarnation uint64
-	// Nonce is fresh for each connection; the peer's Proof is made over it.
+	// Nonce is newly generated for each connection; the peer's Proof covers it.
 	Nonce []byte
-	// IdleMS is the longest silence, in milliseconds, that the sender keeps and
-	// allows on a link without work. The shorter one of both ends holds; zero
-	// is the heartbeat.
+	// IdleMS is the longest silence in milliseconds that the sender keeps and allows
+	// on a link without requests. The lower value of both ends applies; zero means
+	// the heartbeat period.
 	IdleMS uint32
 }
 
 // Idle returns IdleMS as a duration.
 func (h *Hello) Idle() time.Duration { return time.Duration(h.IdleMS) * time.Millisecond }
 
-// Proof shows that the sender holds the fleet's key.
+// Proof proves that the sender holds the fleet key.
 type Proof struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	MAC      []byte
 }
 
-// Load is what an agent says of its endpoint. It rides on messages that flow
-// anyway, so that it costs no message of its own on a busy link.
+// Load is the state of an agent and its endpoint. It is part of messages that are
+// sent anyway, so it needs no message of its own on a busy link.
 type Load struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	// InFlight counts requests handed to the endpoint and not finished.
+	// InFlight is the number of requests sent to the endpoint and not finished.
 	InFlight uint16
-	// Bound is the number of requests in flight that the agent now allows.
+	// InFlightBound is the number of in-flight requests that the agent allows at
+	// present.
 	Bound uint16
-	// Queued counts offers that wait in front of the endpoint.
+	// Queued is the number of offers in the queue in front of the endpoint.
 	Queued uint16
-	// QueuedCost is the estimated work of the queue in milliseconds of the
-	// endpoint at its present pace.
+	// QueuedCostMS is the estimated work of the queue, in milliseconds of the
+	// endpoint at its present speed.
 	QueuedCost uint32
-	// Running has bit t set while a request of tier t is in flight.
+	// RunningTiers has bit t set while a request of tier t is in flight.
 	Running uint8
-	// Waiting has bit t set while an offer of tier t is queued or claimed.
+	// WaitingTiers has bit t set while an offer of tier t is queued or claimed.
 	Waiting uint8
-	// Level is the shed level in force here: no work of a tier above it is
-	// taken or started.
+	// ShedLevel is the shed level in force at the agent: it accepts and starts no
+	// work of a tier above it.
 	Level uint8
-	// Leaving is set from the moment that a planned stop begins.
+	// Leaving is set once a planned stop has begun.
 	Leaving bool
-	// Slow is set while the endpoint is far below its own usual pace.
+	// Slow is set while the endpoint is far below its usual speed.
 	Slow bool
 }
 
-// Beat is the heartbeat of an idle link, in both directions. Any other message
+// Heartbeat is the heartbeat of an idle link, in both directions. Any other message
 // counts as a heartbeat too.
 type Beat struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	// Load is meaningful when an agent sends the beat.
+	// Load is set in an agent's heartbeat.
 	Load Load
 	// Leaving is set by an entry that is stopping.
 	Leaving bool
-	// Config is the newest configuration version in force at the sender.
+	// ConfigVersion is the newest configuration version in force at the sender.
 	Config int64
-	// Model and Version are what the agent's endpoint serves; empty when it is
-	// unknown or was told before over this link.
+	// Model and Version are what the agent's endpoint serves. They are empty when
+	// unknown, and when this link has carried them before.
 	Model, Version string
 }
 
-// Offer describes a request to an agent that may claim it. It carries neither
-// the body nor the permission to run.
+// Offer describes a request to an agent that may claim it. It carries neither the
+// body nor the permission to run.
 type Offer struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       ident.ID
@@ -105,45 +106,48 @@
 	// PromptTokens and OutputTokens are estimates.
 	PromptTokens uint32
 	OutputTokens uint32
-	// CostMS estimates the time that the request occupies its place in the
-	// endpoint, in milliseconds.
+	// CostMS is the estimated time in milliseconds for which the request occupies one
+	// of the endpoint's places.
 	CostMS uint32
-	// WaitedMS is how long the request has waited since it was accepted.
+	// WaitedMS is the time in milliseconds since the request was accepted.
 	WaitedMS uint32
-	// FirstMS is the class's target for the first byte, BetweenMS between two
-	// tokens and CompleteMS for the whole answer, each counted from
-	// acceptance. Zero means no target.
+	// FirstTargetMS is the class's target for the first byte, BetweenTargetMS for the
+	// time between two tokens and CompleteTargetMS for the whole answer, in
+	// milliseconds. FirstTargetMS and CompleteTargetMS count from acceptance. Zero
+	// means no target.
 	FirstMS    uint32
 	BetweenMS  uint32
 	CompleteMS uint32
-	// DeadlineMS is the time left until the caller gives up.
+	// DeadlineMS is the time in milliseconds until the caller gives up.
 	DeadlineMS uint32
-	// Repeatable is set when the request may be cancelled at any time and run
-	// again. Only the caller can say so.
+	// Repeatable is set when the request may be cancelled at any time and run again.
+	// Only the caller can decide this.
 	Repeatable bool
-	// Cancellable is set when the request may be cancelled once nobody waits
-	// for its answer any more.
+	// Cancellable is set when the request may be cancelled once no caller waits for
+	// its answer.
 	Cancellable bool
-	// Key is the hash of customer and idempotency key, empty without one. Only
-	// the key's home agent is offered a keyed request.
+	// KeyHash is the hash of the customer and the idempotency key, empty for a
+	// request without a key. A request with a key is offered only to the key's home
+	// agent.
 	Key []byte
-	// KeyMade is when the key was made in Unix milliseconds, zero if the key
-	// does not tell.
+	// KeyCreatedMS is the time in Unix milliseconds at which the key was created,
+	// zero if the key does not contain it.
 	KeyMade int64
-	// Digest is the hash of the request, to notice a key used twice.
+	// Digest is the hash of the request. It detects a key that is used for two
+	// different requests.
 	Digest uint64
-	// Epoch is the epoch of the pool's homes under which the entry chose the
-	// home.
+	// Epoch is the epoch of the pool's homes that the entry used to choose the home
+	// agent.
 	Epoch int64
 }
 
-// Withdraw takes an offer back that was granted elsewhere or given up.
+// Withdraw cancels an offer whose request was granted to another agent or given up.
 type Withdraw struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       ident.ID
 }
 
-// Claim asks for the permission to run an offered request.
+// Claim requests the permission to run an offered request.
 type Claim struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       ident.ID
@@ -157,8 +161,8 @@
 	Value    string
 }
 
-// Grant is the permission to run a request, with all that is needed to run it.
-// At most one Grant is ever written for an ID.
+// Grant is the permission to run a request, with everything needed to run it. At most
+// one Grant is ever written for an ID.
 type Grant struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       ident.ID
@@ -169,13 +173,13 @@
 	Stream   bool
 }
 
-// Deny answers a claim that came too late. The agent forgets the offer.
+// Deny rejects a claim that came too late. The agent drops the offer.
 type Deny struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       ident.ID
 }
 
-// Reason tells why a request came back or ended.
+// Reason is the reason why a request was returned or ended.
 type Reason uint8
 
 // The reasons of Return, End and Cancel.
@@ -183,7 +187,7 @@
 	ReasonNone Reason = iota
 	// ReasonLeaving: the agent or its endpoint is stopping.
 	ReasonLeaving
-	// ReasonDisplaced: work of a higher tier took the place.
+	// ReasonDisplaced: work of a higher tier took the request's place.
 	ReasonDisplaced
 	// ReasonFull: the agent's queue is full.
 	ReasonFull
@@ -193,28 +197,28 @@
 	ReasonNotHome
 	// ReasonNoLease: the agent's lease on its keys has run out.
 	ReasonNoLease
-	// ReasonNeverGranted: an Attach named a request whose grant never came;
-	// the agent has put a tombstone on the ID and will not run it.
+	// ReasonNeverGranted: an Attach named a request whose grant the agent has not
+	// received. The agent has recorded a tombstone for the ID and will not run it.
 	ReasonNeverGranted
-	// ReasonUnreachable: the endpoint refused the connection. In a Return nothing was sent,
-	// in an End the endpoint has crashed during the run.
+	// ReasonUnreachable: the endpoint refused the connection. In a Return nothing was
+	// sent to it; in an End it crashed during the run.
 	ReasonUnreachable
 	// ReasonBroken: the endpoint's answer broke off.
 	ReasonBroken
 	// ReasonCancelled: the request was cancelled while running.
 	ReasonCancelled
-	// ReasonForgotten: the agent does not know what became of the request.
+	// ReasonForgotten: the agent has no record of what happened to the request.
 	ReasonForgotten
 	// ReasonDeadline: the caller's deadline passed.
 	ReasonDeadline
 	// ReasonCallerGone: the caller hung up.
 	ReasonCallerGone
-	// ReasonTooLong: the answer outgrew what can be kept.
+	// ReasonTooLong: the answer is larger than what can be kept.
 	ReasonTooLong
 )
 
-// Return gives a request back that certainly was not run here and, because the
-// agent keeps a tombstone on the ID, never will be.
+// Return hands a request back to the entry. The request certainly did not run at the
+// agent, and never will, because the agent keeps a tombstone for its ID.
 type Return struct {
 	_msgpack     struct{} `msgpack:",as_array"`
 	ID           ident.ID
@@ -223,24 +227,25 @@
 	Load         Load
 }
 
-// KeyState is what a home agent knows of an idempotency key.
+// KeyState is what a home agent knows about an idempotency key.
 type KeyState uint8
 
-// The states of a key in Known.
+// The states of a key in a KeyStatus.
 const (
-	// KeyJoined: the key's first request runs or has finished here; its answer
-	// follows as Head, Chunk and End under the new request's ID.
+	// KeyJoined: the key's first request is running or has finished at this agent.
+	// Its answer follows as Head, Chunk and End under the new request's ID.
 	KeyJoined KeyState = 1 + iota
 	// KeyUnknown: the record may be lost; the request is not run.
 	KeyUnknown
-	// KeyMismatch: the key was used with another request.
+	// KeyMismatch: the key was used with a different request.
 	KeyMismatch
-	// KeyForgotAnswer: the first request ran to its end but its answer is no
-	// longer kept.
+	// KeyAnswerDropped: the first request has finished, but its answer is no longer
+	// kept.
 	KeyForgotAnswer
 )
 
-// Known answers the offer of a keyed request that must not run again.
+// KeyStatus is the reply to an offer whose request must not run again because of its
+// idempotency key.
 type Known struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       ident.ID
@@ -265,20 +270,20 @@
 	Data     []byte
 }
 
-// Usage is what an engine says that an answer cost.
+// Usage is the cost of an answer as the engine reports it.
 type Usage struct {
 	_msgpack     struct{} `msgpack:",as_array"`
 	PromptTokens uint32
 	CachedTokens uint32
 	OutputTokens uint32
-	// FirstMS is the time from the endpoint's acceptance to its first byte and
-	// TotalMS to its last.
+	// FirstByteMS is the time from the endpoint's acceptance to its first byte and
+	// TotalMS to its last byte, in milliseconds.
 	FirstMS uint32
 	TotalMS uint32
 }
 
-// End closes an answer. The sums let the entry tell a whole answer from a
-// truncated one.
+// End ends an answer. Its counts and checksum let the entry detect a truncated
+// answer.
 type End struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       ident.ID
@@ -286,46 +291,48 @@
 	Bytes    uint64
 	// CRC is the CRC-32C of the body.
 	CRC uint32
-	// Whole is set when the endpoint itself finished the answer.
+	// Complete is set when the endpoint itself finished the answer.
 	Whole  bool
 	Reason Reason
 	Usage  Usage
 	Load   Load
 }
 
-// Cancel stops a request: an offer is forgotten, a running request is
-// cancelled at the endpoint.
+// Cancel cancels a request: the agent drops an offer and cancels a running request at
+// the endpoint.
 type Cancel struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       ident.ID
 	Reason   Reason
 }
 
-// Attach asks, after a broken link, for the rest of a granted request's answer
-// from chunk Next on.
+// Attach requests the rest of a granted request's answer after its link broke, from
+// chunk NextSeq on.
 type Attach struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       ident.ID
 	Next     uint32
-	// Stream lets a new incarnation of the agent resume the request at an
-	// engine that can.
+	// Stream allows a new incarnation of the agent to resume the request at an engine
+	// that can do so.
 	Stream bool
-	// Agent is the incarnation of the agent whose link the grant was written
-	// to. Another incarnation cannot know that the grant never came, so it
-	// never answers with ReasonNeverGranted. Zero means not told.
+	// AgentIncarnation is the incarnation of the agent to which the grant was
+	// written. Another incarnation cannot know that the grant never arrived, so it
+	// never replies with ReasonNeverGranted. Zero means unknown.
 	Agent uint64
 }
 
-// Level tells an agent the shed level of its pool.
+// ShedLevel sets the shed level of an agent's pool.
 type Level struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Pool     string
 	Level    uint8
-	// HoldMS is how long the level stays in force unless repeated.
+	// HoldMS is the time in milliseconds for which the level stays in force unless it
+	// is repeated.
 	HoldMS uint32
 }
 
-// News carries one object of the platform to a process that does not watch it.
+// ObjectUpdate carries one object of the platform to a process that does not watch
+// the platform.
 type News struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Object   string
@@ -335,39 +342,41 @@
 	Data     []byte
 }
 
-// LeaseAsk asks an entry how fresh its knowledge of a pool's homes is, or, if
-// Pool is AssignPrefix and a model, of that model's assignments.
+// LeaseRequest asks an entry how old its knowledge of a pool's homes is. If Pool is
+// AssignPrefix and a model, it asks for that model's assignments instead.
 type LeaseAsk struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Seq      uint32
 	Pool     string
 }
 
-// AssignPrefix begins the Pool of a LeaseAsk that is about assign/MODEL. The
-// Epoch of its LeaseAck is the Epoch inside the object.
+// AssignPrefix is the prefix of Pool in a LeaseRequest for assign/MODEL. The Epoch of
+// the LeaseReply is then the Epoch inside that object.
 const AssignPrefix = "assign/"
 
-// LeaseAck confirms that Epoch was the epoch of the pool's homes AgeMS
-// milliseconds before the ask was received. The age counts from the moment
-// before the conditional write that showed the epoch was sent; a plain read
-// may be answered from the past and confirms nothing.
+// LeaseReply confirms that Epoch was the epoch of the pool's homes AgeMS milliseconds
+// before the request was received. The age counts from the moment before the entry
+// sent the conditional write that returned the epoch. A plain read may return an old
+// state and confirms nothing.
 type LeaseAck struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Seq      uint32
 	Pool     string
 	Epoch    int64
 	AgeMS    uint32
-	// Fresh is false when the entry has no confirmation at all.
+	// Confirmed is false when the entry has no confirmation at all.
 	Fresh bool
 }
 
-// Fetch asks a peer for every object that it has in force.
+// Fetch requests every object that is in force at a peer.
 type Fetch struct {
 	_msgpack struct{} `msgpack:",as_array"`
 }
 
-// Fetched ends the News that answer a Fetch.
-type Fetched struct {
+// FetchDone ends the ObjectUpdate messages that answer a Fetch. Version is the
+// version up to which the sender knows every object, and Count is the number of
+// messages.
+type FetchDone struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Version  int64
 	Count    uint32
--- a/core/wire/pace.go
+++ b/core/wire/pace.go
@@ -7,130 +7,135 @@
 )
 
 const (
-	// workHeartbeats is how many heartbeats a link counts as busy after the last
-	// message that belongs to a request.
-	workHeartbeats = 6
-	// readSteps is how many times the read deadline moves in the time that a
-	// peer may be silent.
-	readSteps = 16
+	// busyHeartbeats is the number of heartbeat periods for which a link counts as
+	// busy after its last message of a request.
+	busyHeartbeats = 6
+	// deadlineSteps is the number of steps in which a read or write deadline moves
+	// during the time that it allows.
+	deadlineSteps = 16
 )
 
-// pace is how often a link shows that its end is alive and how long the other
-// end may be silent. While a link carries requests both follow the heartbeat.
-// On a link without work a heartbeat that says nothing new is sent only once in
-// a longer period. At 150 links an entry the headers of TCP and IP around a
-// heartbeat and its acknowledgement, each second and in both directions, would
-// take several times what a process may spend on control.
+// liveness decides how often a link sends heartbeats and how long the peer may be
+// silent. While a link carries requests, both follow the heartbeat period. On a link
+// without requests, a heartbeat that reports no change is sent only once in a longer
+// period. At 150 links per entry, the TCP and IP headers of a heartbeat and its
+// acknowledgement, each second and in both directions, would take several times the
+// bandwidth that a process may use for control traffic.
 //
-// A message of a request, sent or received, brings the heartbeat back at both
-// ends. So a peer that died unnoticed on an idle link is found three heartbeats
-// after the first request is offered to it.
-type pace struct {
+// A message of a request, sent or received, brings both ends back to the heartbeat
+// period. So if a peer died unnoticed on an idle link, this is detected three
+// heartbeats after the next request is offered to it.
+type liveness struct {
 	heartbeat, idle time.Duration
 	conn            net.Conn
 
 	mu sync.Mutex
-	// worked is when the last message of a request passed, heard when the last
-	// message of any kind arrived.
-	worked, heard time.Time
-	// limit is the read deadline in force.
-	limit time.Time
+	// lastRequest is the time of the last message of a request in either direction,
+	// and lastReceived the time at which the last message of any kind arrived.
+	lastRequest, lastReceived time.Time
+	// readDeadline is the read deadline in force.
+	readDeadline time.Time
 }
 
-func newPace(conn net.Conn, heartbeat, idle time.Duration) *pace {
+func newLiveness(conn net.Conn, heartbeat, idle time.Duration) *liveness {
 	now := time.Now()
-	return &pace{heartbeat: heartbeat, idle: max(idle, heartbeat), conn: conn, worked: now, heard: now}
+	return &liveness{heartbeat: heartbeat, idle: max(idle, heartbeat), conn: conn, lastRequest: now, lastReceived: now}
 }
 
-// work reports whether a message belongs to a request.
-func work(k Kind) bool {
+// belongsToRequest reports whether a message of kind k belongs to a request.
+func belongsToRequest(k Kind) bool {
 	switch k {
-	case KindBeat, KindLevel, KindNews, KindLeaseAsk, KindLeaseAck, KindFetch, KindFetched:
+	case KindBeat, KindShedLevel, KindObjectUpdate, KindLeaseRequest, KindLeaseReply, KindFetch, KindFetchDone:
 		return false
 	}
 	return true
 }
 
-// busy is called with mu held.
-func (p *pace) busy(now time.Time) bool { return now.Sub(p.worked) < workHeartbeats*p.heartbeat }
+// isBusy reports whether the link counts as carrying requests. The caller holds mu.
+func (p *liveness) isBusy(now time.Time) bool {
+	return now.Sub(p.lastRequest) < busyHeartbeats*p.heartbeat
+}
 
-// period is called with mu held.
-func (p *pace) period(now time.Time) time.Duration {
-	if p.busy(now) {
+// period returns the time between heartbeats. The caller holds mu.
+func (p *liveness) period(now time.Time) time.Duration {
+	if p.isBusy(now) {
 		return p.heartbeat
 	}
 	return p.idle
 }
 
-// until sets the read deadline so that a peer may be silent from then on for
-// three periods. It is called with mu held.
-func (p *pace) until(from, now time.Time) error {
+// setReadDeadline sets the read deadline to three heartbeat periods after from. The
+// caller holds mu.
+func (p *liveness) setReadDeadline(from, now time.Time) error {
 	silence := p.period(now) * MissedHeartbeats
-	p.limit = from.Add(silence + silence/readSteps)
-	return p.conn.SetReadDeadline(p.limit)
+	p.readDeadline = from.Add(silence + silence/deadlineSteps)
+	return p.conn.SetReadDeadline(p.readDeadline)
 }
 
-// listen sets the read deadline before a read. It moves in steps, because most
-// frames follow each other closely and each move costs more than to decode a
-// frame.
-func (p *pace) listen(now time.Time) error {
+// recordReceived notes that the peer is alive and extends the read deadline. It moves
+// the deadline in steps, because most frames follow each other closely and moving the
+// deadline costs more than decoding a frame.
+func (p *liveness) recordReceived(now time.Time) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.heard = now
-	if p.limit.Sub(now) >= p.period(now)*MissedHeartbeats {
+	p.lastReceived = now
+	if p.readDeadline.Sub(now) >= p.period(now)*MissedHeartbeats {
 		return nil
 	}
-	return p.until(now, now)
+	return p.setReadDeadline(now, now)
 }
 
-// look sets the read deadline so that what has come can be read.
-func (p *pace) look(now time.Time) error {
+// allowReread extends the read deadline just enough to read the bytes that have
+// already arrived.
+func (p *liveness) allowReread(now time.Time) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limit = now.Add(p.heartbeat * MissedHeartbeats / readSteps)
-	return p.conn.SetReadDeadline(p.limit)
+	p.readDeadline = now.Add(p.heartbeat * MissedHeartbeats / deadlineSteps)
+	return p.conn.SetReadDeadline(p.readDeadline)
 }
 
-// patient is called when the read deadline has passed. It reports whether the
-// peer may be silent for longer, as when the link became idle meanwhile.
-func (p *pace) patient(now time.Time) bool {
+// extendIfAlive is called when the read deadline has passed. It reports whether the
+// peer may be silent for longer, for example because the link became idle meanwhile,
+// and extends the deadline in this case.
+func (p *liveness) extendIfAlive(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.heard) >= p.period(now)*MissedHeartbeats {
+	if now.Sub(p.lastReceived) >= p.period(now)*MissedHeartbeats {
 		return false
 	}
-	return p.until(p.heard, now) == nil
+	return p.setReadDeadline(p.lastReceived, now) == nil
 }
 
-// pass notes that a message of kind k was sent or received. The first message
-// of a request on an idle link takes back the long patience with the peer.
-func (p *pace) pass(k Kind, now time.Time) error {
-	if p.idle == p.heartbeat || !work(k) {
+// recordMessage notes that a message of kind k was sent or received. The first
+// message of a request on an idle link shortens the read deadline from the idle
+// period to the heartbeat period.
+func (p *liveness) recordMessage(k Kind, now time.Time) error {
+	if p.idle == p.heartbeat || !belongsToRequest(k) {
 		return nil
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	idle := !p.busy(now)
-	p.worked = now
+	idle := !p.isBusy(now)
+	p.lastRequest = now
 	if !idle {
 		return nil
 	}
-	return p.until(now, now)
+	return p.setReadDeadline(now, now)
 }
 
-// spares reports whether a heartbeat may be left out that would be the n-th in
-// a row.
-func (p *pace) spares(n int, now time.Time) bool {
+// maySkip reports whether the link may skip a heartbeat that would be the n-th
+// skipped in a row.
+func (p *liveness) maySkip(n int, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return time.Duration(n+1)*p.heartbeat <= p.period(now)
 }
 
-// sameBeat reports whether b tells the peer nothing that a did not. The
-// configuration's version alone is no reason to speak: it changes every few
-// seconds in a large fleet and no peer acts on it.
-func sameBeat(a, b Message) bool {
-	x, ok := a.(*Beat)
-	y, also := b.(*Beat)
-	return ok && also && x.Load == y.Load && x.Leaving == y.Leaving && x.Model == y.Model && x.Version == y.Version
+// sameHeartbeat reports whether b contains nothing new to a peer that has received a.
+// A new configuration version alone is not worth a heartbeat: in a large fleet it
+// changes every few seconds, and no peer acts on it.
+func sameHeartbeat(a, b Message) bool {
+	prev, ok := a.(*Beat)
+	next, nextOK := b.(*Beat)
+	return ok && nextOK && prev.Load == next.Load && prev.Leaving == next.Leaving && prev.Model == next.Model && prev.Version == next.Version
 }
--- a/core/wire/pace_test.go
+++ b/core/wire/pace_test.go
@@ -10,71 +10,72 @@
 
 const testIdle = 8 * time.Second
 
-// paced returns the pace of a link that carried its last request at start.
-func paced(t *testing.T) (p *pace, start time.Time) {
+// newTestLiveness returns the liveness of a link that carried its last request at
+// start.
+func newTestLiveness(t *testing.T) (p *liveness, start time.Time) {
 	t.Helper()
 	near, far := net.Pipe()
 	t.Cleanup(func() { near.Close(); far.Close() })
-	p = newPace(near, time.Second, testIdle)
-	return p, p.worked
+	p = newLiveness(near, time.Second, testIdle)
+	return p, p.lastRequest
 }
 
-func TestIdleLinkSparesBeats(t *testing.T) {
-	p, start := paced(t)
-	if p.spares(1, start.Add(5*time.Second)) {
+func TestIdleLinkSkipsHeartbeats(t *testing.T) {
+	p, start := newTestLiveness(t)
+	if p.maySkip(1, start.Add(5*time.Second)) {
 		t.Error("a heartbeat is left out while the link counts as busy")
 	}
-	calm := start.Add(10 * time.Second)
-	if !p.spares(1, calm) || !p.spares(7, calm) || p.spares(8, calm) {
+	idleAt := start.Add(10 * time.Second)
+	if !p.maySkip(1, idleAt) || !p.maySkip(7, idleAt) || p.maySkip(8, idleAt) {
 		t.Error("want seven of eight left out")
 	}
-	if err := p.pass(KindLeaseAsk, calm); err != nil || !p.spares(1, calm) {
-		t.Error("the question about a lease made the link busy", err)
+	if err := p.recordMessage(KindLeaseRequest, idleAt); err != nil || !p.maySkip(1, idleAt) {
+		t.Error("a lease request made the link busy", err)
 	}
-	if err := p.pass(KindOffer, calm); err != nil || p.spares(1, calm) {
+	if err := p.recordMessage(KindOffer, idleAt); err != nil || p.maySkip(1, idleAt) {
 		t.Error("an offer left the link idle", err)
 	}
 }
 
-// A link becomes idle between two heartbeats of the peer. Without the second
-// look at the deadline, which was set while the link was busy, the peer would
-// be taken for dead and every caller on it would wait for a new link.
-func TestLinkThatBecomesIdleStays(t *testing.T) {
-	p, start := paced(t)
-	last := start.Add(5 * time.Second)
-	if err := p.listen(last); err != nil {
+// A link becomes idle between two heartbeats of its peer. The read deadline was set
+// while the link was busy. Without the second check of the deadline, the peer would
+// count as dead and every caller on it would have to wait for a new link.
+func TestLinkThatBecomesIdleStaysOpen(t *testing.T) {
+	p, start := newTestLiveness(t)
+	lastFrame := start.Add(5 * time.Second)
+	if err := p.recordReceived(lastFrame); err != nil {
 		t.Fatal(err)
 	}
-	if !p.patient(last.Add(4 * time.Second)) {
-		t.Error("the peer of a link that became idle is taken for dead")
+	if !p.extendIfAlive(lastFrame.Add(4 * time.Second)) {
+		t.Error("the peer of a link that became idle counts as dead")
 	}
-	if p.patient(last.Add(3*testIdle + time.Second)) {
-		t.Error("three missed heartbeats of an idle link are not noticed")
+	if p.extendIfAlive(lastFrame.Add(3*testIdle + time.Second)) {
+		t.Error("three missed heartbeats of an idle link are not detected")
 	}
 }
 
-// An agent freezes while nobody asks for anything, and the next caller's request
-// is offered to it. The caller must not wait for the long period of an idle
-// link until the request goes to another agent for good.
+// An agent freezes while its link is idle, and then a request is offered to it. The
+// dead agent must be detected after three heartbeats and not only after three of the
+// longer idle periods, because the request goes to another agent only then.
 func TestOfferOnIdleLinkFindsDeadPeer(t *testing.T) {
-	p, start := paced(t)
-	if err := p.listen(start.Add(10 * time.Second)); err != nil {
+	p, start := newTestLiveness(t)
+	if err := p.recordReceived(start.Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	asked := start.Add(15 * time.Second)
-	if err := p.pass(KindOffer, asked); err != nil {
+	offeredAt := start.Add(15 * time.Second)
+	if err := p.recordMessage(KindOffer, offeredAt); err != nil {
 		t.Fatal(err)
 	}
-	if got := p.limit.Sub(asked); got > 4*time.Second {
-		t.Errorf("the deadline is %v behind the offer", got)
+	if got := p.readDeadline.Sub(offeredAt); got > 4*time.Second {
+		t.Errorf("the deadline is %v after the offer", got)
 	}
-	if p.patient(asked.Add(4 * time.Second)) {
-		t.Error("the dead peer is still waited for")
+	if p.extendIfAlive(offeredAt.Add(4 * time.Second)) {
+		t.Error("the dead peer was not detected")
 	}
 }
 
-// A peer accepts the connection and then says nothing more, as a paused process
-// does. Its requests wait until the link is given up.
+// A peer accepts the connection and then sends nothing, as a paused process does. The
+// link must end, because its requests wait until then.
 func TestSilentPeerEndsLink(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -94,7 +95,7 @@
 	}
 }
 
-func TestShorterIdleHolds(t *testing.T) {
+func TestShorterIdlePeriodApplies(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
@@ -105,18 +106,18 @@
 		{testIdle, 5 * time.Second, 5 * time.Second},
 	} {
 		l := New(near, Hello{IdleMS: uint32(v.peer.Milliseconds())}, Config{Heartbeat: time.Second, Idle: v.own})
-		if l.pace.idle != v.want {
-			t.Errorf("own %v, peer's %v: got %v", v.own, v.peer, l.pace.idle)
+		if l.liveness.idle != v.want {
+			t.Errorf("own %v, peer's %v: got %v", v.own, v.peer, l.liveness.idle)
 		}
 	}
 }
 
-func TestSameBeat(t *testing.T) {
+func TestSameHeartbeat(t *testing.T) {
 	a := &Beat{Load: Load{InFlight: 3}, Config: 7}
-	if !sameBeat(a, &Beat{Load: Load{InFlight: 3}, Config: 8}) {
-		t.Error("a configuration version alone is news")
+	if !sameHeartbeat(a, &Beat{Load: Load{InFlight: 3}, Config: 8}) {
+		t.Error("a new configuration version alone counts as a change")
 	}
-	if sameBeat(a, &Beat{Load: Load{InFlight: 4}, Config: 7}) || sameBeat(a, &Beat{Load: a.Load, Leaving: true}) || sameBeat(a, new(Deny)) {
-		t.Error("a change would not be told")
+	if sameHeartbeat(a, &Beat{Load: Load{InFlight: 4}, Config: 7}) || sameHeartbeat(a, &Beat{Load: a.Load, Leaving: true}) || sameHeartbeat(a, new(Deny)) {
+		t.Error("a change is not detected")
 	}
 }
--- a/core/wire/place.go
+++ b/core/wire/place.go
@@ -1,83 +1,90 @@
 package wire
 
-// PlaceAsk asks the entry that owns a shard of a pool's endpoints for a place at one
-// of them.
+// PlaceRequest asks the entry that owns a shard of a pool's endpoints to place a
+// request at one of them.
 type PlaceAsk struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	// ID is the sender's number of the request, never used twice over one link.
+	// ID is the sender's number of the request. It is never used twice on one link.
 	ID   uint64
 	Pool string
-	// Zone and Part name the shard.
+	// Zone and ShardIndex identify the shard.
 	Zone string
 	Part uint16
-	// Customer and Route are the request's tier.
+	// CustomerTier and RouteTier are the request's tier.
 	Customer, Route int
-	// TargetUS is the request's target, DueUS what is left of it and LeftUS the time
-	// until the answer must be complete, in microseconds.
+	// TargetUS is the request's target, TargetLeftUS the time left until the target
+	// and DeadlineLeftUS the time left until the answer must be complete, in
+	// microseconds.
 	TargetUS, DueUS, LeftUS int64
-	// Prompt and Output are tokens.
+	// PromptTokens and OutputTokens are the request's expected token counts.
 	Prompt, Output uint32
-	// Stand is set if the request may wait for a slot.
+	// MayQueue is set if the request may wait for a slot.
 	Stand bool
 }
 
-// PlaceAck answers a PlaceAsk. From then on the place is the sender's until a
-// PlaceNote ends it.
+// PlaceReply answers a PlaceRequest. The place then belongs to the sender of the
+// request until a PlaceReport ends it.
 type PlaceAck struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       uint64
-	// Known is not set if the receiver could not decide: it lacks the pool, or the
-	// shard is empty there.
+	// Decided is false if the receiver could not decide because it does not know the
+	// pool or its shard is empty.
 	Known bool
-	// Endpoint is empty for a refusal. Addr and Slots are the endpoint's in the
-	// instance list of revision Roster.
+	// Endpoint is empty for a refusal. Addr and Slots are the endpoint's address and
+	// number of slots in the instance list of revision Roster.
 	Endpoint, Addr string
 	Slots          int
 	Roster         int64
-	// Why is the reason of a refusal, RetryUS when there should be room and TurnUS
-	// how long it takes until a slot is free for the next request.
+	// Refusal is the reason of a refusal. RetryAfterUS is the time until there should
+	// be room, and SlotIntervalUS the time until a slot is free for the next request,
+	// in microseconds.
 	Why             uint8
 	RetryUS, TurnUS int64
-	// FirstUS is the predicted time to the first event, WaitUS the part of it that
-	// is the wait for a slot and StoodUS how long the request has waited.
+	// FirstEventUS is the predicted time to the first event, WaitUS the part of it
+	// spent waiting for a slot and QueuedUS the time for which the request has
+	// already waited, in microseconds.
 	FirstUS, WaitUS, StoodUS int64
-	// Ahead is how many requests the endpoint had, Prompt how many prompt tokens it
-	// had to read, this request's included. Free is set if it had a free slot.
+	// RequestsAhead is the number of requests that the endpoint had, and PromptTokens
+	// the number of prompt tokens that it had to process, including this request's.
+	// HadFreeSlot is set if the endpoint had a free slot.
 	Ahead, Prompt uint32
 	Free          bool
 }
 
-// The ways in which a PlaceNote ends a place. Values from PlaceResult on are a
-// trust.Result and PlaceResult.
+// The values of PlaceReport.Outcome. Values from PlaceResult on are the sum of
+// PlaceResult and a trust.Result.
 const (
+	// PlaceOpen means that the request is still running.
 	PlaceOpen uint8 = iota
-	// PlaceDropped ends it without a verdict on the endpoint.
+	// PlaceDropped ends the place without a result for the endpoint.
 	PlaceDropped
 	// PlaceDeclined means that the endpoint did not run the request.
 	PlaceDeclined
-	// PlaceMoved means that the endpoint's address belongs to another one.
+	// PlaceMoved means that the endpoint's address now belongs to another endpoint.
 	PlaceMoved
+	// PlaceResult is added to the trust.Result of a finished request.
 	PlaceResult
 )
 
-// PlaceNote tells an owner what has become of a request since the last one.
+// PlaceReport reports the progress or the end of a placed request to the owner of the
+// shard.
 type PlaceNote struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       uint64
-	// Tokens is the output that has come.
+	// OutputTokens is the number of output tokens so far.
 	Tokens uint32
-	// End is PlaceOpen while the request goes on.
+	// Outcome is PlaceOpen while the request is running.
 	End uint8
-	// Load is how many requests the endpoint said that it has when it declined;
-	// zero if it did not say.
+	// EndpointRequests is the number of requests that the endpoint stated when it
+	// declined; zero if it stated none.
 	Load uint32
 }
 
 // Kind returns KindPlaceAsk.
-func (*PlaceAsk) Kind() Kind { return KindPlaceAsk }
+func (*PlaceAsk) Kind() Kind { return KindPlaceRequest }
 
 // Kind returns KindPlaceAck.
-func (*PlaceAck) Kind() Kind { return KindPlaceAck }
+func (*PlaceAck) Kind() Kind { return KindPlaceReply }
 
 // Kind returns KindPlaceNote.
-func (*PlaceNote) Kind() Kind { return KindPlaceNote }
+func (*PlaceNote) Kind() Kind { return KindPlaceReport }
--- a/core/wire/reason.go
+++ b/core/wire/reason.go
@@ -8,7 +8,7 @@
 	ReasonTooLong: "too-long",
 }
 
-// String returns the reason as logs, metrics and docs/PROTOCOL.md spell it.
+// String returns the reason as it is written in logs, metrics and docs/PROTOCOL.md.
 func (r Reason) String() string {
 	if int(r) >= len(reasonNames) {
 		return "unknown"
--- a/core/wire/shake.go
+++ b/core/wire/shake.go
@@ -13,45 +13,47 @@
 )
 
 const (
+	// nonceSize is in bytes.
 	nonceSize        = 16
 	handshakeTimeout = 5 * time.Second
 )
 
-// ErrFleetKey reports a peer that does not hold the fleet's key.
+// ErrFleetKey reports a peer that does not hold the fleet key.
 var ErrFleetKey = errors.New("wire: peer does not hold the fleet's key: set the same fleet key on both ends, and keep the old one accepted while it is replaced")
 
-// ErrHandshake reports a peer that did not open the link as it must.
+// ErrHandshake reports a peer that did not follow the handshake.
 var ErrHandshake = errors.New("wire: handshake failed: check that the address is a lycheepond link port")
 
-// Keys are the fleet's keys.
+// Keys holds the fleet keys of a process.
 type Keys struct {
-	// Current proves this process to its peers.
+	// Current is the key with which this process proves itself to its peers.
 	Current []byte
-	// Accepted are keys that a peer may prove itself with, Current included;
-	// two stand here while a key is being replaced.
+	// Accepted lists the keys that a peer may prove itself with, including Current.
+	// It has two keys while the fleet key is being replaced.
 	Accepted [][]byte
 }
 
 // OneKey returns Keys that use and accept only key.
 func OneKey(key []byte) Keys { return Keys{Current: key, Accepted: [][]byte{key}} }
 
-// Open does the handshake on a fresh connection, either end, and returns the
-// peer's Hello.
+// Handshake performs the handshake on a new connection, at either end, and returns
+// the peer's Hello. The deadline is that of ctx, or handshakeTimeout if that is
+// earlier. Handshake does not close conn on an error, except when ctx ends.
 func Open(ctx context.Context, conn net.Conn, self Hello, keys Keys) (Hello, error) {
 	self.Version = Version
 	self.Nonce = make([]byte, nonceSize)
 	if _, err := rand.Read(self.Nonce); err != nil {
 		return Hello{}, err
 	}
-	limit := time.Now().Add(handshakeTimeout)
-	if d, ok := ctx.Deadline(); ok && d.Before(limit) {
-		limit = d
+	deadline := time.Now().Add(handshakeTimeout)
+	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
+		deadline = d
 	}
-	if err := conn.SetDeadline(limit); err != nil {
+	if err := conn.SetDeadline(deadline); err != nil {
 		return Hello{}, err
 	}
-	unhook := context.AfterFunc(ctx, func() { conn.Close() })
-	defer unhook()
+	stopWatch := context.AfterFunc(ctx, func() { conn.Close() })
+	defer stopWatch()
 	peer, err := exchange(conn, self, keys)
 	if err != nil {
 		return Hello{}, err
@@ -59,12 +61,13 @@
 	return peer, conn.SetDeadline(time.Time{})
 }
 
+// exchange sends self, reads the peer's Hello and verifies the proofs of both ends.
 func exchange(conn net.Conn, self Hello, keys Keys) (Hello, error) {
-	if err := writeOne(conn, &self); err != nil {
+	if err := writeMessage(conn, &self); err != nil {
 		return Hello{}, err
 	}
 	var peer Hello
-	if err := readOne(conn, &peer); err != nil {
+	if err := readMessage(conn, &peer); err != nil {
 		return Hello{}, err
 	}
 	if peer.Version != Version {
@@ -73,24 +76,24 @@
 	if len(peer.Nonce) != nonceSize || string(peer.Nonce) == string(self.Nonce) {
 		return Hello{}, ErrHandshake
 	}
-	if err := writeOne(conn, &Proof{MAC: proof(keys.Current, &self, peer.Nonce)}); err != nil {
+	if err := writeMessage(conn, &Proof{MAC: proofMAC(keys.Current, &self, peer.Nonce)}); err != nil {
 		return Hello{}, err
 	}
-	var answer Proof
-	if err := readOne(conn, &answer); err != nil {
+	var peerProof Proof
+	if err := readMessage(conn, &peerProof); err != nil {
 		return Hello{}, err
 	}
 	for _, key := range keys.Accepted {
-		if hmac.Equal(answer.MAC, proof(key, &peer, self.Nonce)) {
+		if hmac.Equal(peerProof.MAC, proofMAC(key, &peer, self.Nonce)) {
 			return peer, nil
 		}
 	}
 	return Hello{}, ErrFleetKey
 }
 
-// proof is the MAC by which the sender of h shows the key to the peer that
-// chose nonce.
-func proof(key []byte, h *Hello, nonce []byte) []byte {
+// proofMAC returns the MAC with which the sender of h proves to the peer that chose
+// nonce that it holds key.
+func proofMAC(key []byte, h *Hello, nonce []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	mac.Write(nonce)
 	mac.Write(h.Nonce)
@@ -103,7 +106,7 @@
 	return mac.Sum(nil)
 }
 
-func writeOne(conn net.Conn, m Message) error {
+func writeMessage(conn net.Conn, m Message) error {
 	buf, err := Append(nil, m)
 	if err != nil {
 		return err
@@ -112,13 +115,13 @@
 	return err
 }
 
-// readOne reads one message without reading past it. A handshake is small, so
-// its frames are read unbuffered.
-func readOne[M any, P interface {
+// readMessage reads one message and nothing after it. Handshake frames are small, so
+// they are read unbuffered.
+func readMessage[M any, P interface {
 	*M
 	Message
 }](conn net.Conn, into P) error {
-	m, err := NewReader(&oneFrame{conn: conn}).Next()
+	m, err := NewReader(&frameConn{conn: conn}).Next()
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrHandshake, err)
 	}
@@ -130,20 +133,21 @@
 	return nil
 }
 
-// maxHandshake is the largest handshake frame in bytes.
-const maxHandshake = 4 << 10
+// maxHandshakeBody is the largest body of a handshake frame in bytes.
+const maxHandshakeBody = 4 << 10
 
-// oneFrame reads exactly one frame from a connection.
-type oneFrame struct {
+// frameConn reads exactly one frame from a connection.
+type frameConn struct {
 	conn net.Conn
-	// left is how much of the frame is still to come once header is set.
-	left   int
-	header bool
+	// left is the number of bytes of the body still to read once headerRead is set.
+	left       int
+	headerRead bool
 }
 
-// Read implements io.Reader.
-func (o *oneFrame) Read(p []byte) (int, error) {
-	if !o.header {
+// Read implements io.Reader. It returns ErrFrameSize for a body larger than
+// maxHandshake.
+func (o *frameConn) Read(p []byte) (int, error) {
+	if !o.headerRead {
 		if len(p) < headerSize {
 			return 0, ErrFrameSize
 		}
@@ -152,10 +156,10 @@
 			return n, err
 		}
 		o.left = int(binary.BigEndian.Uint32(p[:4]))
-		if o.left > maxHandshake {
+		if o.left > maxHandshakeBody {
 			return 0, ErrFrameSize
 		}
-		o.header = true
+		o.headerRead = true
 		return n, nil
 	}
 	n, err := o.conn.Read(p[:min(len(p), o.left)])
@@ -163,6 +167,7 @@
 	return n, err
 }
 
+// readFull reads until p is full or an error occurs.
 func readFull(conn net.Conn, p []byte) (int, error) {
 	n := 0
 	for n < len(p) {
--- a/core/wire/steady.go
+++ b/core/wire/steady.go
@@ -7,58 +7,60 @@
 	"time"
 )
 
-// pieceSize is the most that one write to the connection holds. A frame may be a
-// thousand times as long, so its size says nothing of whether the peer reads.
-const pieceSize = 32 << 10
+// maxWrite is the largest single write to the connection in bytes. A frame can be a
+// thousand times as long, so the time that a whole frame takes does not show whether
+// the peer is reading.
+const maxWrite = 32 << 10
 
-// steady is a link's connection. Its deadlines are about silence only: each piece
-// that passes moves them, so a frame may take as long as its line needs.
-type steady struct {
+// deadlineConn is a link's connection. Its deadlines only detect silence: every read
+// and every piece written extends them, so a frame may take as long as the
+// connection's bandwidth requires.
+type deadlineConn struct {
 	net.Conn
-	pace *pace
-	// patience is how long one piece may take, moved when the write deadline was
-	// last set. The goroutine that writes owns moved.
-	patience time.Duration
-	moved    time.Time
+	liveness *liveness
+	// writeTimeout is the time that one piece may take. deadlineSetAt is the time at
+	// which the write deadline was last set; only the writing goroutine uses it.
+	writeTimeout  time.Duration
+	deadlineSetAt time.Time
 }
 
-// Read reads what has come and takes it for a sign of life. A deadline that passed
-// while the process did not run goes off before the bytes are read that came
-// meanwhile, so a peer is silent only if there is still nothing at a second look.
-func (s *steady) Read(p []byte) (int, error) {
+// Read reads available bytes and counts them as a sign of life. After a pause of the
+// process, a passed deadline fires before the bytes that arrived meanwhile are read.
+// So Read tries a second time before the peer counts as silent.
+func (s *deadlineConn) Read(p []byte) (int, error) {
 	n, err := s.Conn.Read(p)
-	if errors.Is(err, os.ErrDeadlineExceeded) && s.pace.look(time.Now()) == nil {
+	if errors.Is(err, os.ErrDeadlineExceeded) && s.liveness.allowReread(time.Now()) == nil {
 		n, err = s.Conn.Read(p)
 	}
 	if n == 0 || err != nil {
 		return n, err
 	}
-	return n, s.pace.listen(time.Now())
+	return n, s.liveness.recordReceived(time.Now())
 }
 
 // Write writes p in pieces.
-func (s *steady) Write(p []byte) (int, error) {
-	done := 0
-	for done < len(p) {
-		if err := s.extend(time.Now()); err != nil {
-			return done, err
+func (s *deadlineConn) Write(p []byte) (int, error) {
+	written := 0
+	for written < len(p) {
+		if err := s.extendWriteDeadline(time.Now()); err != nil {
+			return written, err
 		}
-		n, err := s.Conn.Write(p[done:min(len(p), done+pieceSize)])
-		done += n
+		n, err := s.Conn.Write(p[written:min(len(p), written+maxWrite)])
+		written += n
 		if err != nil {
-			return done, err
+			return written, err
 		}
 	}
-	return done, nil
+	return written, nil
 }
 
-// extend moves the write deadline. It moves in steps, as most writes follow each
-// other closely.
-func (s *steady) extend(now time.Time) error {
-	step := s.patience / readSteps
-	if now.Sub(s.moved) < step {
+// extendWriteDeadline moves the write deadline. It does so in steps, because most
+// writes follow each other closely.
+func (s *deadlineConn) extendWriteDeadline(now time.Time) error {
+	step := s.writeTimeout / deadlineSteps
+	if now.Sub(s.deadlineSetAt) < step {
 		return nil
 	}
-	s.moved = now
-	return s.SetWriteDeadline(now.Add(s.patience + step))
+	s.deadlineSetAt = now
+	return s.SetWriteDeadline(now.Add(s.writeTimeout + step))
 }
--- a/core/wire/steady_test.go
+++ b/core/wire/steady_test.go
@@ -8,54 +8,54 @@
 	"time"
 )
 
-// thinLine lets perSecond bytes through in the direction that is read.
-type thinLine struct {
+// slowConn limits reads to perSecond bytes a second.
+type slowConn struct {
 	net.Conn
-	perSecond int
+	bytesPerSecond int
 }
 
-// Read takes as long as the bytes need.
-func (c *thinLine) Read(p []byte) (int, error) {
-	n, err := c.Conn.Read(p[:min(len(p), c.perSecond/100+1)])
-	time.Sleep(time.Duration(n) * time.Second / time.Duration(c.perSecond))
+// Read takes the time that the bytes need at the limited rate.
+func (c *slowConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p[:min(len(p), c.bytesPerSecond/100+1)])
+	time.Sleep(time.Duration(n) * time.Second / time.Duration(c.bytesPerSecond))
 	return n, err
 }
 
-// A request of the largest size crosses a thin line between two availability
-// zones. It takes longer than the peer may be silent, but the line never is, and
-// the other requests on the link must not lose it. With one deadline for a whole
-// frame at each end the link ended: "write pipe: i/o timeout" here, "unexpected
-// EOF" there.
-func TestLargeFrameOverThinLine(t *testing.T) {
+// A request of the largest size is sent over a slow connection between two
+// availability zones. The frame takes longer than the peer may be silent, but bytes
+// arrive all the time, so the link and the other requests on it must continue. With
+// one deadline per whole frame, the link ended with "write pipe: i/o timeout" at the
+// sender and "unexpected EOF" at the receiver.
+func TestLargeFrameOverSlowConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			size = 4 << 20
-			// takes is how long the frame takes.
-			takes = 4 * MissedHeartbeats * DefaultHeartbeat
+			// transferTime is the time that the frame takes.
+			transferTime = 4 * MissedHeartbeats * DefaultHeartbeat
 		)
 		near, far := net.Pipe()
-		a := New(near, Hello{}, Config{})
-		b := New(&thinLine{far, size / int(takes/time.Second)}, Hello{}, Config{})
-		ctx, cancel := context.WithTimeout(context.Background(), 2*takes)
+		sender := New(near, Hello{}, Config{})
+		receiver := New(&slowConn{far, size / int(transferTime/time.Second)}, Hello{}, Config{})
+		ctx, cancel := context.WithTimeout(context.Background(), 2*transferTime)
 		defer cancel()
 		got := make(chan Message, 100)
 		ended := make(chan error, 2)
-		go func() { ended <- a.Run(ctx, func(Message) {}) }()
-		go func() { ended <- b.Run(ctx, func(m Message) { got <- m }) }()
-		if err := a.Send(&Grant{Body: make([]byte, size)}); err != nil {
+		go func() { ended <- sender.Run(ctx, func(Message) {}) }()
+		go func() { ended <- receiver.Run(ctx, func(m Message) { got <- m }) }()
+		if err := sender.Send(&Grant{Body: make([]byte, size)}); err != nil {
 			t.Fatal(err)
 		}
-		for whole, open := false, 2; open > 0; {
+		for arrived, running := false, 2; running > 0; {
 			select {
 			case m := <-got:
-				whole = whole || m.Kind() == KindGrant
-				if whole {
+				arrived = arrived || m.Kind() == KindGrant
+				if arrived {
 					cancel()
 				}
 			case err := <-ended:
-				open--
-				if !whole {
-					t.Errorf("the link ended before the frame had come: %v", err)
+				running--
+				if !arrived {
+					t.Errorf("the link ended before the frame arrived: %v", err)
 				}
 			}
 		}
--- a/core/wire/tally.go
+++ b/core/wire/tally.go
@@ -2,86 +2,92 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// Tally is what an entry tells the others of its own doings, several times a
-// second. What it tells of customers and endpoints are totals, so that one that
-// comes twice or not at all does no harm.
+// Tally is the state report that entries send to each other several times a second.
+// Its values for customers and endpoints are totals, so a tally that arrives twice or
+// not at all does no harm.
 type Tally struct {
-	// Addr is where the sender accepts links; it may be left out of all but whole
-	// tallies.
+	// Addr is the sender's link address; only full tallies must contain it.
 	Addr string
-	// Config and Roster are the revisions in force at the sender.
+	// Config and Roster are the revisions of the configuration and of the instance
+	// list in force at the sender.
 	Config, Roster int64
-	// Used holds the customers whose total changed.
+	// Usage holds the customers whose total changed.
 	Used []Used
-	// Held holds the endpoints at which the sender's requests changed.
+	// Placed holds the endpoints at which the sender's in-flight requests changed.
 	Held []Held
-	// Entries are the other entries that the sender knows.
+	// Entries lists the other entries that the sender knows.
 	Entries []EntryAddr
-	// Seq counts the sender's tallies. Whole is set for one that holds everything
-	// up to it; any other holds what changed since the one before.
+	// Seq numbers the sender's tallies. Full is set in a tally that contains the
+	// complete state as of Seq; any other contains the changes since the previous
+	// tally.
 	Seq   uint64
 	Whole bool
-	// Lacks names entries of which the sender has not heard everything: they
-	// tell it directly.
+	// MissingFrom names the entries from which the sender has not received every
+	// tally. These send their tallies to it directly.
 	Lacks []string
-	// Waiting holds the tiers of pools in which the number of the sender's
-	// requests that wait for a slot changed.
+	// Queued holds the tiers of pools in which the number of the sender's queued
+	// requests changed.
 	Waiting []Waiting
-	// Clock is the milliseconds for which the sender had run when the tally left: it
-	// shows how long that was on its way. Zero tells nothing.
+	// UptimeMS is the time in milliseconds for which the sender had run when it sent
+	// the tally. It shows the tally's transit time. Zero means unknown.
 	Clock uint64
-	// Fresh holds the lists of which the sender knows anew that it has the newest.
+	// Freshness holds the lists for which the sender has new evidence that it has the
+	// newest revision.
 	Fresh []Fresh
-	// Capacity is how much work the sender can carry, in thousandths of a core;
-	// zero tells nothing.
+	// Capacity is the work that the sender can carry, in thousandths of a core; zero
+	// means unknown.
 	Capacity uint32
 	// Suspects holds requests that may have crashed endpoints.
 	Suspects []Suspect
-	// Limits holds endpoints whose limit, or the sender's use of it, changed.
+	// Limits holds endpoints whose rate limit, or the sender's use of it, changed.
 	Limits []Limit
-	// Rollouts holds what changed about roll-outs.
+	// Rollouts holds the roll-outs whose state or counts changed.
 	Rollouts []Rollout
 }
 
-// News reports whether the tally tells of anything but that its sender lives.
+// HasChanges reports whether the tally contains more than the sign that its sender is
+// alive.
 func (t *Tally) News() bool {
 	return len(t.Used)+len(t.Held)+len(t.Waiting)+len(t.Fresh)+len(t.Suspects)+len(t.Limits)+len(t.Rollouts) > 0
 }
 
-// Suspect is the sender's report on a request that may have crashed endpoints. Times are
-// milliseconds before the tally was sent.
+// Suspect is the sender's report on a request that may have crashed endpoints. Its
+// times are ages in milliseconds when the tally was sent.
 type Suspect struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	// Fingerprint identifies the request.
 	Fingerprint []byte
-	// CompletedMS is when it last completed, negative for never.
+	// CompletedAgoMS is the age of the last completion, negative if the request never
+	// completed.
 	CompletedMS int64
 	Crashes     []Crash
-	// SinceMS is when its last quarantine began, LeftMS what remains of it and Quarantines
-	// their number.
+	// QuarantinedAgoMS is the age of the beginning of the last quarantine,
+	// QuarantineLeftMS its remaining time and Quarantines the number of quarantines.
 	SinceMS, LeftMS uint32
 	Quarantines     uint16
-	// ProbedMS is when a probe without an outcome was sent, negative if there is none.
-	// Aborted is set if the last probe did not run.
+	// ProbedAgoMS is the age of a probe that has no outcome yet, negative if there is
+	// none. ProbeAborted is set if the last probe did not run.
 	ProbedMS int64
 	Aborted  bool
 }
 
-// Crash is the crash of an endpoint on which a request was running.
+// Crash is a crash of an endpoint while the suspect request was running on it.
 type Crash struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Endpoint string
 	AgeMS    uint32
 }
 
-// Fresh tells that the revision in force at the sender, as in the same tally,
-// held every change that was made up to AgeMS milliseconds before it left.
+// Freshness states how current a list is: the revision in force at the sender, as
+// stated in the same tally, contains every change made up to AgeMS milliseconds
+// before the tally was sent.
 type Fresh struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	// What is SnapshotConfig or SnapshotRoster.
+	// Content is SnapshotConfig or SnapshotRoster.
 	What  uint8
 	AgeMS uint32
-	// Mark is that of the look that showed it.
+	// RefreshID identifies the lookup at the platform that is the evidence. Entries
+	// with the same evidence derive the same refresh order from it.
 	Mark uint32
 }
 
@@ -89,32 +95,36 @@
 type Limit struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Endpoint string
-	// Rate is in requests a second, valid if Limited. AgeMS is how many milliseconds
-	// before the tally was sent the answer arrived that stated it.
+	// RequestsPerSecond is valid if Limited is set. AgeMS is the age in milliseconds,
+	// when the tally was sent, of the answer that stated the limit.
 	Rate    float64
 	Limited bool
 	AgeMS   uint32
-	// Sent counts the requests that the sender has sent there under limits since it started.
+	// SentTotal is the number of requests that the sender has sent to the endpoint
+	// under a limit since it started.
 	Sent float64
 }
 
-// Rollout is the sender's report on an order to move a pool to another version. Without a
-// pool it tells that the sender knows all orders.
+// Rollout is the sender's report on an order to move a pool to another version. A
+// Rollout without a pool states that the sender knows all orders.
 type Rollout struct {
 	_msgpack     struct{} `msgpack:",as_array"`
 	Pool, Target string
-	// OverMS is the time that the operator gives, AgeMS how many milliseconds before the
-	// tally was sent the order was given.
+	// DurationMS is the duration that the operator gave for the roll-out, and AgeMS
+	// the age of the order when the tally was sent, in milliseconds.
 	OverMS, AgeMS     uint32
 	Created, Revision int64
-	// State is that of core/canary; Moved is set if the sender sends nothing to the old
-	// version any more.
+	// State is a state of core/canary. LeftOldVersion is set if the sender no longer
+	// sends requests to the old version.
 	State uint8
 	Moved bool
 	Cells []RolloutCell
 }
 
-// RolloutCell holds the sender's counts of answers, as in core/canary.
+// RolloutCell holds the sender's counts of answers, as in core/canary: Answers and
+// Failed count answers, FirstCount and FirstLogSum are the number of measured times
+// to the first event and the sum of their logarithms relative to the old version's
+// median, and TokenCount and TokenLogSum are the same for the time per token.
 type RolloutCell struct {
 	_msgpack        struct{} `msgpack:",as_array"`
 	Epoch           uint16
@@ -126,62 +136,66 @@
 	LogPaced        float32
 }
 
-// Relay passes on what other entries told.
+// Relay forwards the tallies of other entries.
 type Relay struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Tallies  Tallies
 }
 
-// maxTallies is the most tallies of one Relay: several of each of ten times as
-// many entries as a fleet is planned to have.
+// maxTallies is the maximum number of tallies in one Relay: several from each entry
+// of a fleet that has ten times the planned number of entries.
 const maxTallies = 1 << 14
 
-// Tallies are those of a Relay.
+// Tallies is the list of at most maxTallies tallies of a Relay.
 type Tallies []Relayed
 
-// DecodeMsgpack reads at most maxTallies tallies.
+// DecodeMsgpack reads at most maxTallies tallies and returns an error for a longer
+// list.
 func (t *Tallies) DecodeMsgpack(d *msgpack.Decoder) error {
 	list, err := decodeList[Relayed](d, maxTallies)
 	*t = list
 	return err
 }
 
-// Relayed is a tally of another entry.
+// RelayedTally is the tally of another entry.
 type Relayed struct {
 	_msgpack    struct{} `msgpack:",as_array"`
 	Name, Zone  string
 	Incarnation uint64
-	// Body is the tally, encoded once for all that it is passed on to.
+	// Body is the encoded tally. It is encoded once for all recipients.
 	Body []byte
 }
 
-// Encoded returns the tally as a Relayed carries it.
+// Encode returns the tally as the Body of a RelayedTally.
 func (t *Tally) Encoded() ([]byte, error) { return msgpack.Marshal(t) }
 
-// Decoded returns the tally of a Relayed.
+// Decode returns the tally in Body.
 func (r *Relayed) Decoded() (*Tally, error) {
 	t := new(Tally)
 	return t, msgpack.Unmarshal(r.Body, t)
 }
 
-// Used is what the sender has admitted of a customer since it started.
+// CustomerUsage is the total that the sender has admitted for a customer since it
+// started.
 type Used struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Customer string
 	Total    float64
 }
 
-// Held is what the sender has in flight at an endpoint.
+// EndpointLoad is the sender's in-flight load at an endpoint.
 type Held struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Endpoint string
 	Requests uint32
-	// Prompt counts prompt tokens of requests without a first event, Output
-	// tokens still expected and Tokens the memory taken.
+	// PromptTokens counts the prompt tokens of requests without a first event,
+	// OutputTokens the output tokens still expected and MemoryTokens the tokens that
+	// occupy the endpoint's memory.
 	Prompt, Output, Tokens uint32
 }
 
-// Waiting is how many requests of one tier of a pool wait at the sender.
+// TierQueue is the number of requests of one tier of a pool that are queued at the
+// sender.
 type Waiting struct {
 	_msgpack        struct{} `msgpack:",as_array"`
 	Pool            string
@@ -189,25 +203,27 @@
 	Requests        uint32
 }
 
-// EntryAddr names an entry.
+// EntryAddr is the name and the link address of an entry.
 type EntryAddr struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Name     string
 	Addr     string
 }
 
-// What a Snapshot holds.
+// The values of Snapshot.Content.
 const (
+	// SnapshotConfig is the configuration.
 	SnapshotConfig uint8 = 1 + iota
+	// SnapshotRoster is the instance list.
 	SnapshotRoster
 )
 
-// Snapshot carries a whole version of what the platform keeps, to an entry that
-// may not reach the platform.
+// Snapshot carries one complete revision of a list of the platform to an entry that
+// may be unable to reach the platform.
 type Snapshot struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	What     uint8
 	Revision int64
-	// Body is the version, encoded as its own package says.
+	// Body is the list, encoded by the package that defines it.
 	Body []byte
 }
--- a/core/wire/tally_test.go
+++ b/core/wire/tally_test.go
@@ -6,26 +6,27 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// olderTally is a Tally of a version that does not tell how fresh its lists are.
+// olderTally is the Tally of a version that does not send Freshness and the fields
+// after it.
 type olderTally struct {
 	_msgpack       struct{} `msgpack:",as_array"`
 	Addr           string
 	Config, Roster int64
-	Used           []Used
-	Held           []Held
+	Usage          []Used
+	Placed         []Held
 	Entries        []EntryAddr
 	Seq            uint64
-	Whole          bool
-	Lacks          []string
-	Waiting        []Waiting
+	Full           bool
+	MissingFrom    []string
+	Queued         []Waiting
 }
 
-// Entries of neighbouring versions run side by side while one replaces the other.
-// If they could not read each other's tallies, each would count the other as
-// silent and give out its share of every limit a second time.
-func TestTalliesOfNeighbouringVersionsAreRead(t *testing.T) {
+// During an upgrade, entries of adjacent versions run side by side. If they could not
+// read each other's tallies, each would count the other as silent and hand out the
+// other's share of every limit a second time.
+func TestTalliesOfAdjacentVersionsAreRead(t *testing.T) {
 	waiting := []Waiting{{Pool: "p", Requests: 2}}
-	older, err := msgpack.Marshal(&olderTally{Addr: "a", Config: 3, Seq: 9, Waiting: waiting})
+	older, err := msgpack.Marshal(&olderTally{Addr: "a", Config: 3, Seq: 9, Queued: waiting})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,16 +41,17 @@
 		t.Fatal(err)
 	}
 	old := new(olderTally)
-	if err := msgpack.Unmarshal(newer, old); err != nil || old.Config != 3 || old.Seq != 9 || len(old.Waiting) != 1 {
+	if err := msgpack.Unmarshal(newer, old); err != nil || old.Config != 3 || old.Seq != 9 || len(old.Queued) != 1 {
 		t.Errorf("a newer tally is read as %+v, %v", old, err)
 	}
 	if err := msgpack.Unmarshal(newer, got); err != nil || !got.ReadsOn() {
-		t.Errorf("that its sender reads further fields is lost: %+v, %v", got, err)
+		t.Errorf("the mark of a sender that accepts more fields is lost: %+v, %v", got, err)
 	}
 }
 
-// A version after this one tells more, and a tally of this one is told to it.
-func TestTallyWithFurtherFields(t *testing.T) {
+// A later version sends fields that this version does not know. They must be skipped.
+// A tally with too few fields is an error.
+func TestTallyWithUnknownFields(t *testing.T) {
 	fresh := []Fresh{{What: SnapshotConfig, AgeMS: 5, Mark: 1 << 31}}
 	suspects := []Suspect{{Fingerprint: []byte("fingerprint"), CompletedMS: -1, Crashes: []Crash{{Endpoint: "e", AgeMS: 5}}}}
 	rollouts := []Rollout{{Pool: "p", Target: "v2", Cells: []RolloutCell{{Route: "r", Answers: 3}}}}
@@ -62,6 +64,6 @@
 		t.Errorf("a later tally is read as %+v, %v", got, err)
 	}
 	if err := msgpack.Unmarshal([]byte{0x92, 0xa1, 'a', 3}, new(Tally)); err == nil {
-		t.Error("a tally that lacks fields is taken for a whole one")
+		t.Error("a tally with too few fields was accepted")
 	}
 }
--- a/core/wire/tallycode.go
+++ b/core/wire/tallycode.go
@@ -8,31 +8,33 @@
 )
 
 const (
-	// tallyFields is how many fields a tally had when readers wanted exactly these,
-	// freshFields how many it has with Clock and Fresh, capacityFields with Capacity
-	// suspectFields with Suspects, limitsFields with Limits and rolloutFields with
-	// Rollouts behind them.
+	// tallyFields is the number of fields of a tally when readers required exactly
+	// this number. The others are the numbers of fields with UptimeMS and Freshness,
+	// Capacity, Suspects, Limits and Rollouts appended in turn.
 	tallyFields    = 10
 	freshFields    = tallyFields + 2
 	capacityFields = freshFields + 1
 	suspectFields  = capacityFields + 1
 	limitsFields   = suspectFields + 1
 	rolloutFields  = limitsFields + 1
-	// readsOn stands among the names in Lacks of whoever reads tallies with further
-	// fields. No entry is named so, and readers that want exactly tallyFields look
-	// for their own name only.
-	readsOn = "+"
+	// moreFieldsMark is added to the names in MissingFrom by a sender that reads
+	// tallies with more than tallyFields fields. No entry has this name, and readers
+	// that require exactly tallyFields only search the list for their own name.
+	moreFieldsMark = "+"
 )
 
 var errTallyFields = errors.New("wire: a tally lacks fields: run the same version on both ends")
 
-// ReadsOn reports whether the sender reads tallies with fields after Waiting.
-func (t *Tally) ReadsOn() bool { return slices.Contains(t.Lacks, readsOn) }
+// AcceptsMoreFields reports whether the sender reads tallies with fields after
+// Queued.
+func (t *Tally) ReadsOn() bool { return slices.Contains(t.Lacks, moreFieldsMark) }
 
-// SetReadsOn notes that the sender reads tallies with fields after Waiting.
-func (t *Tally) SetReadsOn() { t.Lacks = append(slices.Clip(t.Lacks), readsOn) }
+// SetAcceptsMoreFields marks the sender as one that reads tallies with fields after
+// Queued.
+func (t *Tally) SetReadsOn() { t.Lacks = append(slices.Clip(t.Lacks), moreFieldsMark) }
 
-// EncodeMsgpack leaves the fields after Waiting out where they say nothing.
+// EncodeMsgpack writes the tally as an array. It omits as many of the fields after
+// Queued as possible: trailing fields without a value are left out.
 func (t *Tally) EncodeMsgpack(e *msgpack.Encoder) error {
 	fields := []any{t.Addr, t.Config, t.Roster, t.Used, t.Held, t.Entries, t.Seq, t.Whole, t.Lacks, t.Waiting}
 	n := tallyFields
@@ -54,7 +56,8 @@
 	if err := e.EncodeMulti(fields...); err != nil || n < freshFields {
 		return err
 	}
-	// As few bytes as it takes: each tally has one.
+	// EncodeUint uses the smallest encoding, which matters because every tally has
+	// this field.
 	if err := e.EncodeUint(t.Clock); err != nil {
 		return err
 	}
@@ -73,8 +76,8 @@
 	return e.Encode(t.Rollouts)
 }
 
-// DecodeMsgpack reads a tally of an older version, without the fields after Waiting,
-// and one of a later, with further fields.
+// DecodeMsgpack also reads a tally of an older version, which lacks fields after
+// Queued, and one of a later version, whose additional fields it skips.
 func (t *Tally) DecodeMsgpack(d *msgpack.Decoder) error {
 	n, err := d.DecodeArrayLen()
 	if err != nil {
--- a/core/wire/write.go
+++ b/core/wire/write.go
@@ -10,21 +10,22 @@
 	"lycheepond/core/ring"
 )
 
-// write sends what is queued, in batches, and a heartbeat when nothing was
-// sent for one period, or for the idle period if it would say nothing new.
-func (l *Link) write(ctx context.Context) error {
-	w := bufio.NewWriterSize(l.steady, linkBuffer)
+// writeLoop writes the queued messages in batches. It writes a heartbeat when nothing
+// was sent for one heartbeat period, or for the idle period if the heartbeat would
+// report no change.
+func (l *Link) writeLoop(ctx context.Context) error {
+	w := bufio.NewWriterSize(l.timedConn, linkBuffer)
 	tick := time.NewTicker(l.heartbeat)
 	defer tick.Stop()
-	// A link opens with a heartbeat, so that the peer knows at once whether this
-	// process is leaving and how loaded it is.
+	// The first message on a link is a heartbeat, so that the peer knows at once
+	// whether this process is stopping and how loaded it is.
 	l.queued.Add(1)
-	last := l.beat()
-	buf, err := l.batch(w, last, false, nil)
+	lastHeartbeat := l.newHeartbeat()
+	buf, err := l.writeBatch(w, lastHeartbeat, false, nil)
 	if err != nil {
 		return err
 	}
-	sent, spared := false, 0
+	sent, skipped := false, 0
 	for {
 		var m Message
 		bulk := false
@@ -32,44 +33,45 @@
 		case <-ctx.Done():
 			return ErrClosed
 		case <-l.finish:
-			return l.last(w, buf)
-		case m = <-l.out.Items():
+			return l.writeRemaining(w, buf)
+		case m = <-l.sendQueue.Items():
 			sent = true
-		case m = <-l.bulk.Items():
+		case m = <-l.bulkQueue.Items():
 			sent, bulk = true, true
 		case <-tick.C:
 			if sent {
-				sent, spared = false, 0
+				sent, skipped = false, 0
 				continue
 			}
-			m = l.beat()
-			if sameBeat(last, m) && l.pace.spares(spared+1, time.Now()) {
-				spared++
+			m = l.newHeartbeat()
+			if sameHeartbeat(lastHeartbeat, m) && l.liveness.maySkip(skipped+1, time.Now()) {
+				skipped++
 				continue
 			}
-			last, spared = m, 0
+			lastHeartbeat, skipped = m, 0
 			l.queued.Add(1)
 		}
-		if buf, err = l.batch(w, m, bulk, buf); err != nil {
+		if buf, err = l.writeBatch(w, m, bulk, buf); err != nil {
 			return err
 		}
 	}
 }
 
-// last writes what is queued and closes the writing half of the connection.
-func (l *Link) last(w *bufio.Writer, buf []byte) error {
-	l.hush()
+// writeRemaining writes the queued messages and closes the writing half of the
+// connection.
+func (l *Link) writeRemaining(w *bufio.Writer, buf []byte) error {
+	l.stopSends()
 	for {
-		m, more := take(l.out)
-		bulk := !more
+		m, ok := tryReceive(l.sendQueue)
+		bulk := !ok
 		if bulk {
-			m, more = take(l.bulk)
+			m, ok = tryReceive(l.bulkQueue)
 		}
-		if !more {
+		if !ok {
 			break
 		}
 		var err error
-		if buf, err = l.batch(w, m, bulk, buf); err != nil {
+		if buf, err = l.writeBatch(w, m, bulk, buf); err != nil {
 			return err
 		}
 	}
@@ -80,46 +82,49 @@
 	return half.CloseWrite()
 }
 
-// maxBatch is how many messages are written before they are flushed.
+// maxBatch is the number of messages after which the writer flushes.
 const maxBatch = 256
 
-// batch writes m and what waits behind it with one flush. Before a message
-// that was given to SendWait it writes all that was given to Send.
-func (l *Link) batch(w *bufio.Writer, m Message, bulk bool, buf []byte) ([]byte, error) {
-	n := uint64(0)
-	for more := true; more && n < maxBatch; {
-		for before := true; bulk && before; {
-			var c Message
-			if c, before = take(l.out); !before {
+// writeBatch writes m and the messages queued behind it, and flushes once. Before
+// each message of SendWait it writes all queued messages of Send. bulk is set if m is
+// a message of SendWait.
+func (l *Link) writeBatch(w *bufio.Writer, m Message, bulk bool, buf []byte) ([]byte, error) {
+	count := uint64(0)
+	for more := true; more && count < maxBatch; {
+		for pending := true; bulk && pending; {
+			var control Message
+			if control, pending = tryReceive(l.sendQueue); !pending {
 				continue
 			}
 			var err error
-			if buf, err = l.put(w, c, buf); err != nil {
+			if buf, err = l.writeFrame(w, control, buf); err != nil {
 				return buf, err
 			}
-			n++
+			count++
 		}
 		var err error
-		if buf, err = l.put(w, m, buf); err != nil {
+		if buf, err = l.writeFrame(w, m, buf); err != nil {
 			return buf, err
 		}
-		if n++; n >= maxBatch {
+		if count++; count >= maxBatch {
 			break
 		}
 		bulk = false
-		if m, more = take(l.out); !more {
-			m, more = take(l.bulk)
+		if m, more = tryReceive(l.sendQueue); !more {
+			m, more = tryReceive(l.bulkQueue)
 			bulk = more
 		}
 	}
 	if err := w.Flush(); err != nil {
 		return buf, err
 	}
-	l.written.Add(n)
+	l.written.Add(count)
 	return buf, nil
 }
 
-func take(r *ring.Ring[Message]) (Message, bool) {
+// tryReceive returns the next queued message without waiting; ok is false if there is
+// none.
+func tryReceive(r *ring.Ring[Message]) (Message, bool) {
 	select {
 	case m := <-r.Items():
 		return m, true
@@ -128,13 +133,13 @@
 	}
 }
 
-// put writes the frame of m to w.
-func (l *Link) put(w *bufio.Writer, m Message, buf []byte) ([]byte, error) {
+// writeFrame writes the frame of m to w.
+func (l *Link) writeFrame(w *bufio.Writer, m Message, buf []byte) ([]byte, error) {
 	buf, err := Append(buf[:0], m)
 	if err != nil {
 		return buf, err
 	}
-	if err := l.pace.pass(m.Kind(), time.Now()); err != nil {
+	if err := l.liveness.recordMessage(m.Kind(), time.Now()); err != nil {
 		return buf, err
 	}
 	if m.Kind().Control() {
@@ -146,12 +151,12 @@
 	return buf, err
 }
 
-// unwritten ends the link after a failed write. If the peer has gone, what it wrote
-// before lies in the kernel; closing now would throw its last answers away, and
-// reading does not wait any more.
-func (l *Link) unwritten(err error) {
-	l.hush()
+// handleWriteEnd ends the link after a failed write. If the peer has closed the
+// connection, the link keeps reading: the peer's last answers are still in the
+// kernel, closing would lose them, and reading them ends without waiting.
+func (l *Link) handleWriteEnd(err error) {
+	l.stopSends()
 	if err != nil && !errors.Is(err, syscall.EPIPE) && !errors.Is(err, syscall.ECONNRESET) {
-		l.stop(err)
+		l.cancel(err)
 	}
 }
