--- a/core/spec/check.go
+++ b/core/spec/check.go
@@ -12,14 +12,16 @@
 	"time"
 )
 
-// longest is the longest duration that an object may state.
-const longest = 24 * time.Hour
+// maxDuration is the longest duration that an object may state.
+const maxDuration = 24 * time.Hour
 
+// namePattern matches names: up to 63 characters, with a letter or digit at both
+// ends.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9._-]{0,61}[A-Za-z0-9])?$`)
 
 const nameRemedy = "write up to 63 letters, digits, dots, dashes or underscores, with a letter or digit at both ends"
 
-// Check returns all that is wrong with the class by itself.
+// Check returns every problem of the class that can be found without other objects.
 func (c Class) Check() Problems {
 	var ps Problems
 	checkName(&ps, c.Name)
@@ -33,21 +35,22 @@
 	if c.Target.Complete > 0 && c.Target.FirstToken > c.Target.Complete {
 		ps.add("target.first_token", "is later than target.complete", "lower it or raise target.complete")
 	}
-	if due := max(c.Target.Complete, c.Target.FirstToken); due > 0 && c.EndsAfter() < due.Std() {
-		ps.add("deadline", fmt.Sprintf("%v is before the target of %v", c.EndsAfter(), due.Std()), "raise the deadline or lower the target")
+	if targetEnd := max(c.Target.Complete, c.Target.FirstToken); targetEnd > 0 && c.EffectiveDeadline() < targetEnd.Std() {
+		ps.add("deadline", fmt.Sprintf("%v is before the target of %v", c.EffectiveDeadline(), targetEnd.Std()), "raise the deadline or lower the target")
 	}
 	return ps
 }
 
-// EndsAfter returns the class's deadline.
-func (c Class) EndsAfter() time.Duration {
+// EffectiveDeadline returns the class's deadline, DefaultDeadline if it states none.
+func (c Class) EffectiveDeadline() time.Duration {
 	if c.Deadline == 0 {
 		return DefaultDeadline
 	}
 	return c.Deadline.Std()
 }
 
-// Check returns all that is wrong with the customer by itself.
+// Check returns every problem of the customer that can be found without other
+// objects.
 func (c Customer) Check() Problems {
 	var ps Problems
 	checkName(&ps, c.Name)
@@ -59,7 +62,7 @@
 		field := "keys[" + strconv.Itoa(i) + "]"
 		k.check(&ps, field, c.Classes)
 		if seen[strings.ToLower(k.SHA256)] {
-			ps.add(field+".sha256", "key stands twice", "remove one")
+			ps.add(field+".sha256", "key appears twice", "remove one")
 		}
 		seen[strings.ToLower(k.SHA256)] = true
 	}
@@ -84,7 +87,7 @@
 	}
 }
 
-// Check returns all that is wrong with the model by itself.
+// Check returns every problem of the model that can be found without other objects.
 func (m Model) Check() Problems {
 	var ps Problems
 	checkName(&ps, m.Name)
@@ -96,12 +99,13 @@
 	return ps
 }
 
+// methods lists the HTTP methods that Service.Idempotent may name.
 var methods = []string{
 	http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut,
 	http.MethodDelete, http.MethodPost, http.MethodPatch,
 }
 
-// Check returns all that is wrong with the service by itself.
+// Check returns every problem of the service that can be found without other objects.
 func (s Service) Check() Problems {
 	var ps Problems
 	checkName(&ps, s.Name)
@@ -125,7 +129,7 @@
 func checkDuration(ps *Problems, field string, d Duration) {
 	if d < 0 {
 		ps.add(field, d.Std().String()+" is negative", "write a duration above 0, or leave it out")
-	} else if d.Std() > longest {
+	} else if d.Std() > maxDuration {
 		ps.add(field, d.Std().String()+" is longer than a day", "write at most 24h")
 	}
 }
@@ -147,7 +151,7 @@
 		if !namePattern.MatchString(v) {
 			ps.add(at, fmt.Sprintf("%q is not a name", v), nameRemedy)
 		} else if slices.Contains(list[:i], v) {
-			ps.add(at, fmt.Sprintf("%q stands twice", v), "remove one")
+			ps.add(at, fmt.Sprintf("%q appears twice", v), "remove one")
 		}
 	}
 }
--- a/core/spec/decode.go
+++ b/core/spec/decode.go
@@ -9,8 +9,8 @@
 	"gopkg.in/yaml.v3"
 )
 
-// Operators reports whether operators write objects of a kind.
-func Operators(kind string) bool {
+// IsOperatorKind reports whether operators write the objects of a kind.
+func IsOperatorKind(kind string) bool {
 	switch kind {
 	case KindClass, KindCustomer, KindModel, KindService:
 		return true
@@ -18,9 +18,10 @@
 	return false
 }
 
-// Named is what operators' objects have in common.
+// Object is implemented by the objects that operators write.
 type Named interface {
-	// Check returns all that is wrong with the object by itself.
+	// Check returns every problem of the object that can be found without other
+	// objects.
 	Check() Problems
 	// ObjectName returns the name that the object states.
 	ObjectName() string
@@ -38,9 +39,9 @@
 // ObjectName returns the service's name.
 func (s Service) ObjectName() string { return s.Name }
 
-// blank returns a pointer to an empty object of a kind, nil for kinds that
+// newObject returns a pointer to an empty object of a kind, nil for the kinds that
 // operators do not write.
-func blank(kind string) Named {
+func newObject(kind string) Named {
 	switch kind {
 	case KindClass:
 		return new(Class)
@@ -54,8 +55,8 @@
 	return nil
 }
 
-// value returns what a pointer of blank points to.
-func value(o Named) Named {
+// deref returns the object that o, a pointer from newObject, points to.
+func deref(o Named) Named {
 	switch o := o.(type) {
 	case *Class:
 		return *o
@@ -69,11 +70,11 @@
 	return o
 }
 
-// Decode reads and checks the content of an object as the platform holds it.
-// It returns a Class, Customer, Model or Service, nil for the kinds that
-// processes write, and all that is wrong.
+// Decode reads and checks the content of an object as the platform stores it. It
+// returns a Class, Customer, Model or Service and every problem found. For the kinds
+// that processes write it returns nil and no problems.
 func Decode(kind, name string, data []byte) (Named, Problems) {
-	o := blank(kind)
+	o := newObject(kind)
 	if o == nil {
 		return nil, nil
 	}
@@ -87,11 +88,12 @@
 	for i := range ps {
 		ps[i].Object = kind + "/" + name
 	}
-	return value(o), ps
+	return deref(o), ps
 }
 
-// decodeJSON reads strictly. encoding/json stops at the first problem, so bad
-// content is read a second time to tell all of them.
+// decodeJSON reads data into an object and rejects unknown fields. encoding/json
+// stops at the first problem, so bad content is read a second time to report all of
+// them.
 func decodeJSON(data []byte, into any) Problems {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
@@ -100,7 +102,7 @@
 		if _, err = dec.Token(); err == io.EOF {
 			return nil
 		}
-		err = fmt.Errorf("content goes on behind the object")
+		err = fmt.Errorf("there is more content after the object")
 	}
 	if json.Valid(data) {
 		var n yaml.Node
@@ -114,6 +116,7 @@
 	return Problems{{Reason: err.Error(), Remedy: "write the object with `lychee apply`"}}
 }
 
+// dropField removes the field name from the top-level mapping of a document.
 func dropField(n *yaml.Node, name string) {
 	if n.Kind != yaml.DocumentNode || len(n.Content) != 1 || n.Content[0].Kind != yaml.MappingNode {
 		return
@@ -127,7 +130,8 @@
 	}
 }
 
-// Encode returns the content of an object as the platform holds it.
+// Encode returns the content of an object as the platform stores it, with applied as
+// its writer.
 func Encode(o Named, applied *Applied) ([]byte, error) {
 	switch o := o.(type) {
 	case Class:
@@ -146,7 +150,7 @@
 	return nil, fmt.Errorf("spec: cannot encode %T: use a Class, Customer, Model or Service", o)
 }
 
-// AppliedOf returns who wrote an object, nil if the content does not tell.
+// AppliedOf returns who wrote an object, nil if the content does not say.
 func AppliedOf(data []byte) *Applied {
 	var o struct {
 		Applied *Applied `json:"applied"`
--- a/core/spec/duration.go
+++ b/core/spec/duration.go
@@ -9,14 +9,15 @@
 	"gopkg.in/yaml.v3"
 )
 
-// Duration is a time.Duration that is written as text with its unit, such as
-// 1.5s or 49ms.
+// Duration is a time.Duration that is written as text with its unit, such as 1.5s or
+// 49ms.
 type Duration time.Duration
 
-// Std returns the duration as the standard library's type.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// String returns the duration as operators write it, such as 5m.
+// String returns the duration as operators write it, such as 5m, without trailing
+// zero units.
 func (d Duration) String() string {
 	s := time.Duration(d).String()
 	if strings.HasSuffix(s, "m0s") {
--- a/core/spec/lines.go
+++ b/core/spec/lines.go
@@ -7,29 +7,31 @@
 	"gopkg.in/yaml.v3"
 )
 
-// Locate sets the line of each problem that has none to where its field stands
-// in n, or where the nearest field around it stands.
-func (ps Problems) Locate(n *yaml.Node) {
-	if n.Kind == yaml.DocumentNode && len(n.Content) == 1 {
-		n = n.Content[0]
+// Locate sets the missing line numbers of the problems: the line of the problem's
+// field in n, or that of the nearest field that contains it.
+func (ps Problems) Locate(doc *yaml.Node) {
+	if doc.Kind == yaml.DocumentNode && len(doc.Content) == 1 {
+		doc = doc.Content[0]
 	}
 	for i := range ps {
 		if ps[i].Line == 0 {
-			ps[i].Line = lineOf(n, ps[i].Field)
+			ps[i].Line = lineOf(doc, ps[i].Field)
 		}
 	}
 }
 
+// lineOf returns the line of the field at path in n, or that of the deepest existing
+// field on the path.
 func lineOf(n *yaml.Node, path string) int {
 	line := n.Line
 	for path != "" {
 		var step string
 		step, path = nextStep(path)
-		next, at := child(n, step)
+		next, nextLine := childNode(n, step)
 		if next == nil {
 			return line
 		}
-		n, line = next, at
+		n, line = next, nextLine
 	}
 	return line
 }
@@ -47,7 +49,9 @@
 	return path[:i], strings.TrimPrefix(path[i:], ".")
 }
 
-func child(n *yaml.Node, step string) (next *yaml.Node, line int) {
+// childNode returns the node of a field or index in n and its line, nil if it does
+// not exist.
+func childNode(n *yaml.Node, step string) (next *yaml.Node, line int) {
 	switch n.Kind {
 	case yaml.SequenceNode:
 		i, err := strconv.Atoi(step)
--- a/core/spec/problem.go
+++ b/core/spec/problem.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Problem is one thing that is wrong with an object or a settings file.
+// Problem is one error in an object or a settings file.
 type Problem struct {
-	// Line is where it stands in the file, zero if that is not known.
+	// Line is the line in the file, zero if unknown.
 	Line int `json:"line,omitempty"`
 	// Object is KIND/NAME, empty for settings.
 	Object string `json:"object,omitempty"`
@@ -35,7 +35,7 @@
 	return b.String()
 }
 
-// Problems are all that is wrong, as an error.
+// Problems is a list of problems that can be used as one error.
 type Problems []Problem
 
 // Error returns one line for each problem.
@@ -59,29 +59,31 @@
 	*ps = append(*ps, Problem{Field: field, Reason: reason, Remedy: remedy})
 }
 
-// With returns the problems and those of more that concern other fields. A
-// field whose value could not be read is not also reported as missing.
-func (ps Problems) With(more Problems) Problems {
+// Merge returns the problems and those of more that concern other fields. So a field
+// whose value could not be read is not also reported as missing.
+func (ps Problems) Merge(more Problems) Problems {
 	out := ps
 	for _, m := range more {
-		if !ps.concern(m.Field) {
+		if !ps.concerns(m.Field) {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-func (ps Problems) concern(field string) bool {
+// concerns reports whether a problem is about the field, a part of it or a field that
+// contains it.
+func (ps Problems) concerns(field string) bool {
 	for _, p := range ps {
-		if p.Field == field || within(field, p.Field) || within(p.Field, field) {
+		if p.Field == field || isInside(field, p.Field) || isInside(p.Field, field) {
 			return true
 		}
 	}
 	return false
 }
 
-// within reports whether inner names a part of the field outer.
-func within(inner, outer string) bool {
+// isInside reports whether inner is a part of the field outer.
+func isInside(inner, outer string) bool {
 	rest, ok := strings.CutPrefix(inner, outer)
 	return ok && outer != "" && rest != "" && (rest[0] == '.' || rest[0] == '[')
 }
--- a/core/spec/read.go
+++ b/core/spec/read.go
@@ -10,33 +10,33 @@
 	"gopkg.in/yaml.v3"
 )
 
-// maxFile is the largest file of objects in bytes.
-const maxFile = 64 << 20
+// maxFileSize is the largest file of objects in bytes.
+const maxFileSize = 64 << 20
 
-// Item is one object of a file.
+// Item is one object in a file.
 type Item struct {
 	Kind string
 	Name string
-	// Line is where the object begins.
+	// Line is the line on which the object begins.
 	Line   int
 	Object Named
-	// IfVersion is the version that the operator's change was made from, zero
-	// if the file does not tell.
+	// IfVersion is the version on which the operator's change is based, zero if the
+	// file does not state it.
 	IfVersion int64
 	node      *yaml.Node
 }
 
-// ItemOf returns an object that does not come from a file as an Item.
+// NewItem returns an Item for an object that does not come from a file.
 func ItemOf(kind string, o Named) Item { return Item{Kind: kind, Name: o.ObjectName(), Object: o} }
 
 // Ref returns KIND/NAME.
 func (i Item) Ref() string { return i.Kind + "/" + i.Name }
 
-// Read reads the objects of a file: YAML documents, or one JSON object, each
-// with its kind. It returns every problem of every object, those between the
-// objects not included; see CheckSet.
+// Read reads the objects in a file: YAML documents, or one JSON object, each with its
+// kind. It returns every problem inside the objects; CheckSet finds those between
+// objects.
 func Read(data []byte) ([]Item, Problems) {
-	if len(data) > maxFile {
+	if len(data) > maxFileSize {
 		return nil, Problems{{Reason: "file is larger than 64 MiB", Remedy: "split it"}}
 	}
 	var items []Item
@@ -49,7 +49,7 @@
 			return items, all
 		}
 		if err != nil {
-			return items, append(all, Syntax(err))
+			return items, append(all, SyntaxProblem(err))
 		}
 		if len(doc.Content) != 1 || doc.Content[0].Tag == "!!null" {
 			continue
@@ -62,28 +62,30 @@
 	}
 }
 
-// Syntax is the problem of text that is not YAML at all.
-func Syntax(err error) Problem {
-	p := Problem{Reason: strings.TrimPrefix(err.Error(), "yaml: "), Remedy: "mend the YAML: check indentation, colons and quotes"}
+// SyntaxProblem returns the problem for text that is not YAML. err is the error of
+// the YAML decoder.
+func SyntaxProblem(err error) Problem {
+	p := Problem{Reason: strings.TrimPrefix(err.Error(), "yaml: "), Remedy: "correct the YAML: check indentation, colons and quotes"}
 	if n, _ := fmt.Sscanf(p.Reason, "line %d:", &p.Line); n == 1 {
 		_, p.Reason, _ = strings.Cut(p.Reason, ": ")
 	}
 	return p
 }
 
+// readItem reads the object in n, with the fields that only files have.
 func readItem(n *yaml.Node) (Item, Problems) {
 	var ps Problems
 	if n.Kind != yaml.MappingNode {
-		ps.at(n, "", "an object is expected here", "write `kind: class` and the object's fields, separate objects by ---")
+		ps.addAt(n, "", "an object is expected here", "write `kind: class` and the object's fields, and separate objects by ---")
 		return Item{}, ps
 	}
-	kind, _ := child(n, "kind")
-	if kind == nil || !Operators(kind.Value) {
+	kind, _ := childNode(n, "kind")
+	if kind == nil || !IsOperatorKind(kind.Value) {
 		at, reason := n, "is missing"
 		if kind != nil {
 			at, reason = kind, quoted(kind)+" is not a kind that operators write"
 		}
-		ps.at(at, "kind", reason, "use one of class, customer, model, service")
+		ps.addAt(at, "kind", reason, "use one of class, customer, model, service")
 		return Item{}, ps
 	}
 	item := Item{Kind: kind.Value, Line: n.Line}
@@ -94,14 +96,14 @@
 		case value == kind:
 		case key.Value == "if_version":
 			if value.Decode(&item.IfVersion) != nil || item.IfVersion < 1 {
-				ps.at(key, "if_version", quoted(value)+" is not a version", "write what `lychee get` printed, or leave it out")
+				ps.addAt(key, "if_version", quoted(value)+" is not a version", "write what `lychee get` printed, or leave it out")
 			}
 		default:
 			rest.Content = append(rest.Content, key, value)
 		}
 	}
 	item.node = &rest
-	if name, _ := child(n, "name"); name != nil {
+	if name, _ := childNode(n, "name"); name != nil {
 		item.Name = name.Value
 	}
 	o, found := readKind(item.Kind, &rest)
@@ -115,10 +117,11 @@
 	return item, ps
 }
 
+// readKind decodes and checks the object of a kind in n.
 func readKind(kind string, n *yaml.Node) (Named, Problems) {
-	o := blank(kind)
+	o := newObject(kind)
 	ps := DecodeNode(n, o)
 	found := o.Check()
 	found.Locate(n)
-	return value(o), ps.With(found)
+	return deref(o), ps.Merge(found)
 }
--- a/core/spec/set.go
+++ b/core/spec/set.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// CheckSet returns what is wrong between objects: one that stands twice, a
-// customer that names a class that does not exist, a key of two customers, and
-// a model and a service of one name, whose pools would be taken for one.
+// CheckSet returns the problems between objects: an object that appears twice, a
+// customer that names a class that does not exist, a key of two customers, and a
+// model and a service with the same name, whose pools could not be told apart.
 func CheckSet(items []Item) Problems {
 	var ps Problems
 	classes := make(map[string]bool)
@@ -19,7 +19,7 @@
 		}
 		if line, ok := lines[it.Ref()]; ok {
 			ps = append(ps, Problem{
-				Line: it.Line, Object: it.Ref(), Reason: fmt.Sprintf("object stands twice, first in line %d", line),
+				Line: it.Line, Object: it.Ref(), Reason: fmt.Sprintf("object appears twice, first in line %d", line),
 				Remedy: "remove one",
 			})
 		}
@@ -52,6 +52,8 @@
 	return ps
 }
 
+// checkClasses returns a problem for each class that the customer names and that is
+// not in classes.
 func (c Customer) checkClasses(classes map[string]bool) Problems {
 	var ps Problems
 	for i, name := range c.Classes {
@@ -67,8 +69,10 @@
 	return ps
 }
 
-// checkKeys notes the customer's keys in holders. A key of two customers would
-// let one read what is meant for the other, so it opens neither.
+// checkKeys returns a problem for each key that another customer has too, and adds
+// the customer's keys to holders, which maps a key's hash to its customer. A key of
+// two customers is valid for neither, because it would let one customer read the
+// other's answers.
 func (c Customer) checkKeys(holders map[string]string) Problems {
 	var ps Problems
 	for i, k := range c.Keys {
--- a/core/spec/slots.go
+++ b/core/spec/slots.go
@@ -5,30 +5,31 @@
 	"errors"
 )
 
-// maxHomeSlots bounds what is read from an object of at most a megabyte, whose
-// runs could name far more.
+// maxHomeSlots is the maximum number of slots that are read. An object of at most 1
+// megabyte could state far more in its runs.
 const maxHomeSlots = 1 << 16
 
-var errHomeSlots = errors.New("the columns of the slots do not agree: delete nothing, restore the object's last good version")
+var errHomeSlots = errors.New("the columns of the slots do not match: delete nothing, restore the object's last good version")
 
-// HomeSlots are the slots of a table. As JSON they are written by columns: one
-// number for each slot's owner, and runs for the rest, which hardly differs
-// from slot to slot. A confirmation is written every few seconds and goes to
-// every watch; an object for each slot would make it six times as long.
+// HomeSlots are the slots of Homes. As JSON they are written by column: one number
+// for the owner of each slot, and run lengths for the other fields, which hardly
+// differ between slots. A confirmation is written every few seconds and sent to every
+// watch; with one JSON object per slot it would be six times as long.
 type HomeSlots []HomeSlot
 
-// homeColumns is how HomeSlots are written.
+// homeColumns is the JSON form of HomeSlots.
 type homeColumns struct {
-	Owners []int     `json:"o"`
-	Since  []homeRun `json:"s"`
-	Took   []homeRun `json:"t"`
-	From   []homeRun `json:"f,omitempty"`
+	Owners          []int     `json:"o"`
+	LostBefore      []homeRun `json:"s"`
+	OwnedSinceEpoch []homeRun `json:"t"`
+	PreviousOwner   []homeRun `json:"f,omitempty"`
 }
 
-// homeRun is a length and the value of so many slots in a row.
+// homeRun is a run: the number of consecutive slots and their common value.
 type homeRun [2]int64
 
-func addRun(runs []homeRun, v int64) []homeRun {
+// appendRun appends the value of the next slot to runs.
+func appendRun(runs []homeRun, v int64) []homeRun {
 	if n := len(runs); n > 0 && runs[n-1][1] == v {
 		runs[n-1][0]++
 		return runs
@@ -36,22 +37,23 @@
 	return append(runs, homeRun{1, v})
 }
 
-// MarshalJSON writes the slots by columns.
+// MarshalJSON writes the slots by column.
 func (s HomeSlots) MarshalJSON() ([]byte, error) {
-	c := homeColumns{Owners: make([]int, len(s)), Since: []homeRun{}, Took: []homeRun{}}
+	c := homeColumns{Owners: make([]int, len(s)), LostBefore: []homeRun{}, OwnedSinceEpoch: []homeRun{}}
 	for i := range s {
 		c.Owners[i] = s[i].Owner
-		c.Since = addRun(c.Since, s[i].Since)
-		c.Took = addRun(c.Took, s[i].Took)
-		c.From = addRun(c.From, int64(s[i].From))
+		c.LostBefore = appendRun(c.LostBefore, s[i].Since)
+		c.OwnedSinceEpoch = appendRun(c.OwnedSinceEpoch, s[i].Took)
+		c.PreviousOwner = appendRun(c.PreviousOwner, int64(s[i].From))
 	}
-	if len(c.From) == 1 && c.From[0][1] == 0 {
-		c.From = nil
+	if len(c.PreviousOwner) == 1 && c.PreviousOwner[0][1] == 0 {
+		c.PreviousOwner = nil
 	}
 	return json.Marshal(c)
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote.
+// UnmarshalJSON reads the output of MarshalJSON. It returns an error if the columns
+// do not have the same number of slots.
 func (s *HomeSlots) UnmarshalJSON(b []byte) error {
 	var c homeColumns
 	if err := json.Unmarshal(b, &c); err != nil {
@@ -64,20 +66,20 @@
 	for i, o := range c.Owners {
 		out[i].Owner = o
 	}
-	if !spread(c.Since, len(out), func(i int, v int64) { out[i].Since = v }) ||
-		!spread(c.Took, len(out), func(i int, v int64) { out[i].Took = v }) {
+	if !expandRuns(c.LostBefore, len(out), func(i int, v int64) { out[i].Since = v }) ||
+		!expandRuns(c.OwnedSinceEpoch, len(out), func(i int, v int64) { out[i].Took = v }) {
 		return errHomeSlots
 	}
-	if len(c.From) > 0 && !spread(c.From, len(out), func(i int, v int64) { out[i].From = int(v) }) {
+	if len(c.PreviousOwner) > 0 && !expandRuns(c.PreviousOwner, len(out), func(i int, v int64) { out[i].From = int(v) }) {
 		return errHomeSlots
 	}
 	*s = out
 	return nil
 }
 
-// spread calls set for each of n slots and reports whether the runs cover
-// exactly these.
-func spread(runs []homeRun, n int, set func(int, int64)) bool {
+// expandRuns calls set for each of n slots and reports whether the runs cover exactly
+// n slots.
+func expandRuns(runs []homeRun, n int, set func(int, int64)) bool {
 	at := 0
 	for _, r := range runs {
 		if r[0] < 1 || r[0] > int64(n-at) {
--- a/core/spec/slots_test.go
+++ b/core/spec/slots_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// A table of keys goes through the platform and comes back. A slot with
-// another owner or another time would have a key run a second time.
-func TestHomeSlotsSurviveTheirColumns(t *testing.T) {
+// Homes is written to the platform and read back. A slot with a changed owner or time
+// would allow a key to run a second time.
+func TestHomeSlotsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slot := rapid.Custom(func(t *rapid.T) HomeSlot {
 			return HomeSlot{
@@ -34,9 +34,9 @@
 	})
 }
 
-// The object was edited by hand. Columns that do not agree would give slots to
-// the wrong agents; runs that are too long would use up the memory.
-func TestBadColumnsAreRefused(t *testing.T) {
+// The object was edited by hand. Columns of different lengths would assign slots to
+// the wrong agents, and runs that are too long would exhaust the memory.
+func TestMismatchedColumnsAreRejected(t *testing.T) {
 	for _, text := range []string{
 		`{"o":[0,0],"s":[[2,0]],"t":[[1,1]]}`,
 		`{"o":[0,0],"s":[[3,0]],"t":[[2,1]]}`,
--- a/core/spec/spec.go
+++ b/core/spec/spec.go
@@ -1,6 +1,5 @@
-// Package spec defines the objects that operators write: classes of work,
-// customers, and what is served. An operator states targets; weights and
-// instances have no place here.
+// Package spec defines the objects that operators write: classes of work, customers,
+// models and services. Operators state targets, but no weights and no instances.
 package spec
 
 import "time"
@@ -11,11 +10,12 @@
 	KindCustomer = "customer"
 	KindModel    = "model"
 	KindService  = "service"
-	// KindHomes is written by entries: which agent keeps which idempotency keys.
+	// KindHomes is written by entries: which agent keeps the records of which
+	// idempotency keys.
 	KindHomes = "homes"
-	// KindAssign is written by entries: which endpoint serves which version.
+	// KindAssign is written by entries: which version each endpoint has to serve.
 	KindAssign = "assign"
-	// KindStatus is written by entries, a short report each.
+	// KindStatus is written by entries: a short status report of each.
 	KindStatus = "status"
 )
 
@@ -28,7 +28,8 @@
 	// Tier is 0 (refused last) to 3 (refused first).
 	Tier   uint8  `json:"tier" yaml:"tier"`
 	Target Target `json:"target" yaml:"target"`
-	// Deadline is when an answer is of no more use; zero means DefaultDeadline.
+	// Deadline is the time after which the answer is useless to the caller; zero
+	// means DefaultDeadline.
 	Deadline Duration `json:"deadline,omitempty" yaml:"deadline,omitempty"`
 	// Applied says who wrote the object; it is not for operators to write.
 	Applied *Applied `json:"applied,omitempty" yaml:"-"`
@@ -37,8 +38,8 @@
 // DefaultDeadline is the deadline of a class that states none.
 const DefaultDeadline = 5 * time.Minute
 
-// Target is what the callers of a class must see, counted from the moment that
-// the request was accepted. Zero means that nothing is promised.
+// Target is what the callers of a class are promised. FirstToken and Complete count
+// from the acceptance of the request. Zero means no promise.
 type Target struct {
 	FirstToken    Duration `json:"first_token,omitempty" yaml:"first_token,omitempty"`
 	BetweenTokens Duration `json:"between_tokens,omitempty" yaml:"between_tokens,omitempty"`
@@ -49,7 +50,7 @@
 type Customer struct {
 	Name string `json:"name" yaml:"name"`
 	Keys []Key  `json:"keys" yaml:"keys"`
-	// Classes lists the classes that the customer may use; none means all.
+	// Classes lists the classes that the customer may use; an empty list means all.
 	Classes []string `json:"classes,omitempty" yaml:"classes,omitempty"`
 	Limits  Limits   `json:"limits,omitempty" yaml:"limits,omitempty"`
 	// Applied says who wrote the object; it is not for operators to write.
@@ -60,11 +61,11 @@
 type Key struct {
 	// SHA256 is the key's SHA-256 in hexadecimal digits.
 	SHA256 string `json:"sha256" yaml:"sha256"`
-	// Class is the class of requests that name none.
+	// Class is the class of requests that state none.
 	Class string `json:"class" yaml:"class"`
 }
 
-// Limits bound a customer; zero means no bound.
+// Limits are the limits of a customer; zero means no limit.
 type Limits struct {
 	RequestsPerSecond float64 `json:"requests_per_second,omitempty" yaml:"requests_per_second,omitempty"`
 	Concurrent        int     `json:"concurrent,omitempty" yaml:"concurrent,omitempty"`
@@ -75,37 +76,37 @@
 type Model struct {
 	Name      string            `json:"name" yaml:"name"`
 	Endpoints map[string]string `json:"endpoints" yaml:"endpoints"`
-	// Version is the version that the endpoints are to serve; empty leaves
-	// them as they are.
+	// Version is the version that the endpoints have to serve; empty leaves them
+	// unchanged.
 	Version  string   `json:"version,omitempty" yaml:"version,omitempty"`
 	Adapters []string `json:"adapters,omitempty" yaml:"adapters,omitempty"`
 	// Applied says who wrote the object; it is not for operators to write.
 	Applied *Applied `json:"applied,omitempty" yaml:"-"`
 }
 
-// Service is a plain service under /services/NAME/.
+// Service is a plain HTTP service under /services/NAME/.
 type Service struct {
 	Name      string            `json:"name" yaml:"name"`
 	Endpoints map[string]string `json:"endpoints" yaml:"endpoints"`
-	// Idempotent lists the methods that may be repeated; none means GET, HEAD
-	// and OPTIONS.
+	// Idempotent lists the methods that may be repeated; an empty list means GET,
+	// HEAD and OPTIONS.
 	Idempotent []string `json:"idempotent,omitempty" yaml:"idempotent,omitempty"`
 	// Applied says who wrote the object; it is not for operators to write.
 	Applied *Applied `json:"applied,omitempty" yaml:"-"`
 }
 
-// Applied is who wrote an object last, so that an operator who lost a race
-// learns against whom.
+// Applied states who wrote an object last, so that an operator whose conditional
+// write failed learns whose write came first.
 type Applied struct {
 	By string `json:"by"`
-	// At is the writer's own clock.
+	// At is the time of the write by the writer's own clock.
 	At time.Time `json:"at"`
-	// ID is fresh for each write. A writer whose reply was lost knows by it
+	// ID is unique for each write. A writer whose reply was lost can see from it
 	// whether the write took effect.
 	ID string `json:"id"`
 }
 
-// Matches reports whether labels holds every pair of selector.
+// Matches reports whether labels contains every pair of selector.
 func Matches(selector, labels map[string]string) bool {
 	for k, v := range selector {
 		if labels[k] != v {
--- a/core/spec/spec_test.go
+++ b/core/spec/spec_test.go
@@ -37,9 +37,10 @@
 idempotent: [GET]
 `
 
-func TestEveryProblemAtOnce(t *testing.T) {
-	// An operator's file has many mistakes. Telling one at a time would cost
-	// as many attempts; each must come with its line, reason and remedy.
+func TestAllProblemsAreReportedAtOnce(t *testing.T) {
+	// A file has many mistakes. Reporting one at a time would cost the operator one
+	// attempt for each, so all must be reported at once, each with its line, reason
+	// and remedy.
 	_, ps := Read([]byte(badObjects))
 	want := []struct {
 		line  int
@@ -79,7 +80,10 @@
 	}
 }
 
-func TestBetweenObjects(t *testing.T) {
+// Each object is valid, but a class appears twice, a customer names a class that does
+// not exist and has the key of another customer, and a model and a service share a
+// name.
+func TestCheckSet(t *testing.T) {
 	const hash = "2ae3d43ba3c6d77738eb2845452450ebdfa7f61259028f3799b545c991ae764a"
 	text := strings.ReplaceAll(`kind: class
 name: swap
@@ -119,6 +123,8 @@
 	}
 }
 
+// Stored content may have unknown fields or wrong types, or be cut short. Each case
+// states the number of problems that must be found.
 func TestDecode(t *testing.T) {
 	for _, c := range []struct {
 		name, data string
@@ -141,7 +147,7 @@
 	}
 }
 
-func TestDurationText(t *testing.T) {
+func TestDurationRoundTrip(t *testing.T) {
 	for _, text := range []string{"0s", "49ms", "1.5s", "10s", "5m", "5m10s", "10m", "1h", "10h", "1h0m5s", "20h30m"} {
 		var d Duration
 		if err := d.parse(text); err != nil || d.String() != text {
@@ -179,8 +185,8 @@
 	"a:\n b:\n  c:\n   - [[[[[[]]]]]]", "%YAML 9.9\n---\nkind: x", "kind: class\nname: \"\\u0000\"\n", "\t", "kind: class\n\tname: x",
 }
 
-// FuzzRead looks for a crash of the reader of objects. The fixed corpus runs
-// with every test.
+// FuzzRead checks that no file crashes Read and that an object accepted from a file
+// is also accepted from the platform. The fixed corpus runs with every test.
 func FuzzRead(f *testing.F) {
 	for _, text := range corpus {
 		f.Add([]byte(text))
@@ -199,13 +205,13 @@
 				t.Fatal(err)
 			}
 			if _, ps := Decode(it.Kind, it.Name, content); len(ps) > 0 {
-				t.Errorf("accepted from a file, refused from the platform: %s: %v", content, ps)
+				t.Errorf("accepted from a file but rejected from the platform: %s: %v", content, ps)
 			}
 		}
 	})
 }
 
-// FuzzDecode looks for a crash of the reader of stored objects.
+// FuzzDecode checks that no stored content crashes Decode.
 func FuzzDecode(f *testing.F) {
 	for _, text := range corpus {
 		f.Add("class", []byte(text))
--- a/core/spec/walk.go
+++ b/core/spec/walk.go
@@ -11,58 +11,59 @@
 	"gopkg.in/yaml.v3"
 )
 
-// DecodeNode fills into from a YAML node and returns every problem at once:
-// unknown and doubled fields, wrong types, wrong units. The YAML decoder itself
-// stops at the first of some of them. What is wrong is cut out of n, so that
-// the rest can be decoded and checked too.
+// DecodeNode decodes a YAML node into the struct that into points to and returns
+// every problem: unknown and repeated fields, wrong types and wrong units. The YAML
+// decoder itself stops at the first of some of them. DecodeNode removes the wrong
+// parts from n, so that the rest can be decoded and checked too.
 func DecodeNode(n *yaml.Node, into any) Problems {
 	var ps Problems
 	if n.Kind == yaml.DocumentNode && len(n.Content) == 1 {
 		n = n.Content[0]
 	}
-	if !walk(&ps, n, reflect.TypeOf(into).Elem(), "") {
+	if !check(&ps, n, reflect.TypeOf(into).Elem(), "") {
 		return ps
 	}
 	if err := n.Decode(into); err != nil {
-		ps.at(n, "", err.Error(), "write the value as docs/OPERATIONS.md shows")
+		ps.addAt(n, "", err.Error(), "write the value as docs/OPERATIONS.md shows")
 	}
 	return ps
 }
 
-func (ps *Problems) at(n *yaml.Node, field, reason, remedy string) {
+// addAt adds a problem at the line of n.
+func (ps *Problems) addAt(n *yaml.Node, field, reason, remedy string) {
 	*ps = append(*ps, Problem{Line: n.Line, Field: field, Reason: reason, Remedy: remedy})
 }
 
 var durationType = reflect.TypeFor[Duration]()
 
-// walk notes what is wrong in n and reports whether n itself can be decoded
-// once the wrong parts inside it are cut out.
-func walk(ps *Problems, n *yaml.Node, t reflect.Type, path string) bool {
+// check adds the problems in n to ps and reports whether n can be decoded once the
+// wrong parts inside it are removed.
+func check(ps *Problems, n *yaml.Node, t reflect.Type, path string) bool {
 	switch {
 	case n.Kind == yaml.AliasNode:
-		ps.at(n, path, "aliases are not supported", "write the value out")
+		ps.addAt(n, path, "aliases are not supported", "write the value out")
 		return false
 	case n.Tag == "!!null":
-		// An empty value is the same as none.
+		// An empty value counts as a missing one.
 		return true
 	case t == durationType:
-		return walkDuration(ps, n, path)
+		return checkDurationNode(ps, n, path)
 	case t.Kind() == reflect.Struct:
-		return walkStruct(ps, n, t, path)
+		return checkStruct(ps, n, t, path)
 	case t.Kind() == reflect.Slice:
-		return walkSlice(ps, n, t, path)
+		return checkSlice(ps, n, t, path)
 	case t.Kind() == reflect.Map:
-		return walkMap(ps, n, t, path)
+		return checkMap(ps, n, t, path)
 	case n.Kind != yaml.ScalarNode:
-		ps.at(n, path, "a single value is expected here", "write "+example(t))
+		ps.addAt(n, path, "a single value is expected here", "write "+describe(t))
 		return false
 	}
-	return walkScalar(ps, n, t, path)
+	return checkScalar(ps, n, t, path)
 }
 
-func walkStruct(ps *Problems, n *yaml.Node, t reflect.Type, path string) bool {
+func checkStruct(ps *Problems, n *yaml.Node, t reflect.Type, path string) bool {
 	if n.Kind != yaml.MappingNode {
-		ps.at(n, path, "fields are expected here", "write one `field: value` a line")
+		ps.addAt(n, path, "fields are expected here", "write one `field: value` per line")
 		return false
 	}
 	fields := fieldsOf(t)
@@ -70,14 +71,14 @@
 	var kept []*yaml.Node
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key, value := n.Content[i], n.Content[i+1]
-		field := join(path, key.Value)
+		field := joinPath(path, key.Value)
 		ft, ok := fields[key.Value]
 		switch {
 		case !ok:
-			ps.at(key, field, "unknown field", known(fields))
+			ps.addAt(key, field, "unknown field", listFields(fields))
 		case seen[key.Value]:
-			ps.at(key, field, "field stands twice", "remove one")
-		case walk(ps, value, ft, field):
+			ps.addAt(key, field, "field appears twice", "remove one")
+		case check(ps, value, ft, field):
 			kept = append(kept, key, value)
 		}
 		seen[key.Value] = true
@@ -86,7 +87,8 @@
 	return true
 }
 
-// fieldsOf returns the fields of a struct by their YAML names.
+// fieldsOf returns the types of a struct's fields by their YAML names, including
+// those of inlined structs.
 func fieldsOf(t reflect.Type) map[string]reflect.Type {
 	fields := make(map[string]reflect.Type)
 	for i := range t.NumField() {
@@ -104,7 +106,8 @@
 	return fields
 }
 
-func known(fields map[string]reflect.Type) string {
+// listFields returns the remedy that lists the known fields, sorted by name.
+func listFields(fields map[string]reflect.Type) string {
 	names := make([]string, 0, len(fields))
 	for name := range fields {
 		names = append(names, name)
@@ -113,21 +116,21 @@
 	return "use one of " + strings.Join(names, ", ")
 }
 
-func walkSlice(ps *Problems, n *yaml.Node, t reflect.Type, path string) bool {
+func checkSlice(ps *Problems, n *yaml.Node, t reflect.Type, path string) bool {
 	if n.Kind != yaml.SequenceNode {
-		ps.at(n, path, "a list is expected here", "write one `- item` a line, or [a, b]")
+		ps.addAt(n, path, "a list is expected here", "write one `- item` per line, or [a, b]")
 		return false
 	}
 	ok := true
 	for i, item := range n.Content {
-		ok = walk(ps, item, t.Elem(), path+"["+strconv.Itoa(i)+"]") && ok
+		ok = check(ps, item, t.Elem(), path+"["+strconv.Itoa(i)+"]") && ok
 	}
 	return ok
 }
 
-func walkMap(ps *Problems, n *yaml.Node, t reflect.Type, path string) bool {
+func checkMap(ps *Problems, n *yaml.Node, t reflect.Type, path string) bool {
 	if n.Kind != yaml.MappingNode {
-		ps.at(n, path, "pairs are expected here", "write one `key: value` a line")
+		ps.addAt(n, path, "pairs are expected here", "write one `key: value` per line")
 		return false
 	}
 	ok := true
@@ -135,37 +138,38 @@
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key := n.Content[i]
 		if key.Kind != yaml.ScalarNode {
-			ps.at(key, path, "a key must be text", "write `key: value`")
+			ps.addAt(key, path, "a key must be text", "write `key: value`")
 			ok = false
 			continue
 		}
 		if seen[key.Value] {
-			ps.at(key, join(path, key.Value), "key stands twice", "remove one")
+			ps.addAt(key, joinPath(path, key.Value), "key appears twice", "remove one")
 			ok = false
 		}
 		seen[key.Value] = true
-		ok = walk(ps, n.Content[i+1], t.Elem(), join(path, key.Value)) && ok
+		ok = check(ps, n.Content[i+1], t.Elem(), joinPath(path, key.Value)) && ok
 	}
 	return ok
 }
 
-func walkDuration(ps *Problems, n *yaml.Node, path string) bool {
+func checkDurationNode(ps *Problems, n *yaml.Node, path string) bool {
 	if _, err := time.ParseDuration(n.Value); n.Kind != yaml.ScalarNode || err != nil {
-		ps.at(n, path, quoted(n)+" is not a duration", "write a number with a unit, such as 1.5s or 49ms")
+		ps.addAt(n, path, quoted(n)+" is not a duration", "write a number with a unit, such as 1.5s or 49ms")
 		return false
 	}
 	return true
 }
 
-func walkScalar(ps *Problems, n *yaml.Node, t reflect.Type, path string) bool {
-	if fits(n, t) {
+func checkScalar(ps *Problems, n *yaml.Node, t reflect.Type, path string) bool {
+	if isValid(n, t) {
 		return true
 	}
-	ps.at(n, path, quoted(n)+" does not fit here", "write "+example(t))
+	ps.addAt(n, path, quoted(n)+" is not allowed here", "write "+describe(t))
 	return false
 }
 
-func fits(n *yaml.Node, t reflect.Type) bool {
+// isValid reports whether the value of n can be decoded as a t.
+func isValid(n *yaml.Node, t reflect.Type) bool {
 	switch t.Kind() {
 	case reflect.Bool:
 		return n.Tag == "!!bool" && n.Decode(new(bool)) == nil
@@ -181,7 +185,8 @@
 	return true
 }
 
-func example(t reflect.Type) string {
+// describe returns a description of the values of type t.
+func describe(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Bool:
 		return "true or false"
@@ -195,9 +200,10 @@
 	return "text"
 }
 
-// maxQuoted is how much of a bad value a message repeats.
+// maxQuoted is the maximum number of bytes of a bad value that a message repeats.
 const maxQuoted = 40
 
+// quoted returns the value of n in quotes, shortened to maxQuoted bytes.
 func quoted(n *yaml.Node) string {
 	if n.Kind != yaml.ScalarNode {
 		return "this"
@@ -209,7 +215,8 @@
 	return fmt.Sprintf("%q", v)
 }
 
-func join(path, field string) string {
+// joinPath returns the path of a field inside the field at path.
+func joinPath(path, field string) string {
 	if path == "" {
 		return field
 	}
