--- a/core/feed/peer.go
+++ b/core/feed/peer.go
@@ -94,7 +94,7 @@
 		switch m := m.(type) {
 		case *wire.News:
 			b.Events = append(b.Events, Event(m))
-		case *wire.Fetched:
+		case *wire.FetchDone:
 			b.Version = m.Version
 			if int(m.Count) != len(b.Events) {
 				return b, ErrShort
@@ -119,7 +119,7 @@
 // waits for room on the link, so the link's handler must not call it itself.
 func Answer(ctx context.Context, s *store.Store, link *wire.Link) error {
 	// Complete is read first: what is accepted meanwhile is newer than it.
-	complete := s.Complete()
+	complete := s.CompleteVersion()
 	all := s.All()
 	if ev, ok := rosterEvent(s); ok {
 		all = append(all, ev)
@@ -129,7 +129,7 @@
 			return err
 		}
 	}
-	return link.SendWait(ctx, &wire.Fetched{Version: complete, Count: uint32(len(all))})
+	return link.SendWait(ctx, &wire.FetchDone{Version: complete, Count: uint32(len(all))})
 }
 
 // impatient asks the peers when the platform has not answered for a while.
--- a/core/feed/watch.go
+++ b/core/feed/watch.go
@@ -87,7 +87,7 @@
 
 func (f *Feed) watch(ctx context.Context) error {
 	asked := time.Now()
-	batch, err := f.cfg.Platform.Watch(ctx, plat.AnyKind, f.cfg.Store.Complete(), f.cfg.Wait)
+	batch, err := f.cfg.Platform.Watch(ctx, plat.AnyKind, f.cfg.Store.CompleteVersion(), f.cfg.Wait)
 	if err != nil {
 		return err
 	}
--- a/core/store/accept.go
+++ b/core/store/accept.go
@@ -9,39 +9,40 @@
 	"lycheepond/core/spec"
 )
 
-// Rejection is a version of an object that was refused; an older good version,
-// if there was one, stays in force.
+// Rejection is a version of an object that was rejected because of its content. The
+// last good version, if there is one, stays in force.
 type Rejection struct {
 	Kind    string `json:"kind"`
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
-	// InForce is the version that stays, zero if there is none.
+	// InForce is the version that stays in force, zero if there is none.
 	InForce  int64         `json:"in_force"`
 	Problems spec.Problems `json:"problems"`
-	// object is the refused version itself. It is handed to peers, so that an
-	// object without a good version is not taken for a deleted one.
+	// object is the rejected version itself. It is sent to peers, so that they don't
+	// take an object without a good version for a deleted one.
 	object plat.Object
 }
 
-// RejectedError reports an object with bad content.
+// RejectedError reports an object that was rejected because of its content.
 type RejectedError struct{ rejection Rejection }
 
-// Rejection returns what was refused.
+// Rejection returns the rejected version.
 func (e *RejectedError) Rejection() Rejection { return e.rejection }
 
-// Error names the object, every problem and the remedy.
+// Error describes the object, every problem and the remedy.
 func (e *RejectedError) Error() string {
 	r := e.rejection
-	return fmt.Sprintf("store: %s/%s version %d refused, version %d stays in force; mend it with `lychee apply`: %v",
+	return fmt.Sprintf("store: %s/%s version %d rejected, version %d stays in force; correct it with `lychee apply`: %v",
 		r.Kind, r.Name, r.Version, r.InForce, r.Problems)
 }
 
 // Unwrap returns the problems.
 func (e *RejectedError) Unwrap() error { return e.rejection.Problems }
 
-// Accept takes one change. An older or equal version of the object changes
-// nothing, whoever reports it: a watch may replay, a replica may lag and peers
-// may be behind. Bad content is an error and the last good version stays.
+// Accept applies one change. A version of the object that is not newer has no effect,
+// whoever reports it: a watch may repeat events, a replica may lag and peers may have
+// old state. For bad content Accept returns a *RejectedError, and the last good
+// version stays in force.
 func (s *Store) Accept(ev plat.Event) (changed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,137 +54,143 @@
 	return changed, err
 }
 
-// AcceptBatch takes the answer of a watch that was asked for changes after the
-// version up to which this store is complete, all at once. It returns how many
-// changed something and what was refused.
-func (s *Store) AcceptBatch(b plat.Batch) (changed int, refused []error) {
+// AcceptBatch applies the result of a watch that started at CompleteVersion, in one
+// step. It returns the number of events that changed something and the errors of
+// rejected objects.
+func (s *Store) AcceptBatch(b plat.Batch) (changed int, rejected []error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := *s.snap.Load()
-	changed, refused = s.acceptAll(&next, b.Events)
+	changed, rejected = s.acceptAll(&next, b.Events)
 	next.complete = max(next.complete, b.Version)
-	s.trim(&next)
+	s.pruneTombstones(&next)
 	s.publish(&next)
-	return changed, refused
+	return changed, rejected
 }
 
-func (s *Store) acceptAll(next *snapshot, events []plat.Event) (changed int, refused []error) {
+// acceptAll applies events to next. It returns the number of events that changed
+// something and the errors of rejected objects.
+func (s *Store) acceptAll(next *snapshot, events []plat.Event) (changed int, rejected []error) {
 	for _, ev := range events {
-		ok, err := s.accept(next, ev, false)
-		if ok {
+		hasChanged, err := s.accept(next, ev, false)
+		if hasChanged {
 			changed++
 		}
 		if err != nil {
-			refused = append(refused, err)
+			rejected = append(rejected, err)
 		}
 	}
-	return changed, refused
+	return changed, rejected
 }
 
+// accept applies one event to next and reports whether it changed something. inferred
+// marks a deletion that was inferred from a list.
 func (s *Store) accept(next *snapshot, ev plat.Event, inferred bool) (bool, error) {
 	o := ev.Object
 	if o.Kind == spec.KindStatus || o.Kind == "" || o.Name == "" {
 		return false, nil
 	}
-	at := ref{unique.Make(o.Kind).Value(), o.Name}
-	had, known := next.records.get(at)
-	if known && o.Version <= had.version {
+	id := objectID{unique.Make(o.Kind).Value(), o.Name}
+	previous, known := next.records.get(id)
+	if known && o.Version <= previous.version {
 		return false, nil
 	}
-	bad, wasRefused := next.rejected.get(at)
-	if wasRefused && bad.Version == o.Version {
+	rejected, wasRejected := next.rejected.get(id)
+	if wasRejected && rejected.Version == o.Version {
 		return false, nil
 	}
-	if !known && o.Version <= next.floor {
+	if !known && o.Version <= next.pruned {
 		return false, nil
 	}
-	// An object that is not in force here although it is no newer than the
-	// complete version was deleted, whatever a peer or a lagging replica says.
-	// One whose newest version was refused is different: a peer may still have
+	// An unknown or deleted object whose version is not newer than the complete
+	// version was deleted, whatever a peer or a lagging replica reports. The
+	// exception is an object whose newest version was rejected: a peer may still have
 	// its last good version.
-	if (!known || had.gone) && !wasRefused && o.Version <= next.complete {
+	if (!known || previous.deleted) && !wasRejected && o.Version <= next.complete {
 		return false, nil
 	}
 	if ev.Gone {
-		s.remove(next, at, o.Version, inferred)
+		s.remove(next, id, o.Version, inferred)
 		return true, nil
 	}
-	if err := s.put(next, at, o); err != nil {
+	if err := s.put(next, id, o); err != nil {
 		return false, err
 	}
 	return true, nil
 }
 
-func (s *Store) put(next *snapshot, at ref, o plat.Object) error {
-	had, known := next.records.get(at)
+// put decodes the content o and puts it in force, or records its rejection.
+func (s *Store) put(next *snapshot, id objectID, o plat.Object) error {
+	previous, known := next.records.get(id)
 	decoded, problems := spec.Decode(o.Kind, o.Name, o.Data)
 	if len(problems) > 0 {
 		r := Rejection{Kind: o.Kind, Name: o.Name, Version: o.Version, Problems: problems, object: o}
-		if known && !had.gone {
-			r.InForce = had.version
+		if known && !previous.deleted {
+			r.InForce = previous.version
 		}
-		if bad, ok := next.rejected.get(at); !ok || bad.Version < r.Version {
-			next.rejected = next.rejected.with(at, r)
+		if rejected, ok := next.rejected.get(id); !ok || rejected.Version < r.Version {
+			next.rejected = next.rejected.with(id, r)
 		}
 		return &RejectedError{rejection: r}
 	}
 	r := record{version: o.Version}
-	if !spec.Operators(at.kind) {
+	if !spec.IsOperatorKind(id.kind) {
 		r.data = o.Data
 	}
-	s.index(next, at, decoded)
-	s.record(next, at, r)
+	s.index(next, id, decoded)
+	s.setRecord(next, id, r)
 	return nil
 }
 
-func (s *Store) remove(next *snapshot, at ref, version int64, inferred bool) {
-	s.unindex(next, at)
-	s.record(next, at, record{version: version, gone: true, inferred: inferred})
+// remove records the deletion of an object.
+func (s *Store) remove(next *snapshot, id objectID, version int64, inferred bool) {
+	s.unindex(next, id)
+	s.setRecord(next, id, record{version: version, deleted: true, inferred: inferred})
 }
 
-// record replaces what is known of an object and keeps version, digest and the
-// count of deletions in step.
-func (s *Store) record(next *snapshot, at ref, r record) {
-	had, known := next.records.get(at)
-	if known && had.gone {
-		next.tombs--
+// setRecord replaces the record of an object and updates the version, the digest and
+// the number of tombstones.
+func (s *Store) setRecord(next *snapshot, id objectID, r record) {
+	previous, known := next.records.get(id)
+	if known && previous.deleted {
+		next.tombstones--
 	}
-	if r.gone {
-		next.tombs++
+	if r.deleted {
+		next.tombstones++
 	}
-	next.records = next.records.with(at, r)
-	if bad, ok := next.rejected.get(at); ok && bad.Version <= r.version {
-		next.rejected = next.rejected.without(at)
+	next.records = next.records.with(id, r)
+	if rejected, ok := next.rejected.get(id); ok && rejected.Version <= r.version {
+		next.rejected = next.rejected.without(id)
 	}
-	if !spec.Operators(at.kind) {
+	if !spec.IsOperatorKind(id.kind) {
 		return
 	}
-	if known && !had.gone {
-		next.digest ^= sum(at, had.version)
+	if known && !previous.deleted {
+		next.digest ^= versionHash(id, previous.version)
 	}
-	if !r.gone {
-		next.digest ^= sum(at, r.version)
+	if !r.deleted {
+		next.digest ^= versionHash(id, r.version)
 	}
 	if !r.inferred {
 		next.version = max(next.version, r.version)
 	}
 }
 
-func sum(at ref, version int64) uint64 {
+// versionHash returns the hash of one version of an object, for Digest.
+func versionHash(id objectID, version int64) uint64 {
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%s/%s@%d", at.kind, at.name, version)
+	fmt.Fprintf(h, "%s/%s@%d", id.kind, id.name, version)
 	return h.Sum64()
 }
 
-// Rejected returns the versions that were refused and not yet replaced by a
-// good one.
+// Rejected returns the rejected versions that no good version has replaced yet.
 func (s *Store) Rejected() []Rejection {
 	var all []Rejection
-	now := s.snap.Load()
-	now.rejected.each(func(at ref, r Rejection) bool {
+	current := s.snap.Load()
+	current.rejected.each(func(id objectID, r Rejection) bool {
 		r.InForce = 0
-		if had, ok := now.records.get(at); ok && !had.gone {
-			r.InForce = had.version
+		if good, ok := current.records.get(id); ok && !good.deleted {
+			r.InForce = good.version
 		}
 		all = append(all, r)
 		return true
--- a/core/store/keys.go
+++ b/core/store/keys.go
@@ -11,144 +11,151 @@
 	"lycheepond/core/spec"
 )
 
-// blinded is the MAC of a key's hash under the process's own secret.
-type blinded [sha256.Size]byte
+// keyMAC is the MAC of a key's hash under the process's own secret.
+type keyMAC [sha256.Size]byte
 
-// holder is a customer that claims a key, the index-th of its keys.
-type holder struct {
+// keyHolder is a customer that has a key, which is the index-th of its keys.
+type keyHolder struct {
 	customer string
 	index    int
 }
 
-// holders are all customers that claim one key. There is hardly ever more than
-// one, so the first needs no list.
-type holders struct {
-	first holder
-	more  []holder
+// keyHolders are the customers that have the same key. There is almost always only
+// one, so the first is stored without a slice.
+type keyHolders struct {
+	first keyHolder
+	more  []keyHolder
 }
 
-// CustomerByKey returns the customer that a bearer key belongs to. A key that
-// two customers claim belongs to neither, because an answer must not be shown
-// to the wrong one; `lychee check` refuses such customers.
+// CustomerByKey returns the customer that a bearer key belongs to. A key that two
+// customers have is valid for neither, because a customer must not get another's
+// answers; `lychee check` rejects such customers.
 //
-// The index is searched under a MAC of the key's hash, so the time that a
-// search takes depends on nothing that a caller could use to guess a stored
-// hash; the hash itself is compared in constant time.
+// The index is searched by a MAC of the key's hash, so the duration of a search
+// reveals nothing with which a caller could guess a stored hash. The hash itself is
+// compared in constant time.
 func (s *Store) CustomerByKey(bearer string) (spec.Customer, spec.Key, bool) {
-	now := s.snap.Load()
+	current := s.snap.Load()
 	hash := sha256.Sum256([]byte(bearer))
-	found, ok := now.keys.get(s.blind(hash))
-	if !ok || len(found.more) > 0 {
+	holders, ok := current.keys.get(s.macOf(hash))
+	if !ok || len(holders.more) > 0 {
 		return spec.Customer{}, spec.Key{}, false
 	}
-	customer, ok := now.customers.get(found.first.customer)
+	customer, ok := current.customers.get(holders.first.customer)
 	if !ok {
 		return spec.Customer{}, spec.Key{}, false
 	}
-	key := customer.Keys[found.first.index]
-	want, ok := hashOf(key)
+	key := customer.Keys[holders.first.index]
+	want, ok := decodeHash(key)
 	if !ok || subtle.ConstantTimeCompare(want[:], hash[:]) != 1 {
 		return spec.Customer{}, spec.Key{}, false
 	}
 	return customer, key, true
 }
 
-func (s *Store) blind(hash [sha256.Size]byte) blinded {
+// macOf returns the MAC of a key's hash.
+func (s *Store) macOf(hash [sha256.Size]byte) keyMAC {
 	mac := hmac.New(sha256.New, s.secret[:])
 	mac.Write(hash[:])
-	return blinded(mac.Sum(nil))
+	return keyMAC(mac.Sum(nil))
 }
 
-// index takes a decoded object into the typed tables. Names are shared with the
-// record and between objects, and who wrote an object is left to the platform.
-func (s *Store) index(next *snapshot, at ref, decoded spec.Named) {
+// index adds a decoded object to the typed tables. Names share their memory with the
+// record and between objects. The writer of the object is dropped, because the
+// platform keeps it.
+func (s *Store) index(next *snapshot, id objectID, decoded spec.Named) {
 	switch o := decoded.(type) {
 	case spec.Class:
-		o.Name, o.Applied = at.name, nil
-		next.classes = next.classes.with(at.name, o)
+		o.Name, o.Applied = id.name, nil
+		next.classes = next.classes.with(id.name, o)
 	case spec.Model:
-		o.Name, o.Applied = at.name, nil
-		next.models = next.models.with(at.name, o)
+		o.Name, o.Applied = id.name, nil
+		next.models = next.models.with(id.name, o)
 	case spec.Service:
-		o.Name, o.Applied = at.name, nil
-		next.services = next.services.with(at.name, o)
+		o.Name, o.Applied = id.name, nil
+		next.services = next.services.with(id.name, o)
 	case spec.Customer:
-		o.Name, o.Applied = at.name, nil
+		o.Name, o.Applied = id.name, nil
 		for i := range o.Keys {
 			o.Keys[i].Class = unique.Make(o.Keys[i].Class).Value()
 		}
 		for i := range o.Classes {
 			o.Classes[i] = unique.Make(o.Classes[i]).Value()
 		}
-		s.dropKeys(next, at.name)
-		next.customers = next.customers.with(at.name, o)
+		s.dropKeys(next, id.name)
+		next.customers = next.customers.with(id.name, o)
 		s.addKeys(next, o)
 	}
 }
 
-func (s *Store) unindex(next *snapshot, at ref) {
-	switch at.kind {
+// unindex removes an object from the typed tables.
+func (s *Store) unindex(next *snapshot, id objectID) {
+	switch id.kind {
 	case spec.KindClass:
-		next.classes = next.classes.without(at.name)
+		next.classes = next.classes.without(id.name)
 	case spec.KindModel:
-		next.models = next.models.without(at.name)
+		next.models = next.models.without(id.name)
 	case spec.KindService:
-		next.services = next.services.without(at.name)
+		next.services = next.services.without(id.name)
 	case spec.KindCustomer:
-		s.dropKeys(next, at.name)
-		next.customers = next.customers.without(at.name)
+		s.dropKeys(next, id.name)
+		next.customers = next.customers.without(id.name)
 	}
 }
 
+// addKeys adds a customer's keys to the index.
 func (s *Store) addKeys(next *snapshot, c spec.Customer) {
 	for i, k := range c.Keys {
-		at, ok := s.keyOf(k)
+		mac, ok := s.keyOf(k)
 		if !ok {
 			continue
 		}
-		h := holder{customer: c.Name, index: i}
-		had, ok := next.keys.get(at)
+		holder := keyHolder{customer: c.Name, index: i}
+		holders, ok := next.keys.get(mac)
 		if ok {
-			had.more = append(slices.Clone(had.more), h)
+			holders.more = append(slices.Clone(holders.more), holder)
 		} else {
-			had.first = h
+			holders.first = holder
 		}
-		next.keys = next.keys.with(at, had)
+		next.keys = next.keys.with(mac, holders)
 	}
 }
 
+// dropKeys removes a customer's keys from the index.
 func (s *Store) dropKeys(next *snapshot, customer string) {
 	c, ok := next.customers.get(customer)
 	if !ok {
 		return
 	}
 	for _, k := range c.Keys {
-		at, ok := s.keyOf(k)
+		mac, ok := s.keyOf(k)
 		if !ok {
 			continue
 		}
-		had, ok := next.keys.get(at)
+		holders, ok := next.keys.get(mac)
 		if !ok {
 			continue
 		}
-		left := slices.DeleteFunc(append([]holder{had.first}, had.more...), func(h holder) bool { return h.customer == customer })
+		left := slices.DeleteFunc(append([]keyHolder{holders.first}, holders.more...), func(h keyHolder) bool { return h.customer == customer })
 		if len(left) == 0 {
-			next.keys = next.keys.without(at)
+			next.keys = next.keys.without(mac)
 			continue
 		}
-		next.keys = next.keys.with(at, holders{first: left[0], more: left[1:]})
+		next.keys = next.keys.with(mac, keyHolders{first: left[0], more: left[1:]})
 	}
 }
 
-func (s *Store) keyOf(k spec.Key) (blinded, bool) {
-	hash, ok := hashOf(k)
+// keyOf returns the MAC under which a key is indexed, false if its hash is malformed.
+func (s *Store) keyOf(k spec.Key) (keyMAC, bool) {
+	hash, ok := decodeHash(k)
 	if !ok {
-		return blinded{}, false
+		return keyMAC{}, false
 	}
-	return s.blind(hash), true
+	return s.macOf(hash), true
 }
 
-func hashOf(k spec.Key) (hash [sha256.Size]byte, ok bool) {
+// decodeHash decodes the hash of a key, false if it is malformed.
+func decodeHash(k spec.Key) (hash [sha256.Size]byte, ok bool) {
 	if len(k.SHA256) != 2*sha256.Size {
 		return hash, false
 	}
--- a/core/store/list.go
+++ b/core/store/list.go
@@ -9,97 +9,99 @@
 	"lycheepond/core/spec"
 )
 
-// maxTombs is how many deletions are remembered one by one. Beyond it the
-// oldest up to the complete version are dropped: an unknown object that is not
-// newer than that version is refused anyway. At 11,000 changes a day it is more
-// than half a day of nothing but deletions.
-const maxTombs = 8192
+// maxTombstones is the number of deletions that are remembered individually. Beyond
+// it, the oldest ones up to the complete version are dropped: an unknown object that
+// is not newer than that version is rejected anyway. At 11,000 changes a day, 8192
+// deletions are more than half a day of changes that are all deletions.
+const maxTombstones = 8192
 
-// AcceptList takes the whole content of the platform at a version. What it
-// lacks is deleted, but only objects that are older than the list: a lagging
-// replica lists without the newest objects, which must not be lost for it.
-// kind limits what may be deleted; plat.AnyKind means every kind.
-func (s *Store) AcceptList(kind string, b plat.Batch) (changed int, refused []error) {
+// AcceptList applies the complete content of the platform at a version. Objects that
+// are not in the list are deleted, but only those older than the list: a lagging
+// replica returns a list without the newest objects, which must stay. kind limits
+// which objects may be deleted; plat.AnyKind means every kind. AcceptList returns the
+// number of changes and the errors of rejected objects.
+func (s *Store) AcceptList(kind string, b plat.Batch) (changed int, rejected []error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := *s.snap.Load()
-	listed := make(map[ref]struct{}, len(b.Events))
+	listed := make(map[objectID]struct{}, len(b.Events))
 	for _, ev := range b.Events {
 		if !ev.Gone {
-			listed[ref{ev.Object.Kind, ev.Object.Name}] = struct{}{}
+			listed[objectID{ev.Object.Kind, ev.Object.Name}] = struct{}{}
 		}
 	}
-	changed, refused = s.acceptAll(&next, b.Events)
-	for _, at := range missing(&next, kind, listed, b.Version) {
-		gone := plat.Event{Gone: true, Object: plat.Object{Kind: at.kind, Name: at.name, Version: b.Version}}
-		if ok, _ := s.accept(&next, gone, true); ok {
+	changed, rejected = s.acceptAll(&next, b.Events)
+	for _, id := range missing(&next, kind, listed, b.Version) {
+		deletion := plat.Event{Gone: true, Object: plat.Object{Kind: id.kind, Name: id.name, Version: b.Version}}
+		if hasChanged, _ := s.accept(&next, deletion, true); hasChanged {
 			changed++
 		}
 	}
 	if kind == plat.AnyKind {
 		next.complete = max(next.complete, b.Version)
-		s.trim(&next)
+		s.pruneTombstones(&next)
 	}
 	s.publish(&next)
-	return changed, refused
+	return changed, rejected
 }
 
-// missing returns what is older than a list and does not stand in it.
-func missing(now *snapshot, kind string, listed map[ref]struct{}, version int64) []ref {
-	var out []ref
-	check := func(at ref, v int64) {
-		if _, ok := listed[at]; ok || v >= version || (kind != plat.AnyKind && kind != at.kind) {
+// missing returns the objects that are older than a list and not in it.
+func missing(current *snapshot, kind string, listed map[objectID]struct{}, version int64) []objectID {
+	var out []objectID
+	addIfMissing := func(id objectID, v int64) {
+		if _, ok := listed[id]; ok || v >= version || (kind != plat.AnyKind && kind != id.kind) {
 			return
 		}
-		out = append(out, at)
+		out = append(out, id)
 	}
-	now.records.each(func(at ref, r record) bool {
-		if !r.gone {
-			check(at, r.version)
+	current.records.each(func(id objectID, r record) bool {
+		if !r.deleted {
+			addIfMissing(id, r.version)
 		}
 		return true
 	})
-	now.rejected.each(func(at ref, r Rejection) bool {
-		check(at, r.Version)
+	current.rejected.each(func(id objectID, r Rejection) bool {
+		addIfMissing(id, r.Version)
 		return true
 	})
 	return out
 }
 
-// trim drops the oldest deletions when there are too many.
-func (s *Store) trim(next *snapshot) {
-	if next.tombs <= maxTombs {
+// pruneTombstones drops the oldest tombstones when there are too many.
+func (s *Store) pruneTombstones(next *snapshot) {
+	if next.tombstones <= maxTombstones {
 		return
 	}
-	type tomb struct {
-		at      ref
+	type tombstone struct {
+		id      objectID
 		version int64
 	}
-	var old []tomb
-	next.records.each(func(at ref, r record) bool {
-		if r.gone && r.version <= next.complete {
-			old = append(old, tomb{at, r.version})
+	var oldest []tombstone
+	next.records.each(func(id objectID, r record) bool {
+		if r.deleted && r.version <= next.complete {
+			oldest = append(oldest, tombstone{id, r.version})
 		}
 		return true
 	})
-	slices.SortFunc(old, func(a, b tomb) int { return cmp.Compare(a.version, b.version) })
-	for _, t := range old[:min(len(old), maxTombs/2)] {
-		next.records = next.records.without(t.at)
-		next.floor = max(next.floor, t.version)
-		next.tombs--
+	slices.SortFunc(oldest, func(a, b tombstone) int { return cmp.Compare(a.version, b.version) })
+	for _, t := range oldest[:min(len(oldest), maxTombstones/2)] {
+		next.records = next.records.without(t.id)
+		next.pruned = max(next.pruned, t.version)
+		next.tombstones--
 	}
 }
 
-// All returns every object in force, the remembered deletions and the refused
-// versions, oldest first, for a peer that starts while the platform is away.
+// All returns every object in force, the remembered deletions and the rejected
+// versions, sorted by version, for a peer that starts while the platform is
+// unavailable.
 func (s *Store) All() []plat.Event {
-	now := s.snap.Load()
-	all := make([]plat.Event, 0, now.records.size)
-	now.records.each(func(at ref, r record) bool {
-		all = append(all, plat.Event{Gone: r.gone, Object: now.object(at, r)})
+	current := s.snap.Load()
+	all := make([]plat.Event, 0, current.records.size)
+	current.records.each(func(id objectID, r record) bool {
+		all = append(all, plat.Event{Gone: r.deleted, Object: current.object(id, r)})
 		return true
 	})
-	now.rejected.each(func(_ ref, r Rejection) bool {
+	current.rejected.each(func(_ objectID, r Rejection) bool {
 		all = append(all, plat.Event{Object: r.object})
 		return true
 	})
@@ -107,9 +109,9 @@
 	return all
 }
 
-// Complete returns the version up to which every object is known here: what to
-// watch after.
-func (s *Store) Complete() int64 { return s.snap.Load().complete }
+// CompleteVersion returns the version up to which every object is known here: the
+// version from which to watch.
+func (s *Store) CompleteVersion() int64 { return s.snap.Load().complete }
 
 // Classes returns every class in force.
 func (s *Store) Classes() []spec.Class { return values(s.snap.Load().classes) }
@@ -123,7 +125,7 @@
 // Services returns every service in force.
 func (s *Store) Services() []spec.Service { return values(s.snap.Load().services) }
 
-// values returns the entries of a table in the order of their names.
+// values returns the values of a table, sorted by name.
 func values[V any](t *table[string, V]) []V {
 	names := make([]string, 0, t.size)
 	t.each(func(name string, _ V) bool {
--- a/core/store/model_test.go
+++ b/core/store/model_test.go
@@ -10,7 +10,7 @@
 	"lycheepond/core/spec"
 )
 
-// history is every write of a platform, oldest first; versions count from one.
+// history is every write to a platform, oldest first. Versions count from one.
 type history struct{ events []plat.Event }
 
 func (h *history) write(t *rapid.T) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// list is the content at a version.
+// list returns the content at a version.
 func (h *history) list(version int64) plat.Batch {
 	last := make(map[string]plat.Event)
 	for _, ev := range h.events[:version] {
@@ -44,7 +44,7 @@
 	return b
 }
 
-// watch is what changed after one version up to another.
+// watch returns the changes after one version up to another.
 func (h *history) watch(after, upTo int64) plat.Batch {
 	if after >= upTo {
 		return plat.Batch{Version: upTo}
@@ -52,14 +52,15 @@
 	return plat.Batch{Version: upTo, Events: h.events[after:upTo]}
 }
 
-// view is what one process has shown of an object.
-type view struct{ newest, gone int64 }
+// view is what one process has shown of an object: the newest version, and the newest
+// version at the time when the object was shown as deleted.
+type view struct{ newest, deletedAfter int64 }
 
-func TestNeverReverts(t *testing.T) {
-	// Two processes read one platform through lagging replicas, replaying
-	// watches and each other, in any order. An operator must never see an
-	// object return to an older version or come back after its deletion, and
-	// both must end at the newest state.
+func TestObjectsNeverRevert(t *testing.T) {
+	// Two processes read one platform through lagging replicas and repeated watch
+	// events, and read each other's content, in any order. An object must never go
+	// back to an older version or reappear after its deletion, and both processes
+	// must end at the newest state.
 	rapid.Check(t, func(t *rapid.T) {
 		var h history
 		stores := []*Store{New(), New()}
@@ -72,13 +73,14 @@
 			observe(t, stores[i], views[i])
 		}
 		for i, s := range stores {
-			s.AcceptBatch(h.watch(s.Complete(), int64(len(h.events))))
+			s.AcceptBatch(h.watch(s.CompleteVersion(), int64(len(h.events))))
 			observe(t, s, views[i])
-			converged(t, &h, s)
+			checkConverged(t, &h, s)
 		}
 	})
 }
 
+// deliver passes a random list, watch result, event or peer's content to s.
 func deliver(t *rapid.T, h *history, s, peer *Store) {
 	now := int64(len(h.events))
 	version := rapid.Int64Range(0, now).Draw(t, "version")
@@ -88,16 +90,17 @@
 	case 1:
 		s.AcceptList(spec.KindClass, h.list(version))
 	case 2:
-		s.AcceptBatch(h.watch(s.Complete(), version))
+		s.AcceptBatch(h.watch(s.CompleteVersion(), version))
 	case 3:
 		if version > 0 {
 			_, _ = s.Accept(h.events[version-1])
 		}
 	case 4:
-		s.AcceptList(plat.AnyKind, plat.Batch{Version: peer.Complete(), Events: peer.All()})
+		s.AcceptList(plat.AnyKind, plat.Batch{Version: peer.CompleteVersion(), Events: peer.All()})
 	}
 }
 
+// observe checks that no object in s went back since the last call.
 func observe(t *rapid.T, s *Store, seen map[string]*view) {
 	for _, name := range []string{"a", "b", "c"} {
 		v := seen[name]
@@ -111,21 +114,21 @@
 			t.Fatalf("%s: raw %v, typed %v", name, ok, typed)
 		}
 		if !ok {
-			v.gone = v.newest
+			v.deletedAfter = v.newest
 			continue
 		}
-		if o.Version < v.newest || (v.gone > 0 && o.Version <= v.gone) {
-			t.Fatalf("%s went back to version %d, newest shown %d, shown as deleted after %d", name, o.Version, v.newest, v.gone)
+		if o.Version < v.newest || (v.deletedAfter > 0 && o.Version <= v.deletedAfter) {
+			t.Fatalf("%s went back to version %d, newest shown %d, shown as deleted after %d", name, o.Version, v.newest, v.deletedAfter)
 		}
 		v.newest = o.Version
 	}
 }
 
-// converged checks the state after everything has been delivered. When the
-// newest version of an object is bad, any good one that the process was shown
-// may stay in force: a list does not tell whether the object was deleted and
-// made again in between.
-func converged(t *rapid.T, h *history, s *Store) {
+// checkConverged checks the state after everything has been delivered. If the newest
+// version of an object is bad, any good version that the process has received may
+// stay in force: a list does not show whether the object was deleted and created
+// again in between.
+func checkConverged(t *rapid.T, h *history, s *Store) {
 	for _, name := range []string{"a", "b", "c"} {
 		var last plat.Event
 		good := map[int64]bool{}
--- a/core/store/store_test.go
+++ b/core/store/store_test.go
@@ -44,15 +44,15 @@
 	}
 }
 
-func TestRefusedObject(t *testing.T) {
-	// An operator writes a class with a tier that does not exist past the
-	// command line's check, straight to the platform. Requests of the class go
-	// on under the last good version, and the status names the bad one.
+func TestRejectedObject(t *testing.T) {
+	// An operator writes a class with a tier that does not exist directly to the
+	// platform, without the command line's check. Requests of the class must continue
+	// under the last good version, and the status must name the bad one.
 	s := New()
 	accept(t, s, class(t, "swap", 1, 0))
 	_, err := s.Accept(class(t, "swap", 2, 9))
-	var refused *RejectedError
-	if !errors.As(err, &refused) {
+	var rejected *RejectedError
+	if !errors.As(err, &rejected) {
 		t.Fatalf("got %v, want a RejectedError", err)
 	}
 	if c, ok := s.Class("swap"); !ok || c.Tier != 0 {
@@ -68,9 +68,9 @@
 }
 
 func TestListFromLaggingReplica(t *testing.T) {
-	// A process lists again after an outage and gets a replica that lags. The
-	// list lacks the newest class and still has one that was deleted. Callers
-	// of the newest class must not be told that it does not exist.
+	// After an outage, a process reads a list from a lagging replica. The list lacks
+	// the newest class and still contains a deleted one. The newest class must stay
+	// in force, or its callers would be refused.
 	s := New()
 	accept(t, s, class(t, "swap", 1, 0), class(t, "old", 2, 1), class(t, "new", 9, 1))
 	accept(t, s, plat.Event{Gone: true, Object: plat.Object{Kind: spec.KindClass, Name: "old", Version: 7}})
@@ -79,7 +79,7 @@
 		t.Error("the list deleted an object that is newer than it")
 	}
 	if _, ok := s.Class("old"); ok {
-		t.Error("the list brought a deleted object back")
+		t.Error("the list restored a deleted object")
 	}
 	s.AcceptList(plat.AnyKind, plat.Batch{Version: 12, Events: []plat.Event{class(t, "new", 9, 1)}})
 	if _, ok := s.Class("swap"); ok {
@@ -88,37 +88,37 @@
 }
 
 func TestPeerWithDeletedObject(t *testing.T) {
-	// A class is deleted, made again and deleted again. One process saw the
-	// first deletion and then a list without the class; a peer that is behind
-	// still serves it. Neither may bring it back to the other.
+	// A class is deleted, created again and deleted again. One process received the
+	// first deletion and later a list without the class; a peer with older state
+	// still serves it. Neither may restore the class at the other.
 	deleted := plat.Event{Gone: true, Object: plat.Object{Kind: spec.KindClass, Name: "swap", Version: 1}}
-	ahead, behind := New(), New()
-	ahead.AcceptBatch(plat.Batch{Version: 1, Events: []plat.Event{deleted}})
-	ahead.AcceptList(plat.AnyKind, plat.Batch{Version: 9})
-	behind.AcceptList(plat.AnyKind, plat.Batch{Version: 5, Events: []plat.Event{class(t, "swap", 5, 0)}})
-	ahead.AcceptList(plat.AnyKind, plat.Batch{Version: behind.Complete(), Events: behind.All()})
-	if _, ok := ahead.Class("swap"); ok {
-		t.Error("a peer that is behind brought a deleted class back")
+	newer, older := New(), New()
+	newer.AcceptBatch(plat.Batch{Version: 1, Events: []plat.Event{deleted}})
+	newer.AcceptList(plat.AnyKind, plat.Batch{Version: 9})
+	older.AcceptList(plat.AnyKind, plat.Batch{Version: 5, Events: []plat.Event{class(t, "swap", 5, 0)}})
+	newer.AcceptList(plat.AnyKind, plat.Batch{Version: older.CompleteVersion(), Events: older.All()})
+	if _, ok := newer.Class("swap"); ok {
+		t.Error("a peer with older state restored a deleted class")
 	}
-	behind.AcceptList(plat.AnyKind, plat.Batch{Version: ahead.Complete(), Events: ahead.All()})
-	if _, ok := behind.Class("swap"); ok {
-		t.Error("a peer that is ahead did not take the deleted class away")
+	older.AcceptList(plat.AnyKind, plat.Batch{Version: newer.CompleteVersion(), Events: newer.All()})
+	if _, ok := older.Class("swap"); ok {
+		t.Error("a peer with newer state did not remove the deleted class")
 	}
 }
 
 func TestPeerWithoutGoodVersion(t *testing.T) {
-	// The newest version of a class is bad. One peer has started after it was
-	// written and has no good version; another has the one before. A process
-	// that starts asks both, in either order, and must serve the class.
-	veteran, late := New(), New()
+	// The newest version of a class is bad. One peer started after it was written and
+	// has no good version; another has the previous one. A process that starts reads
+	// from both, in either order, and must serve the class.
+	withGood, withoutGood := New(), New()
 	bad := class(t, "swap", 7, 9)
-	accept(t, veteran, class(t, "swap", 3, 0))
-	_, _ = veteran.Accept(bad)
-	late.AcceptList(plat.AnyKind, plat.Batch{Version: 10, Events: []plat.Event{bad}})
-	for _, order := range [][]*Store{{veteran, late}, {late, veteran}} {
+	accept(t, withGood, class(t, "swap", 3, 0))
+	_, _ = withGood.Accept(bad)
+	withoutGood.AcceptList(plat.AnyKind, plat.Batch{Version: 10, Events: []plat.Event{bad}})
+	for _, order := range [][]*Store{{withGood, withoutGood}, {withoutGood, withGood}} {
 		s := New()
 		for _, peer := range order {
-			s.AcceptList(plat.AnyKind, plat.Batch{Version: peer.Complete(), Events: peer.All()})
+			s.AcceptList(plat.AnyKind, plat.Batch{Version: peer.CompleteVersion(), Events: peer.All()})
 		}
 		if c, ok := s.Class("swap"); !ok || c.Tier != 0 {
 			t.Errorf("class in force: %+v %v", c, ok)
@@ -145,9 +145,9 @@
 }
 
 func TestKeyOfTwoCustomers(t *testing.T) {
-	// An operator copies a customer's object for a new one and forgets to
-	// change the key. If the key stood for either of them, one could read
-	// answers that are charged and kept for the other.
+	// An operator copies a customer's object for a new customer and forgets to change
+	// the key. If the key were valid for one of them, that customer could read
+	// answers that are charged to and kept for the other.
 	s := New()
 	accept(t, s, customer(t, "league", 1, "shared", "own"), customer(t, "copy", 2, "shared"))
 	if c, _, ok := s.CustomerByKey("shared"); ok {
@@ -175,22 +175,22 @@
 	}
 }
 
-func TestDeletionsAreBounded(t *testing.T) {
-	// Objects are made and deleted all day. The memory of a small instance
-	// must not fill with their tombstones, and none of them may come back.
+func TestTombstonesAreBounded(t *testing.T) {
+	// Objects are created and deleted all day. Their tombstones must not fill the
+	// memory of a small instance, and no deleted object may reappear.
 	s := New()
-	for i := range int64(maxTombs + 10) {
+	for i := range int64(maxTombstones + 10) {
 		name := fmt.Sprint("c", i)
 		s.AcceptBatch(plat.Batch{Version: 2*i + 2, Events: []plat.Event{
 			class(t, name, 2*i+1, 0),
 			{Gone: true, Object: plat.Object{Kind: spec.KindClass, Name: name, Version: 2*i + 2}},
 		}})
 	}
-	if n := len(s.All()); n > maxTombs {
+	if n := len(s.All()); n > maxTombstones {
 		t.Errorf("%d deletions are remembered", n)
 	}
 	if changed, _ := s.Accept(class(t, "c0", 1, 0)); changed {
-		t.Error("a deleted object came back")
+		t.Error("a deleted object reappeared")
 	}
 }
 
@@ -218,7 +218,7 @@
 	}
 }
 
-func BenchmarkStart(b *testing.B) {
+func BenchmarkFirstList(b *testing.B) {
 	batch := plat.Batch{Version: 21000}
 	for i := range 21000 {
 		batch.Events = append(batch.Events, customer(b, fmt.Sprint("c", i), int64(i+1), fmt.Sprint("key", i)))
@@ -229,26 +229,25 @@
 	}
 }
 
-// BenchmarkHeld reports the memory that a store of 1,000 to 21,000 customers
-// holds.
-func BenchmarkHeld(b *testing.B) {
+// BenchmarkMemory reports the memory that a store with 1,000 to 21,000 customers uses.
+func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{1000, 5000, 21000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
 				s := New()
-				before := heap()
+				before := heapBytes()
 				for i := range n {
 					ev := customer(b, fmt.Sprint("c", i), int64(i+1), fmt.Sprint("key", i))
 					s.AcceptBatch(plat.Batch{Version: ev.Object.Version, Events: []plat.Event{ev}})
 				}
-				b.ReportMetric(float64(heap()-before), "held-bytes")
+				b.ReportMetric(float64(heapBytes()-before), "held-bytes")
 				runtime.KeepAlive(s)
 			}
 		})
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- a/core/store/table.go
+++ b/core/store/table.go
@@ -5,61 +5,62 @@
 	"maps"
 )
 
-// shards is how many parts a table has. With 21,000 customers a change copies
-// a part of about 80 entries in place of all.
-const shards = 256
+// tableParts is the number of parts of a table. With 21,000 customers, a change
+// copies one part of about 80 entries instead of the whole table.
+const tableParts = 256
 
 var seed = maphash.MakeSeed()
 
-// table is a map that is never changed once it can be read. Its first change
-// returns a copy that shares all parts but one; further changes go to that copy
-// until it is frozen.
+// table is a persistent map: once it can be read it is never changed. The first
+// change returns a copy that shares all parts but one, and further changes modify
+// that copy until it is frozen.
 type table[K comparable, V any] struct {
-	parts [shards]map[K]V
+	parts [tableParts]map[K]V
 	size  int
-	// fresh marks the parts that are not shared with another table; it is nil
-	// in a frozen one.
-	fresh *[shards]bool
+	// owned marks the parts that are not shared with another table. It is nil in a
+	// frozen table.
+	owned *[tableParts]bool
 }
 
-func shardOf[K comparable](k K) int { return int(maphash.Comparable(seed, k) % shards) }
+// partOf returns the index of the part that holds k.
+func partOf[K comparable](k K) int { return int(maphash.Comparable(seed, k) % tableParts) }
 
 func (t *table[K, V]) get(k K) (V, bool) {
-	v, ok := t.parts[shardOf(k)][k]
+	v, ok := t.parts[partOf(k)][k]
 	return v, ok
 }
 
-// with returns a table that holds v under k.
+// with returns a table with v stored under k.
 func (t *table[K, V]) with(k K, v V) *table[K, V] {
-	next, part := t.edit(shardOf(k))
+	next, part := t.edit(partOf(k))
 	next.size -= len(part)
 	part[k] = v
 	next.size += len(part)
 	return next
 }
 
-// without returns a table that holds nothing under k.
+// without returns a table without k.
 func (t *table[K, V]) without(k K) *table[K, V] {
 	if _, ok := t.get(k); !ok {
 		return t
 	}
-	next, part := t.edit(shardOf(k))
+	next, part := t.edit(partOf(k))
 	delete(part, k)
 	next.size--
 	return next
 }
 
-// edit returns a table, t itself if it is not frozen, whose i-th part may be
-// changed.
+// edit returns a table whose i-th part may be changed, and that part. The table is t
+// itself unless t is frozen.
 func (t *table[K, V]) edit(i int) (*table[K, V], map[K]V) {
 	next := t
-	if t.fresh == nil {
+	if t.owned == nil {
 		c := *t
 		next = &c
-		next.fresh = new([shards]bool)
+		next.owned = new([tableParts]bool)
 	}
-	if !next.fresh[i] {
-		next.fresh[i] = true
+	if !next.owned[i] {
+		next.owned[i] = true
 		next.parts[i] = maps.Clone(next.parts[i])
 	}
 	if next.parts[i] == nil {
@@ -68,12 +69,13 @@
 	return next, next.parts[i]
 }
 
-// freeze ends the changes of a table, which may be read by others from then on.
-func (t *table[K, V]) freeze() { t.fresh = nil }
+// freeze makes the table read-only, so that other goroutines may read it from then
+// on.
+func (t *table[K, V]) freeze() { t.owned = nil }
 
-func (t *table[K, V]) frozen() bool { return t.fresh == nil }
+func (t *table[K, V]) frozen() bool { return t.owned == nil }
 
-// each calls f for every entry until it returns false.
+// each calls f for every entry until f returns false. The order is random.
 func (t *table[K, V]) each(f func(K, V) bool) {
 	for _, part := range t.parts {
 		for k, v := range part {
