--- a/core/feed/backoff.go
+++ b/core/feed/backoff.go
@@ -5,26 +5,28 @@
 	"time"
 )
 
-// Pauses between calls after a failure. The longest bounds how late a process
-// notices that the platform is back; the configuration has to be in force 9 s
-// after a change. The jitter keeps 420 entries from asking all at once when an
-// outage ends.
+// Pauses between calls after a failure. The longest pause bounds how late a process
+// notices that the platform is available again; a change of the configuration must be
+// in force after 9 s. The jitter prevents 420 entries from calling all at once when
+// an outage ends.
 const (
-	firstPause   = 100 * time.Millisecond
-	longestPause = 5 * time.Second
+	minPause = 100 * time.Millisecond
+	maxPause = 5 * time.Second
 )
 
-// backoff is the pause of one loop; its zero value is ready.
-type backoff struct{ next time.Duration }
+// backoff is the exponential backoff of one loop. Its zero value is ready to use.
+type backoff struct{ pause time.Duration }
 
-func (b *backoff) reset() { b.next = 0 }
+func (b *backoff) reset() { b.pause = 0 }
 
-// take returns the next pause, between half and all of a doubling length.
-func (b *backoff) take(random float64) time.Duration {
-	b.next = min(max(2*b.next, firstPause), longestPause)
-	return b.next/2 + time.Duration(random*float64(b.next/2))
+// next returns the next pause, between half and all of a length that doubles with
+// each call up to maxPause. random is in [0,1).
+func (b *backoff) next(random float64) time.Duration {
+	b.pause = min(max(2*b.pause, minPause), maxPause)
+	return b.pause/2 + time.Duration(random*float64(b.pause/2))
 }
 
+// sleep waits until d has passed or ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/core/feed/feed.go
+++ b/core/feed/feed.go
@@ -1,6 +1,6 @@
-// Package feed keeps a store at the state of the platform: a watch of all
-// objects and one of the instance list, and the peers when the platform is
-// away at the start.
+// Package feed keeps a store up to date with the platform. It watches all objects and
+// the instance list, and reads from peers if the platform is unavailable at the
+// start.
 package feed
 
 import (
@@ -14,84 +14,87 @@
 	"lycheepond/core/store"
 )
 
-// Config says what to feed and from where.
+// Config configures a Feed.
 type Config struct {
 	Platform *plat.Client
 	Store    *store.Store
-	// Peers fetch everything that a peer has in force, one function a peer;
-	// none has no peers. See Dial.
+	// Peers fetch everything in force at a peer, one function per peer; it may be
+	// empty. See NewPeerFetch.
 	Peers []Fetch
-	// Random returns a number in [0,1) that spreads retries.
+	// Random returns a number in [0,1) for the jitter of retries; nil returns 0.5.
 	Random func() float64
-	// Wait is how long a watch waits; zero means DefaultWait.
-	Wait time.Duration
-	// Every is the shortest time from one watch to the next; zero means
-	// DefaultEvery.
-	Every time.Duration
-	// Patience is how long a start waits for the platform before it asks the
-	// peers too; zero means DefaultPatience.
-	Patience time.Duration
-	// Note hears what happens, one call at a time; nil hears nothing.
+	// WatchTimeout is how long a watch waits for changes; zero means
+	// DefaultWatchTimeout.
+	WatchTimeout time.Duration
+	// MinInterval is the shortest time between the starts of two watches while
+	// something changes; zero means DefaultMinInterval.
+	MinInterval time.Duration
+	// PeerDelay is how long a start waits for the platform before it reads from the
+	// peers too; zero means DefaultPeerDelay.
+	PeerDelay time.Duration
+	// OnNote is called with each Note, one call at a time; it may be nil.
 	Note func(Note)
 }
 
-// Fetch returns what a peer has in force. The batch's version is the one up to
-// which the peer knows every object.
+// Fetch returns everything in force at a peer. The version of the batch is the one up
+// to which the peer knows every object.
 type Fetch func(ctx context.Context) (plat.Batch, error)
 
-// DefaultWait is how long a watch waits at the platform. An entry makes two
+// DefaultWatchTimeout is how long a watch waits at the platform. An entry has two
 // watches, so 420 entries make 28 calls a second while nothing changes.
-const DefaultWait = 30 * time.Second
+const DefaultWatchTimeout = 30 * time.Second
 
-// DefaultEvery bounds the calls while something changes all the time: 420
-// entries then make at most 840 watches a second. A change after a quiet half
-// second is still heard at once.
-const DefaultEvery = 500 * time.Millisecond
+// DefaultMinInterval bounds the number of calls while something changes all the time:
+// 420 entries then make at most 840 watches a second. A change after half a second
+// without one is still received at once.
+const DefaultMinInterval = 500 * time.Millisecond
 
-// DefaultPatience is how long a start waits for the platform alone. A platform
-// that is slow or swallows packets would otherwise keep a new process from its
-// work for as long as its calls take to fail.
-const DefaultPatience = time.Second
+// DefaultPeerDelay is how long a start waits for the platform alone. Otherwise a
+// platform that is slow or drops packets would delay a new process until its calls
+// fail.
+const DefaultPeerDelay = time.Second
 
 // ErrNoPeers reports that no peer had a configuration.
-var ErrNoPeers = errors.New("feed: platform is away and no peer has a configuration: check platform.address and peers")
+var ErrNoPeers = errors.New("feed: platform is unavailable and no peer has a configuration: check platform.address and peers")
 
-// Feed keeps one store fed.
+// Feed keeps one store up to date. Its methods are safe for concurrent use; Run is
+// called once.
 type Feed struct {
 	cfg Config
-	// noteMu keeps calls of Note one at a time.
-	noteMu sync.Mutex
-	last   atomic.Pointer[Contact]
-	away   atomic.Bool
-	// ready is closed by readyOnce once the store has a configuration.
+	// noteMu serializes the calls of Config.OnNote.
+	noteMu      sync.Mutex
+	lastContact atomic.Pointer[Contact]
+	unavailable atomic.Bool
+	// ready is closed through readyOnce once the store has a configuration.
 	ready     chan struct{}
 	readyOnce sync.Once
-	// peersMu lets one goroutine ask the peers at a time; asked is set once
-	// one has answered.
-	peersMu sync.Mutex
-	asked   bool
-	// sleep waits until a time has passed or ctx ends.
+	// peersMu allows one goroutine at a time to read from the peers. peersLoaded is
+	// set once a peer has returned a configuration.
+	peersMu     sync.Mutex
+	peersLoaded bool
+	// sleep is the function sleep, except in tests.
 	sleep func(ctx context.Context, d time.Duration)
 }
 
-// Contact is one call that the platform answered.
+// Contact is a call that the platform answered.
 type Contact struct {
-	// Asked is when the call was made. What the answer shows may be as old.
-	Asked time.Time
-	// Answered is when the answer was complete.
-	Answered time.Time
+	// RequestedAt is the time of the call. The answer may show the state of that
+	// moment.
+	RequestedAt time.Time
+	// AnsweredAt is the time when the answer was complete.
+	AnsweredAt time.Time
 }
 
 // New returns a feed that does nothing until Run.
 func New(cfg Config) *Feed {
-	if cfg.Wait <= 0 {
-		cfg.Wait = DefaultWait
+	if cfg.WatchTimeout <= 0 {
+		cfg.WatchTimeout = DefaultWatchTimeout
 	}
-	if cfg.Every <= 0 {
-		cfg.Every = DefaultEvery
+	if cfg.MinInterval <= 0 {
+		cfg.MinInterval = DefaultMinInterval
 	}
-	if cfg.Patience <= 0 {
-		cfg.Patience = DefaultPatience
+	if cfg.PeerDelay <= 0 {
+		cfg.PeerDelay = DefaultPeerDelay
 	}
 	if cfg.Random == nil {
 		cfg.Random = func() float64 { return 0.5 }
@@ -106,30 +109,32 @@
 // from the platform or from peers.
 func (f *Feed) Ready() <-chan struct{} { return f.ready }
 
-// Last returns the last contact with the platform; it is zero before the first.
-func (f *Feed) Last() Contact {
-	if c := f.last.Load(); c != nil {
+// LastContact returns the last call that the platform answered, the zero Contact
+// before the first.
+func (f *Feed) LastContact() Contact {
+	if c := f.lastContact.Load(); c != nil {
 		return *c
 	}
 	return Contact{}
 }
 
-// Away reports whether the last call to the platform failed.
-func (f *Feed) Away() bool { return f.away.Load() }
+// PlatformUnavailable reports whether the last call to the platform failed.
+func (f *Feed) Away() bool { return f.unavailable.Load() }
 
-// Run feeds the store until ctx ends and returns when all that it began has ended.
+// Run keeps the store up to date until ctx ends and returns after all its goroutines
+// have ended.
 func (f *Feed) Run(ctx context.Context) error {
 	done := make(chan struct{}, 3)
 	go func() {
-		f.impatient(ctx)
+		f.fallBackToPeers(ctx)
 		done <- struct{}{}
 	}()
 	go func() {
-		f.objects(ctx)
+		f.followObjects(ctx)
 		done <- struct{}{}
 	}()
 	go func() {
-		f.instances(ctx)
+		f.followInstances(ctx)
 		done <- struct{}{}
 	}()
 	<-done
@@ -138,19 +143,21 @@
 	return context.Cause(ctx)
 }
 
-// answered notes a whole answer.
-func (f *Feed) answered(asked time.Time) {
-	f.last.Store(&Contact{Asked: asked, Answered: time.Now()})
-	if f.away.CompareAndSwap(true, false) {
+// recordAnswer records a complete answer to a call made at requestedAt.
+func (f *Feed) recordAnswer(requestedAt time.Time) {
+	f.lastContact.Store(&Contact{RequestedAt: requestedAt, AnsweredAt: time.Now()})
+	if f.unavailable.CompareAndSwap(true, false) {
 		f.note(Note{Kind: NoteBack})
 	}
 }
 
-// failed notes a call without an answer, once for each outage.
-func (f *Feed) failed(err error) {
-	if f.away.CompareAndSwap(false, true) {
+// recordFailure records a call without an answer and reports the first one of each
+// outage.
+func (f *Feed) recordFailure(err error) {
+	if f.unavailable.CompareAndSwap(false, true) {
 		f.note(Note{Kind: NoteAway, Err: err})
 	}
 }
 
-func (f *Feed) haveConfig() { f.readyOnce.Do(func() { close(f.ready) }) }
+// markReady records that the store has a configuration.
+func (f *Feed) markReady() { f.readyOnce.Do(func() { close(f.ready) }) }
--- a/core/feed/feed_test.go
+++ b/core/feed/feed_test.go
@@ -22,19 +22,19 @@
 	"lycheepond/core/wire"
 )
 
-// platform is a small object API of classes.
+// platform is a simulated platform with an object API for classes.
 type platform struct {
-	mu        sync.Mutex
-	events    []plat.Event
-	compacted int64
-	out       bool
-	// changed is closed and replaced at every change.
+	mu          sync.Mutex
+	events      []plat.Event
+	compacted   int64
+	unavailable bool
+	// changed is closed and replaced with every change.
 	changed chan struct{}
 }
 
 func newPlatform() *platform { return &platform{changed: make(chan struct{})} }
 
-func (p *platform) set(f func()) {
+func (p *platform) update(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f()
@@ -43,7 +43,7 @@
 }
 
 func (p *platform) put(name string) {
-	p.set(func() { p.events = append(p.events, class(name, int64(len(p.events)+1))) })
+	p.update(func() { p.events = append(p.events, class(name, int64(len(p.events)+1))) })
 }
 
 func class(name string, version int64) plat.Event {
@@ -57,7 +57,7 @@
 	after, _ := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	watch := strings.HasPrefix(r.URL.Path, "/v1/watch/")
 	waits := watch || r.URL.Path == "/v1/instances"
-	for waits && !p.out && after >= int64(len(p.events)) && r.Context().Err() == nil {
+	for waits && !p.unavailable && after >= int64(len(p.events)) && r.Context().Err() == nil {
 		changed := p.changed
 		p.mu.Unlock()
 		select {
@@ -68,7 +68,7 @@
 	}
 	b := plat.Batch{Version: int64(len(p.events))}
 	switch {
-	case p.out:
+	case p.unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case watch && after < p.compacted:
@@ -94,20 +94,20 @@
 	return out
 }
 
-// feeding is a feed that runs and tells its notes.
-type feeding struct {
+// testFeed is a running feed whose notes are collected.
+type testFeed struct {
 	*Feed
 	store *store.Store
 	notes chan Note
 }
 
-func run(t *testing.T, p *platform, peers ...Fetch) *feeding {
+func run(t *testing.T, p *platform, peers ...Fetch) *testFeed {
 	t.Helper()
 	server := httptest.NewServer(p)
-	f := &feeding{store: store.New(), notes: make(chan Note, 100)}
+	f := &testFeed{store: store.New(), notes: make(chan Note, 100)}
 	f.Feed = New(Config{
 		Platform: plat.New(plat.Config{Base: server.URL}), Store: f.store, Peers: peers,
-		Random: func() float64 { return 0 }, Every: time.Millisecond, Note: func(n Note) { f.notes <- n },
+		Random: func() float64 { return 0 }, MinInterval: time.Millisecond, Note: func(n Note) { f.notes <- n },
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -121,8 +121,8 @@
 	return f
 }
 
-// until waits for the class to be in force.
-func (f *feeding) until(name string) {
+// waitForClass waits until a class is in force.
+func (f *testFeed) waitForClass(name string) {
 	changed, stop := f.store.Subscribe()
 	defer stop()
 	for {
@@ -133,7 +133,7 @@
 	}
 }
 
-func (f *feeding) expect(kind NoteKind) Note {
+func (f *testFeed) waitForNote(kind NoteKind) Note {
 	for n := range f.notes {
 		if n.Kind == kind {
 			return n
@@ -142,41 +142,41 @@
 	return Note{}
 }
 
-func TestFollows(t *testing.T) {
+func TestFeedFollowsChanges(t *testing.T) {
 	p := newPlatform()
 	p.put("first")
 	f := run(t, p)
 	<-f.Ready()
-	f.until("first")
+	f.waitForClass("first")
 	p.put("second")
-	f.until("second")
-	if c := f.Last(); c.Asked.IsZero() || c.Answered.Before(c.Asked) || f.Away() {
-		t.Errorf("last contact %+v, away %v", c, f.Away())
+	f.waitForClass("second")
+	if c := f.LastContact(); c.RequestedAt.IsZero() || c.AnsweredAt.Before(c.RequestedAt) || f.Away() {
+		t.Errorf("last contact %+v, unavailable %v", c, f.Away())
 	}
 }
 
-func TestOutage(t *testing.T) {
-	// The platform goes away for a while and a class is written as soon as it
-	// is back. Meanwhile the former classes stay in force.
+func TestClassesStayInForceDuringOutage(t *testing.T) {
+	// The platform is unavailable for a while, and a class is written as soon as it
+	// is available again. Meanwhile the old classes must stay in force.
 	p := newPlatform()
 	p.put("first")
 	f := run(t, p)
-	f.until("first")
-	p.set(func() { p.out = true })
-	f.expect(NoteAway)
+	f.waitForClass("first")
+	p.update(func() { p.unavailable = true })
+	f.waitForNote(NoteAway)
 	if _, ok := f.store.Class("first"); !ok || !f.Away() {
-		t.Errorf("class in force %v, away %v", ok, f.Away())
+		t.Errorf("class in force %v, unavailable %v", ok, f.Away())
 	}
-	p.set(func() { p.out = false })
-	f.expect(NoteBack)
+	p.update(func() { p.unavailable = false })
+	f.waitForNote(NoteBack)
 	p.put("second")
-	f.until("second")
+	f.waitForClass("second")
 }
 
-func TestReplay(t *testing.T) {
-	// A watch repeats its last events again and again, as a platform does that
-	// fails over to a replica. The process must neither go back nor ask
-	// without a pause.
+func TestRepeatedEventsAreIgnored(t *testing.T) {
+	// A watch repeats its last events again and again, as a platform does when it
+	// fails over to a replica. The process must neither go back to an older version
+	// nor call without a pause.
 	watches := make(chan struct{}, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b := plat.Batch{Version: 5, Events: []plat.Event{class("first", 5)}}
@@ -190,12 +190,12 @@
 	}))
 	defer server.Close()
 	s := store.New()
-	f := New(Config{Platform: plat.New(plat.Config{Base: server.URL}), Store: s, Every: time.Hour})
-	pauses, goOn := make(chan time.Duration), make(chan struct{})
+	f := New(Config{Platform: plat.New(plat.Config{Base: server.URL}), Store: s, MinInterval: time.Hour})
+	pauses, resume := make(chan time.Duration), make(chan struct{})
 	f.sleep = func(ctx context.Context, d time.Duration) {
 		select {
 		case pauses <- d:
-			<-goOn
+			<-resume
 		case <-ctx.Done():
 		}
 	}
@@ -206,7 +206,7 @@
 		if d := <-pauses; d <= 0 || len(watches) != i+1 {
 			t.Errorf("pause of %v after %d watches", d, len(watches))
 		}
-		goOn <- struct{}{}
+		resume <- struct{}{}
 	}
 	if o, _ := s.Raw(spec.KindClass, "first"); o.Version != 5 {
 		t.Errorf("version %d in force", o.Version)
@@ -215,11 +215,11 @@
 	<-ended
 }
 
-func TestMeasure(t *testing.T) {
+func TestRegisterMetrics(t *testing.T) {
 	p := newPlatform()
 	p.put("first")
 	f := run(t, p)
-	f.until("first")
+	f.waitForClass("first")
 	set := meter.New()
 	f.Measure(set)
 	set.Process()
@@ -229,31 +229,31 @@
 	}
 }
 
-func TestCompacted(t *testing.T) {
-	// An outage lasts longer than the platform keeps changes. The watch is
-	// refused for good, and only a new list tells what happened meanwhile.
+func TestListsAgainAfterCompaction(t *testing.T) {
+	// An outage lasts longer than the platform keeps changes. The watch's version is
+	// then refused every time, and only a new list shows what changed.
 	p := newPlatform()
 	p.put("first")
 	f := run(t, p)
-	f.until("first")
-	p.set(func() { p.out = true })
-	f.expect(NoteAway)
-	p.set(func() {
+	f.waitForClass("first")
+	p.update(func() { p.unavailable = true })
+	f.waitForNote(NoteAway)
+	p.update(func() {
 		p.events = append(p.events, class("second", 2), class("third", 3))
-		p.compacted, p.out = 3, false
+		p.compacted, p.unavailable = 3, false
 	})
-	f.until("third")
+	f.waitForClass("third")
 }
 
-func TestStartDuringOutage(t *testing.T) {
-	// An instance is replaced while the platform is away. Of its peers one is
-	// dead, one is behind and one is ahead; it must serve what the one ahead
-	// has, and later what the platform has.
+func TestStartReadsNewestFromPeers(t *testing.T) {
+	// An instance is replaced while the platform is unavailable. One of its peers is
+	// dead, one has an older version and one a newer version. It must serve the newer
+	// one, and the platform's version once the platform is available.
 	p := newPlatform()
 	for range 3 {
 		p.put("first")
 	}
-	p.out = true
+	p.unavailable = true
 	peer := func(version int64) Fetch {
 		return func(context.Context) (plat.Batch, error) {
 			return plat.Batch{Version: version, Events: []plat.Event{class("first", version)}}, nil
@@ -265,18 +265,17 @@
 	if o, _ := f.store.Raw(spec.KindClass, "first"); o.Version != 2 {
 		t.Errorf("version %d in force, want 2", o.Version)
 	}
-	p.set(func() { p.out = false })
+	p.update(func() { p.unavailable = false })
 	p.put("second")
-	f.until("second")
+	f.waitForClass("second")
 	if o, _ := f.store.Raw(spec.KindClass, "first"); o.Version != 3 {
 		t.Errorf("version %d in force, want 3", o.Version)
 	}
 }
 
-func TestStartWithSlowPlatform(t *testing.T) {
-	// An instance is replaced while the platform takes calls but does not
-	// answer them. It must serve what its peers have without waiting for the
-	// calls to fail.
+func TestStartDoesNotWaitForSlowPlatform(t *testing.T) {
+	// An instance is replaced while the platform accepts calls but does not answer.
+	// It must serve its peers' configuration without waiting for the calls to fail.
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer server.Close()
 	peer := func(context.Context) (plat.Batch, error) {
@@ -284,7 +283,7 @@
 	}
 	s := store.New()
 	f := New(Config{
-		Platform: plat.New(plat.Config{Base: server.URL}), Store: s, Peers: []Fetch{peer}, Patience: time.Millisecond,
+		Platform: plat.New(plat.Config{Base: server.URL}), Store: s, Peers: []Fetch{peer}, PeerDelay: time.Millisecond,
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -293,19 +292,19 @@
 	if _, ok := s.Class("first"); !ok {
 		t.Error("the peers' configuration is not in force")
 	}
-	if c := f.Last(); !c.Answered.IsZero() {
+	if c := f.LastContact(); !c.AnsweredAt.IsZero() {
 		t.Errorf("the platform answered: %+v", c)
 	}
 	stop()
 	<-ended
 }
 
-func TestStartWithBadNewestVersion(t *testing.T) {
+func TestStartReadsLastGoodVersionFromPeers(t *testing.T) {
 	// An instance is replaced while the newest version of a class is bad. The
-	// platform has no other, but the peers still have the last good one.
+	// platform has no other version, but the peers still have the last good one.
 	p := newPlatform()
 	p.put("first")
-	p.set(func() {
+	p.update(func() {
 		bad := class("first", 2)
 		bad.Object.Data = []byte(`{"name":"first","tier":9}`)
 		p.events = append(p.events, bad)
@@ -314,19 +313,19 @@
 		return plat.Batch{Version: 2, Events: []plat.Event{class("first", 1), p.events[1]}}, nil
 	}
 	f := run(t, p, peer)
-	f.until("first")
+	f.waitForClass("first")
 	if r := f.store.Rejected(); len(r) != 1 || r[0].Version != 2 || r[0].InForce != 1 {
 		t.Errorf("rejected %+v", r)
 	}
 }
 
-func TestNobodyHasConfiguration(t *testing.T) {
-	// The platform is away and no peer answers. The process must say so and
-	// not call itself ready with an empty configuration.
+func TestNotReadyWithoutConfiguration(t *testing.T) {
+	// The platform is unavailable and no peer answers. The process must report this
+	// and must not become ready with an empty configuration.
 	p := newPlatform()
-	p.out = true
+	p.unavailable = true
 	f := run(t, p, func(context.Context) (plat.Batch, error) { return plat.Batch{}, errors.New("no route") })
-	if n := f.expect(NoteNoPeers); !errors.Is(n.Err, ErrNoPeers) {
+	if n := f.waitForNote(NoteNoPeers); !errors.Is(n.Err, ErrNoPeers) {
 		t.Errorf("got %v", n.Err)
 	}
 	select {
@@ -337,8 +336,8 @@
 }
 
 func TestFetchOverLink(t *testing.T) {
-	// A peer sends everything it has over a link, more than the link's ring
-	// holds, refused versions and deletions included.
+	// A peer sends everything in force over a link, which is more than the link's
+	// queue can hold. Rejected versions and deletions are included.
 	const classes = 3000
 	have := store.New()
 	for i := range int64(classes) {
@@ -358,7 +357,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
 	served := make(chan error, 1)
-	go func() { served <- answerOne(ctx, l, keys, have) }()
+	go func() { served <- serveFetch(ctx, l, keys, have) }()
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
 		return new(net.Dialer).DialContext(ctx, "tcp", address)
 	}
@@ -375,8 +374,8 @@
 	<-served
 }
 
-// answerOne is the serving end of one fetch.
-func answerOne(ctx context.Context, l net.Listener, keys wire.Keys, have *store.Store) error {
+// serveFetch is the serving end of one fetch.
+func serveFetch(ctx context.Context, l net.Listener, keys wire.Keys, have *store.Store) error {
 	conn, err := l.Accept()
 	if err != nil {
 		return err
--- a/core/feed/gauge.go
+++ b/core/feed/gauge.go
@@ -7,16 +7,17 @@
 	"lycheepond/core/plat"
 )
 
-// AgeMS returns how long ago the platform last answered in milliseconds, -1 if
-// it never did.
+// AnswerAgeMS returns the time since the platform's last answer in milliseconds, -1
+// if there was none.
 func (f *Feed) AgeMS() int64 {
-	if c := f.Last(); !c.Answered.IsZero() {
-		return time.Since(c.Answered).Milliseconds()
+	if c := f.LastContact(); !c.AnsweredAt.IsZero() {
+		return time.Since(c.AnsweredAt).Milliseconds()
 	}
 	return -1
 }
 
-// Measure adds the feed's state and the client's calls to a process's metrics.
+// RegisterMetrics adds the feed's state and the counts of the client's calls to a
+// process's metrics.
 func (f *Feed) Measure(set *meter.Set) {
 	set.GaugeFunc("config_version", f.cfg.Store.Version)
 	set.GaugeFunc("config_rejected_objects", func() int64 { return int64(len(f.cfg.Store.Rejected())) })
--- a/core/feed/note.go
+++ b/core/feed/note.go
@@ -3,32 +3,33 @@
 // NoteKind is the kind of a Note.
 type NoteKind uint8
 
-// What can happen to a feed.
+// The kinds of notes.
 const (
-	// NoteChanged: objects changed.
+	// NoteChanged: objects changed; Changed is set.
 	NoteChanged NoteKind = 1 + iota
-	// NoteRejected: an object was refused, Err tells why.
+	// NoteRejected: an object was rejected; Err is set.
 	NoteRejected
-	// NoteAway: the platform does not answer, Err tells why.
+	// NoteUnavailable: the platform does not answer; Err is set.
 	NoteAway
-	// NoteBack: the platform answers again.
+	// NoteAvailable: the platform answers again.
 	NoteBack
-	// NoteFromPeers: the configuration was taken from peers.
+	// NoteFromPeers: the configuration was read from peers; Changed is set.
 	NoteFromPeers
-	// NoteNoPeers: no peer had a configuration either.
+	// NoteNoPeers: no peer had a configuration either; Err is set.
 	NoteNoPeers
 )
 
-// Note is one thing that happened to a feed.
+// Note reports an event of a feed.
 type Note struct {
 	Kind NoteKind
-	// Changed is how many objects changed.
+	// Changed is the number of objects that changed.
 	Changed int
-	// Version is the configuration version in force after it.
+	// Version is the configuration version in force after the event.
 	Version int64
 	Err     error
 }
 
+// note passes n to Config.OnNote.
 func (f *Feed) note(n Note) {
 	f.noteMu.Lock()
 	defer f.noteMu.Unlock()
@@ -36,12 +37,12 @@
 	f.cfg.Note(n)
 }
 
-// report notes what a batch did.
-func (f *Feed) report(changed int, refused []error) {
+// reportBatch reports the result of applying a batch.
+func (f *Feed) reportBatch(changed int, rejected []error) {
 	if changed > 0 {
 		f.note(Note{Kind: NoteChanged, Changed: changed})
 	}
-	for _, err := range refused {
+	for _, err := range rejected {
 		f.note(Note{Kind: NoteRejected, Err: err})
 	}
 }
--- a/core/feed/roster.go
+++ b/core/feed/roster.go
@@ -8,12 +8,13 @@
 	"lycheepond/core/store"
 )
 
-// rosterKind marks the instance list among the objects of a peer's answer. An
-// entry that starts while the platform is away would otherwise have classes
-// and customers but no agent to dial.
+// rosterKind is the kind under which the instance list is sent among the objects of a
+// peer. Without it, an entry that starts while the platform is unavailable would have
+// classes and customers but no agent to dial.
 const rosterKind = "instances"
 
-// rosterEvent returns the instance list as it goes to a peer.
+// rosterEvent returns the instance list as an event for a peer, false if there is
+// none.
 func rosterEvent(s *store.Store) (plat.Event, bool) {
 	r := s.Roster()
 	data, err := json.Marshal(r)
@@ -23,8 +24,8 @@
 	return plat.Event{Object: plat.Object{Kind: rosterKind, Name: rosterKind, Version: r.Version, Data: data}}, true
 }
 
-// takeRoster takes the instance list out of a peer's answer and puts it in
-// force unless a newer one is.
+// takeRoster removes the instance list from a peer's objects and puts it in force if
+// it is newer.
 func takeRoster(s *store.Store, b *plat.Batch) {
 	b.Events = slices.DeleteFunc(b.Events, func(ev plat.Event) bool {
 		if ev.Object.Kind != rosterKind {
--- a/core/feed/roster_test.go
+++ b/core/feed/roster_test.go
@@ -7,10 +7,10 @@
 	"lycheepond/core/store"
 )
 
-// The platform goes away and an entry is replaced. It takes the configuration
-// from a peer; without the instance list it would have no agent to dial and
-// would refuse every caller until the platform is back.
-func TestRosterComesFromPeers(t *testing.T) {
+// The platform becomes unavailable and an entry is replaced. The new entry reads its
+// configuration from a peer. Without the instance list it would have no agent to dial
+// and refuse every request until the platform is available again.
+func TestInstanceListFromPeers(t *testing.T) {
 	have, got := store.New(), store.New()
 	have.AcceptRoster(plat.Roster{Version: 5, Instances: []plat.Instance{{Name: "a", Link: "127.0.0.1:1"}}})
 	ev, ok := rosterEvent(have)
@@ -29,6 +29,6 @@
 	b.Events = []plat.Event{ev}
 	takeRoster(got, &b)
 	if v := got.Roster().Version; v != 9 {
-		t.Errorf("an older instance list came into force: version %d", v)
+		t.Errorf("an older instance list replaced a newer one: version %d", v)
 	}
 }
--- a/core/feed/watch.go
+++ b/core/feed/watch.go
@@ -10,15 +10,16 @@
 	"lycheepond/core/spec"
 )
 
-// kinds are what a feed lists. Status objects are for operators alone.
+// kinds are the kinds of objects that a feed lists. Status objects are only for
+// operators.
 var kinds = []string{
 	spec.KindClass, spec.KindCustomer, spec.KindModel, spec.KindService,
 	spec.KindHomes, spec.KindAssign,
 }
 
-// objects lists once and then watches. A watch from a compacted version lists
-// again.
-func (f *Feed) objects(ctx context.Context) {
+// followObjects lists the objects once and then watches them. It lists again when the
+// watch's version is compacted.
+func (f *Feed) followObjects(ctx context.Context) {
 	listed := false
 	var b backoff
 	for ctx.Err() == nil {
@@ -32,32 +33,32 @@
 			return
 		}
 		if errors.Is(err, plat.ErrCompacted) {
-			// A lagging replica may list an older state than the compacted
-			// version, so listing again is not to be tried in a tight loop.
+			// A lagging replica may return a list older than the compacted version,
+			// so the next list needs a pause too.
 			listed = false
-			f.sleep(ctx, b.take(f.cfg.Random()))
+			f.sleep(ctx, b.next(f.cfg.Random()))
 			continue
 		}
 		if err != nil {
-			f.failed(err)
+			f.recordFailure(err)
 			if !listed {
-				f.fromPeers(ctx)
+				f.loadFromPeers(ctx)
 			}
-			f.sleep(ctx, b.take(f.cfg.Random()))
+			f.sleep(ctx, b.next(f.cfg.Random()))
 			continue
 		}
-		if !listed && f.lacking() {
-			f.fromPeers(ctx)
+		if !listed && f.lacksGoodVersion() {
+			f.loadFromPeers(ctx)
 		}
 		listed = true
 		b.reset()
 	}
 }
 
-// lacking reports whether an object has no good version here. A process that
-// starts while the newest version of an object is bad has none, but its peers
+// lacksGoodVersion reports whether an object has no good version here. This happens
+// if the process started when the newest version of the object was bad; its peers may
 // still have the last good one.
-func (f *Feed) lacking() bool {
+func (f *Feed) lacksGoodVersion() bool {
 	for _, r := range f.cfg.Store.Rejected() {
 		if r.InForce == 0 {
 			return true
@@ -66,68 +67,69 @@
 	return false
 }
 
-// list takes every kind. The watch goes on from the oldest of the lists, so
-// that no change between two of them is missed.
+// list lists every kind. The watch continues from the oldest of the lists, so that no
+// change between two of them is missed.
 func (f *Feed) list(ctx context.Context) error {
 	oldest := int64(math.MaxInt64)
 	for _, kind := range kinds {
-		asked := time.Now()
+		requestedAt := time.Now()
 		batch, err := f.cfg.Platform.List(ctx, kind)
 		if err != nil {
 			return err
 		}
-		f.answered(asked)
-		f.report(f.cfg.Store.AcceptList(kind, batch))
+		f.recordAnswer(requestedAt)
+		f.reportBatch(f.cfg.Store.AcceptList(kind, batch))
 		oldest = min(oldest, batch.Version)
 	}
 	f.cfg.Store.AcceptBatch(plat.Batch{Version: oldest})
-	f.haveConfig()
+	f.markReady()
 	return nil
 }
 
+// watch makes one watch call and applies the changes.
 func (f *Feed) watch(ctx context.Context) error {
-	asked := time.Now()
-	batch, err := f.cfg.Platform.Watch(ctx, plat.AnyKind, f.cfg.Store.CompleteVersion(), f.cfg.Wait)
+	requestedAt := time.Now()
+	batch, err := f.cfg.Platform.Watch(ctx, plat.AnyKind, f.cfg.Store.CompleteVersion(), f.cfg.WatchTimeout)
 	if err != nil {
 		return err
 	}
-	f.answered(asked)
-	f.report(f.cfg.Store.AcceptBatch(batch))
+	f.recordAnswer(requestedAt)
+	f.reportBatch(f.cfg.Store.AcceptBatch(batch))
 	if len(batch.Events) > 0 {
-		f.pace(ctx, asked)
+		f.waitInterval(ctx, requestedAt)
 	}
 	return nil
 }
 
-// pace waits until the next call may be made. Changes come in runs, and a
-// platform that replays old events answers at once: without a pause every
-// process would ask as fast as the platform can answer.
-func (f *Feed) pace(ctx context.Context, asked time.Time) {
-	if left := f.cfg.Every - time.Since(asked); left > 0 {
-		f.sleep(ctx, left)
+// waitInterval waits until the next call may be made. Changes come in bursts, and a
+// platform that repeats old events answers at once: without this pause every process
+// would call as fast as the platform can answer.
+func (f *Feed) waitInterval(ctx context.Context, requestedAt time.Time) {
+	if remaining := f.cfg.MinInterval - time.Since(requestedAt); remaining > 0 {
+		f.sleep(ctx, remaining)
 	}
 }
 
-// instances follows the instance list.
-func (f *Feed) instances(ctx context.Context) {
+// followInstances keeps the instance list up to date.
+func (f *Feed) followInstances(ctx context.Context) {
 	var b backoff
 	for ctx.Err() == nil {
-		asked := time.Now()
+		requestedAt := time.Now()
 		before := f.cfg.Store.Roster().Version
-		roster, err := f.cfg.Platform.Instances(ctx, before, f.cfg.Wait)
+		roster, err := f.cfg.Platform.Instances(ctx, before, f.cfg.WatchTimeout)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			f.failed(err)
-			f.sleep(ctx, b.take(f.cfg.Random()))
+			f.recordFailure(err)
+			f.sleep(ctx, b.next(f.cfg.Random()))
 			continue
 		}
-		f.answered(asked)
+		f.recordAnswer(requestedAt)
 		b.reset()
 		f.cfg.Store.AcceptRoster(roster)
 		if roster.Version != before {
-			f.pace(ctx, asked)
+			f.waitInterval(ctx, requestedAt)
 		}
 	}
 }
--- a/core/wire/frame_test.go
+++ b/core/wire/frame_test.go
@@ -130,7 +130,7 @@
 	}{
 		{"list of headers", frame(KindHead, withID(3, 0xcd, 0, 200, 0xdd, 0xff, 0xff, 0xff, 0xff))},
 		{"list of headers too long by one", frame(KindHead, withID(3, 0xcd, 0, 200, 0xdc, 1, 1))},
-		{"nested lists behind the last field", frame(KindDeny, withID(2, endless...))},
+		{"nested lists after the last field", frame(KindDeny, withID(2, endless...))},
 		{"list of records", frame(KindHandover, append(handover, 0xdd, 0xff, 0xff, 0xff, 0xff))},
 		{"list of records too long by one", frame(KindHandover, append(handover, 0xdc, 0, MaxRecords+1))},
 		{"list of slots", frame(KindHandover, append(handover, 0x90, 0xc3, 0xdd, 0xff, 0xff, 0xff, 0xff))},
