--- a/core/plat/calls.go
+++ b/core/plat/calls.go
@@ -5,16 +5,16 @@
 	"sync/atomic"
 )
 
-// Calls counts the calls of one client by kind, because the platform counts
-// them too and its rates are limited.
+// Calls counts the calls of one client by kind, because the platform limits the rates
+// of calls.
 type Calls struct {
-	get, list, put, remove, watch, instances atomic.Uint64
-	// failed are calls without a whole answer, conflict those answered 409 and
-	// unavailable those answered 5xx or 429.
+	get, list, put, deletes, watch, instances atomic.Uint64
+	// failed counts calls without a complete answer, conflict those answered with
+	// status 409 and unavailable those answered with status 429 or 5xx.
 	failed, conflict, unavailable atomic.Uint64
 }
 
-// CallCounts is a reading of Calls.
+// CallCounts holds the values of Calls.
 type CallCounts struct {
 	Get         uint64 `json:"get"`
 	List        uint64 `json:"list"`
@@ -27,16 +27,17 @@
 	Unavailable uint64 `json:"unavailable"`
 }
 
-// Read returns the counters.
+// Read returns the current counts.
 func (c *Calls) Read() CallCounts {
 	return CallCounts{
-		Get: c.get.Load(), List: c.list.Load(), Put: c.put.Load(), Delete: c.remove.Load(),
+		Get: c.get.Load(), List: c.list.Load(), Put: c.put.Load(), Delete: c.deletes.Load(),
 		Watch: c.watch.Load(), Instances: c.instances.Load(),
 		Failed: c.failed.Load(), Conflict: c.conflict.Load(), Unavailable: c.unavailable.Load(),
 	}
 }
 
-func (c *Calls) refused(status int) {
+// countRefusal counts an answer with an error status.
+func (c *Calls) countRefusal(status int) {
 	switch {
 	case status == http.StatusConflict:
 		c.conflict.Add(1)
--- a/core/plat/client.go
+++ b/core/plat/client.go
@@ -15,55 +15,58 @@
 )
 
 const (
-	// MaxData is the largest object in bytes that the platform takes.
+	// MaxData is the largest object in bytes that the platform accepts.
 	MaxData = 1 << 20
-	// maxAnswer bounds what is read of one answer. A list of 21,000 customers
-	// is some 10 MB.
+	// maxAnswer bounds the bytes read of one answer. A list of 21,000 customers is
+	// about 10 MB.
 	maxAnswer = 256 << 20
-	// callTimeout bounds a call that does not wait. The platform answers in
-	// milliseconds; a slow one is treated as away and asked again later.
+	// callTimeout bounds a call that does not wait for changes. The platform normally
+	// answers within milliseconds; a slow one counts as unavailable and is called
+	// again later.
 	callTimeout = 10 * time.Second
-	// AnyKind watches every kind at once.
+	// AnyKind is the kind with which Watch watches every kind.
 	AnyKind = "*"
-	// Unconditional as the version of Put and Delete writes without a condition.
+	// Unconditional is the version with which Put and Delete write without a
+	// condition.
 	Unconditional int64 = -1
-	// Absent as the version of Put demands that the object does not exist.
+	// Absent is the version with which Put requires that the object does not exist.
 	Absent int64 = 0
 )
 
-// Config says where the platform is.
+// Config configures a Client.
 type Config struct {
-	// Base is the address with its scheme, such as http://127.0.0.1:7000.
+	// BaseURL is the platform's address with its scheme, such as
+	// http://127.0.0.1:7000.
 	Base string
-	// Token is sent as the bearer token; empty sends none.
+	// Token is sent as the bearer token; if it is empty, none is sent.
 	Token string
-	// HTTP makes the calls; nil means a client of its own. It must have no
-	// timeout, because a watch waits.
+	// HTTP makes the calls; nil means a separate client. It must have no timeout,
+	// because a watch waits.
 	HTTP *http.Client
 }
 
 // Client calls the platform. It is safe for concurrent use.
 type Client struct {
-	base  string
-	token string
-	http  *http.Client
-	calls Calls
+	baseURL string
+	token   string
+	http    *http.Client
+	calls   Calls
 }
 
-// New returns a client; it makes no call yet.
+// New returns a client. It makes no call.
 func New(cfg Config) *Client {
 	if cfg.HTTP == nil {
 		cfg.HTTP = &http.Client{Transport: &http.Transport{
 			MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute, ResponseHeaderTimeout: 2 * time.Minute,
 		}}
 	}
-	return &Client{base: strings.TrimRight(cfg.Base, "/"), token: cfg.Token, http: cfg.HTTP}
+	return &Client{baseURL: strings.TrimRight(cfg.Base, "/"), token: cfg.Token, http: cfg.HTTP}
 }
 
-// Calls returns the counters of the calls made.
+// Calls returns the counters of the client's calls.
 func (c *Client) Calls() *Calls { return &c.calls }
 
-// Get reads one object; ErrNotFound if there is none.
+// Get reads one object. It returns ErrNotFound if it does not exist.
 func (c *Client) Get(ctx context.Context, kind, name string) (Object, error) {
 	c.calls.get.Add(1)
 	var o Object
@@ -79,9 +82,10 @@
 	return b, err
 }
 
-// Put writes an object if it is still at ifVersion, which may be Absent or
-// Unconditional. It returns a *ConflictError if it is not, and an
-// *UncertainError if the write may have taken effect without a reply.
+// Put writes an object if its version is still ifVersion, which may be Absent or
+// Unconditional. It returns a *ConflictError if the version differs, an
+// *UncertainError if the reply was lost and the write may have taken effect, and
+// ErrTooLarge for more than MaxData bytes.
 func (c *Client) Put(ctx context.Context, kind, name string, data []byte, ifVersion int64) (Object, error) {
 	c.calls.put.Add(1)
 	if len(data) > MaxData {
@@ -95,17 +99,17 @@
 	return o, err
 }
 
-// Delete removes an object under the same conditions as Put.
+// Delete deletes an object under the same conditions as Put.
 func (c *Client) Delete(ctx context.Context, kind, name string, ifVersion int64) error {
-	c.calls.remove.Add(1)
+	c.calls.deletes.Add(1)
 	return c.call(ctx, request{
 		method: http.MethodDelete, path: objectPath(kind, name),
 		kind: kind, name: name, ifVersion: ifVersion,
 	}, nil)
 }
 
-// Watch waits up to wait for changes after a version; no change is an empty
-// Batch. It returns ErrCompacted when the platform no longer has them.
+// Watch waits up to wait for changes after a version. Without a change it returns an
+// empty Batch. It returns ErrCompacted if the platform no longer has the changes.
 func (c *Client) Watch(ctx context.Context, kind string, after int64, wait time.Duration) (Batch, error) {
 	c.calls.watch.Add(1)
 	path := "/v1/watch/" + url.PathEscape(kind)
@@ -117,7 +121,7 @@
 	return b, err
 }
 
-// Instances waits up to wait for an instance list newer than after.
+// Instances waits up to wait for an instance list newer than version after.
 func (c *Client) Instances(ctx context.Context, after int64, wait time.Duration) (Roster, error) {
 	c.calls.instances.Add(1)
 	var r Roster
@@ -133,57 +137,59 @@
 	return "?after=" + strconv.FormatInt(after, 10) + "&wait=" + wait.String()
 }
 
-// request is one call.
+// request is one call to the platform.
 type request struct {
 	method, path string
 	body         []byte
 	// kind, name and ifVersion are set for writes.
 	kind, name string
 	ifVersion  int64
-	// wait is how long the platform may hold the answer back.
+	// wait is how long the platform may delay the answer.
 	wait time.Duration
 }
 
-func (q request) writes() bool { return q.method == http.MethodPut || q.method == http.MethodDelete }
+// isWrite reports whether the call changes an object.
+func (q request) isWrite() bool { return q.method == http.MethodPut || q.method == http.MethodDelete }
 
+// call makes one call and decodes its answer into into, unless that is nil.
 func (c *Client) call(ctx context.Context, q request, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+q.wait)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, q.method, c.base+q.path, bytes.NewReader(q.body))
+	req, err := http.NewRequestWithContext(ctx, q.method, c.baseURL+q.path, bytes.NewReader(q.body))
 	if err != nil {
 		return eris.Wrap(err, "plat: check platform.address")
 	}
 	if c.token != "" {
 		req.Header.Set("Authorization", "Bearer "+c.token)
 	}
-	if q.writes() && q.ifVersion != Unconditional {
+	if q.isWrite() && q.ifVersion != Unconditional {
 		req.Header.Set("If-Match", strconv.Quote(strconv.FormatInt(q.ifVersion, 10)))
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
 		c.calls.failed.Add(1)
-		return q.lost(err)
+		return q.callError(err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		c.calls.refused(resp.StatusCode)
-		return q.refusal(resp)
+		c.calls.countRefusal(resp.StatusCode)
+		return q.statusError(resp)
 	}
 	if into == nil {
 		return nil
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(into); err != nil {
 		c.calls.failed.Add(1)
-		return q.lost(eris.Wrap(err, "answer cut short or not JSON"))
+		return q.callError(eris.Wrap(err, "answer cut short or not JSON"))
 	}
 	return nil
 }
 
-// lost is the error of a call without a whole answer. A write without an
-// answer may have taken effect: to repeat it blindly would undo what another
-// operator wrote meanwhile.
-func (q request) lost(err error) error {
-	if q.writes() && !refusedConnection(err) {
+// callError returns the error for a call without a complete answer. A write without
+// an answer may have taken effect, and repeating it blindly could undo what another
+// operator has written since.
+func (q request) callError(err error) error {
+	if q.isWrite() && !isDialError(err) {
 		return &UncertainError{kind: q.kind, name: q.name, err: err}
 	}
 	return &AwayError{err: err}
--- a/core/plat/client_test.go
+++ b/core/plat/client_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// serve answers every call with f.
-func serve(t *testing.T, f http.HandlerFunc) *Client {
+// newTestClient returns a client of a server that answers every call with f.
+func newTestClient(t *testing.T, f http.HandlerFunc) *Client {
 	t.Helper()
 	server := httptest.NewServer(f)
 	t.Cleanup(server.Close)
@@ -20,7 +20,7 @@
 
 func TestCalls(t *testing.T) {
 	var got []string
-	c := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	c := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		got = append(got, r.Method+" "+r.URL.String()+" "+r.Header.Get("If-Match")+" "+r.Header.Get("Authorization"))
 		fmt.Fprint(w, `{"kind":"class","name":"swap","version":7,"events":[{"object":{"name":"x"}}],"instances":[{"name":"w"}]}`)
 	})
@@ -65,11 +65,11 @@
 	}
 }
 
-func TestLostReply(t *testing.T) {
-	// The platform takes a write and the connection breaks before its reply.
-	// If the client called it failed, an operator would repeat it and perhaps
-	// undo what someone else wrote meanwhile.
-	c := serve(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+func TestLostReplyIsUncertain(t *testing.T) {
+	// The platform accepts a write and the connection breaks before the reply. If the
+	// client reported a failure, an operator would repeat the write and could undo
+	// what someone else has written since.
+	c := newTestClient(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	var uncertain *UncertainError
 	if _, err := c.Put(context.Background(), "class", "swap", []byte("{}"), 3); !errors.As(err, &uncertain) {
 		t.Errorf("Put: %v, want an UncertainError", err)
@@ -77,27 +77,27 @@
 	if err := c.Delete(context.Background(), "class", "swap", 3); !errors.As(err, &uncertain) {
 		t.Errorf("Delete: %v, want an UncertainError", err)
 	}
-	var away *AwayError
-	if _, err := c.Get(context.Background(), "class", "swap"); !errors.As(err, &away) {
-		t.Errorf("Get: %v, want an AwayError", err)
+	var unavailable *AwayError
+	if _, err := c.Get(context.Background(), "class", "swap"); !errors.As(err, &unavailable) {
+		t.Errorf("Get: %v, want an UnavailableError", err)
 	}
 }
 
-func TestUnreachable(t *testing.T) {
-	// Nothing listens at the platform's address. A write had certainly no
-	// effect and may be repeated.
+func TestUnreachablePlatformIsUnavailable(t *testing.T) {
+	// No process listens at the platform's address. The write certainly had no effect
+	// and may be repeated.
 	server := httptest.NewServer(http.NotFoundHandler())
 	c := New(Config{Base: server.URL})
 	server.Close()
-	var away *AwayError
-	if _, err := c.Put(context.Background(), "class", "swap", []byte("{}"), 3); !errors.As(err, &away) {
-		t.Errorf("got %v, want an AwayError", err)
+	var unavailable *AwayError
+	if _, err := c.Put(context.Background(), "class", "swap", []byte("{}"), 3); !errors.As(err, &unavailable) {
+		t.Errorf("got %v, want an UnavailableError", err)
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestErrorStatuses(t *testing.T) {
 	var conflict *ConflictError
-	var away *AwayError
+	var unavailable *AwayError
 	var status *StatusError
 	var uncertain *UncertainError
 	for _, tt := range []struct {
@@ -109,11 +109,11 @@
 		{410, func(err error) bool { return errors.Is(err, ErrCompacted) }},
 		{413, func(err error) bool { return errors.Is(err, ErrTooLarge) }},
 		{401, func(err error) bool { return errors.Is(err, ErrToken) }},
-		{503, func(err error) bool { return errors.As(err, &away) }},
+		{503, func(err error) bool { return errors.As(err, &unavailable) }},
 		{502, func(err error) bool { return errors.As(err, &uncertain) }},
 		{418, func(err error) bool { return errors.As(err, &status) && status.Status() == 418 }},
 	} {
-		c := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+		c := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(tt.status)
 			fmt.Fprint(w, `{"current":9}`)
 		})
--- a/core/plat/object.go
+++ b/core/plat/object.go
@@ -1,5 +1,4 @@
-// Package plat is the client of the platform: its object API, its instance
-// list and its weight store.
+// Package plat is the client of the platform's object API and instance list.
 package plat
 
 import (
@@ -11,22 +10,22 @@
 type Object struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// Version is set by the platform; it grows with every write of any object.
+	// Version is set by the platform and increases with every write of any object.
 	Version int64           `json:"version"`
 	Data    json.RawMessage `json:"data,omitempty"`
 }
 
-// Event is one change that a watch reports.
+// Event is one change that a watch returns.
 type Event struct {
-	// Gone is set when the object was deleted; Object.Version is then the
-	// version of the deletion.
+	// Deleted is set if the object was deleted; Object.Version is then the version of
+	// the deletion.
 	Gone   bool   `json:"gone,omitempty"`
 	Object Object `json:"object"`
 }
 
-// Batch is the answer of a list or a watch.
+// Batch is the result of a list or a watch.
 type Batch struct {
-	// Version is what to watch after next.
+	// Version is the version from which to watch next.
 	Version int64   `json:"version"`
 	Events  []Event `json:"events"`
 }
@@ -43,15 +42,15 @@
 	RoleEntry    = "entry"
 )
 
-// Instance is one line of the platform's instance list.
+// Instance is one entry of the platform's instance list.
 type Instance struct {
 	Name   string            `json:"name"`
 	Role   string            `json:"role"`
 	Zone   string            `json:"zone"`
 	Labels map[string]string `json:"labels,omitempty"`
-	// Link is the address of the system's process on the instance.
+	// LinkAddr is the link address of the lycheepond process on the instance.
 	Link string `json:"link"`
-	// Admin is the address of that process for operators.
+	// AdminAddr is the address of that process for operators.
 	Admin string `json:"admin,omitempty"`
 	State string `json:"state"`
 }
@@ -62,7 +61,7 @@
 	Instances []Instance `json:"instances"`
 }
 
-// ConflictError reports a conditional write whose condition did not hold.
+// ConflictError reports a conditional write whose condition was not met.
 type ConflictError struct {
 	kind, name string
 	current    int64
@@ -73,10 +72,10 @@
 	return &ConflictError{kind: kind, name: name, current: current}
 }
 
-// Current returns the version that the object has now, zero if it has none.
+// Current returns the current version of the object, zero if it does not exist.
 func (e *ConflictError) Current() int64 { return e.current }
 
-// Error names the object and the remedy.
+// Error describes the conflict and the remedy.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("plat: %s/%s was changed by someone else and is now at version %d: read it again and repeat the change", e.kind, e.name, e.current)
 }
