--- a/core/conf/check.go
+++ b/core/conf/check.go
@@ -13,29 +13,31 @@
 
 // Bounds of settings.
 const (
-	minKey       = 16
+	// minKeyLength is the minimum length of a fleet key in characters.
+	minKeyLength = 16
 	minHeartbeat = 50 * time.Millisecond
 	maxHeartbeat = time.Minute
 	maxGrace     = time.Hour
-	// minRequestMemory holds one request with the largest body, in MiB.
+	// minRequestMemory is enough for one request with the largest body, in MiB.
 	minRequestMemory = 8
 )
 
-// checker collects problems.
+// checker collects the problems of settings.
 type checker struct{ problems spec.Problems }
 
 func (c *checker) add(field, reason, remedy string) {
 	c.problems = append(c.problems, spec.Problem{Field: field, Reason: reason, Remedy: remedy})
 }
 
+// required checks that a setting has a value.
 func (c *checker) required(field, value, remedy string) {
 	if value == "" {
 		c.add(field, "is missing", remedy)
 	}
 }
 
-// listen checks an address to listen at.
-func (c *checker) listen(field, value string) {
+// listenAddress checks an address to listen on.
+func (c *checker) listenAddress(field, value string) {
 	if value == "" {
 		c.add(field, "is missing", "write HOST:PORT, such as 127.0.0.1:8080")
 		return
@@ -46,8 +48,8 @@
 	}
 }
 
-// address checks the address of an HTTP server.
-func (c *checker) address(field, value string) {
+// serverAddress checks the address of an HTTP server.
+func (c *checker) serverAddress(field, value string) {
 	if value == "" {
 		c.add(field, "is missing", "write its address with the scheme, such as http://127.0.0.1:7000")
 		return
@@ -58,21 +60,23 @@
 	}
 }
 
+// between checks that a duration is at least low and at most high.
 func (c *checker) between(field string, d spec.Duration, low, high time.Duration) {
 	if d.Std() < low || d.Std() > high {
 		c.add(field, fmt.Sprintf("%v is out of range", d.Std()), fmt.Sprintf("write %v to %v", low, high))
 	}
 }
 
+// common checks the settings that all processes share.
 func (c *checker) common(s *Common) {
 	c.required("name", s.Name, "write the instance's name, unique in the fleet")
 	c.required("zone", s.Zone, "write the instance's availability zone")
 	c.fleetKeys(s)
-	c.address("platform.address", s.Platform.Address)
+	c.serverAddress("platform.address", s.Platform.Address)
 	if _, err := logs.Level(s.Log.Level); err != nil {
 		c.add("log.level", fmt.Sprintf("%q is not a level", s.Log.Level), "write debug, info, warn or error")
 	}
-	if t := s.TLS; t.On() {
+	if t := s.TLS; t.Enabled() {
 		c.required("tls.cert", t.Cert, "write the certificate's file, or leave tls out")
 		c.required("tls.key", t.Key, "write the private key's file, or leave tls out")
 		c.required("tls.ca", t.CA, "write the file of the fleet's certificate authority, or leave tls out")
@@ -86,23 +90,24 @@
 		return
 	}
 	if s.FleetKey != "" && len(s.FleetKeys) > 0 {
-		c.add("fleet_keys", "stands beside fleet_key", "keep one of them")
+		c.add("fleet_keys", "is set together with fleet_key", "keep one of them")
 	}
-	if s.FleetKey != "" && len(s.FleetKey) < minKey {
+	if s.FleetKey != "" && len(s.FleetKey) < minKeyLength {
 		c.add("fleet_key", "is too short", remedy)
 	}
 	for i, k := range s.FleetKeys {
-		if len(k) < minKey {
+		if len(k) < minKeyLength {
 			c.add("fleet_keys["+strconv.Itoa(i)+"]", "is too short", remedy)
 		}
 	}
 }
 
+// admin checks the listener for operators, which may be left out.
 func (c *checker) admin(a Admin) {
 	if a.Listen == "" && a.Token == "" {
 		return
 	}
-	c.listen("admin.listen", a.Listen)
+	c.listenAddress("admin.listen", a.Listen)
 	if a.Token == "" {
 		c.add("admin.token", "is missing", "write the operators' token, best as ${LYCHEE_ADMIN_TOKEN}")
 	}
@@ -111,11 +116,11 @@
 func (e *Entry) check() spec.Problems {
 	var c checker
 	c.common(&e.Common)
-	c.listen("listen", e.Listen)
-	c.listen("link", e.Link)
+	c.listenAddress("listen", e.Listen)
+	c.listenAddress("link", e.Link)
 	c.admin(e.Admin)
 	for i, p := range e.Peers {
-		c.listen("peers["+strconv.Itoa(i)+"]", p)
+		c.listenAddress("peers["+strconv.Itoa(i)+"]", p)
 	}
 	if e.RequestMemory < minRequestMemory {
 		c.add("request_memory", fmt.Sprintf("%d MiB is too little for one request", e.RequestMemory), fmt.Sprintf("write %d or more", minRequestMemory))
@@ -129,8 +134,8 @@
 func (a *Agent) check() spec.Problems {
 	var c checker
 	c.common(&a.Common)
-	c.listen("link", a.Link)
-	c.address("endpoint.address", a.Endpoint.Address)
+	c.listenAddress("link", a.Link)
+	c.serverAddress("endpoint.address", a.Endpoint.Address)
 	if k := a.Endpoint.Kind; k != EndpointEngine && k != EndpointService {
 		c.add("endpoint.kind", fmt.Sprintf("%q is not a kind", k), "write engine or service")
 	}
--- a/core/conf/conf.go
+++ b/core/conf/conf.go
@@ -1,5 +1,5 @@
-// Package conf reads the settings of a process. It reports every problem at
-// once, each with line, reason and remedy.
+// Package conf reads the settings of a process. It reports every problem at once,
+// each with its line, reason and remedy.
 package conf
 
 import (
@@ -11,80 +11,80 @@
 
 // Defaults of settings that may be left out.
 const (
-	// DefaultGrace is how long a planned stop waits for running requests. A
-	// season slate or a brief takes minutes.
+	// DefaultGrace is how long a planned stop waits for running requests. A long
+	// answer, such as a season slate or a brief, takes minutes.
 	DefaultGrace = 5 * time.Minute
-	// DefaultRequestMemory is in MiB: some 4000 small requests.
+	// DefaultRequestMemory is in MiB, enough for about 4000 small requests.
 	DefaultRequestMemory = 256
-	// DefaultLevel is the log level.
-	DefaultLevel = "info"
+	// DefaultLogLevel is the log level.
+	DefaultLogLevel = "info"
 )
 
 // Secret is text that is never logged or printed.
 type Secret string
 
-// String hides the secret.
+// String returns a placeholder.
 func (Secret) String() string { return "(hidden)" }
 
-// MarshalText hides the secret.
+// MarshalText returns a placeholder.
 func (Secret) MarshalText() ([]byte, error) { return []byte("(hidden)"), nil }
 
-// Common are the settings that entry and agent share.
+// Common holds the settings that all processes share.
 type Common struct {
 	// Name is the instance's name, unique in the fleet.
 	Name string `yaml:"name"`
-	// Zone is the availability zone.
+	// Zone is the name of the instance's availability zone.
 	Zone string `yaml:"zone"`
-	// FleetKey proves the process to its peers.
+	// FleetKey is the key with which the process proves itself to its peers.
 	FleetKey Secret `yaml:"fleet_key"`
-	// FleetKeys replaces FleetKey while a key is being replaced: the first
-	// proves this process, all are accepted.
+	// FleetKeys is set instead of FleetKey while the key is being replaced. The
+	// process proves itself with the first key and accepts all of them.
 	FleetKeys []Secret `yaml:"fleet_keys"`
 	Platform  Platform `yaml:"platform"`
 	Log       Log      `yaml:"log"`
 	TLS       TLS      `yaml:"tls"`
 }
 
-// Platform says where the platform's object API is.
+// Platform locates the platform's object API.
 type Platform struct {
 	Address string `yaml:"address"`
 	Token   Secret `yaml:"token"`
 }
 
-// Log says what is logged.
+// Log configures logging.
 type Log struct {
 	// Level is debug, info, warn or error.
 	Level string `yaml:"level"`
 }
 
-// TLS names the files of the links' certificates; all three or none.
+// TLS names the certificate files for links. Either all three are set or none.
 type TLS struct {
 	Cert string `yaml:"cert"`
 	Key  string `yaml:"key"`
 	CA   string `yaml:"ca"`
 }
 
-// On reports whether links use TLS.
-func (t TLS) On() bool { return t.Cert != "" || t.Key != "" || t.CA != "" }
+// Enabled reports whether links use TLS.
+func (t TLS) Enabled() bool { return t.Cert != "" || t.Key != "" || t.CA != "" }
 
-// Admin is the listener for operators.
+// Admin configures the listener for operators.
 type Admin struct {
 	Listen string `yaml:"listen"`
 	Token  Secret `yaml:"token"`
 }
 
-// Entry are the settings of an entry.
+// Entry holds the settings of an entry.
 type Entry struct {
 	Common `yaml:",inline"`
-	// Listen is the address for callers.
+	// Listen is the listen address for callers.
 	Listen string `yaml:"listen"`
-	// Link is the address for other lycheepond processes.
+	// Link is the listen address for other lycheepond processes.
 	Link  string `yaml:"link"`
 	Admin Admin  `yaml:"admin"`
-	// Peers are link addresses of other entries, asked for the configuration
-	// when the platform is away at start.
+	// Peers are the link addresses of other entries from which the configuration is
+	// read if the platform is unavailable at the start.
 	Peers []string `yaml:"peers"`
-	// RequestMemory bounds the requests held at once, in MiB.
+	// RequestMemory is the maximum memory of all requests held at once, in MiB.
 	RequestMemory int           `yaml:"request_memory"`
 	Heartbeat     spec.Duration `yaml:"heartbeat"`
 	// IdleHeartbeat is the heartbeat of links without work.
@@ -92,10 +92,10 @@
 	Grace         spec.Duration `yaml:"grace"`
 }
 
-// Agent are the settings of an agent.
+// Agent holds the settings of an agent.
 type Agent struct {
 	Common `yaml:",inline"`
-	// Link is the address that entries dial.
+	// Link is the address on which the agent listens for entries.
 	Link      string        `yaml:"link"`
 	Endpoint  Endpoint      `yaml:"endpoint"`
 	Admin     Admin         `yaml:"admin"`
@@ -111,18 +111,17 @@
 	EndpointService = "service"
 )
 
-// Endpoint is what the agent stands beside.
+// Endpoint describes the endpoint that the agent serves.
 type Endpoint struct {
 	// Address is the endpoint's address with its scheme.
 	Address string `yaml:"address"`
 	// Kind is engine or service.
 	Kind string `yaml:"kind"`
-	// ChecksFence is set when the endpoint refuses orders with an old fencing
-	// number.
+	// ChecksFence is set if the endpoint refuses orders with an old fencing number.
 	ChecksFence bool `yaml:"checks_fence"`
 }
 
-// Keys returns the fleet keys as links take them.
+// Keys returns the fleet keys in the form that links use.
 func (c *Common) Keys() wire.Keys {
 	if len(c.FleetKeys) == 0 {
 		return wire.OneKey([]byte(c.FleetKey))
@@ -134,28 +133,29 @@
 	return keys
 }
 
-func (e *Entry) defaults() {
-	e.Common.defaults()
-	e.Heartbeat, e.Grace = timing(e.Heartbeat, e.Grace)
+func (e *Entry) setDefaults() {
+	e.Common.setDefaults()
+	e.Heartbeat, e.Grace = timingDefaults(e.Heartbeat, e.Grace)
 	if e.RequestMemory == 0 {
 		e.RequestMemory = DefaultRequestMemory
 	}
 	e.IdleHeartbeat = max(e.IdleHeartbeat, e.Heartbeat)
 }
 
-func (a *Agent) defaults() {
-	a.Common.defaults()
-	a.Heartbeat, a.Grace = timing(a.Heartbeat, a.Grace)
+func (a *Agent) setDefaults() {
+	a.Common.setDefaults()
+	a.Heartbeat, a.Grace = timingDefaults(a.Heartbeat, a.Grace)
 	a.IdleHeartbeat = max(a.IdleHeartbeat, a.Heartbeat)
 }
 
-func (c *Common) defaults() {
+func (c *Common) setDefaults() {
 	if c.Log.Level == "" {
-		c.Log.Level = DefaultLevel
+		c.Log.Level = DefaultLogLevel
 	}
 }
 
-func timing(heartbeat, grace spec.Duration) (spec.Duration, spec.Duration) {
+// timingDefaults replaces zero values by the defaults.
+func timingDefaults(heartbeat, grace spec.Duration) (spec.Duration, spec.Duration) {
 	if heartbeat == 0 {
 		heartbeat = spec.Duration(wire.DefaultHeartbeat)
 	}
--- a/core/conf/conf_test.go
+++ b/core/conf/conf_test.go
@@ -31,9 +31,9 @@
 tls: {cert: a.pem}
 `
 
-func TestEveryProblemAtOnce(t *testing.T) {
-	// Settings with many mistakes are read at a start. The process must name
-	// all of them with their lines before it does anything.
+func TestAllProblemsAreReportedAtOnce(t *testing.T) {
+	// A settings file has many mistakes. The process must report all of them with
+	// their lines before it does anything else.
 	var e Entry
 	err := Parse([]byte(badEntry), noEnv, &e)
 	var ps spec.Problems
@@ -64,9 +64,9 @@
 endpoint: {address: "http://127.0.0.1:9000", kind: engine, checks_fence: true}
 `
 
-func TestEnvironment(t *testing.T) {
-	// A secret from the environment may hold characters that mean something
-	// in YAML. It must arrive as it is, and a missing one must be named.
+func TestEnvironmentVariables(t *testing.T) {
+	// A secret from the environment may contain characters with a meaning in YAML. It
+	// must be used unchanged. A missing variable must be named.
 	env := map[string]string{"KEY": "0123456789: \"abcdef\" #x", "TOKEN": "t"}
 	var a Agent
 	err := Parse([]byte(goodAgent), func(n string) (string, bool) { v, ok := env[n]; return v, ok }, &a)
@@ -85,10 +85,10 @@
 	}
 }
 
-func TestKeysReplaced(t *testing.T) {
-	// The fleet's key is replaced while everything runs: first both keys are
-	// accepted, then the new one is used. A mistake in the file must leave the
-	// process with the keys that it has.
+func TestKeysAreReloaded(t *testing.T) {
+	// The fleet key is replaced while the process runs: first both keys are accepted,
+	// then the new one is used. A mistake in the file must leave the current keys in
+	// use.
 	path := filepath.Join(t.TempDir(), "agent.yaml")
 	write := func(line string) {
 		text := strings.Replace(goodAgent, "fleet_key: ${KEY}", line, 1)
@@ -98,18 +98,18 @@
 		}
 	}
 	write("fleet_key: 0123456789abcdef-old")
-	first, err := AgentKeys(path)
+	initial, err := AgentKeys(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	live := NewLive(path, first, AgentKeys)
+	live := NewLive(path, initial, AgentKeys)
 	ctx, stop := context.WithCancel(context.Background())
-	hup, noted, ended := make(chan os.Signal), make(chan error), make(chan struct{})
+	hup, reloaded, ended := make(chan os.Signal), make(chan error), make(chan struct{})
 	go func() {
-		live.Run(ctx, hup, time.Hour, func(err error) { noted <- err })
+		live.Run(ctx, hup, time.Hour, func(err error) { reloaded <- err })
 		close(ended)
 	}()
-	reload := func() error { hup <- os.Interrupt; return <-noted }
+	reload := func() error { hup <- os.Interrupt; return <-reloaded }
 	write("fleet_keys: [0123456789abcdef-new, 0123456789abcdef-old]")
 	if err := reload(); err != nil {
 		t.Fatal(err)
@@ -119,7 +119,7 @@
 	}
 	write("fleet_keys: [x]")
 	if err := reload(); err == nil {
-		t.Error("a bad file was taken")
+		t.Error("a bad file was accepted")
 	}
 	if k := live.Keys(); string(k.Current) != "0123456789abcdef-new" {
 		t.Errorf("a bad file replaced the keys: %s", k.Current)
@@ -128,8 +128,8 @@
 	<-ended
 }
 
-// FuzzParse looks for a crash of the reader of settings. The fixed corpus runs
-// with every test.
+// FuzzParse checks that no settings file crashes Parse and that its errors are lists
+// of problems. The fixed corpus runs with every test.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{
 		badEntry, goodAgent, "", "---", "[]", "name: [a]", "platform: x", "peers: {a: b}", "name: &a x\nzone: *a\n",
--- a/core/conf/direct.go
+++ b/core/conf/direct.go
@@ -9,44 +9,45 @@
 	"lycheepond/core/spec"
 )
 
-// Direct are the settings of an entry that calls endpoints itself.
+// Direct holds the settings of an entry that calls endpoints directly, without
+// agents.
 type Direct struct {
 	Common `yaml:",inline"`
-	// Listen is the address for callers, Ready the one that the balancer asks
-	// and Link the one for other entries.
+	// Listen is the listen address for callers, ReadyListen that for the balancer's
+	// readiness checks and LinkListen that for other entries.
 	Listen string `yaml:"listen"`
 	Ready  string `yaml:"ready"`
 	Link   string `yaml:"link"`
-	// Advertise is where other entries reach Link, if not at Link itself: behind
-	// a port mapping or a proxy.
+	// Advertise is the address at which other entries reach LinkListen, if it differs
+	// because of a port mapping or a proxy.
 	Advertise string `yaml:"advertise"`
-	// Metrics is where counters and histograms are served; empty for nowhere.
+	// MetricsListen is the listen address for metrics; empty means none.
 	Metrics string `yaml:"metrics"`
-	// Peers are link addresses of entries to begin with.
+	// Peers are the link addresses of the entries to contact first.
 	Peers []string `yaml:"peers"`
-	// Memory is what the process may use, in MB.
+	// MemoryMB is the memory that the process may use, in MB.
 	Memory int `yaml:"memory"`
-	// Processor and Bandwidth say what the entry can carry: the largest entries of
-	// a fleet do the work that falls to one of many. Left out, an entry counts as
-	// the smallest.
+	// Processor and Bandwidth describe the capacity of the entry. The entries with
+	// the largest capacity do the work that only a few entries of a fleet do. Without
+	// them an entry counts as the smallest.
 	Processor Processor `yaml:"processor"`
-	// Bandwidth is that of the instance's network link in Mbit/s.
+	// Bandwidth is the bandwidth of the instance's network link in Mbit/s.
 	Bandwidth float64 `yaml:"bandwidth"`
-	// Fresh is the time within which a change of the configuration or of the
+	// MaxChangeDelay is the time within which a change of the configuration or of the
 	// instance list must be in force.
 	Fresh spec.Duration `yaml:"fresh"`
-	// Grace is the time between the signal to stop and the end of the process.
+	// Grace is the time between the stop signal and the end of the process.
 	Grace   spec.Duration `yaml:"grace"`
-	Repeats Repeats       `yaml:"repeats"`
-	// Tolerance is by how much a customer's use may exceed its limit.
+	Repeats RepeatBudget  `yaml:"repeats"`
+	// Tolerance is how far a customer's use may exceed its limit.
 	Tolerance Tolerance `yaml:"tolerance"`
-	// Rollouts bounds what a version that turns out to be bad may get.
+	// Rollouts bounds the requests that a bad version may receive during a roll-out.
 	Rollouts Rollouts `yaml:"rollouts"`
 }
 
-// Rollouts is a share of a pool's requests while its roll-out lasts and a number of requests
-// on top. With a share of zero no orders are followed, and endpoints of all versions are in
-// service.
+// Rollouts is a share of a pool's requests during its roll-out and a number of
+// requests on top. With a share of zero, roll-out orders are not followed and
+// endpoints of all versions are in service.
 type Rollouts struct {
 	Share float64 `yaml:"share"`
 	Slack float64 `yaml:"slack"`
@@ -58,20 +59,20 @@
 	Slack float64 `yaml:"slack"`
 }
 
-// Processor is what the process may use of the processor.
+// Processor describes the processor time that the process may use.
 type Processor struct {
-	// Share is the share of a core, Speed that core's speed in those of a usual one;
-	// zero means one.
+	// Share is the number of cores, and Speed the speed of a core relative to a usual
+	// one; a Speed of zero means one.
 	Share float64 `yaml:"share"`
 	Speed float64 `yaml:"speed"`
 }
 
-// mbitPerCore is the bandwidth in Mbit/s that goes with one core: whoever has less
-// counts as having less of a core.
+// mbitPerCore is the bandwidth in Mbit/s that corresponds to one core. An entry with
+// less bandwidth counts as having fewer cores.
 const mbitPerCore = 250
 
-// Capacity is what the entry can carry, in thousandths of a core; zero if the
-// settings do not tell.
+// Capacity returns the capacity of the entry in thousandths of a core, zero if the
+// settings do not state it.
 func (d *Direct) Capacity() uint32 {
 	cores := d.Processor.Share * cmp.Or(d.Processor.Speed, 1)
 	if d.Bandwidth > 0 {
@@ -80,23 +81,24 @@
 	return uint32(1000 * min(max(cores, 0), 1000))
 }
 
-// Repeats bounds the requests that all entries together may send again: in each
-// window a share of a pool's requests and a number on top.
-type Repeats struct {
+// RepeatBudget bounds the requests that all entries together may send again. In each
+// window it is a share of a pool's requests and a number of requests on top.
+type RepeatBudget struct {
 	Ratio float64 `yaml:"ratio"`
 	Slack float64 `yaml:"slack"`
 }
 
-// Bounds of Fresh: below the first the platform would be asked all the time.
+// Bounds of MaxChangeDelay. Below the minimum, the platform would be called all the
+// time.
 const (
-	minFresh = 200 * time.Millisecond
-	maxFresh = time.Minute
+	minChangeDelay = 200 * time.Millisecond
+	maxChangeDelay = time.Minute
 )
 
-// minMemory is the least memory in MB that an entry runs in.
-const minMemory = 24
+// minMemoryMB is the minimum memory of an entry in MB.
+const minMemoryMB = 24
 
-// LinkAddr is the address that other entries dial.
+// LinkAddr returns the address that other entries dial.
 func (d *Direct) LinkAddr() string {
 	if d.Advertise != "" {
 		return d.Advertise
@@ -104,8 +106,8 @@
 	return d.Link
 }
 
-func (d *Direct) defaults() {
-	d.Common.defaults()
+func (d *Direct) setDefaults() {
+	d.Common.setDefaults()
 	if d.Grace == 0 {
 		d.Grace = spec.Duration(DefaultGrace)
 	}
@@ -114,20 +116,20 @@
 func (d *Direct) check() spec.Problems {
 	var c checker
 	c.common(&d.Common)
-	c.listen("listen", d.Listen)
-	c.listen("ready", d.Ready)
-	c.listen("link", d.Link)
+	c.listenAddress("listen", d.Listen)
+	c.listenAddress("ready", d.Ready)
+	c.listenAddress("link", d.Link)
 	if d.Advertise != "" {
-		c.listen("advertise", d.Advertise)
+		c.listenAddress("advertise", d.Advertise)
 	}
 	if d.Metrics != "" {
-		c.listen("metrics", d.Metrics)
+		c.listenAddress("metrics", d.Metrics)
 	}
 	for i, p := range d.Peers {
-		c.listen("peers["+strconv.Itoa(i)+"]", p)
+		c.listenAddress("peers["+strconv.Itoa(i)+"]", p)
 	}
-	if d.Memory < minMemory {
-		c.add("memory", fmt.Sprintf("%d MB is too little", d.Memory), fmt.Sprintf("write the process's memory in MB, %d or more", minMemory))
+	if d.Memory < minMemoryMB {
+		c.add("memory", fmt.Sprintf("%d MB is too little", d.Memory), fmt.Sprintf("write the process's memory in MB, %d or more", minMemoryMB))
 	}
 	for name, v := range map[string]float64{"processor.share": d.Processor.Share, "processor.speed": d.Processor.Speed, "bandwidth": d.Bandwidth} {
 		if v < 0 {
@@ -152,7 +154,7 @@
 	if d.Rollouts.Slack < 0 {
 		c.add("rollouts.slack", fmt.Sprintf("%v is out of range", d.Rollouts.Slack), "write a number of requests, 0 or more")
 	}
-	c.between("fresh", d.Fresh, minFresh, maxFresh)
+	c.between("fresh", d.Fresh, minChangeDelay, maxChangeDelay)
 	c.between("grace", d.Grace, 0, maxGrace)
 	return c.problems
 }
--- a/core/conf/expand.go
+++ b/core/conf/expand.go
@@ -9,10 +9,12 @@
 	"lycheepond/core/spec"
 )
 
+// variable matches a reference to an environment variable.
 var variable = regexp.MustCompile(`\$\{([A-Za-z_][A-Za-z0-9_]*)\}`)
 
-// expand replaces ${NAME} in values by the environment's value. It works on
-// the parsed text, so that a secret with a quote or a colon in it stays a value.
+// expand replaces ${NAME} in values by the value of the environment variable. It
+// works on the parsed YAML, so a secret that contains a quote or a colon remains a
+// single value.
 func expand(n *yaml.Node, env func(string) (string, bool)) spec.Problems {
 	var problems spec.Problems
 	if n.Kind == yaml.ScalarNode {
--- a/core/conf/live.go
+++ b/core/conf/live.go
@@ -14,29 +14,30 @@
 	"lycheepond/core/wire"
 )
 
-// LivePeriod is how often settings files and certificates are looked at.
-const LivePeriod = 2 * time.Second
+// ReloadPeriod is the time between checks of settings files and certificates for
+// changes.
+const ReloadPeriod = 2 * time.Second
 
-// Live holds the fleet keys of a process and follows its settings file. Other
-// settings stay as they were at the start.
+// LiveKeys holds the fleet keys of a process and reloads them when its settings file
+// changes. Other settings keep their values from the start.
 //
-// To replace the fleet's key without an interruption, write fleet_keys: [old,
-// new] everywhere, then [new, old], then fleet_key: new.
+// To replace the fleet key without an interruption, write fleet_keys: [old, new] on
+// all instances, then [new, old], then fleet_key: new.
 type Live struct {
 	path string
 	read func(path string) (wire.Keys, error)
 	keys atomic.Pointer[wire.Keys]
-	// seen is the file's time at the last reading; Run alone uses it.
-	seen time.Time
+	// modTime is the file's modification time at the last reading; only Run uses it.
+	modTime time.Time
 }
 
-// NewLive returns the keys of settings that were read from path. read is
+// NewLiveKeys returns the keys of the settings that were read from path. read is
 // EntryKeys or AgentKeys.
-func NewLive(path string, first wire.Keys, read func(path string) (wire.Keys, error)) *Live {
+func NewLive(path string, initial wire.Keys, read func(path string) (wire.Keys, error)) *Live {
 	l := &Live{path: path, read: read}
-	l.keys.Store(&first)
+	l.keys.Store(&initial)
 	if info, err := os.Stat(path); err == nil {
-		l.seen = info.ModTime()
+		l.modTime = info.ModTime()
 	}
 	return l
 }
@@ -62,7 +63,8 @@
 // Keys returns the keys in use.
 func (l *Live) Keys() wire.Keys { return *l.keys.Load() }
 
-// Reload reads the file. Settings with a problem leave the keys as they are.
+// Reload reads the file. If the settings have a problem, it returns the error and
+// keeps the current keys.
 func (l *Live) Reload() error {
 	keys, err := l.read(l.path)
 	if err != nil {
@@ -72,9 +74,9 @@
 	return nil
 }
 
-// Run reloads after a signal and after a change of the file until ctx ends,
-// and tells note what came of each.
-func (l *Live) Run(ctx context.Context, hup <-chan os.Signal, period time.Duration, note func(error)) {
+// Run reloads after each signal and each change of the file until ctx ends. It passes
+// the result of each reload to onReload.
+func (l *Live) Run(ctx context.Context, hup <-chan os.Signal, period time.Duration, onReload func(error)) {
 	t := time.NewTicker(period)
 	defer t.Stop()
 	for {
@@ -82,35 +84,35 @@
 		case <-ctx.Done():
 			return
 		case <-hup:
-			note(l.Reload())
+			onReload(l.Reload())
 		case <-t.C:
 			if l.changed() {
-				note(l.Reload())
+				onReload(l.Reload())
 			}
 		}
 	}
 }
 
-// Follow is Run with the signal SIGHUP and LivePeriod.
-func (l *Live) Follow(ctx context.Context, note func(error)) error {
+// Follow calls Run with the signal SIGHUP and ReloadPeriod.
+func (l *Live) Follow(ctx context.Context, onReload func(error)) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	l.Run(ctx, hup, LivePeriod, note)
+	l.Run(ctx, hup, ReloadPeriod, onReload)
 	return ctx.Err()
 }
 
+// changed reports whether the file's modification time has changed.
 func (l *Live) changed() bool {
 	info, err := os.Stat(l.path)
-	if err != nil || info.ModTime().Equal(l.seen) {
+	if err != nil || info.ModTime().Equal(l.modTime) {
 		return false
 	}
-	l.seen = info.ModTime()
+	l.modTime = info.ModTime()
 	return true
 }
 
-// Logged returns a note for Follow that logs what came of reading the settings
-// again.
+// LogReload returns a function for Follow that logs the result of each reload.
 func (l *Live) Logged(log *zap.Logger) func(error) {
 	return func(err error) {
 		if err != nil {
@@ -121,7 +123,7 @@
 	}
 }
 
-// KeepOnHangup makes sure that no SIGHUP ends the process. The signal says that the
-// settings file has changed, and may come before the part that reads the file again
-// has begun to listen, or after it has ended.
+// CatchHangup prevents SIGHUP from ending the process. The signal means that the
+// settings file has changed. It may arrive before the process handles it or after it
+// has stopped handling it.
 func KeepOnHangup() { signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP) }
