--- a/core/certs/certs.go
+++ b/core/certs/certs.go
@@ -1,10 +1,10 @@
-// Package certs gives the links between lycheepond's processes mutual TLS with
-// certificates that are replaced without a restart.
+// Package certs provides mutual TLS for the links between lycheepond's processes. The
+// certificates can be replaced without a restart.
 //
-// Processes dial each other by address, as the instance list has it, and
-// instances are replaced at any time. So a peer is trusted because the fleet's
-// own certificate authority signed its certificate, not for the host name in
-// it; who it is the handshake of package wire tells.
+// Processes dial each other at the addresses in the instance list, and instances are
+// replaced at any time. So a peer is trusted because the fleet's own certificate
+// authority signed its certificate, not because of a host name in it. The handshake
+// of package wire identifies the peer.
 package certs
 
 import (
@@ -21,44 +21,47 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrNoPeerCertificate reports a peer without a certificate.
+// ErrNoPeerCertificate reports a peer that presented no certificate.
 var ErrNoPeerCertificate = errors.New("certs: peer has no certificate: set tls in its settings")
 
-// Files name a process's certificate, its private key and the authorities that
-// sign peers. While an authority is replaced its file holds both.
+// Files names the files of a process's certificate, its private key and the
+// certificate authorities of its peers. While an authority is being replaced, the CA
+// file contains both.
 type Files struct {
 	Cert, Key, CA string
 }
 
-// pair is what the files held at one moment.
-type pair struct {
+// credentials is the content of the files at one moment.
+type credentials struct {
 	cert *tls.Certificate
 	pool *x509.CertPool
-	// stamps are the files' times and sizes, to notice a change.
-	stamps [3]stamp
+	// stamps are the files' modification times and sizes, to detect changes.
+	stamps [3]fileStamp
 }
 
-type stamp struct {
-	at   time.Time
-	size int64
+// fileStamp is the modification time and the size of a file.
+type fileStamp struct {
+	modTime time.Time
+	size    int64
 }
 
-// Source holds the current certificates. It is safe for concurrent use.
+// Source holds the current certificates and reloads them when a file changes. It is
+// safe for concurrent use.
 type Source struct {
-	files Files
-	note  func(changed bool, err error)
-	// mu keeps reloads one at a time.
+	files    Files
+	onReload func(changed bool, err error)
+	// mu serializes reloads.
 	mu      sync.Mutex
-	current atomic.Pointer[pair]
+	current atomic.Pointer[credentials]
 }
 
-// New reads the files. note hears when they were replaced and when what they
-// hold cannot be used; nil hears nothing.
-func New(files Files, note func(changed bool, err error)) (*Source, error) {
-	if note == nil {
-		note = func(bool, error) {}
+// New reads the files. onReload is called after each later reload and when the new
+// content of the files cannot be used; it may be nil.
+func New(files Files, onReload func(changed bool, err error)) (*Source, error) {
+	if onReload == nil {
+		onReload = func(bool, error) {}
 	}
-	s := &Source{files: files, note: note}
+	s := &Source{files: files, onReload: onReload}
 	stamps, err := files.stamps()
 	if err != nil {
 		return nil, err
@@ -71,9 +74,9 @@
 	return s, nil
 }
 
-// Refresh reads the files again if one has changed and reports whether it did.
-// Files that cannot be used, such as a certificate that was replaced before its
-// key, leave the former certificates in use.
+// Refresh reads the files again if one has changed, and reports whether the
+// certificates were replaced. If the files cannot be used, for example because a
+// certificate was replaced before its key, the previous certificates stay in use.
 func (s *Source) Refresh() (changed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,28 +92,30 @@
 	return true, nil
 }
 
-// latest returns what the files hold now. It is called for each connection, so
-// that replaced files are used by the next one; a look at three files is small
-// beside a handshake.
-func (s *Source) latest() *pair {
+// latest returns the certificates after a Refresh. It is called for each connection,
+// so that the next connection uses replaced files. Checking three files is cheap
+// compared to a handshake.
+func (s *Source) latest() *credentials {
 	if changed, err := s.Refresh(); changed || err != nil {
-		s.note(changed, err)
+		s.onReload(changed, err)
 	}
 	return s.current.Load()
 }
 
-func (f Files) stamps() (out [3]stamp, err error) {
+// stamps returns the stamps of the three files.
+func (f Files) stamps() (out [3]fileStamp, err error) {
 	for i, path := range []string{f.Cert, f.Key, f.CA} {
 		info, err := os.Stat(path)
 		if err != nil {
 			return out, eris.Wrap(err, "certs: check tls in the settings")
 		}
-		out[i] = stamp{info.ModTime(), info.Size()}
+		out[i] = fileStamp{info.ModTime(), info.Size()}
 	}
 	return out, nil
 }
 
-func (f Files) load(stamps [3]stamp) (*pair, error) {
+// load reads the three files.
+func (f Files) load(stamps [3]fileStamp) (*credentials, error) {
 	cert, err := tls.LoadX509KeyPair(f.Cert, f.Key)
 	if err != nil {
 		return nil, eris.Wrap(err, "certs: check tls.cert and tls.key, both PEM and made for each other")
@@ -123,10 +128,11 @@
 	if !pool.AppendCertsFromPEM(pem) {
 		return nil, eris.Errorf("certs: %s holds no certificate: write the fleet's certificate authority as PEM", f.CA)
 	}
-	return &pair{cert: &cert, pool: pool, stamps: stamps}, nil
+	return &credentials{cert: &cert, pool: pool, stamps: stamps}, nil
 }
 
-// Server returns the configuration of listeners: peers must show a certificate.
+// Server returns the TLS configuration of listeners. Clients must present a
+// certificate of the fleet's authority.
 func (s *Source) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -140,30 +146,31 @@
 	}
 }
 
-// Client returns the configuration of dialers.
+// Client returns the TLS configuration of dialers.
 func (s *Source) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return s.latest().cert, nil
 		},
-		// The standard check would ask for a host name and could not follow a
-		// replaced authority; verify does the rest of it.
+		// The standard check requires a host name and cannot follow a replaced
+		// authority. verify does the rest of it.
 		InsecureSkipVerify: true,
 		VerifyConnection:   s.verify,
 	}
 }
 
+// verify checks that the fleet's authority signed the peer's certificate.
 func (s *Source) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
 		return ErrNoPeerCertificate
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{
-		Roots: s.latest().pool, Intermediates: between,
+		Roots: s.latest().pool, Intermediates: intermediates,
 		KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
 	})
 	if err != nil {
@@ -172,7 +179,8 @@
 	return nil
 }
 
-// Accept wraps an accepted connection; a nil Source leaves it plain.
+// Accept returns the server side of TLS over an accepted connection. With a nil
+// Source it returns conn unchanged.
 func (s *Source) Accept(conn net.Conn) net.Conn {
 	if s == nil {
 		return conn
@@ -180,7 +188,7 @@
 	return tls.Server(conn, s.Server())
 }
 
-// Dial opens a link connection; a nil Source opens a plain one.
+// Dial opens a link connection with TLS, or without TLS if the Source is nil.
 func (s *Source) Dial(ctx context.Context, address string) (net.Conn, error) {
 	var d net.Dialer
 	if s == nil {
--- a/core/certs/certs_test.go
+++ b/core/certs/certs_test.go
@@ -16,6 +16,7 @@
 	"time"
 )
 
+// authority is a test certificate authority.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -28,11 +29,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	shape := &x509.Certificate{
+	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-time.Hour),
 		NotAfter: time.Now().Add(time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}
-	der, err := x509.CreateCertificate(rand.Reader, shape, shape, &key.PublicKey, key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,23 +44,24 @@
 	return authority{cert, key, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})}
 }
 
-// write makes a certificate and writes it with its key and the authorities.
+// write creates a certificate and writes it to dir, with its key and the trusted
+// authorities.
 func (a authority) write(t *testing.T, dir string, trusted ...authority) Files {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	shape := &x509.Certificate{
+	template := &x509.Certificate{
 		SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: "instance"}, NotBefore: time.Now().Add(-time.Hour),
 		NotAfter:    time.Now().Add(time.Hour),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	}
-	der, err := x509.CreateCertificate(rand.Reader, shape, a.cert, &key.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	secret, err := x509.MarshalPKCS8PrivateKey(key)
+	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +72,7 @@
 	f := Files{filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem"), filepath.Join(dir, "ca.pem")}
 	for path, data := range map[string][]byte{
 		f.Cert: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}),
-		f.Key:  pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: secret}),
+		f.Key:  pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: keyDER}),
 		f.CA:   pool,
 	} {
 		if err := os.WriteFile(path, data, 0o600); err != nil {
@@ -80,7 +82,7 @@
 	return f
 }
 
-func source(t *testing.T, f Files) *Source {
+func newSource(t *testing.T, f Files) *Source {
 	t.Helper()
 	s, err := New(f, nil)
 	if err != nil {
@@ -89,8 +91,8 @@
 	return s
 }
 
-// greet lets client dial server and returns what each end made of it.
-func greet(t *testing.T, server *Source, client *tls.Config) (serverErr, clientErr error) {
+// handshakeErrors makes client dial server and returns the errors of both ends.
+func handshakeErrors(t *testing.T, server *Source, client *tls.Config) (serverErr, clientErr error) {
 	t.Helper()
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -117,36 +119,36 @@
 	return <-result, clientErr
 }
 
-func TestMutual(t *testing.T) {
-	// A process of another fleet, or one without a certificate, reaches a link
-	// port. It must not learn or change anything.
+func TestPeersNeedFleetCertificate(t *testing.T) {
+	// A process of another fleet, or one without a certificate, dials a link port.
+	// The connection must fail before any message is exchanged.
 	ours, theirs := newAuthority(t, "ours"), newAuthority(t, "theirs")
-	server := source(t, ours.write(t, t.TempDir(), ours))
-	if s, c := greet(t, server, source(t, ours.write(t, t.TempDir(), ours)).Client()); s != nil || c != nil {
+	server := newSource(t, ours.write(t, t.TempDir(), ours))
+	if s, c := handshakeErrors(t, server, newSource(t, ours.write(t, t.TempDir(), ours)).Client()); s != nil || c != nil {
 		t.Errorf("same fleet: server %v, client %v", s, c)
 	}
-	foreign := source(t, theirs.write(t, t.TempDir(), theirs, ours))
-	if s, _ := greet(t, server, foreign.Client()); s == nil {
+	foreign := newSource(t, theirs.write(t, t.TempDir(), theirs, ours))
+	if s, _ := handshakeErrors(t, server, foreign.Client()); s == nil {
 		t.Error("server accepted a certificate of another authority")
 	}
-	if s, _ := greet(t, server, &tls.Config{InsecureSkipVerify: true}); s == nil {
+	if s, _ := handshakeErrors(t, server, &tls.Config{InsecureSkipVerify: true}); s == nil {
 		t.Error("server accepted a peer without a certificate")
 	}
-	if _, c := greet(t, foreign, source(t, ours.write(t, t.TempDir(), ours)).Client()); c == nil {
+	if _, c := handshakeErrors(t, foreign, newSource(t, ours.write(t, t.TempDir(), ours)).Client()); c == nil {
 		t.Error("client accepted a server of another authority")
 	}
 }
 
-func TestReplacedWithoutRestart(t *testing.T) {
-	// The fleet's authority is replaced while everything runs. Links opened
-	// after the files changed must use the new one, and half-written files
-	// must not cost the process its certificate.
+func TestCertificatesAreReplacedWithoutRestart(t *testing.T) {
+	// The fleet's authority is replaced while the processes run. Links opened after
+	// the files changed must use the new one, and incomplete files must not make the
+	// process lose its certificate.
 	older, newer := newAuthority(t, "older"), newAuthority(t, "newer")
 	dir := t.TempDir()
 	files := older.write(t, dir, older)
-	server := source(t, files)
-	fresh := source(t, newer.write(t, t.TempDir(), newer))
-	if s, _ := greet(t, server, fresh.Client()); s == nil {
+	server := newSource(t, files)
+	fresh := newSource(t, newer.write(t, t.TempDir(), newer))
+	if s, _ := handshakeErrors(t, server, fresh.Client()); s == nil {
 		t.Fatal("the new authority was accepted too early")
 	}
 	if err := os.WriteFile(files.Cert, []byte("half"), 0o600); err != nil {
@@ -155,31 +157,31 @@
 	if changed, err := server.Refresh(); changed || err == nil {
 		t.Fatalf("half-written file: changed %v, err %v", changed, err)
 	}
-	if s, c := greet(t, server, source(t, older.write(t, t.TempDir(), older)).Client()); s != nil || c != nil {
+	if s, c := handshakeErrors(t, server, newSource(t, older.write(t, t.TempDir(), older)).Client()); s != nil || c != nil {
 		t.Fatalf("old certificate after a failed refresh: server %v, client %v", s, c)
 	}
 	newer.write(t, dir, older, newer)
-	// No one asks for a refresh here: the next connection looks by itself.
-	if s, c := greet(t, server, fresh.Client()); s != nil || c != nil {
+	// The test does not call Refresh here: the next connection does it.
+	if s, c := handshakeErrors(t, server, fresh.Client()); s != nil || c != nil {
 		t.Fatalf("new authority: server %v, client %v", s, c)
 	}
 }
 
-func TestDialerFollowsAuthority(t *testing.T) {
-	// An agent comes back with a certificate of the new authority. An entry
-	// that has only ever dialled with the old one must reach it again.
+func TestDialerUsesReplacedAuthority(t *testing.T) {
+	// An agent restarts with a certificate of the new authority. An entry that has
+	// only dialled with the old one must reach it again.
 	older, newer := newAuthority(t, "older"), newAuthority(t, "newer")
 	dir := t.TempDir()
 	files := older.write(t, dir, older)
-	client := source(t, files)
-	server := source(t, newer.write(t, t.TempDir(), newer, older))
-	if _, c := greet(t, server, client.Client()); c == nil {
+	client := newSource(t, files)
+	server := newSource(t, newer.write(t, t.TempDir(), newer, older))
+	if _, c := handshakeErrors(t, server, client.Client()); c == nil {
 		t.Fatal("the new authority was accepted too early")
 	}
 	if err := os.WriteFile(files.CA, append(older.pem, newer.pem...), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if s, c := greet(t, server, client.Client()); s != nil || c != nil {
+	if s, c := handshakeErrors(t, server, client.Client()); s != nil || c != nil {
 		t.Fatalf("server %v, client %v", s, c)
 	}
 }
--- a/core/certs/logged.go
+++ b/core/certs/logged.go
@@ -6,8 +6,8 @@
 	"lycheepond/core/logs"
 )
 
-// Logged returns a source that logs each replacement of its files. Without
-// files it returns nil, and links are plain.
+// NewLogged returns a Source that logs each reload of its files. Without files it
+// returns nil, which means links without TLS.
 func Logged(files Files, log *zap.Logger) (*Source, error) {
 	if files == (Files{}) {
 		return nil, nil
