--- a/core/boot/boot.go
+++ b/core/boot/boot.go
@@ -1,5 +1,5 @@
-// Package boot is the command line that the long-running programs share:
-// a settings file, its check, the version, and a planned stop by signal.
+// Package boot implements the command line that the long-running programs share: a
+// settings file, its check, the version, and a planned stop by signal.
 package boot
 
 import (
@@ -16,21 +16,24 @@
 
 // Exit codes.
 const (
-	exitGood     = 0
+	exitOK       = 0
 	exitFailed   = 1
 	exitSettings = 2
 )
 
-// Program is a program that runs until it is told to stop.
+// Program is a program that runs until a signal stops it. T is the type of its
+// settings.
 type Program[T any] struct {
-	// Name and About open the help text.
+	// Name and Description appear in the help text.
 	Name, About string
-	// Release is what the version subcommand prints.
+	// Release is the version that the version subcommand prints.
 	Release string
-	// Run runs the program with checked settings until ctx ends.
+	// Run runs the program with checked settings until ctx ends. path is the settings
+	// file.
 	Run func(ctx context.Context, cfg *T, path string) error
 }
 
+// command is the parsed command line.
 type command struct {
 	path           string
 	check, version bool
@@ -46,7 +49,7 @@
 	}
 	if cmd.version {
 		fmt.Println(p.Name, p.Release)
-		return exitGood
+		return exitOK
 	}
 	if cmd.path == "" {
 		fmt.Fprintf(os.Stderr, "%s: no settings file: give --config FILE\n", p.Name)
@@ -59,11 +62,12 @@
 	}
 	if cmd.check {
 		fmt.Println("settings good")
-		return exitGood
+		return exitOK
 	}
 	return p.run(cfg, cmd.path)
 }
 
+// parse parses the command line.
 func (p Program[T]) parse() (command, error) {
 	var cmd command
 	f := flaggy.NewParser(p.Name)
@@ -84,13 +88,14 @@
 	return cmd, err
 }
 
+// run runs the program until it ends or a signal stops it, and returns its exit code.
 func (p Program[T]) run(cfg *T, path string) int {
-	// The first signal begins a planned stop, a second one ends the process.
+	// The first signal begins a planned stop. A second one ends the process at once.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	context.AfterFunc(ctx, stop)
 	if err := p.Run(ctx, cfg, path); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", p.Name, err)
 		return exitFailed
 	}
-	return exitGood
+	return exitOK
 }
--- a/core/boot/hup_test.go
+++ b/core/boot/hup_test.go
@@ -13,24 +13,25 @@
 	"lycheepond/core/conf"
 )
 
-// hupEnv makes the test's own program the one that is tried.
-const hupEnv = "LYCHEEPOND_TEST_HUP"
+// childEnv is set in the child process, which runs the test binary as the program
+// under test.
+const childEnv = "LYCHEEPOND_TEST_HUP"
 
-// The settings file of a process changes, and it is told by SIGHUP before the part
-// that listens for the signal has begun, or after it has ended. The process and the
-// requests in it go on. Until something listens the signal's default holds: "the
-// process ended: signal: hangup".
-func TestHangupEndsNoProcess(t *testing.T) {
-	if path := os.Getenv(hupEnv); path != "" {
+// The settings file of a process changes, and the process receives a SIGHUP before it
+// handles the signal or after it has stopped handling it. The process and its
+// requests must continue. Without a handler, the signal's default action ended the
+// process with "signal: hangup".
+func TestHangupDoesNotEndProcess(t *testing.T) {
+	if path := os.Getenv(childEnv); path != "" {
 		os.Args = []string{"program", "--config", path}
 		p := Program[conf.Agent]{Name: "program", Run: func(context.Context, *conf.Agent, string) error {
-			// Sent to the thread itself the signal has come when the call returns.
+			// A signal to the own thread is delivered before the call returns.
 			runtime.LockOSThread()
 			return syscall.Tgkill(os.Getpid(), syscall.Gettid(), syscall.SIGHUP)
 		}}
 		os.Exit(p.Main())
 	}
-	// A child inherits that a signal is ignored, as under nohup, but no handler.
+	// A child inherits an ignored signal, as under nohup, but no handler.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
@@ -40,7 +41,7 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0], "-test.run", t.Name())
-	cmd.Env = append(os.Environ(), hupEnv+"="+path)
+	cmd.Env = append(os.Environ(), childEnv+"="+path)
 	if out, err := cmd.CombinedOutput(); err != nil {
 		t.Errorf("the process ended: %v\n%s", err, out)
 	}
