--- a/core/bearer/bearer.go
+++ b/core/bearer/bearer.go
@@ -8,22 +8,24 @@
 	"strings"
 )
 
-// Token is what operators must send.
+// Token checks the token that operators must send.
 type Token struct {
-	// want is the hash of the token, so that the comparison takes the same
-	// time whatever was sent.
-	want [sha256.Size]byte
-	open bool
+	// hash is the hash of the token, so that the duration of the comparison does not
+	// depend on what was sent.
+	hash     [sha256.Size]byte
+	allowAll bool
 }
 
-// New returns the check of a token; an empty one lets everyone through.
-func New(token string) *Token { return &Token{want: sha256.Sum256([]byte(token)), open: token == ""} }
+// New returns the check of a token. An empty token allows every request.
+func New(token string) *Token {
+	return &Token{hash: sha256.Sum256([]byte(token)), allowAll: token == ""}
+}
 
-// Allows reports whether a request carries the token.
+// Allows reports whether a request carries the token as its bearer token.
 func (t *Token) Allows(r *http.Request) bool {
-	if t.open {
+	if t.allowAll {
 		return true
 	}
 	got := sha256.Sum256([]byte(strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")))
-	return subtle.ConstantTimeCompare(got[:], t.want[:]) == 1
+	return subtle.ConstantTimeCompare(got[:], t.hash[:]) == 1
 }
--- a/core/report/report.go
+++ b/core/report/report.go
@@ -1,5 +1,5 @@
-// Package report is what processes tell operators: the entry's status and its
-// record of a request's decisions. The entry writes it, lychee reads it.
+// Package report defines the reports for operators: the status of an entry and its
+// record of the decisions about a request. Entries write them and lychee reads them.
 package report
 
 import (
@@ -7,19 +7,20 @@
 	"lycheepond/core/wire"
 )
 
-// Entry is the status of an entry.
+// Entry is the status of an entry. Leaving is set once a planned stop has begun, and
+// Running counts the requests in the entry.
 type Entry struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
 	Ready   bool   `json:"ready"`
 	Leaving bool   `json:"leaving"`
 	Running int    `json:"running"`
-	// Config is the newest version in force, Digest tells whether two entries
-	// have the same objects in force.
+	// ConfigVersion is the newest version in force. Entries with the same
+	// ConfigDigest have the same objects in force.
 	Config int64  `json:"config_version"`
 	Digest uint64 `json:"config_digest"`
-	// Away is set while the platform does not answer, AgeMS is the age of its
-	// last answer.
+	// PlatformUnavailable is set while the platform does not answer, and
+	// PlatformAnswerAgeMS is the age of its last answer in milliseconds.
 	Away     bool              `json:"platform_away"`
 	AgeMS    int64             `json:"platform_answer_age_ms"`
 	Rejected []store.Rejection `json:"rejected,omitempty"`
@@ -27,19 +28,19 @@
 	Traffic  wire.Counts       `json:"link_bytes"`
 }
 
-// Pool is what an entry says of a pool. InFlight and Queued count the entry's
-// own requests.
+// Pool is an entry's view of a pool. InFlight and Queued count the entry's own
+// requests.
 type Pool struct {
 	Pool     string `json:"pool"`
 	InFlight int    `json:"in_flight"`
 	Queued   int    `json:"queued"`
 	Level    int    `json:"shed_level"`
-	// Beyond counts live agents of the pool that the entry has no link to.
+	// Unlinked counts the live agents of the pool to which the entry has no link.
 	Beyond int     `json:"unlinked"`
 	Agents []Agent `json:"agents"`
 }
 
-// Agent is what an entry says of an agent.
+// Agent is an entry's view of an agent.
 type Agent struct {
 	Name     string `json:"name"`
 	Zone     string `json:"zone"`
@@ -53,7 +54,8 @@
 	Version  string `json:"version,omitempty"`
 }
 
-// Request is the record of the decisions about one request.
+// Request is the record of the decisions about one request. Outcome is empty while the
+// request is running.
 type Request struct {
 	ID       string `json:"id"`
 	Pool     string `json:"pool"`
@@ -65,7 +67,8 @@
 	Steps    []Step `json:"steps"`
 }
 
-// Step is one decision.
+// Step is one decision about a request. AtMS is the time since the entry accepted the
+// request, in milliseconds.
 type Step struct {
 	AtMS  int64  `json:"at_ms"`
 	What  string `json:"what"`
