--- a/core/logs/event.go
+++ b/core/logs/event.go
@@ -2,11 +2,11 @@
 
 import "go.uber.org/zap"
 
-// Event names what happened. Each line carries one under the key "event", so
-// that alerts need not match texts; docs/OPERATIONS.md lists them all.
+// Event is the name of what happened. Each log line has one under the key "event", so
+// that alerts need not match texts. docs/OPERATIONS.md lists all events.
 type Event string
 
-// The events. Names are never reused for something else.
+// The events. A name is never reused with another meaning.
 const (
 	EventStarting         Event = "starting"
 	EventReady            Event = "ready"
@@ -61,7 +61,7 @@
 	EventRequestCrossed   Event = "request_crossed"
 	EventAnswerNotTaken   Event = "answer_not_taken"
 	EventHandlerPanicked  Event = "handler_panicked"
-	EventServerTold       Event = "server_told"
+	EventServerMessage    Event = "server_told"
 	EventQuarantined      Event = "quarantined"
 	EventQuarantineLifted Event = "quarantine_lifted"
 	EventLimitChanged     Event = "limit_changed"
@@ -86,5 +86,5 @@
 // Error writes one line for an event that an operator has to act on.
 func Error(l *zap.Logger, e Event, fields ...zap.Field) { l.Error(string(e), fields...) }
 
-// Request is the field for a request's ID.
+// Request returns the field for a request's ID.
 func Request(id interface{ String() string }) zap.Field { return zap.Stringer(keyRequest, id) }
--- a/core/logs/logs.go
+++ b/core/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs writes a process's log: JSON lines on the standard error, one
-// vocabulary of events, and a bounded number of lines a second.
+// Package logs writes a process's log as JSON lines to standard error. All processes
+// share one set of events, and the number of lines a second is bounded.
 package logs
 
 import (
@@ -12,19 +12,21 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Bounds of the log's rate. A burst that refuses 10,000 requests a second would
-// otherwise spend the processor on its own log.
+// Bounds of the log's rate. Without them, a burst of 10,000 refused requests a second
+// would spend much of the processor time on logging.
 const (
-	// perSecond is how many lines of one event and level are written in full.
-	perSecond = 100
-	// oneIn is what share of the rest is written.
-	oneIn = 100
+	// linesPerSecond is the number of lines of one event and level that are written
+	// in full each second.
+	linesPerSecond = 100
+	// sampleEvery is the sampling beyond linesPerSecond: one of sampleEvery lines is
+	// written.
+	sampleEvery = 100
 )
 
-// New returns a logger of a process that writes to the standard error.
+// New returns the logger of a process that writes to standard error.
 func New(level, name string) *zap.Logger { return NewTo(os.Stderr, level, name) }
 
-// NewTo is New with another writer. An unknown level counts as info; the
+// NewTo returns a logger that writes to w. An unknown level counts as info; the
 // settings are checked with Level before.
 func NewTo(w io.Writer, level, name string) *zap.Logger {
 	l, err := Level(level)
@@ -32,11 +34,11 @@
 		l = zapcore.InfoLevel
 	}
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoding()), zapcore.Lock(zapcore.AddSync(w)), l)
-	bounded := zapcore.NewSamplerWithOptions(core, time.Second, perSecond, oneIn)
+	bounded := zapcore.NewSamplerWithOptions(core, time.Second, linesPerSecond, sampleEvery)
 	return zap.New(bounded).With(zap.String("process", name))
 }
 
-// Level reads a level from the settings.
+// Level parses a log level. Empty text means info.
 func Level(text string) (zapcore.Level, error) {
 	switch text {
 	case "debug":
@@ -51,6 +53,7 @@
 	return 0, fmt.Errorf("logs: unknown level %q: write debug, info, warn or error", text)
 }
 
+// encoding returns the format of the lines.
 func encoding() zapcore.EncoderConfig {
 	return zapcore.EncoderConfig{
 		TimeKey: "time", LevelKey: "level", MessageKey: keyEvent, NameKey: "logger",
--- a/core/logs/logs_test.go
+++ b/core/logs/logs_test.go
@@ -9,7 +9,7 @@
 	"lycheepond/core/ident"
 )
 
-func TestLine(t *testing.T) {
+func TestLineFormat(t *testing.T) {
 	var out bytes.Buffer
 	l := NewTo(&out, "info", "entry-a1")
 	Info(l, EventRequestRefused, Request(ident.Make(1, 2)))
@@ -24,9 +24,9 @@
 }
 
 func TestRateIsBounded(t *testing.T) {
-	// A burst refuses thousands of requests a second and each writes a line.
-	// The log must not cost more than the refusals, and other events must
-	// still be seen.
+	// A burst refuses thousands of requests a second, and each refusal writes a line.
+	// The log must not cost more than the refusals, and other events must still be
+	// written.
 	var out bytes.Buffer
 	l := NewTo(&out, "info", "entry-a1")
 	const burst = 20000
@@ -35,7 +35,7 @@
 	}
 	Info(l, EventLevelChanged)
 	text := out.String()
-	if n := strings.Count(text, "\n"); n > burst/10 || n < perSecond {
+	if n := strings.Count(text, "\n"); n > burst/10 || n < linesPerSecond {
 		t.Errorf("%d lines of %d", n, burst)
 	}
 	if !strings.Contains(text, "level_changed") {
--- a/core/logs/quarantine.go
+++ b/core/logs/quarantine.go
@@ -6,7 +6,7 @@
 	"lycheepond/core/poison"
 )
 
-// Quarantine writes one line for the beginning or the early end of a quarantine.
+// LogQuarantine writes one line for the beginning or the early end of a quarantine.
 func Quarantine(l *zap.Logger, c poison.Change) {
 	if c.Released {
 		Info(l, EventQuarantineLifted, zap.Stringer("fingerprint", c.Fingerprint))
--- a/core/logs/queue.go
+++ b/core/logs/queue.go
@@ -9,29 +9,30 @@
 )
 
 const (
-	// queueLines is how many lines may wait for the writer: some seconds of all
-	// that the samplers let through.
-	queueLines = 2048
-	// queueBatch is the most bytes written at once.
-	queueBatch = 64 << 10
-	// flushEvery is the longest that a line waits for others to be written with
-	// it; a system call for each line costs more than making the line.
-	flushEvery = 50 * time.Millisecond
+	// maxQueuedLines is the number of lines that may wait for the writer: several
+	// seconds of all the lines that the sampling lets through.
+	maxQueuedLines = 2048
+	// maxBatchBytes is the size at which a batch is written.
+	maxBatchBytes = 64 << 10
+	// flushInterval is the longest time that a line waits to be written together with
+	// others. A system call for each line costs more than formatting the line.
+	flushInterval = 50 * time.Millisecond
 )
 
-// Queue hands lines to a writer without waiting for it. A collector that stops
-// reading would otherwise stop the process at its next line, and every request
-// with it. Lines that find no room are dropped and counted.
+// Queue passes lines to a writer without waiting for it. Otherwise a log collector
+// that stops reading would block the process, and every request in it, at the next
+// line. Lines that find no room are dropped and counted.
 type Queue struct {
 	w       io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
-// NewQueue returns a queue to w, which does nothing until Run.
-func NewQueue(w io.Writer) *Queue { return &Queue{w: w, lines: make(chan []byte, queueLines)} }
+// NewQueue returns a queue for w. It writes nothing until Run.
+func NewQueue(w io.Writer) *Queue { return &Queue{w: w, lines: make(chan []byte, maxQueuedLines)} }
 
-// Write queues a copy of a line. It never fails.
+// Write queues a copy of a line, or drops the line if the queue is full. It never
+// returns an error.
 func (q *Queue) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
@@ -41,9 +42,10 @@
 	return len(line), nil
 }
 
-// Run writes lines until ctx ends, and then what is queued.
+// Run writes the queued lines until ctx ends, and then those that are left. Only one
+// goroutine may call it.
 func (q *Queue) Run(ctx context.Context) error {
-	tick := time.NewTicker(flushEvery)
+	tick := time.NewTicker(flushInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -51,21 +53,21 @@
 			return q.flush()
 		case <-tick.C:
 			if err := q.flush(); err != nil {
-				// Nobody reads the log any more. Lines go on being dropped, and
-				// callers being served.
+				// Nobody reads the log. Further lines are dropped, and requests
+				// continue to be served.
 				continue
 			}
 		}
 	}
 }
 
-// flush writes what is queued.
+// flush writes the queued lines and the number of dropped ones.
 func (q *Queue) flush() error {
 	var batch []byte
 	for {
 		select {
 		case line := <-q.lines:
-			if batch = append(batch, line...); len(batch) < queueBatch {
+			if batch = append(batch, line...); len(batch) < maxBatchBytes {
 				continue
 			}
 		default:
--- a/core/logs/queue_test.go
+++ b/core/logs/queue_test.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// The collector of the log stops reading. A process that waited for it would
-// answer nobody any more.
+// The log collector stops reading. A process that waited for it would stop serving
+// requests.
 func TestQueueNeverBlocks(t *testing.T) {
 	r, w := io.Pipe()
 	q := NewQueue(w)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- q.Run(ctx) }()
-	for range 3 * queueLines {
+	for range 3 * maxQueuedLines {
 		if n, err := q.Write([]byte("line\n")); n != 5 || err != nil {
 			t.Fatal(n, err)
 		}
@@ -26,19 +26,19 @@
 	<-ended
 }
 
-func TestQueueTellsWhatItDropped(t *testing.T) {
+func TestQueueReportsDroppedLines(t *testing.T) {
 	var out bytes.Buffer
 	q := NewQueue(&out)
-	for range queueLines + 7 {
+	for range maxQueuedLines + 7 {
 		q.Write([]byte("line\n"))
 	}
 	if err := q.flush(); err != nil {
 		t.Fatal(err)
 	}
-	if n := strings.Count(out.String(), "line\n"); n != queueLines {
+	if n := strings.Count(out.String(), "line\n"); n != maxQueuedLines {
 		t.Errorf("%d lines", n)
 	}
 	if !strings.Contains(out.String(), `"event":"lines_dropped","lines":7`) {
-		t.Error("the dropped lines are not told")
+		t.Error("the number of dropped lines is not written")
 	}
 }
--- a/core/logs/server.go
+++ b/core/logs/server.go
@@ -8,25 +8,26 @@
 	"go.uber.org/zap"
 )
 
-// maxText bounds what one line takes in of a server's text or a stack, in bytes:
-// the head tells the place.
-const maxText = 4 << 10
+// maxTextBytes bounds the size of a server's text or a stack in one line. The
+// beginning of a stack shows where the panic occurred.
+const maxTextBytes = 4 << 10
 
-// Server returns the logger for what a standard HTTP server has to tell, such as a
-// failed accept. By itself it would write lines that are no JSON.
+// ServerLogger returns the logger for the messages of a standard HTTP server, such as
+// a failed accept. The server's default logger would write lines that are not JSON.
 func Server(l *zap.Logger) *log.Logger { return log.New(serverLines{l}, "", 0) }
 
+// serverLines writes each line of a server as an event.
 type serverLines struct{ log *zap.Logger }
 
-// Write takes one line.
+// Write writes one line as an event.
 func (s serverLines) Write(p []byte) (int, error) {
-	Warn(s.log, EventServerTold, zap.ByteString("text", p[:min(len(p), maxText)]))
+	Warn(s.log, EventServerMessage, zap.ByteString("text", p[:min(len(p), maxTextBytes)]))
 	return len(p), nil
 }
 
-// Guard returns h with its panics written to the log; the standard server would
-// only cut the connection. Each is counted with count, and answer answers the
-// request if nothing of an answer was written; nil answers with status 500.
+// RecoverPanics returns a handler that calls h and logs its panics; the standard
+// server would only close the connection. It calls count for each panic. If no part
+// of an answer was written, answer writes one; a nil answer writes status 500.
 func Guard(l *zap.Logger, count func(), answer http.HandlerFunc, h http.Handler) http.Handler {
 	if answer == nil {
 		answer = func(w http.ResponseWriter, _ *http.Request) {
@@ -34,7 +35,7 @@
 		}
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		o := &opened{ResponseWriter: w}
+		o := &trackedWriter{ResponseWriter: w}
 		defer func() {
 			v := recover()
 			if v == nil {
@@ -45,8 +46,9 @@
 			}
 			count()
 			Panicked(l, v, zap.String("path", r.URL.Path))
-			if o.begun {
-				// The caller must not take what it has for the whole.
+			if o.started {
+				// Closing the connection shows the caller that the answer is
+				// incomplete.
 				panic(http.ErrAbortHandler)
 			}
 			answer(w, r)
@@ -55,39 +57,40 @@
 	})
 }
 
-// Panicked writes that the handler of a request panicked with v. It is to be called
-// where v was recovered: the line has the stack.
+// LogPanic logs that the handler of a request panicked with v. It must be called in
+// the deferred function that recovered v, so that the line has the stack of the
+// panic.
 func Panicked(l *zap.Logger, v any, request zap.Field) {
 	stack := debug.Stack()
-	Error(l, EventHandlerPanicked, request, zap.Any("panic", v), zap.ByteString("stack", stack[:min(len(stack), maxText)]))
+	Error(l, EventHandlerPanicked, request, zap.Any("panic", v), zap.ByteString("stack", stack[:min(len(stack), maxTextBytes)]))
 }
 
-// opened tells whether an answer has begun.
-type opened struct {
+// trackedWriter records whether an answer has begun.
+type trackedWriter struct {
 	http.ResponseWriter
-	begun bool
+	started bool
 }
 
-// Unwrap is for http.ResponseController.
-func (o *opened) Unwrap() http.ResponseWriter { return o.ResponseWriter }
+// Unwrap returns the wrapped writer for http.ResponseController.
+func (o *trackedWriter) Unwrap() http.ResponseWriter { return o.ResponseWriter }
 
-// Bare returns the standard server's own writer, which http.MaxBytesReader tells that
-// the rest of a body is not read.
+// OriginalWriter returns the standard server's own writer. http.MaxBytesReader needs
+// it to tell the server that the rest of a body is not read.
 func Bare(w http.ResponseWriter) http.ResponseWriter {
-	if o, ok := w.(*opened); ok {
+	if o, ok := w.(*trackedWriter); ok {
 		return o.ResponseWriter
 	}
 	return w
 }
 
-// WriteHeader notes the beginning.
-func (o *opened) WriteHeader(status int) {
-	o.begun = o.begun || status >= http.StatusOK
+// WriteHeader records the beginning of the answer.
+func (o *trackedWriter) WriteHeader(status int) {
+	o.started = o.started || status >= http.StatusOK
 	o.ResponseWriter.WriteHeader(status)
 }
 
-// Write notes the beginning.
-func (o *opened) Write(p []byte) (int, error) {
-	o.begun = true
+// Write records the beginning of the answer.
+func (o *trackedWriter) Write(p []byte) (int, error) {
+	o.started = true
 	return o.ResponseWriter.Write(p)
 }
