--- a/core/meter/meter_test.go
+++ b/core/meter/meter_test.go
@@ -33,10 +33,10 @@
 	}
 }
 
-func TestTopIsBounded(t *testing.T) {
-	// 21,000 customers call, most of them seldom. The busy ones must have
-	// histograms of their own, also those who come late, and the memory must
-	// not grow with the number of customers.
+func TestOwnHistogramsAreBounded(t *testing.T) {
+	// 21,000 customers send requests, most of them rarely. The busy ones must get
+	// their own histograms, also if they start late, and the memory must not grow
+	// with the number of customers.
 	s := New()
 	top := s.Top("latency_ms")
 	for i := range 21000 {
@@ -47,19 +47,19 @@
 			top.Observe(fmt.Sprint("busy-", i), 1)
 		}
 	}
-	own := 0
+	busyOwn := 0
 	for name := range s.Read().Histograms {
 		if strings.Contains(name, "busy-") {
-			own++
+			busyOwn++
 		}
 	}
-	if own != 10 {
-		t.Errorf("%d of 10 busy customers have a histogram", own)
+	if busyOwn != 10 {
+		t.Errorf("%d of 10 busy customers have a histogram", busyOwn)
 	}
-	if n := len(s.Read().Histograms); n > TopCustomers+1 {
+	if n := len(s.Read().Histograms); n > MaxOwnHistograms+1 {
 		t.Errorf("%d histograms", n)
 	}
-	if n := len(top.counts); n > candidates {
+	if n := len(top.candidateCounts); n > maxCandidates {
 		t.Errorf("%d candidates", n)
 	}
 }
@@ -76,9 +76,9 @@
 	}
 }
 
-// The callers' port asks for no operator's token. A caller who reads the
-// metrics there must not learn who else calls.
-func TestPublicNamesNoCustomer(t *testing.T) {
+// The callers' port does not require the operators' token. A caller who reads the
+// metrics there must not learn the names of other customers.
+func TestPublicHandlerOmitsCustomers(t *testing.T) {
 	s := New()
 	s.Histogram("latency_ms", Customer("metro")).Update(4)
 	s.Histogram("latency_ms", Class("swap")).Update(4)
--- a/core/meter/proc.go
+++ b/core/meter/proc.go
@@ -6,14 +6,15 @@
 	"syscall"
 )
 
-// Process adds gauges of what the process itself uses.
+// RegisterProcess adds gauges of the process's own resource usage.
 func (s *Set) Process() {
 	s.GaugeFunc("process_cpu_ms", cpuMS)
 	s.GaugeFunc("process_heap_bytes", heapBytes)
 	s.GaugeFunc("process_goroutines", func() int64 { return int64(runtime.NumGoroutine()) })
 }
 
-// cpuMS is the processor time used so far, user and system.
+// cpuMS returns the user and system processor time used so far in milliseconds, zero
+// if it cannot be read.
 func cpuMS() int64 {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -22,6 +23,7 @@
 	return (u.Utime.Nano() + u.Stime.Nano()) / 1e6
 }
 
+// heapBytes returns the bytes of live heap objects, zero if they cannot be read.
 func heapBytes() int64 {
 	sample := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(sample)
--- a/core/meter/set.go
+++ b/core/meter/set.go
@@ -1,9 +1,10 @@
-// Package meter keeps a process's metrics: counters, gauges and histograms per
-// class and per customer, and writes them as text and JSON.
+// Package meter keeps a process's metrics and writes them as text and JSON. The
+// metrics are counters, gauges and histograms, which may have labels such as class
+// and customer.
 //
-// A fleet has 21,000 customers, and a histogram for each would not fit the
-// memory of a small instance. The busiest customers have their own, all others
-// share one that is named "other".
+// A fleet has 21,000 customers, and a histogram for each would not fit into the
+// memory of a small instance. The busiest customers have their own histograms; all
+// others share one that is named "other".
 package meter
 
 import (
@@ -13,15 +14,15 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// Sizes of the samples behind histograms. The reservoir favours the last five
-// minutes or so.
+// Parameters of the reservoir samples behind histograms. The reservoirs favour about
+// the last five minutes.
 const (
-	classSample    = 1028
-	customerSample = 256
-	sampleAlpha    = 0.015
+	classSampleSize    = 1028
+	customerSampleSize = 256
+	sampleAlpha        = 0.015
 )
 
-// Label names a dimension of a metric.
+// Label is one label of a metric.
 type Label struct {
 	Key, Value string
 }
@@ -40,40 +41,41 @@
 // Outcome labels a metric with a request's outcome.
 func Outcome(name string) Label { return Label{"outcome", name} }
 
-// Set is the metrics of one process. It is safe for concurrent use; to look a
-// metric up costs more than to update it, so keep what is returned.
+// Set holds the metrics of one process. It is safe for concurrent use. Looking up a
+// metric costs more than updating it, so callers should keep the result.
 type Set struct{ registry metrics.Registry }
 
 // New returns an empty set.
 func New() *Set { return &Set{registry: metrics.NewRegistry()} }
 
-// Counter returns the counter of a name and labels, made at the first use.
+// Counter returns the counter with a name and labels. The first call creates it.
 func (s *Set) Counter(name string, labels ...Label) metrics.Counter {
-	return s.registry.GetOrRegister(full(name, labels), metrics.NewCounter).(metrics.Counter)
+	return s.registry.GetOrRegister(fullName(name, labels), metrics.NewCounter).(metrics.Counter)
 }
 
-// Gauge returns the gauge of a name and labels, made at the first use.
+// Gauge returns the gauge with a name and labels. The first call creates it.
 func (s *Set) Gauge(name string, labels ...Label) metrics.Gauge {
-	return s.registry.GetOrRegister(full(name, labels), metrics.NewGauge).(metrics.Gauge)
+	return s.registry.GetOrRegister(fullName(name, labels), metrics.NewGauge).(metrics.Gauge)
 }
 
-// GaugeFunc makes f the reading of a gauge; f is called when metrics are read.
+// GaugeFunc registers a gauge whose value is the result of f, which is called
+// whenever the metrics are read.
 func (s *Set) GaugeFunc(name string, f func() int64, labels ...Label) {
-	s.registry.GetOrRegister(full(name, labels), metrics.NewFunctionalGauge(f))
+	s.registry.GetOrRegister(fullName(name, labels), metrics.NewFunctionalGauge(f))
 }
 
-// Histogram returns the histogram of a name and labels, made at the first use.
+// Histogram returns the histogram with a name and labels. The first call creates it.
 func (s *Set) Histogram(name string, labels ...Label) metrics.Histogram {
-	return s.registry.GetOrRegister(full(name, labels), func() metrics.Histogram {
-		return metrics.NewHistogram(metrics.NewExpDecaySample(classSample, sampleAlpha))
+	return s.registry.GetOrRegister(fullName(name, labels), func() metrics.Histogram {
+		return metrics.NewHistogram(metrics.NewExpDecaySample(classSampleSize, sampleAlpha))
 	}).(metrics.Histogram)
 }
 
-// Milliseconds updates a histogram with a duration.
+// UpdateMS updates a histogram with a duration in milliseconds.
 func Milliseconds(h metrics.Histogram, d time.Duration) { h.Update(d.Milliseconds()) }
 
-// full returns name{key="value",...}.
-func full(name string, labels []Label) string {
+// fullName returns name{key="value",...}.
+func fullName(name string, labels []Label) string {
 	if len(labels) == 0 {
 		return name
 	}
@@ -81,10 +83,11 @@
 	b.WriteString(name)
 	for i, l := range labels {
 		b.WriteByte("{,"[min(i, 1)])
-		b.WriteString(l.Key + `="` + escape.Replace(l.Value) + `"`)
+		b.WriteString(l.Key + `="` + escaper.Replace(l.Value) + `"`)
 	}
 	b.WriteByte('}')
 	return b.String()
 }
 
-var escape = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
+// escaper escapes the value of a label.
+var escaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
--- a/core/meter/top.go
+++ b/core/meter/top.go
@@ -7,126 +7,132 @@
 )
 
 const (
-	// TopCustomers is how many customers have histograms of their own.
-	TopCustomers = 50
-	// candidates bounds the customers whose use is counted to find the top.
-	candidates = 2048
-	// halfLife is how many observations halve all counts, so that a customer
-	// that was busy last week makes room.
-	halfLife = 1 << 20
-	// Other is the name under which all other customers are counted.
+	// MaxOwnHistograms is the number of customers with their own histogram.
+	MaxOwnHistograms = 50
+	// maxCandidates is the maximum number of other customers whose observations are
+	// counted to find the busiest.
+	maxCandidates = 2048
+	// decayPeriod is the number of observations after which all counts are halved, so
+	// that a customer that was busy last week makes room for others.
+	decayPeriod = 1 << 20
+	// Other is the label value for all customers without their own histogram.
 	Other = "other"
 )
 
-// Top is a histogram per customer for the busiest ones and one for the rest.
-// It is safe for concurrent use.
+// CustomerHistograms holds a histogram for each of the busiest customers and one for
+// all others. It is safe for concurrent use.
 type Top struct {
 	set  *Set
 	name string
 
 	mu sync.Mutex
-	// own holds at most TopCustomers customers.
-	own map[string]*tracked
-	// counts holds at most candidates customers that share the histogram of
-	// the others.
-	counts map[string]uint64
-	other  metrics.Histogram
-	seen   uint64
+	// own holds at most MaxOwnHistograms customers.
+	own map[string]*ownHistogram
+	// candidateCounts holds the number of observations of at most maxCandidates
+	// customers that share the histogram other.
+	candidateCounts map[string]uint64
+	other           metrics.Histogram
+	observations    uint64
 }
 
-type tracked struct {
+type ownHistogram struct {
 	histogram metrics.Histogram
 	count     uint64
 }
 
-// Top returns the histograms of a name by customer. It is to be called once
-// for a name.
+// CustomerHistograms returns histograms by customer with a name. It must be called
+// only once for each name.
 func (s *Set) Top(name string) *Top {
 	return &Top{
-		set: s, name: name, own: make(map[string]*tracked), counts: make(map[string]uint64),
+		set: s, name: name, own: make(map[string]*ownHistogram), candidateCounts: make(map[string]uint64),
 		other: s.Histogram(name, Customer(Other)),
 	}
 }
 
-// Observe counts one value of a customer.
+// Observe adds one value of a customer.
 func (t *Top) Observe(customer string, value int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.age()
+	t.decay()
 	if own, ok := t.own[customer]; ok {
 		own.count++
 		own.histogram.Update(value)
 		return
 	}
-	n := t.counts[customer] + 1
+	n := t.candidateCounts[customer] + 1
 	if t.promote(customer, n) {
 		t.own[customer].histogram.Update(value)
 		return
 	}
-	t.note(customer, n)
+	t.addCandidate(customer, n)
 	t.other.Update(value)
 }
 
-// promote gives a customer its own histogram if there is room or if it is
-// used clearly more than the least used of those that have one; twice as much,
-// so that two equal ones do not take turns and lose their history.
+// promote gives a customer its own histogram if there is room or if the customer has
+// clearly more observations than the least busy one with its own histogram. It must
+// have about twice as many, so that two equally busy customers don't replace each
+// other in turn and lose their histograms. promote reports whether the customer now
+// has its own histogram. n is the number of the customer's observations.
 func (t *Top) promote(customer string, n uint64) bool {
-	if len(t.own) >= TopCustomers {
-		name, least := t.least()
-		if n < 2*least+8 {
+	if len(t.own) >= MaxOwnHistograms {
+		name, fewest := t.leastBusy()
+		if n < 2*fewest+8 {
 			return false
 		}
-		t.set.registry.Unregister(full(t.name, []Label{Customer(name)}))
+		t.set.registry.Unregister(fullName(t.name, []Label{Customer(name)}))
 		delete(t.own, name)
-		t.note(name, least)
+		t.addCandidate(name, fewest)
 	}
-	delete(t.counts, customer)
-	h := metrics.NewHistogram(metrics.NewExpDecaySample(customerSample, sampleAlpha))
-	t.set.registry.Register(full(t.name, []Label{Customer(customer)}), h)
-	t.own[customer] = &tracked{histogram: h, count: n}
+	delete(t.candidateCounts, customer)
+	h := metrics.NewHistogram(metrics.NewExpDecaySample(customerSampleSize, sampleAlpha))
+	t.set.registry.Register(fullName(t.name, []Label{Customer(customer)}), h)
+	t.own[customer] = &ownHistogram{histogram: h, count: n}
 	return true
 }
 
-func (t *Top) least() (string, uint64) {
-	name, least := "", ^uint64(0)
+// leastBusy returns the customer with its own histogram that has the fewest
+// observations, and their number.
+func (t *Top) leastBusy() (string, uint64) {
+	name, fewest := "", ^uint64(0)
 	for c, own := range t.own {
-		if own.count < least || (own.count == least && c < name) {
-			name, least = c, own.count
+		if own.count < fewest || (own.count == fewest && c < name) {
+			name, fewest = c, own.count
 		}
 	}
-	return name, least
+	return name, fewest
 }
 
-// note keeps a count among the candidates. When they are too many all counts
-// fall by one and those at zero go, which never loses a customer whose share
-// is above one in candidates.
-func (t *Top) note(customer string, n uint64) {
-	if _, ok := t.counts[customer]; ok || len(t.counts) < candidates {
-		t.counts[customer] = n
+// addCandidate records the number of a customer's observations. If there are too many
+// candidates, all counts decrease by one and those at zero are removed. This never
+// loses a customer with more than 1/maxCandidates of all observations.
+func (t *Top) addCandidate(customer string, n uint64) {
+	if _, ok := t.candidateCounts[customer]; ok || len(t.candidateCounts) < maxCandidates {
+		t.candidateCounts[customer] = n
 		return
 	}
-	for c, m := range t.counts {
+	for c, m := range t.candidateCounts {
 		if m <= 1 {
-			delete(t.counts, c)
+			delete(t.candidateCounts, c)
 			continue
 		}
-		t.counts[c] = m - 1
+		t.candidateCounts[c] = m - 1
 	}
 }
 
-func (t *Top) age() {
-	t.seen++
-	if t.seen%halfLife != 0 {
+// decay halves all counts once every decayPeriod observations.
+func (t *Top) decay() {
+	t.observations++
+	if t.observations%decayPeriod != 0 {
 		return
 	}
 	for _, own := range t.own {
 		own.count /= 2
 	}
-	for c, n := range t.counts {
+	for c, n := range t.candidateCounts {
 		if n /= 2; n == 0 {
-			delete(t.counts, c)
+			delete(t.candidateCounts, c)
 		} else {
-			t.counts[c] = n
+			t.candidateCounts[c] = n
 		}
 	}
 }
--- a/core/meter/write.go
+++ b/core/meter/write.go
@@ -14,7 +14,7 @@
 
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// Summary is the reading of a histogram.
+// Summary holds the values of a histogram.
 type Summary struct {
 	Count int64   `json:"count"`
 	Min   int64   `json:"min"`
@@ -25,14 +25,14 @@
 	P99   float64 `json:"p99"`
 }
 
-// Reading is the value of every metric by its full name.
+// Reading holds the value of every metric by its full name.
 type Reading struct {
 	Counters   map[string]int64   `json:"counters"`
 	Gauges     map[string]int64   `json:"gauges"`
 	Histograms map[string]Summary `json:"histograms"`
 }
 
-// Read returns the value of every metric.
+// Read returns the current value of every metric.
 func (s *Set) Read() Reading {
 	r := Reading{Counters: map[string]int64{}, Gauges: map[string]int64{}, Histograms: map[string]Summary{}}
 	s.registry.Each(func(name string, v any) {
@@ -42,38 +42,42 @@
 		case metrics.Gauge:
 			r.Gauges[name] = m.Value()
 		case metrics.Histogram:
-			r.Histograms[name] = summary(m.Snapshot())
+			r.Histograms[name] = summarize(m.Snapshot())
 		}
 	})
 	return r
 }
 
-func summary(h metrics.Histogram) Summary {
+func summarize(h metrics.Histogram) Summary {
 	q := h.Percentiles(quantiles)
 	return Summary{Count: h.Count(), Min: h.Min(), Max: h.Max(), Mean: h.Mean(), P50: q[0], P95: q[1], P99: q[2]}
 }
 
-// ServeHTTP writes every metric, as JSON when the caller asks for it by
-// ?format=json or the Accept header, else as text.
+// ServeHTTP writes every metric, as JSON if the request has ?format=json or accepts
+// application/json, otherwise as text.
 func (s *Set) ServeHTTP(w http.ResponseWriter, r *http.Request) { serve(w, r, s.Read()) }
 
-// Public returns a handler that leaves out the metrics of single customers. It
-// is for ports that ask for no operator's token, where any caller could read
-// who else calls and how much.
+// PublicHandler returns a handler that omits the metrics of individual customers. It
+// is for ports that don't require the operators' token, where any caller could
+// otherwise read which customers send how many requests.
 func (s *Set) Public() http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { serve(w, r, s.Read().public()) })
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { serve(w, r, s.Read().withoutCustomers()) })
 }
 
+// customerLabel is how a full name begins its labels if the metric is that of a
+// customer.
 var customerLabel = "{" + Customer("").Key + "="
 
-func (r Reading) public() Reading {
-	named := func(name string) bool { return strings.Contains(name, customerLabel) }
-	maps.DeleteFunc(r.Counters, func(name string, _ int64) bool { return named(name) })
-	maps.DeleteFunc(r.Gauges, func(name string, _ int64) bool { return named(name) })
-	maps.DeleteFunc(r.Histograms, func(name string, _ Summary) bool { return named(name) })
+// withoutCustomers removes the metrics of individual customers from r and returns it.
+func (r Reading) withoutCustomers() Reading {
+	hasCustomer := func(name string) bool { return strings.Contains(name, customerLabel) }
+	maps.DeleteFunc(r.Counters, func(name string, _ int64) bool { return hasCustomer(name) })
+	maps.DeleteFunc(r.Gauges, func(name string, _ int64) bool { return hasCustomer(name) })
+	maps.DeleteFunc(r.Histograms, func(name string, _ Summary) bool { return hasCustomer(name) })
 	return r
 }
 
+// serve writes a reading as JSON or text.
 func serve(w http.ResponseWriter, r *http.Request, reading Reading) {
 	if r.URL.Query().Get("format") == "json" || strings.Contains(r.Header.Get("Accept"), "application/json") {
 		w.Header().Set("Content-Type", "application/json")
@@ -95,12 +99,12 @@
 	}
 	for name, h := range r.Histograms {
 		lines = append(lines,
-			fmt.Sprintf("%s %d", suffixed(name, "_count"), h.Count),
-			fmt.Sprintf("%s %g", suffixed(name, "_mean"), h.Mean),
-			fmt.Sprintf("%s %g", suffixed(name, "_p50"), h.P50),
-			fmt.Sprintf("%s %g", suffixed(name, "_p95"), h.P95),
-			fmt.Sprintf("%s %g", suffixed(name, "_p99"), h.P99),
-			fmt.Sprintf("%s %d", suffixed(name, "_max"), h.Max))
+			fmt.Sprintf("%s %d", withSuffix(name, "_count"), h.Count),
+			fmt.Sprintf("%s %g", withSuffix(name, "_mean"), h.Mean),
+			fmt.Sprintf("%s %g", withSuffix(name, "_p50"), h.P50),
+			fmt.Sprintf("%s %g", withSuffix(name, "_p95"), h.P95),
+			fmt.Sprintf("%s %g", withSuffix(name, "_p99"), h.P99),
+			fmt.Sprintf("%s %d", withSuffix(name, "_max"), h.Max))
 	}
 	slices.Sort(lines)
 	for _, l := range lines {
@@ -108,8 +112,8 @@
 	}
 }
 
-// suffixed puts a suffix behind the name and before its labels.
-func suffixed(name, suffix string) string {
+// withSuffix inserts a suffix between the name and its labels.
+func withSuffix(name, suffix string) string {
 	if i := strings.IndexByte(name, '{'); i >= 0 {
 		return name[:i] + suffix + name[i:]
 	}
