--- a/core/ident/ident.go
+++ b/core/ident/ident.go
@@ -1,4 +1,4 @@
-// Package ident names requests and process incarnations.
+// Package ident defines the IDs of requests.
 package ident
 
 import (
@@ -12,12 +12,12 @@
 // ErrMalformed reports text that is not an ID.
 var ErrMalformed = errors.New("ident: malformed ID: give 32 hexadecimal digits")
 
-// ID names one request for its whole life. The first half is the incarnation
-// of the entry that accepted the request and the second half a counter, so two
-// entries, or one entry before and after a restart, never make the same ID.
+// ID identifies one request for its whole life. The first half is the incarnation of
+// the entry that accepted the request and the second half is a counter. So two
+// entries, or one entry before and after a restart, never create the same ID.
 type ID [Size]byte
 
-// Make returns the n-th ID of an incarnation.
+// Make returns the ID with the counter n of an incarnation.
 func Make(incarnation, n uint64) ID {
 	var id ID
 	for i := range 8 {
@@ -27,7 +27,7 @@
 	return id
 }
 
-// Incarnation returns the incarnation of the process that made the ID.
+// Incarnation returns the incarnation of the entry that created the ID.
 func (id ID) Incarnation() uint64 {
 	var v uint64
 	for i := range 8 {
@@ -42,7 +42,7 @@
 // String returns the ID as 32 hexadecimal digits.
 func (id ID) String() string { return hex.EncodeToString(id[:]) }
 
-// Parse reads what String wrote.
+// Parse parses the output of String. It returns ErrMalformed for any other text.
 func Parse(s string) (ID, error) {
 	var id ID
 	if len(s) != 2*Size {
--- a/core/ident/ident_test.go
+++ b/core/ident/ident_test.go
@@ -8,7 +8,7 @@
 		t.Fatalf("Incarnation() = %x", got)
 	}
 	if id == Make(0xfeedface01020304, 8) {
-		t.Fatal("two counters made one ID")
+		t.Fatal("two counters gave the same ID")
 	}
 }
 
