--- a/core/conf/conf.go
+++ b/core/conf/conf.go
@@ -16,7 +16,7 @@
 	DefaultGrace = 5 * time.Minute
 	// DefaultRequestMemory is in MiB, enough for about 4000 small requests.
 	DefaultRequestMemory = 256
-	// DefaultLogLevel is the log level.
+	// DefaultLogLevel is the default log level.
 	DefaultLogLevel = "info"
 )
 
@@ -76,33 +76,37 @@
 // Entry holds the settings of an entry.
 type Entry struct {
 	Common `yaml:",inline"`
-	// Listen is the listen address for callers.
+	// Listen is the listen address for callers and LinkListen that for other
+	// lycheepond processes.
 	Listen string `yaml:"listen"`
-	// Link is the listen address for other lycheepond processes.
-	Link  string `yaml:"link"`
-	Admin Admin  `yaml:"admin"`
+	Link   string `yaml:"link"`
+	Admin  Admin  `yaml:"admin"`
 	// Peers are the link addresses of other entries from which the configuration is
 	// read if the platform is unavailable at the start.
 	Peers []string `yaml:"peers"`
 	// RequestMemory is the maximum memory of all requests held at once, in MiB.
-	RequestMemory int           `yaml:"request_memory"`
+	RequestMemory int `yaml:"request_memory"`
+	// Heartbeat and IdleHeartbeat are the heartbeat periods of links with and without
+	// requests.
 	Heartbeat     spec.Duration `yaml:"heartbeat"`
-	// IdleHeartbeat is the heartbeat of links without work.
 	IdleHeartbeat spec.Duration `yaml:"idle_heartbeat"`
-	Grace         spec.Duration `yaml:"grace"`
+	// Grace is how long a planned stop waits for running requests.
+	Grace spec.Duration `yaml:"grace"`
 }
 
 // Agent holds the settings of an agent.
 type Agent struct {
 	Common `yaml:",inline"`
-	// Link is the address on which the agent listens for entries.
-	Link      string        `yaml:"link"`
-	Endpoint  Endpoint      `yaml:"endpoint"`
-	Admin     Admin         `yaml:"admin"`
-	Heartbeat spec.Duration `yaml:"heartbeat"`
-	// IdleHeartbeat is the heartbeat of links without work.
+	// LinkListen is the address on which the agent listens for entries.
+	Link     string   `yaml:"link"`
+	Endpoint Endpoint `yaml:"endpoint"`
+	Admin    Admin    `yaml:"admin"`
+	// Heartbeat and IdleHeartbeat are the heartbeat periods of links with and without
+	// requests.
+	Heartbeat     spec.Duration `yaml:"heartbeat"`
 	IdleHeartbeat spec.Duration `yaml:"idle_heartbeat"`
-	Grace         spec.Duration `yaml:"grace"`
+	// Grace is how long a planned stop waits for running requests.
+	Grace spec.Duration `yaml:"grace"`
 }
 
 // Endpoint kinds.
--- a/core/conf/direct.go
+++ b/core/conf/direct.go
@@ -59,7 +59,7 @@
 	Slack float64 `yaml:"slack"`
 }
 
-// Processor describes the processor time that the process may use.
+// Processor describes the processor time available to the process.
 type Processor struct {
 	// Share is the number of cores, and Speed the speed of a core relative to a usual
 	// one; a Speed of zero means one.
--- a/core/wire/frame.go
+++ b/core/wire/frame.go
@@ -20,10 +20,10 @@
 // bytes and the message's kind in one.
 const headerSize = 5
 
-// linkBuffer is the size in bytes of each of a link's two buffers. An entry has 115
-// links and 32 MB of memory at the planned fleet size, and larger buffers don't
+// linkBufferSize is the size in bytes of each of a link's two buffers. An entry has
+// 115 links and 32 MB of memory at the planned fleet size, and larger buffers don't
 // increase the token throughput.
-const linkBuffer = 8 << 10
+const linkBufferSize = 8 << 10
 
 // ErrFrameSize reports a frame whose stated length is out of range.
 var ErrFrameSize = errors.New("wire: frame length out of range: the peer is not a lycheepond process of this version, or the stream is damaged; the link is closed")
@@ -47,6 +47,7 @@
 
 var errUnknownKind = errors.New("unknown type")
 
+// encoder is a reusable encoder and the buffer that it writes to.
 type encoder struct {
 	buf bytes.Buffer
 	enc *msgpack.Encoder
@@ -92,7 +93,7 @@
 // NewReader returns a Reader on r.
 func NewReader(r io.Reader) *Reader {
 	src := bytes.NewReader(nil)
-	return &Reader{r: bufio.NewReaderSize(r, linkBuffer), src: src, dec: msgpack.NewDecoder(src)}
+	return &Reader{r: bufio.NewReaderSize(r, linkBufferSize), src: src, dec: msgpack.NewDecoder(src)}
 }
 
 // Wait blocks until the header of the next frame has arrived, without consuming it.
--- a/core/wire/frame_test.go
+++ b/core/wire/frame_test.go
@@ -9,6 +9,7 @@
 	"lycheepond/core/ident"
 )
 
+// sampleMessages returns one message of each kind.
 func sampleMessages() []Message {
 	id := ident.Make(3, 4)
 	return []Message{
@@ -88,6 +89,7 @@
 	}
 }
 
+// FuzzReader checks that no input crashes the reader.
 func FuzzReader(f *testing.F) {
 	for _, m := range sampleMessages() {
 		buf, err := Append(nil, m)
--- a/core/wire/hand.go
+++ b/core/wire/hand.go
@@ -9,7 +9,7 @@
 const (
 	// MaxRecords is the maximum number of records in one Handover.
 	MaxRecords = 64
-	// MaxShares is the maximum number of slots in one Handover.
+	// MaxSlots is the maximum number of slots in one Handover.
 	MaxShares = 4096
 )
 
@@ -32,9 +32,9 @@
 	// arrives, and only then the next one is sent.
 	Seq     uint32
 	Records KeyRecords
-	// Last is set in the final part: all records of the slots in Shares have been
-	// sent, and the sender will never act for any slot again. Shares is empty in all
-	// other parts.
+	// Last is set in the final part: all records of the keys in Slots have been sent,
+	// and the sender will never act for any slot again. Slots is empty in all other
+	// parts.
 	Last   bool
 	Shares Shares
 }
@@ -49,8 +49,8 @@
 	Seq      uint32
 }
 
-// Share is a slot and the time in Unix milliseconds before which records of its keys
-// may be lost, zero if none can be lost.
+// HandoverSlot is a slot and the time in Unix milliseconds before which records of
+// its keys may be lost, zero if none can be lost.
 type Share struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Slot     uint32
@@ -85,10 +85,10 @@
 	return err
 }
 
-// Shares is a list of at most MaxShares slots.
+// HandoverSlots is a list of at most MaxSlots slots.
 type Shares []Share
 
-// DecodeMsgpack reads at most MaxShares slots and returns an error for a longer list.
+// DecodeMsgpack reads at most MaxSlots slots and returns an error for a longer list.
 func (s *Shares) DecodeMsgpack(d *msgpack.Decoder) error {
 	list, err := decodeList[Share](d, MaxShares)
 	*s = list
--- a/core/wire/kinds.go
+++ b/core/wire/kinds.go
@@ -6,7 +6,7 @@
 // Kind returns KindProof.
 func (*Proof) Kind() Kind { return KindProof }
 
-// Kind returns KindBeat.
+// Kind returns KindHeartbeat.
 func (*Beat) Kind() Kind { return KindBeat }
 
 // Kind returns KindOffer.
@@ -27,7 +27,7 @@
 // Kind returns KindReturn.
 func (*Return) Kind() Kind { return KindReturn }
 
-// Kind returns KindKnown.
+// Kind returns KindKeyStatus.
 func (*Known) Kind() Kind { return KindKeyStatus }
 
 // Kind returns KindHead.
@@ -45,28 +45,28 @@
 // Kind returns KindAttach.
 func (*Attach) Kind() Kind { return KindAttach }
 
-// Kind returns KindLevel.
+// Kind returns KindShedLevel.
 func (*Level) Kind() Kind { return KindShedLevel }
 
-// Kind returns KindNews.
+// Kind returns KindObjectUpdate.
 func (*News) Kind() Kind { return KindObjectUpdate }
 
-// Kind returns KindLeaseAsk.
+// Kind returns KindLeaseRequest.
 func (*LeaseAsk) Kind() Kind { return KindLeaseRequest }
 
-// Kind returns KindLeaseAck.
+// Kind returns KindLeaseReply.
 func (*LeaseAck) Kind() Kind { return KindLeaseReply }
 
 // Kind returns KindFetch.
 func (*Fetch) Kind() Kind { return KindFetch }
 
-// Kind returns KindFetched.
+// Kind returns KindFetchDone.
 func (*FetchDone) Kind() Kind { return KindFetchDone }
 
 // Kind returns KindHandover.
 func (*Handover) Kind() Kind { return KindHandover }
 
-// Kind returns KindHandAck.
+// Kind returns KindHandoverAck.
 func (*HandAck) Kind() Kind { return KindHandoverAck }
 
 // Kind returns KindTally.
--- a/core/wire/late_test.go
+++ b/core/wire/late_test.go
@@ -73,21 +73,21 @@
 		t.Fatal(err)
 	}
 	conn := newPausedConn(dialled)
-	a, b := New(conn, Hello{}, Config{Heartbeat: heartbeat}), New(accepted, Hello{}, Config{Heartbeat: heartbeat})
+	pausedLink, peerLink := New(conn, Hello{}, Config{Heartbeat: heartbeat}), New(accepted, Hello{}, Config{Heartbeat: heartbeat})
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	got := make(chan Message, 1000)
 	ended := make(chan error, 2)
-	go func() { ended <- a.Run(ctx, func(m Message) { got <- m }) }()
-	go func() { ended <- b.Run(ctx, func(Message) {}) }()
+	go func() { ended <- pausedLink.Run(ctx, func(m Message) { got <- m }) }()
+	go func() { ended <- peerLink.Run(ctx, func(Message) {}) }()
 	receiveOpening(t, got)
 	<-conn.pause
-	sent := b.Counts().ControlOut
-	for conn.deadlineLeft() >= 0 || b.Counts().ControlOut == sent {
+	sent := peerLink.Counts().ControlOut
+	for conn.deadlineLeft() >= 0 || peerLink.Counts().ControlOut == sent {
 		time.Sleep(heartbeat)
 	}
 	close(conn.resume)
-	if err := b.Send(new(Known)); err != nil {
+	if err := peerLink.Send(new(Known)); err != nil {
 		t.Errorf("the peer could not send: %v", err)
 	}
 	for received := false; !received; {
--- a/core/wire/link_test.go
+++ b/core/wire/link_test.go
@@ -10,8 +10,8 @@
 	"lycheepond/core/ident"
 )
 
-// handshakePair returns two links over loopback whose handshake is done, or the errors of the
-// handshake.
+// handshakePair returns two links over loopback whose handshake is done, or the
+// errors of the handshake.
 func handshakePair(t *testing.T, a, b Keys) (*Link, *Link, error, error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/core/wire/pace_test.go
+++ b/core/wire/pace_test.go
@@ -23,11 +23,11 @@
 func TestIdleLinkSkipsHeartbeats(t *testing.T) {
 	p, start := newTestLiveness(t)
 	if p.maySkip(1, start.Add(5*time.Second)) {
-		t.Error("a heartbeat is left out while the link counts as busy")
+		t.Error("a heartbeat is skipped while the link counts as busy")
 	}
 	idleAt := start.Add(10 * time.Second)
 	if !p.maySkip(1, idleAt) || !p.maySkip(7, idleAt) || p.maySkip(8, idleAt) {
-		t.Error("want seven of eight left out")
+		t.Error("want seven of eight skipped")
 	}
 	if err := p.recordMessage(KindLeaseRequest, idleAt); err != nil || !p.maySkip(1, idleAt) {
 		t.Error("a lease request made the link busy", err)
--- a/core/wire/place.go
+++ b/core/wire/place.go
@@ -31,13 +31,13 @@
 	// pool or its shard is empty.
 	Known bool
 	// Endpoint is empty for a refusal. Addr and Slots are the endpoint's address and
-	// number of slots in the instance list of revision Roster.
+	// number of slots in the instance list of revision RosterRevision.
 	Endpoint, Addr string
 	Slots          int
 	Roster         int64
-	// Refusal is the reason of a refusal. RetryAfterUS is the time until there should
-	// be room, and SlotIntervalUS the time until a slot is free for the next request,
-	// in microseconds.
+	// RefusalReason is the reason of a refusal, an admit.Why. RetryAfterUS is the
+	// time until there should be room, and SlotIntervalUS the time until a slot is
+	// free for the next request, in microseconds.
 	Why             uint8
 	RetryUS, TurnUS int64
 	// FirstEventUS is the predicted time to the first event, WaitUS the part of it
@@ -80,11 +80,11 @@
 	Load uint32
 }
 
-// Kind returns KindPlaceAsk.
+// Kind returns KindPlaceRequest.
 func (*PlaceAsk) Kind() Kind { return KindPlaceRequest }
 
-// Kind returns KindPlaceAck.
+// Kind returns KindPlaceReply.
 func (*PlaceAck) Kind() Kind { return KindPlaceReply }
 
-// Kind returns KindPlaceNote.
+// Kind returns KindPlaceReport.
 func (*PlaceNote) Kind() Kind { return KindPlaceReport }
--- a/core/wire/shake.go
+++ b/core/wire/shake.go
@@ -139,13 +139,14 @@
 // frameConn reads exactly one frame from a connection.
 type frameConn struct {
 	conn net.Conn
-	// left is the number of bytes of the body still to read once headerRead is set.
-	left       int
+	// bodyLeft is the number of bytes of the body still to read once headerRead is
+	// set.
+	bodyLeft   int
 	headerRead bool
 }
 
 // Read implements io.Reader. It returns ErrFrameSize for a body larger than
-// maxHandshake.
+// maxHandshakeBody.
 func (o *frameConn) Read(p []byte) (int, error) {
 	if !o.headerRead {
 		if len(p) < headerSize {
@@ -155,15 +156,15 @@
 		if err != nil {
 			return n, err
 		}
-		o.left = int(binary.BigEndian.Uint32(p[:4]))
-		if o.left > maxHandshakeBody {
+		o.bodyLeft = int(binary.BigEndian.Uint32(p[:4]))
+		if o.bodyLeft > maxHandshakeBody {
 			return 0, ErrFrameSize
 		}
 		o.headerRead = true
 		return n, nil
 	}
-	n, err := o.conn.Read(p[:min(len(p), o.left)])
-	o.left -= n
+	n, err := o.conn.Read(p[:min(len(p), o.bodyLeft)])
+	o.bodyLeft -= n
 	return n, err
 }
 
--- a/core/wire/steady_test.go
+++ b/core/wire/steady_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// slowConn limits reads to perSecond bytes a second.
+// slowConn limits reads to bytesPerSecond.
 type slowConn struct {
 	net.Conn
 	bytesPerSecond int
--- a/core/wire/tally.go
+++ b/core/wire/tally.go
@@ -8,12 +8,12 @@
 type Tally struct {
 	// Addr is the sender's link address; only full tallies must contain it.
 	Addr string
-	// Config and Roster are the revisions of the configuration and of the instance
-	// list in force at the sender.
+	// ConfigRevision and RosterRevision are the revisions of the configuration and of
+	// the instance list in force at the sender.
 	Config, Roster int64
-	// Usage holds the customers whose total changed.
+	// Customers holds the customers whose total changed.
 	Used []Used
-	// Placed holds the endpoints at which the sender's in-flight requests changed.
+	// Endpoints holds the endpoints at which the sender's in-flight requests changed.
 	Held []Held
 	// Entries lists the other entries that the sender knows.
 	Entries []EntryAddr
@@ -25,7 +25,7 @@
 	// MissingFrom names the entries from which the sender has not received every
 	// tally. These send their tallies to it directly.
 	Lacks []string
-	// Queued holds the tiers of pools in which the number of the sender's queued
+	// Queues holds the tiers of pools in which the number of the sender's queued
 	// requests changed.
 	Waiting []Waiting
 	// UptimeMS is the time in milliseconds for which the sender had run when it sent
@@ -112,7 +112,9 @@
 	Pool, Target string
 	// DurationMS is the duration that the operator gave for the roll-out, and AgeMS
 	// the age of the order when the tally was sent, in milliseconds.
-	OverMS, AgeMS     uint32
+	OverMS, AgeMS uint32
+	// Created is the platform's revision of the pool's first order of this name, and
+	// Revision a revision at which the platform held this order.
 	Created, Revision int64
 	// State is a state of core/canary. LeftOldVersion is set if the sender no longer
 	// sends requests to the old version.
--- a/core/wire/tally_test.go
+++ b/core/wire/tally_test.go
@@ -9,24 +9,24 @@
 // olderTally is the Tally of a version that does not send Freshness and the fields
 // after it.
 type olderTally struct {
-	_msgpack       struct{} `msgpack:",as_array"`
-	Addr           string
-	Config, Roster int64
-	Usage          []Used
-	Placed         []Held
-	Entries        []EntryAddr
-	Seq            uint64
-	Full           bool
-	MissingFrom    []string
-	Queued         []Waiting
+	_msgpack                       struct{} `msgpack:",as_array"`
+	Addr                           string
+	ConfigRevision, RosterRevision int64
+	Customers                      []Used
+	Endpoints                      []Held
+	Entries                        []EntryAddr
+	Seq                            uint64
+	Full                           bool
+	MissingFrom                    []string
+	Queues                         []Waiting
 }
 
 // During an upgrade, entries of adjacent versions run side by side. If they could not
 // read each other's tallies, each would count the other as silent and hand out the
 // other's share of every limit a second time.
 func TestTalliesOfAdjacentVersionsAreRead(t *testing.T) {
-	waiting := []Waiting{{Pool: "p", Requests: 2}}
-	older, err := msgpack.Marshal(&olderTally{Addr: "a", Config: 3, Seq: 9, Queued: waiting})
+	queues := []Waiting{{Pool: "p", Requests: 2}}
+	older, err := msgpack.Marshal(&olderTally{Addr: "a", ConfigRevision: 3, Seq: 9, Queues: queues})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,14 +34,14 @@
 	if err := msgpack.Unmarshal(older, got); err != nil || got.Seq != 9 || len(got.Waiting) != 1 || got.ReadsOn() {
 		t.Errorf("an older tally is read as %+v, %v", got, err)
 	}
-	own := &Tally{Addr: "a", Config: 3, Seq: 9, Waiting: waiting}
+	own := &Tally{Addr: "a", Config: 3, Seq: 9, Waiting: queues}
 	own.SetReadsOn()
 	newer, err := own.Encoded()
 	if err != nil {
 		t.Fatal(err)
 	}
 	old := new(olderTally)
-	if err := msgpack.Unmarshal(newer, old); err != nil || old.Config != 3 || old.Seq != 9 || len(old.Queued) != 1 {
+	if err := msgpack.Unmarshal(newer, old); err != nil || old.ConfigRevision != 3 || old.Seq != 9 || len(old.Queues) != 1 {
 		t.Errorf("a newer tally is read as %+v, %v", old, err)
 	}
 	if err := msgpack.Unmarshal(newer, got); err != nil || !got.ReadsOn() {
@@ -52,15 +52,15 @@
 // A later version sends fields that this version does not know. They must be skipped.
 // A tally with too few fields is an error.
 func TestTallyWithUnknownFields(t *testing.T) {
-	fresh := []Fresh{{What: SnapshotConfig, AgeMS: 5, Mark: 1 << 31}}
+	freshness := []Fresh{{What: SnapshotConfig, AgeMS: 5, Mark: 1 << 31}}
 	suspects := []Suspect{{Fingerprint: []byte("fingerprint"), CompletedMS: -1, Crashes: []Crash{{Endpoint: "e", AgeMS: 5}}}}
 	rollouts := []Rollout{{Pool: "p", Target: "v2", Cells: []RolloutCell{{Route: "r", Answers: 3}}}}
-	later, err := msgpack.Marshal([]any{"a", 3, 4, nil, nil, nil, uint64(9), true, nil, nil, uint64(1) << 40, fresh, uint32(800), suspects, []Limit{{Endpoint: "e", Rate: 2.5}}, rollouts, []string{"new"}, 7})
+	later, err := msgpack.Marshal([]any{"a", 3, 4, nil, nil, nil, uint64(9), true, nil, nil, uint64(1) << 40, freshness, uint32(800), suspects, []Limit{{Endpoint: "e", Rate: 2.5}}, rollouts, []string{"new"}, 7})
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := new(Tally)
-	if err := msgpack.Unmarshal(later, got); err != nil || got.Seq != 9 || got.Clock != 1<<40 || len(got.Fresh) != 1 || got.Fresh[0] != fresh[0] || got.Capacity != 800 || len(got.Suspects) != 1 || got.Suspects[0].Crashes[0] != suspects[0].Crashes[0] || len(got.Limits) != 1 || got.Limits[0].Rate != 2.5 || len(got.Rollouts) != 1 || got.Rollouts[0].Cells[0].Answers != 3 {
+	if err := msgpack.Unmarshal(later, got); err != nil || got.Seq != 9 || got.Clock != 1<<40 || len(got.Fresh) != 1 || got.Fresh[0] != freshness[0] || got.Capacity != 800 || len(got.Suspects) != 1 || got.Suspects[0].Crashes[0] != suspects[0].Crashes[0] || len(got.Limits) != 1 || got.Limits[0].Rate != 2.5 || len(got.Rollouts) != 1 || got.Rollouts[0].Cells[0].Answers != 3 {
 		t.Errorf("a later tally is read as %+v, %v", got, err)
 	}
 	if err := msgpack.Unmarshal([]byte{0x92, 0xa1, 'a', 3}, new(Tally)); err == nil {
--- a/core/wire/tallycode.go
+++ b/core/wire/tallycode.go
@@ -11,12 +11,12 @@
 	// tallyFields is the number of fields of a tally when readers required exactly
 	// this number. The others are the numbers of fields with UptimeMS and Freshness,
 	// Capacity, Suspects, Limits and Rollouts appended in turn.
-	tallyFields    = 10
-	freshFields    = tallyFields + 2
-	capacityFields = freshFields + 1
-	suspectFields  = capacityFields + 1
-	limitsFields   = suspectFields + 1
-	rolloutFields  = limitsFields + 1
+	tallyFields     = 10
+	freshnessFields = tallyFields + 2
+	capacityFields  = freshnessFields + 1
+	suspectFields   = capacityFields + 1
+	limitsFields    = suspectFields + 1
+	rolloutFields   = limitsFields + 1
 	// moreFieldsMark is added to the names in MissingFrom by a sender that reads
 	// tallies with more than tallyFields fields. No entry has this name, and readers
 	// that require exactly tallyFields only search the list for their own name.
@@ -26,15 +26,15 @@
 var errTallyFields = errors.New("wire: a tally lacks fields: run the same version on both ends")
 
 // AcceptsMoreFields reports whether the sender reads tallies with fields after
-// Queued.
+// Queues.
 func (t *Tally) ReadsOn() bool { return slices.Contains(t.Lacks, moreFieldsMark) }
 
 // SetAcceptsMoreFields marks the sender as one that reads tallies with fields after
-// Queued.
+// Queues.
 func (t *Tally) SetReadsOn() { t.Lacks = append(slices.Clip(t.Lacks), moreFieldsMark) }
 
 // EncodeMsgpack writes the tally as an array. It omits as many of the fields after
-// Queued as possible: trailing fields without a value are left out.
+// Queues as possible: trailing fields without a value are left out.
 func (t *Tally) EncodeMsgpack(e *msgpack.Encoder) error {
 	fields := []any{t.Addr, t.Config, t.Roster, t.Used, t.Held, t.Entries, t.Seq, t.Whole, t.Lacks, t.Waiting}
 	n := tallyFields
@@ -48,12 +48,12 @@
 	case t.Capacity > 0:
 		n = capacityFields
 	case t.Clock > 0 || len(t.Fresh) > 0:
-		n = freshFields
+		n = freshnessFields
 	}
 	if err := e.EncodeArrayLen(n); err != nil {
 		return err
 	}
-	if err := e.EncodeMulti(fields...); err != nil || n < freshFields {
+	if err := e.EncodeMulti(fields...); err != nil || n < freshnessFields {
 		return err
 	}
 	// EncodeUint uses the smallest encoding, which matters because every tally has
@@ -77,7 +77,7 @@
 }
 
 // DecodeMsgpack also reads a tally of an older version, which lacks fields after
-// Queued, and one of a later version, whose additional fields it skips.
+// Queues, and one of a later version, whose additional fields it skips.
 func (t *Tally) DecodeMsgpack(d *msgpack.Decoder) error {
 	n, err := d.DecodeArrayLen()
 	if err != nil {
@@ -89,7 +89,7 @@
 	if err := d.DecodeMulti(&t.Addr, &t.Config, &t.Roster, &t.Used, &t.Held, &t.Entries, &t.Seq, &t.Whole, &t.Lacks, &t.Waiting); err != nil {
 		return err
 	}
-	if n < freshFields {
+	if n < freshnessFields {
 		return nil
 	}
 	if err := d.DecodeMulti(&t.Clock, &t.Fresh); err != nil {
--- a/core/wire/write.go
+++ b/core/wire/write.go
@@ -14,7 +14,7 @@
 // was sent for one heartbeat period, or for the idle period if the heartbeat would
 // report no change.
 func (l *Link) writeLoop(ctx context.Context) error {
-	w := bufio.NewWriterSize(l.timedConn, linkBuffer)
+	w := bufio.NewWriterSize(l.timedConn, linkBufferSize)
 	tick := time.NewTicker(l.heartbeat)
 	defer tick.Stop()
 	// The first message on a link is a heartbeat, so that the peer knows at once
