--- a/core/boot/hup_test.go
+++ b/core/boot/hup_test.go
@@ -17,10 +17,10 @@
 // under test.
 const childEnv = "LYCHEEPOND_TEST_HUP"
 
-// The settings file of a process changes, and the process receives a SIGHUP before it
-// handles the signal or after it has stopped handling it. The process and its
-// requests must continue. Without a handler, the signal's default action ended the
-// process with "signal: hangup".
+// The settings file of a process changes, and the process receives a SIGHUP before
+// the handler that reloads the file is installed or after it has been removed. The
+// process and its requests must continue. Without any handler, the signal's default
+// action ended the process with "signal: hangup".
 func TestHangupDoesNotEndProcess(t *testing.T) {
 	if path := os.Getenv(childEnv); path != "" {
 		os.Args = []string{"program", "--config", path}
--- a/core/conf/live.go
+++ b/core/conf/live.go
@@ -124,6 +124,6 @@
 }
 
 // CatchHangup prevents SIGHUP from ending the process. The signal means that the
-// settings file has changed. It may arrive before the process handles it or after it
-// has stopped handling it.
+// settings file has changed. It may arrive before the handler that reloads the file
+// is installed or after it has been removed.
 func KeepOnHangup() { signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP) }
--- a/core/feed/feed_test.go
+++ b/core/feed/feed_test.go
@@ -26,6 +26,7 @@
 type platform struct {
 	mu          sync.Mutex
 	events      []plat.Event
+	// compacted is the version up to which the changes are dropped.
 	compacted   int64
 	unavailable bool
 	// changed is closed and replaced with every change.
--- a/core/feed/peer.go
+++ b/core/feed/peer.go
@@ -17,8 +17,8 @@
 // peerTimeout bounds a fetch from one peer. 21,000 customers are about 10 MB.
 const peerTimeout = 10 * time.Second
 
-// ErrTruncated reports a peer whose link ended too early or that stated more objects
-// than arrived.
+// ErrTruncated reports a peer whose link ended too early or that stated another
+// number of objects than arrived.
 var ErrTruncated = errors.New("feed: a peer's snapshot was cut short: another peer is asked, or the same one again")
 
 // Dialer opens a connection to a link address.
