--- a/core/feed/feed_test.go
+++ b/core/feed/feed_test.go
@@ -24,8 +24,8 @@
 
 // platform is a simulated platform with an object API for classes.
 type platform struct {
-	mu          sync.Mutex
-	events      []plat.Event
+	mu     sync.Mutex
+	events []plat.Event
 	// compacted is the version up to which the changes are dropped.
 	compacted   int64
 	unavailable bool
