--- a/core/wire/frame_test.go
+++ b/core/wire/frame_test.go
@@ -9,7 +9,8 @@
 	"lycheepond/core/ident"
 )
 
-func samples() []Message {
+// sampleMessages returns one message of each kind.
+func sampleMessages() []Message {
 	id := ident.Make(3, 4)
 	return []Message{
 		&Hello{Version: 1, Role: RoleEntry, Name: "e1", Zone: "z1", Nonce: make([]byte, nonceSize)},
@@ -20,7 +21,7 @@
 		&Head{ID: id, Status: 200}, &Chunk{ID: id, Seq: 9, Data: []byte("data")},
 		&End{ID: id, Whole: true, Usage: Usage{OutputTokens: 4}}, &Cancel{ID: id},
 		&Attach{ID: id, Next: 2}, &Level{Pool: "p", Level: 2}, &News{Object: "class", Data: []byte("{}")},
-		&LeaseAsk{Seq: 1}, &LeaseAck{Seq: 1, Fresh: true}, &Fetch{}, &Fetched{Version: 3},
+		&LeaseAsk{Seq: 1}, &LeaseAck{Seq: 1, Fresh: true}, &Fetch{}, &FetchDone{Version: 3},
 		&Handover{
 			Pool: "p", From: Party{Name: "a", Incarnation: 1}, Took: 2, Last: true, Shares: Shares{{Slot: 4, Since: 5}},
 			Records: KeyRecords{{Key: []byte("k"), First: id, Status: 200, Header: Fields{{Name: "A", Value: "b"}}, Body: []byte("x")}},
@@ -36,7 +37,7 @@
 }
 
 func TestEveryKindRoundTrips(t *testing.T) {
-	all := samples()
+	all := sampleMessages()
 	if len(all) != int(kindLimit)-1 {
 		t.Fatalf("%d samples for %d kinds", len(all), kindLimit-1)
 	}
@@ -61,9 +62,9 @@
 	}
 }
 
-// A peer dies in the middle of a frame, or something that is not lycheepond
-// dials the link port. The link closes with an error that says so; nothing of
-// the half frame is handled.
+// A peer dies while it sends a frame, or a process that is not lycheepond dials the
+// link port. The link must close with an error that says so, and no part of the
+// incomplete frame may be handled.
 func TestDamagedFrames(t *testing.T) {
 	whole, err := Append(nil, &Chunk{ID: ident.Make(1, 1), Data: []byte("abc")})
 	if err != nil {
@@ -88,8 +89,9 @@
 	}
 }
 
+// FuzzReader checks that no input crashes the reader.
 func FuzzReader(f *testing.F) {
-	for _, m := range samples() {
+	for _, m := range sampleMessages() {
 		buf, err := Append(nil, m)
 		if err != nil {
 			f.Fatal(err)
@@ -107,9 +109,10 @@
 	})
 }
 
-// A hostile peer sends a small frame that claims an enormous list, or one that
-// is nested without end. Without a bound the process dies for want of memory or
-// stack and every caller on it loses its answer; with it only the link closes.
+// A hostile peer sends a small frame that states an enormous list length, or one with
+// endlessly nested lists. Without a bound the process would run out of memory or
+// stack, and all its callers would lose their answers. With the bound only the link
+// closes.
 func TestHostileLengths(t *testing.T) {
 	id := ident.Make(1, 1)
 	frame := func(k Kind, body []byte) []byte {
@@ -129,7 +132,7 @@
 	}{
 		{"list of headers", frame(KindHead, withID(3, 0xcd, 0, 200, 0xdd, 0xff, 0xff, 0xff, 0xff))},
 		{"list of headers too long by one", frame(KindHead, withID(3, 0xcd, 0, 200, 0xdc, 1, 1))},
-		{"nested lists behind the last field", frame(KindDeny, withID(2, endless...))},
+		{"nested lists after the last field", frame(KindDeny, withID(2, endless...))},
 		{"list of records", frame(KindHandover, append(handover, 0xdd, 0xff, 0xff, 0xff, 0xff))},
 		{"list of records too long by one", frame(KindHandover, append(handover, 0xdc, 0, MaxRecords+1))},
 		{"list of slots", frame(KindHandover, append(handover, 0x90, 0xc3, 0xdd, 0xff, 0xff, 0xff, 0xff))},
