--- a/agent/admin/admin.go
+++ b/agent/admin/admin.go
@@ -43,7 +43,7 @@
 // Run serves operators on ln until ctx ends.
 func (s *Server) Run(ctx context.Context, ln net.Listener) error {
 	server := &http.Server{
-		Handler: logs.Guard(s.cfg.Log, s.cfg.Panicked, nil, s.Handler()), ReadHeaderTimeout: headerTimeout, ErrorLog: logs.Server(s.cfg.Log),
+		Handler: logs.RecoverPanics(s.cfg.Log, s.cfg.Panicked, nil, s.Handler()), ReadHeaderTimeout: headerTimeout, ErrorLog: logs.ServerLogger(s.cfg.Log),
 	}
 	defer context.AfterFunc(ctx, func() { server.Close() })()
 	err := server.Serve(ln)
--- a/agent/answer/bench_test.go
+++ b/agent/answer/bench_test.go
@@ -25,7 +25,7 @@
 			b.Fatal(err)
 		}
 	}
-	l.Close(wire.End{Whole: true})
+	l.Close(wire.End{Complete: true})
 	if err := <-done; err != nil {
 		b.Fatal(err)
 	}
--- a/agent/answer/hand.go
+++ b/agent/answer/hand.go
@@ -23,14 +23,14 @@
 		return false
 	}
 	if l.base > 0 {
-		r.Gone = true
+		r.AnswerDropped = true
 		return true
 	}
 	if l.headed {
 		r.Status, r.Header = l.status, l.header
 	}
 	r.Body = bytes.Join(l.chunks, nil)
-	r.Whole, r.Reason, r.Usage = l.end.Whole, l.end.Reason, l.end.Usage
+	r.Complete, r.Reason, r.Usage = l.end.Complete, l.end.Reason, l.end.Usage
 	return true
 }
 
@@ -38,7 +38,7 @@
 // are one now. What would exceed the budget is taken in as gone.
 func Import(b *Budget, r *wire.KeyRecord) *Log {
 	l := New(b)
-	if r.Gone || b.Used()+int64(len(r.Body)) > MaxAll {
+	if r.AnswerDropped || b.Used()+int64(len(r.Body)) > MaxAll {
 		l.base = 1
 		l.Close(wire.End{Reason: wire.ReasonTooLong})
 		return l
@@ -50,6 +50,6 @@
 		// An empty log takes any piece without waiting.
 		_ = l.Append(context.Background(), r.Body)
 	}
-	l.Close(wire.End{Whole: r.Whole, Reason: r.Reason, Usage: r.Usage})
+	l.Close(wire.End{Complete: r.Complete, Reason: r.Reason, Usage: r.Usage})
 	return l
 }
--- a/agent/answer/hand_test.go
+++ b/agent/answer/hand_test.go
@@ -12,16 +12,16 @@
 func TestImportStaysWithinBudget(t *testing.T) {
 	var b Budget
 	for range MaxAll / MaxRun {
-		if l := Import(&b, &wire.KeyRecord{Status: 200, Body: make([]byte, MaxRun), Whole: true}); !l.Complete() {
+		if l := Import(&b, &wire.KeyRecord{Status: 200, Body: make([]byte, MaxRun), Complete: true}); !l.Complete() {
 			t.Fatalf("given up with %d bytes held", b.Used())
 		}
 	}
-	l := Import(&b, &wire.KeyRecord{Status: 200, Body: []byte("x"), Whole: true})
+	l := Import(&b, &wire.KeyRecord{Status: 200, Body: []byte("x"), Complete: true})
 	if l.Complete() || b.Over() {
 		t.Errorf("complete %v with %d bytes held", l.Complete(), b.Used())
 	}
 	var r wire.KeyRecord
-	if !l.Export(&r) || !r.Gone {
+	if !l.Export(&r) || !r.AnswerDropped {
 		t.Error("what was given up is not said to be gone")
 	}
 	if New(&b).Export(&r) {
--- a/agent/answer/log_test.go
+++ b/agent/answer/log_test.go
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 	}
-	l.Close(wire.End{Whole: true})
+	l.Close(wire.End{Complete: true})
 	l.Close(wire.End{})
 	if got := receive(t, l, 0); len(got) != 5 {
 		t.Fatalf("%d messages", len(got))
@@ -45,7 +45,7 @@
 	if c, ok := got[1].(*wire.Chunk); !ok || c.Seq != 2 || string(c.Data) != "c" {
 		t.Fatalf("got %#v", got[1])
 	}
-	if e, ok := got[2].(*wire.End); !ok || !e.Whole || e.Chunks != 3 || e.Bytes != 3 {
+	if e, ok := got[2].(*wire.End); !ok || !e.Complete || e.Chunks != 3 || e.Bytes != 3 {
 		t.Fatalf("got %#v", got[2])
 	}
 	if err := l.Append(ctx, []byte("d")); err == nil {
@@ -68,13 +68,13 @@
 	if b.Used() > MaxRun {
 		t.Fatalf("%d bytes held", b.Used())
 	}
-	l.Close(wire.End{Whole: true})
+	l.Close(wire.End{Complete: true})
 	got := receive(t, l, 0)
-	if e, ok := got[len(got)-1].(*wire.End); !ok || e.Whole || e.Reason != wire.ReasonTooLong {
+	if e, ok := got[len(got)-1].(*wire.End); !ok || e.Complete || e.Reason != wire.ReasonTooLong {
 		t.Fatalf("got %#v", got[len(got)-1])
 	}
 	got = receive(t, l, 11)
-	if e, ok := got[len(got)-1].(*wire.End); !ok || !e.Whole || e.Chunks != 12 {
+	if e, ok := got[len(got)-1].(*wire.End); !ok || !e.Complete || e.Chunks != 12 {
 		t.Fatalf("got %#v", got[len(got)-1])
 	}
 	l.Drop()
@@ -119,7 +119,7 @@
 	if err := l.Append(ctx, piece); err != nil {
 		t.Fatal(err)
 	}
-	l.Close(wire.End{Whole: true})
+	l.Close(wire.End{Complete: true})
 	if err := <-followed; err != nil || sent != 5*len(piece) {
 		t.Fatalf("%d bytes sent: %v", sent, err)
 	}
--- a/agent/call/call.go
+++ b/agent/call/call.go
@@ -77,7 +77,7 @@
 
 // Fill sets the times of u.
 func (p *Progress) Fill(u *wire.Usage) {
-	u.FirstMS = uint32(p.First.Load() / int64(time.Millisecond))
+	u.FirstByteMS = uint32(p.First.Load() / int64(time.Millisecond))
 	u.TotalMS = uint32(time.Since(p.begun).Milliseconds())
 }
 
--- a/agent/links/links.go
+++ b/agent/links/links.go
@@ -129,7 +129,7 @@
 	if s.cfg.Secure != nil {
 		conn = s.cfg.Secure(conn)
 	}
-	hello, err := wire.Open(ctx, conn, s.cfg.Self, s.cfg.Keys())
+	hello, err := wire.Handshake(ctx, conn, s.cfg.Self, s.cfg.Keys())
 	if err == nil && hello.Role != wire.RoleEntry {
 		err = wire.ErrHandshake
 	}
@@ -140,7 +140,7 @@
 	owner := s.cfg.Owner
 	link := wire.New(conn, hello, wire.Config{
 		Heartbeat: s.cfg.Heartbeat, Idle: s.cfg.Self.Idle(),
-		Beat: func() wire.Message { return &wire.Beat{Load: owner.Load(), Leaving: owner.Load().Leaving} },
+		NewHeartbeat: func() wire.Message { return &wire.Heartbeat{Load: owner.Load(), Leaving: owner.Load().Leaving} },
 	})
 	p := &slot.Peer{Name: hello.Name, Incarnation: hello.Incarnation, Send: link.Send, SendWait: link.SendWait}
 	if owner.LinkUp(ctx, p) != nil {
@@ -225,7 +225,7 @@
 }
 
 func (s *Server) handle(ctx context.Context, p *slot.Peer, m wire.Message) {
-	if m.Kind() == wire.KindBeat {
+	if m.Kind() == wire.KindHeartbeat {
 		return
 	}
 	_ = s.cfg.Owner.Message(ctx, p, m)
--- a/agent/links/links_test.go
+++ b/agent/links/links_test.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	agent, err := wire.Open(ctx, conn, wire.Hello{Role: wire.RoleEntry, Name: "e", Zone: "z", Incarnation: 2}, keys)
+	agent, err := wire.Handshake(ctx, conn, wire.Hello{Role: wire.RoleEntry, Name: "e", Zone: "z", Incarnation: 2}, keys)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := l.SendWait(ctx, &wire.End{ID: id, Chunks: pieces, Whole: true}); err != nil {
+	if err := l.SendWait(ctx, &wire.End{ID: id, Chunks: pieces, Complete: true}); err != nil {
 		t.Fatal(err)
 	}
 	<-busy
--- a/agent/main.go
+++ b/agent/main.go
@@ -15,7 +15,7 @@
 
 func main() {
 	p := boot.Program[conf.Agent]{
-		Name: "agent", About: "stands in the slot beside one endpoint and decides what reaches it", Release: release,
+		Name: "agent", Description: "stands in the slot beside one endpoint and decides what reaches it", Release: release,
 		Run: run,
 	}
 	os.Exit(p.Main())
--- a/agent/node.go
+++ b/agent/node.go
@@ -47,7 +47,7 @@
 	certs *certs.Source
 	log   *zap.Logger
 	// live holds the fleet's keys, which are replaced without a restart.
-	live  *conf.Live
+	live  *conf.LiveKeys
 	set   *meter.Set
 	owner *slot.Owner
 	links *links.Server
@@ -67,9 +67,9 @@
 		cfg: cfg, log: logs.New(cfg.Log.Level, cfg.Name), set: meter.New(), out: os.Stdout,
 		side: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, Proxy: nil}},
 	}
-	n.live = conf.NewLive(path, cfg.Keys(), conf.AgentKeys)
+	n.live = conf.NewLiveKeys(path, cfg.Keys(), conf.AgentKeys)
 	var err error
-	if n.certs, err = certs.Logged(certs.Files(cfg.TLS), n.log); err != nil {
+	if n.certs, err = certs.NewLogged(certs.Files(cfg.TLS), n.log); err != nil {
 		return nil, err
 	}
 	begun := time.Now()
@@ -107,11 +107,11 @@
 }
 
 func (n *node) gauges() {
-	n.set.Process()
+	n.set.RegisterProcess()
 	n.set.GaugeFunc("agent_in_flight", func() int64 { return int64(n.owner.Load().InFlight) })
-	n.set.GaugeFunc("agent_bound", func() int64 { return int64(n.owner.Load().Bound) })
+	n.set.GaugeFunc("agent_bound", func() int64 { return int64(n.owner.Load().InFlightBound) })
 	n.set.GaugeFunc("agent_queued", func() int64 { return int64(n.owner.Load().Queued) })
-	n.set.GaugeFunc("agent_level", func() int64 { return int64(n.owner.Load().Level) })
+	n.set.GaugeFunc("agent_level", func() int64 { return int64(n.owner.Load().ShedLevel) })
 	n.set.GaugeFunc("agent_kept_bytes", func() int64 { return n.owner.Status().Kept })
 	n.set.GaugeFunc("agent_control_in_bytes", func() int64 { return int64(n.links.Counts().ControlIn) })
 	n.set.GaugeFunc("agent_control_out_bytes", func() int64 { return int64(n.links.Counts().ControlOut) })
@@ -122,9 +122,9 @@
 // run serves until ctx ends, which begins a planned stop, and the stop is
 // complete.
 func (n *node) run(ctx context.Context) error {
-	ln, err := net.Listen("tcp", n.cfg.Link)
+	ln, err := net.Listen("tcp", n.cfg.LinkListen)
 	if err != nil {
-		return fmt.Errorf("cannot listen on %s: %w: another agent stands in this slot, or the address is not this instance's", n.cfg.Link, err)
+		return fmt.Errorf("cannot listen on %s: %w: another agent stands in this slot, or the address is not this instance's", n.cfg.LinkListen, err)
 	}
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -144,7 +144,7 @@
 	}
 	duty(func() error { return n.links.Run(work, ln) })
 	duty(func() error { return probe.Run(work, n.cfg.Endpoint.Address, n.side, n.owner.Report) })
-	duty(func() error { return n.live.Follow(work, n.live.Logged(n.log)) })
+	duty(func() error { return n.live.Follow(work, n.live.LogReload(n.log)) })
 	unhook := context.AfterFunc(ctx, func() { _ = n.owner.Leave(work) })
 	defer unhook()
 	if err := json.NewEncoder(n.out).Encode(ready{n.cfg.Name, ln.Addr().String()}); err != nil {
--- a/agent/node_test.go
+++ b/agent/node_test.go
@@ -32,11 +32,11 @@
 	endpoint := httptest.NewServer(h)
 	t.Cleanup(endpoint.Close)
 	cfg := &conf.Agent{
-		Common:   conf.Common{Name: "a", Zone: "z", FleetKey: fleetKey, Log: conf.Log{Level: "error"}},
-		Link:     "127.0.0.1:0",
-		Endpoint: conf.Endpoint{Address: endpoint.URL, Kind: kind},
-		Admin:    conf.Admin{Listen: "127.0.0.1:0", Token: "token"},
-		Grace:    spec.Duration(10 * time.Second), Heartbeat: spec.Duration(time.Second),
+		Common:     conf.Common{Name: "a", Zone: "z", FleetKey: fleetKey, Log: conf.Log{Level: "error"}},
+		LinkListen: "127.0.0.1:0",
+		Endpoint:   conf.Endpoint{Address: endpoint.URL, Kind: kind},
+		Admin:      conf.Admin{Listen: "127.0.0.1:0", Token: "token"},
+		Grace:      spec.Duration(10 * time.Second), Heartbeat: spec.Duration(time.Second),
 	}
 	n, err := newNode(cfg, "none")
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
 	t.Cleanup(stop)
-	hello, err := wire.Open(ctx, conn, wire.Hello{Role: wire.RoleEntry, Name: "e", Incarnation: 5}, wire.OneKey([]byte(key)))
+	hello, err := wire.Handshake(ctx, conn, wire.Hello{Role: wire.RoleEntry, Name: "e", Incarnation: 5}, wire.OneKey([]byte(key)))
 	if err != nil {
 		conn.Close()
 		return nil, nil, err
@@ -125,7 +125,7 @@
 	if c := await[*wire.Chunk](t, got); string(c.Data) != "PUT /swaps/7?x=1 yes" {
 		t.Fatalf("chunk %q", c.Data)
 	}
-	if e := await[*wire.End](t, got); !e.Whole {
+	if e := await[*wire.End](t, got); !e.Complete {
 		t.Fatalf("end %+v", e)
 	}
 	if _, _, err := dial(t, a, "another fleet's key"); err == nil {
@@ -157,7 +157,7 @@
 	send(t, link, &wire.Grant{ID: id, Method: http.MethodGet, Path: "/"})
 	await[*wire.Chunk](t, got)
 	a.stop()
-	for !await[*wire.Beat](t, got).Load.Leaving {
+	for !await[*wire.Heartbeat](t, got).Load.Leaving {
 		continue
 	}
 	send(t, link, &wire.Offer{ID: ident.Make(5, 2), Pool: "app"})
@@ -168,7 +168,7 @@
 	if c := await[*wire.Chunk](t, got); string(c.Data) != "last" {
 		t.Fatalf("chunk %q", c.Data)
 	}
-	if e := await[*wire.End](t, got); !e.Whole || e.Bytes != uint64(len("first last")) {
+	if e := await[*wire.End](t, got); !e.Complete || e.Bytes != uint64(len("first last")) {
 		t.Fatalf("end %+v", e)
 	}
 	if err := <-a.end; err != nil {
@@ -180,7 +180,7 @@
 // not start: both would give orders to the same engine.
 func TestSlotTakesOneAgent(t *testing.T) {
 	a := startAgent(t, conf.EndpointService, http.NotFound)
-	cfg := &conf.Agent{Common: conf.Common{Name: "b", FleetKey: fleetKey}, Link: a.link, Endpoint: conf.Endpoint{Address: "http://127.0.0.1:1"}}
+	cfg := &conf.Agent{Common: conf.Common{Name: "b", FleetKey: fleetKey}, LinkListen: a.link, Endpoint: conf.Endpoint{Address: "http://127.0.0.1:1"}}
 	n, err := newNode(cfg, "none")
 	if err != nil {
 		t.Fatal(err)
--- a/agent/slot/attach.go
+++ b/agent/slot/attach.go
@@ -27,11 +27,11 @@
 		return
 	}
 	if r != nil && r.log != nil {
-		o.startFollow(r, r.id, r.log, p, m.Next)
+		o.startFollow(r, r.id, r.log, p, m.NextSeq)
 		r.link = p
 		return
 	}
-	foreign := m.Agent != 0 && m.Agent != o.cfg.Self.Incarnation
+	foreign := m.AgentIncarnation != 0 && m.AgentIncarnation != o.cfg.Self.Incarnation
 	if r == nil || foreign {
 		o.resume(now, p, m)
 		return
@@ -62,7 +62,7 @@
 		return
 	}
 	r.log = answer.New(&o.budget)
-	o.startFollow(r, r.id, r.log, p, m.Next)
+	o.startFollow(r, r.id, r.log, p, m.NextSeq)
 	id := m.ID
 	o.launch(now, r, func(ctx context.Context, sink call.Sink) call.Result {
 		res := o.cfg.Resume(ctx, id, sink, r.progress)
--- a/agent/slot/event.go
+++ b/agent/slot/event.go
@@ -116,15 +116,15 @@
 		o.cancel(now, p, m)
 	case *wire.Attach:
 		o.attach(now, p, m)
-	case *wire.Level:
+	case *wire.ShedLevel:
 		o.level(now, p, m)
-	case *wire.News:
+	case *wire.ObjectUpdate:
 		o.news(now, m)
-	case *wire.LeaseAck:
+	case *wire.LeaseReply:
 		o.leaseAck(now, p, m)
 	case *wire.Handover:
 		o.handover(now, p, m)
-	case *wire.HandAck:
+	case *wire.HandoverAck:
 		o.handAck(now, m)
 	}
 }
--- a/agent/slot/hand.go
+++ b/agent/slot/hand.go
@@ -54,11 +54,11 @@
 	at  time.Duration
 }
 
-func party(o spec.HomeOwner) wire.Party {
-	return wire.Party{Name: o.Name, Incarnation: o.Incarnation}
+func party(o spec.HomeOwner) wire.AgentProcess {
+	return wire.AgentProcess{Name: o.Name, Incarnation: o.Incarnation}
 }
 
-func homeOwner(p wire.Party) spec.HomeOwner {
+func homeOwner(p wire.AgentProcess) spec.HomeOwner {
 	return spec.HomeOwner{Name: p.Name, Incarnation: p.Incarnation}
 }
 
@@ -109,7 +109,7 @@
 		in[s.Slot] = true
 	}
 	// A table of more slots than fit is left to the lease.
-	h := &hand{pool: pool, gift: g, done: len(g.Shares) > wire.MaxShares}
+	h := &hand{pool: pool, gift: g, done: len(g.Shares) > wire.MaxSlots}
 	slots := len(holder.Table().Slots)
 	for _, k := range o.oldKeys {
 		if k.pool == pool && in[homes.Slot([]byte(k.key), slots)] {
@@ -135,7 +135,7 @@
 		return
 	}
 	if h.part == nil {
-		h.part = &wire.Handover{Pool: h.pool, From: party(o.cfg.Self), To: party(h.gift.To), Took: h.gift.Took}
+		h.part = &wire.Handover{Pool: h.pool, From: party(o.cfg.Self), To: party(h.gift.To), Epoch: h.gift.Took}
 		o.fill(h)
 	}
 	h.next = now + handAgain
@@ -156,7 +156,7 @@
 			return
 		}
 		h.taken++
-		r := wire.KeyRecord{Key: []byte(k.key), First: k.first, Digest: k.digest}
+		r := wire.KeyRecord{Key: []byte(k.key), FirstID: k.first, Digest: k.digest}
 		if !k.lost && k.log.Export(&r) {
 			h.part.Records = append(h.part.Records, r)
 			size += len(r.Body)
@@ -165,23 +165,23 @@
 	h.part.Last = true
 	for _, s := range h.gift.Shares {
 		since := max(s.Since, o.keyFloor)
-		h.part.Shares = append(h.part.Shares, wire.Share{Slot: uint32(s.Slot), Since: since})
+		h.part.Slots = append(h.part.Slots, wire.HandoverSlot{Slot: uint32(s.Slot), LostBefore: since})
 	}
 }
 
-func (o *Owner) handAck(now time.Duration, m *wire.HandAck) {
+func (o *Owner) handAck(now time.Duration, m *wire.HandoverAck) {
 	for _, h := range o.hands {
-		if h.done || h.part == nil || h.pool != m.Pool || h.part.To != m.From || h.part.Took != m.Took || h.part.Seq != m.Seq {
+		if h.done || h.part == nil || h.pool != m.Pool || h.part.To != m.From || h.part.Epoch != m.Epoch || h.part.Seq != m.Seq {
 			continue
 		}
 		last := h.part
 		if last.Last {
 			h.done, h.part, h.keys = true, nil, nil
-			logs.Info(o.log, logs.EventKeysHanded, zap.String("pool", h.pool), zap.String("to", h.gift.To.Name), zap.Int("slots", len(h.gift.Shares)))
+			logs.Info(o.log, logs.EventKeysHandedOver, zap.String("pool", h.pool), zap.String("to", h.gift.To.Name), zap.Int("slots", len(h.gift.Shares)))
 			return
 		}
 		h.keys, h.next = h.keys[h.taken:], now
-		h.part = &wire.Handover{Pool: last.Pool, From: last.From, To: last.To, Took: last.Took, Seq: last.Seq + 1}
+		h.part = &wire.Handover{Pool: last.Pool, From: last.From, To: last.To, Epoch: last.Epoch, Seq: last.Seq + 1}
 		o.fill(h)
 		o.sendHand(now, h)
 	}
@@ -219,10 +219,10 @@
 // all is as without a handover.
 func (o *Owner) handover(now time.Duration, p *Peer, m *wire.Handover) {
 	h := o.homes[m.Pool]
-	if o.leaving || h == nil || homeOwner(m.To) != o.cfg.Self || h.Table().Epoch < m.Took || len(o.keys)+len(m.Records) > maxKeys {
+	if o.leaving || h == nil || homeOwner(m.To) != o.cfg.Self || h.Table().Epoch < m.Epoch || len(o.keys)+len(m.Records) > maxKeys {
 		return
 	}
-	id := takeID{pool: m.Pool, from: homeOwner(m.From), took: m.Took}
+	id := takeID{pool: m.Pool, from: homeOwner(m.From), took: m.Epoch}
 	t := o.takes[id]
 	if m.Seq > t.seq {
 		return
@@ -236,7 +236,7 @@
 		}
 		o.takes[id] = taking{seq: t.seq + 1, at: now}
 	}
-	o.send(p, &wire.HandAck{Pool: m.Pool, From: m.To, To: m.From, Took: m.Took, Seq: m.Seq})
+	o.send(p, &wire.HandoverAck{Pool: m.Pool, From: m.To, To: m.From, Epoch: m.Epoch, Seq: m.Seq})
 }
 
 // take keeps the records of one part. They are true even if the parts behind
@@ -248,16 +248,16 @@
 		if o.keys[string(r.Key)] != nil || !h.Expects(homes.Slot(r.Key, slots), id.from, id.took) {
 			continue
 		}
-		k := &keyRec{key: string(r.Key), pool: m.Pool, first: r.First, digest: r.Digest, log: answer.Import(&o.budget, r), ended: now}
+		k := &keyRec{key: string(r.Key), pool: m.Pool, first: r.FirstID, digest: r.Digest, log: answer.Import(&o.budget, r), ended: now}
 		o.keys[k.key] = k
 		o.oldKeys = append(o.oldKeys, k)
 	}
 	if !m.Last {
 		return
 	}
-	shares := make([]homes.Share, 0, len(m.Shares))
-	for _, s := range m.Shares {
-		shares = append(shares, homes.Share{Slot: int(s.Slot), Since: s.Since})
+	shares := make([]homes.Share, 0, len(m.Slots))
+	for _, s := range m.Slots {
+		shares = append(shares, homes.Share{Slot: int(s.Slot), Since: s.LostBefore})
 	}
 	h.Receive(id.from, id.took, shares)
 	logs.Info(o.log, logs.EventKeyTakenOver, zap.String("pool", m.Pool), zap.String("from", m.From.Name), zap.Int("slots", len(shares)))
--- a/agent/slot/hand_test.go
+++ b/agent/slot/hand_test.go
@@ -19,9 +19,9 @@
 func moved(epoch int64) spec.Homes {
 	t := table(epoch, startWall+time.Hour.Milliseconds())
 	t.Owners[0] = spec.HomeOwner{Name: "n", Incarnation: nextInc}
-	t.Left = []spec.HomeOwner{{Name: "a", Incarnation: selfInc}}
+	t.FormerOwners = []spec.HomeOwner{{Name: "a", Incarnation: selfInc}}
 	for i := range t.Slots {
-		t.Slots[i].From = 1
+		t.Slots[i].PreviousOwner = 1
 	}
 	return t
 }
@@ -49,7 +49,7 @@
 	for last := false; !last; parts++ {
 		m := next[*wire.Handover](p)
 		q.send(m)
-		p.send(next[*wire.HandAck](q))
+		p.send(next[*wire.HandoverAck](q))
 		last = m.Last
 	}
 	return parts
@@ -93,7 +93,7 @@
 	}
 	b.pump(b.o.left)
 	q.send(keyed(501, "kept", 2))
-	if k := next[*wire.Known](q); k.State != wire.KeyJoined || k.First != offerOf(1).ID {
+	if k := next[*wire.KeyStatus](q); k.State != wire.KeyJoined || k.FirstID != offerOf(1).ID {
 		t.Fatalf("known %+v", k)
 	}
 	if h := next[*wire.Head](q); h.Status != 200 {
@@ -102,17 +102,17 @@
 	if ch := next[*wire.Chunk](q); string(ch.Data) != "filed" {
 		t.Fatalf("chunk %+v", ch)
 	}
-	if e := next[*wire.End](q); !e.Whole || e.Bytes != 5 {
+	if e := next[*wire.End](q); !e.Complete || e.Bytes != 5 {
 		t.Fatalf("end %+v", e)
 	}
 	other := keyed(502, "kept", 2)
 	other.Digest++
 	q.send(other)
-	if k := next[*wire.Known](q); k.State != wire.KeyMismatch {
+	if k := next[*wire.KeyStatus](q); k.State != wire.KeyMismatch {
 		t.Fatalf("known %+v", k)
 	}
 	q.send(keyed(503, "gone", 2))
-	if k := next[*wire.Known](q); k.State != wire.KeyForgotAnswer {
+	if k := next[*wire.KeyStatus](q); k.State != wire.KeyAnswerDropped {
 		t.Fatalf("known %+v", k)
 	}
 	q.started(keyed(504, "never used", 2))
@@ -133,7 +133,7 @@
 	first := next[*wire.Handover](p)
 	q.learn(table(1, 0))
 	q.send(first)
-	none[*wire.HandAck](q)
+	none[*wire.HandoverAck](q)
 	q.learn(moved(2))
 	b.after(handAgain)
 	again := next[*wire.Handover](p)
@@ -142,8 +142,8 @@
 	}
 	q.send(again)
 	q.send(first)
-	ack := next[*wire.HandAck](q)
-	next[*wire.HandAck](q)
+	ack := next[*wire.HandoverAck](q)
+	next[*wire.HandoverAck](q)
 	p.send(ack)
 	p.send(ack)
 	last := next[*wire.Handover](p)
@@ -153,13 +153,13 @@
 	skipped := *last
 	skipped.Seq++
 	q.send(&skipped)
-	none[*wire.HandAck](q)
+	none[*wire.HandoverAck](q)
 	q.send(keyed(900, "k", 2))
 	if r := next[*wire.Return](q); r.Reason != wire.ReasonNoLease {
 		t.Fatalf("acts before the last part: %+v", r)
 	}
 	q.send(last)
-	p.send(next[*wire.HandAck](q))
+	p.send(next[*wire.HandoverAck](q))
 	if len(c.o.keys) != wire.MaxRecords+1 {
 		t.Fatalf("%d records", len(c.o.keys))
 	}
@@ -208,7 +208,7 @@
 	c.after(homes.Margin(testLease))
 	q.confirm(2, 0)
 	q.send(keyed(900, "k", 2))
-	if k := next[*wire.Known](q); k.State != wire.KeyUnknown {
+	if k := next[*wire.KeyStatus](q); k.State != wire.KeyUnknown {
 		t.Fatalf("known %+v", k)
 	}
 }
@@ -229,7 +229,7 @@
 	b.after(tickEvery)
 	carry(p, q)
 	q.send(keyed(2, "k", 2))
-	if e := next[*wire.End](q); e.Whole || e.Reason != before.Reason {
+	if e := next[*wire.End](q); e.Complete || e.Reason != before.Reason {
 		t.Fatalf("end %+v, before %+v", e, before)
 	}
 }
@@ -245,10 +245,10 @@
 		c.o.keys[id.String()] = &keyRec{first: id}
 	}
 	q.send(&wire.Handover{
-		Pool: pool, From: wire.Party{Name: "a", Incarnation: selfInc}, To: party(c.o.cfg.Self), Took: 2,
-		Records: wire.KeyRecords{{Key: []byte("k")}}, Last: true, Shares: wire.Shares{{}, {Slot: 1}, {Slot: 2}, {Slot: 3}},
+		Pool: pool, From: wire.AgentProcess{Name: "a", Incarnation: selfInc}, To: party(c.o.cfg.Self), Epoch: 2,
+		Records: wire.KeyRecords{{Key: []byte("k")}}, Last: true, Slots: wire.HandoverSlots{{}, {Slot: 1}, {Slot: 2}, {Slot: 3}},
 	})
-	none[*wire.HandAck](q)
+	none[*wire.HandoverAck](q)
 	if len(c.o.keys) != maxKeys || c.o.homes[pool].Since([]byte("k")) == 0 {
 		t.Errorf("%d records", len(c.o.keys))
 	}
@@ -267,9 +267,9 @@
 	b.after(tickEvery)
 	carry(p, q)
 	m := keyed(1, "forgotten", 2)
-	m.KeyMade = startWall + 400
+	m.KeyCreatedMS = startWall + 400
 	q.send(m)
-	if k := next[*wire.Known](q); k.State != wire.KeyUnknown {
+	if k := next[*wire.KeyStatus](q); k.State != wire.KeyUnknown {
 		t.Fatalf("known %+v", k)
 	}
 }
--- a/agent/slot/keys.go
+++ b/agent/slot/keys.go
@@ -46,7 +46,7 @@
 		o.sendReturn(r, reason)
 		return false
 	}
-	k := o.keys[string(m.Key)]
+	k := o.keys[string(m.KeyHash)]
 	if k == nil {
 		return o.admitNew(now, r)
 	}
@@ -60,19 +60,19 @@
 	case k.log.Complete():
 		o.join(now, r, k)
 	default:
-		o.sendKnown(r, k.first, wire.KeyForgotAnswer)
+		o.sendKnown(r, k.first, wire.KeyAnswerDropped)
 	}
 	return false
 }
 
 func (o *Owner) admitNew(_ time.Duration, r *rec) bool {
 	m := r.offer
-	since := max(o.homes[m.Pool].Since(m.Key), o.keyFloor)
-	if !homes.Usable(m.KeyMade, since, o.cfg.Wall()) {
+	since := max(o.homes[m.Pool].Since(m.KeyHash), o.keyFloor)
+	if !homes.Usable(m.KeyCreatedMS, since, o.cfg.Wall()) {
 		o.sendKnown(r, ident.ID{}, wire.KeyUnknown)
 		return false
 	}
-	k := &keyRec{key: string(m.Key), pool: m.Pool, first: m.ID, digest: m.Digest}
+	k := &keyRec{key: string(m.KeyHash), pool: m.Pool, first: m.ID, digest: m.Digest}
 	o.keys[k.key] = k
 	r.key = k
 	return true
@@ -84,7 +84,7 @@
 	if h == nil {
 		return wire.ReasonNotHome
 	}
-	switch h.Owns(now, m.Key, m.Epoch) {
+	switch h.Owns(now, m.KeyHash, m.Epoch) {
 	case homes.NotHome:
 		return wire.ReasonNotHome
 	case homes.NoLease:
@@ -111,7 +111,7 @@
 
 func (o *Owner) sendKnown(r *rec, first ident.ID, state wire.KeyState) {
 	logs.Info(o.log, logs.EventKeyKnown, logs.Request(r.id), zap.Stringer("first", first), zap.Uint8("state", uint8(state)))
-	o.send(r.link, &wire.Known{ID: r.id, First: first, State: state})
+	o.send(r.link, &wire.KeyStatus{ID: r.id, FirstID: first, State: state})
 }
 
 // join gives r the answer of its key's first run.
--- a/agent/slot/keys_test.go
+++ b/agent/slot/keys_test.go
@@ -22,7 +22,7 @@
 		Slots:  make([]spec.HomeSlot, 4),
 	}
 	for i := range t.Slots {
-		t.Slots[i] = spec.HomeSlot{Since: since, Took: epoch}
+		t.Slots[i] = spec.HomeSlot{LostBefore: since, OwnedSinceEpoch: epoch}
 	}
 	return t
 }
@@ -39,7 +39,7 @@
 	if err != nil {
 		p.b.t.Fatal(err)
 	}
-	p.send(&wire.News{Object: spec.KindHomes, Name: pool, Version: t.Epoch, Data: data})
+	p.send(&wire.ObjectUpdate{ObjectKind: spec.KindHomes, Name: pool, Version: t.Epoch, Data: data})
 }
 
 // confirm answers the agent's next question about the pool.
@@ -47,13 +47,13 @@
 	p.b.t.Helper()
 	p.b.o.askNext = 0
 	p.b.after(0)
-	a := next[*wire.LeaseAsk](p)
-	p.send(&wire.LeaseAck{Seq: a.Seq, Pool: a.Pool, Epoch: epoch, AgeMS: uint32(age.Milliseconds()), Fresh: true})
+	a := next[*wire.LeaseRequest](p)
+	p.send(&wire.LeaseReply{Seq: a.Seq, Pool: a.Pool, Epoch: epoch, AgeMS: uint32(age.Milliseconds()), Confirmed: true})
 }
 
 func keyed(n uint64, key string, epoch int64) *wire.Offer {
 	m := offerOf(n)
-	m.Key, m.Epoch, m.Digest, m.Repeatable, m.Cancellable = []byte(key), epoch, 1, false, false
+	m.KeyHash, m.Epoch, m.Digest, m.Repeatable, m.Cancellable = []byte(key), epoch, 1, false, false
 	return m
 }
 
@@ -69,14 +69,14 @@
 	b.do(linkDown{p.Peer})
 	q := b.link(entryInc + 1)
 	q.send(keyed(2, "k", 1))
-	if k := next[*wire.Known](q); k.State != wire.KeyJoined || k.First != first.ID {
+	if k := next[*wire.KeyStatus](q); k.State != wire.KeyJoined || k.FirstID != first.ID {
 		t.Fatalf("known %+v", k)
 	}
 	r.answer("filed")
 	if c := next[*wire.Chunk](q); string(c.Data) != "filed" || c.ID != offerOf(2).ID {
 		t.Fatalf("chunk %+v", c)
 	}
-	if e := next[*wire.End](q); !e.Whole {
+	if e := next[*wire.End](q); !e.Complete {
 		t.Fatalf("end %+v", e)
 	}
 	q.send(keyed(3, "k", 1))
@@ -104,7 +104,7 @@
 	p.send(keyed(3, "k", 1))
 	q.send(grantOf(offerOf(2)))
 	b.run().answer("filed")
-	if k := next[*wire.Known](p); k.State != wire.KeyJoined {
+	if k := next[*wire.KeyStatus](p); k.State != wire.KeyJoined {
 		t.Fatalf("known %+v", k)
 	}
 	if c := next[*wire.Chunk](p); string(c.Data) != "filed" {
@@ -122,7 +122,7 @@
 	other := keyed(2, "k", 1)
 	other.Digest = 2
 	p.send(other)
-	if k := next[*wire.Known](p); k.State != wire.KeyMismatch {
+	if k := next[*wire.KeyStatus](p); k.State != wire.KeyMismatch {
 		t.Fatalf("known %+v", k)
 	}
 }
@@ -142,20 +142,20 @@
 	b.after(homes.Margin(testLease))
 	p.confirm(2, 0)
 	old := keyed(2, "k", 2)
-	old.KeyMade = since - 1
+	old.KeyCreatedMS = since - 1
 	p.send(old)
-	if k := next[*wire.Known](p); k.State != wire.KeyUnknown {
+	if k := next[*wire.KeyStatus](p); k.State != wire.KeyUnknown {
 		t.Fatalf("known %+v", k)
 	}
 	p.send(keyed(3, "opaque", 2))
-	if k := next[*wire.Known](p); k.State != wire.KeyUnknown {
+	if k := next[*wire.KeyStatus](p); k.State != wire.KeyUnknown {
 		t.Fatalf("known %+v", k)
 	}
 	b.idle()
 	b.after(homes.Skew + time.Millisecond)
 	p.confirm(2, 0)
 	young := keyed(4, "young", 2)
-	young.KeyMade = startWall + b.clock.Milliseconds()
+	young.KeyCreatedMS = startWall + b.clock.Milliseconds()
 	p.started(young)
 }
 
@@ -229,7 +229,7 @@
 	next[*wire.End](p)
 	b.o.recs[offerOf(1).ID].log.Drop()
 	p.send(keyed(2, "k", 1))
-	if k := next[*wire.Known](p); k.State != wire.KeyForgotAnswer {
+	if k := next[*wire.KeyStatus](p); k.State != wire.KeyAnswerDropped {
 		t.Fatalf("known %+v", k)
 	}
 	b.idle()
--- a/agent/slot/lease.go
+++ b/agent/slot/lease.go
@@ -30,8 +30,8 @@
 	pool string
 }
 
-func (o *Owner) news(now time.Duration, m *wire.News) {
-	switch m.Object {
+func (o *Owner) news(now time.Duration, m *wire.ObjectUpdate) {
+	switch m.ObjectKind {
 	case spec.KindHomes:
 		o.newsHomes(now, m)
 	case spec.KindAssign:
@@ -39,8 +39,8 @@
 	}
 }
 
-func (o *Owner) newsHomes(now time.Duration, m *wire.News) {
-	if m.Gone {
+func (o *Owner) newsHomes(now time.Duration, m *wire.ObjectUpdate) {
+	if m.Deleted {
 		// A table that vanished takes nothing back: its epochs may return, so
 		// the newest one known stays in force.
 		return
@@ -51,7 +51,7 @@
 		err = homes.Check(t)
 	}
 	if err != nil {
-		logs.Error(o.log, logs.EventConfigRejected, zap.String("object", m.Object+"/"+m.Name), zap.Int64("version", m.Version), zap.Error(err))
+		logs.Error(o.log, logs.EventConfigRejected, zap.String("object", m.ObjectKind+"/"+m.Name), zap.Int64("version", m.Version), zap.Error(err))
 		return
 	}
 	h := o.homes[m.Name]
@@ -98,20 +98,20 @@
 		}
 		o.askSeq++
 		o.asks[o.askSeq] = ask{at: now, pool: pool}
-		o.send(s.link, &wire.LeaseAsk{Seq: o.askSeq, Pool: pool})
+		o.send(s.link, &wire.LeaseRequest{Seq: o.askSeq, Pool: pool})
 		if n++; n == askLinks {
 			return
 		}
 	}
 }
 
-func (o *Owner) leaseAck(now time.Duration, _ *Peer, m *wire.LeaseAck) {
+func (o *Owner) leaseAck(now time.Duration, _ *Peer, m *wire.LeaseReply) {
 	a, ok := o.asks[m.Seq]
 	if !ok || a.pool != m.Pool {
 		return
 	}
 	delete(o.asks, m.Seq)
-	if !m.Fresh {
+	if !m.Confirmed {
 		return
 	}
 	if h := o.homes[m.Pool]; h != nil {
--- a/agent/slot/level.go
+++ b/agent/slot/level.go
@@ -15,7 +15,7 @@
 
 // level takes in the shed level of a pool. The strictest of what entries say
 // is in force, so that none of them refuses a tier while a lower one runs here.
-func (o *Owner) level(now time.Duration, p *Peer, m *wire.Level) {
+func (o *Owner) level(now time.Duration, p *Peer, m *wire.ShedLevel) {
 	before := o.levelOf(now, m.Pool)
 	o.session(p).levels[m.Pool] = levelHeard{level: m.Level, until: now + ms(m.HoldMS)}
 	after := o.levelOf(now, m.Pool)
--- a/agent/slot/load.go
+++ b/agent/slot/load.go
@@ -27,10 +27,10 @@
 		now = o.cfg.Now()
 	}
 	l.InFlight = uint16(len(o.running) + len(o.ready))
-	l.Bound = uint16(o.bound.Limit())
+	l.InFlightBound = uint16(o.bound.Limit())
 	l.Queued = uint16(min(o.queue.Len(), 1<<16-1))
-	l.QueuedCost = uint32(min(o.queue.Cost().Milliseconds(), 1<<32-1))
-	l.Waiting = o.queue.Mask()
+	l.QueuedCostMS = uint32(min(o.queue.Cost().Milliseconds(), 1<<32-1))
+	l.WaitingTiers = o.queue.Mask()
 	for _, r := range o.running {
 		tier := uint8(lowest)
 		if r.offer != nil {
@@ -38,12 +38,12 @@
 			// an entry that is told too little would refuse a higher tier.
 			tier = r.offer.Tier
 		}
-		l.Running |= 1 << tier
+		l.RunningTiers |= 1 << tier
 	}
 	for _, r := range o.held {
-		l.Waiting |= 1 << r.offer.Tier
+		l.WaitingTiers |= 1 << r.offer.Tier
 	}
-	l.Level = o.reportedLevel(now)
+	l.ShedLevel = o.reportedLevel(now)
 	l.Leaving = o.leaving
 	l.Slow = o.stalled || o.down || o.bound.Slow()
 	if old := o.load.Load(); old == nil || *old != l {
@@ -90,7 +90,7 @@
 }
 
 func (o *Owner) say(p *Peer) {
-	o.send(p, &wire.Beat{Load: *o.load.Load(), Leaving: o.leaving, Model: o.orders.model, Version: o.orders.version})
+	o.send(p, &wire.Heartbeat{Load: *o.load.Load(), Leaving: o.leaving, Model: o.orders.model, Version: o.orders.version})
 }
 
 func (o *Owner) endpointUp() {
--- a/agent/slot/model_test.go
+++ b/agent/slot/model_test.go
@@ -62,13 +62,13 @@
 	case 9:
 		p.send(&wire.Cancel{ID: o.ID, Reason: wire.ReasonCallerGone})
 	case 10:
-		p.send(&wire.Attach{ID: o.ID, Next: uint32(m.r.Intn(2)), Agent: selfInc})
+		p.send(&wire.Attach{ID: o.ID, NextSeq: uint32(m.r.Intn(2)), AgentIncarnation: selfInc})
 	case 11:
 		b.after(time.Duration(m.r.Intn(1500)) * time.Millisecond)
 	case 12:
 		m.relink(m.r.Intn(len(m.peers)))
 	case 13:
-		p.send(&wire.Level{Pool: pool, Level: uint8(m.r.Intn(4)), HoldMS: 1000})
+		p.send(&wire.ShedLevel{Pool: pool, Level: uint8(m.r.Intn(4)), HoldMS: 1000})
 	case 14:
 		m.endRun()
 	case 15:
@@ -81,7 +81,7 @@
 func (m *model) offer(p *peer, n uint64) *wire.Offer {
 	o := &wire.Offer{ID: ident.Make(p.Incarnation, n), Pool: pool, Tier: uint8(n % 4), DeadlineMS: 20000, Repeatable: n%3 == 0}
 	if n%2 == 1 {
-		o.Key, o.Epoch = []byte{byte(n / 2)}, 1
+		o.KeyHash, o.Epoch = []byte{byte(n / 2)}, 1
 	}
 	return o
 }
--- a/agent/slot/offer.go
+++ b/agent/slot/offer.go
@@ -27,7 +27,7 @@
 		o.sendReturn(r, reason)
 		return
 	}
-	if len(m.Key) > 0 && !o.admitKeyed(now, r) {
+	if len(m.KeyHash) > 0 && !o.admitKeyed(now, r) {
 		return
 	}
 	o.recs[m.ID] = r
--- a/agent/slot/once_test.go
+++ b/agent/slot/once_test.go
@@ -16,7 +16,7 @@
 	p := b.link(entryInc)
 	m := offerOf(1)
 	r := p.started(m)
-	if load := b.o.Load(); load.InFlight != 1 || load.Running != 1 {
+	if load := b.o.Load(); load.InFlight != 1 || load.RunningTiers != 1 {
 		t.Fatalf("load %+v", load)
 	}
 	r.answer("one", "two")
@@ -30,7 +30,7 @@
 	}
 	e := next[*wire.End](p)
 	sum := crc32.Checksum([]byte("onetwo"), crc32.MakeTable(crc32.Castagnoli))
-	if !e.Whole || e.Chunks != 2 || e.Bytes != 6 || e.CRC != sum || e.Load.InFlight != 0 {
+	if !e.Complete || e.Chunks != 2 || e.Bytes != 6 || e.CRC != sum || e.Load.InFlight != 0 {
 		t.Fatalf("end %+v", e)
 	}
 }
@@ -144,7 +144,7 @@
 	p := b.link(entryInc)
 	r := p.started(offerOf(1))
 	r.end <- call.Result{Sent: true, Err: errors.New("reset")}
-	if e := next[*wire.End](p); e.Whole || e.Reason != wire.ReasonBroken {
+	if e := next[*wire.End](p); e.Complete || e.Reason != wire.ReasonBroken {
 		t.Fatalf("end %+v", e)
 	}
 	none[*wire.Return](p)
@@ -162,17 +162,17 @@
 	next[*wire.Chunk](p)
 	q := b.link(entryInc)
 	b.do(linkDown{p.Peer})
-	q.send(&wire.Attach{ID: m.ID, Next: 1, Agent: selfInc})
+	q.send(&wire.Attach{ID: m.ID, NextSeq: 1, AgentIncarnation: selfInc})
 	_ = r.sink.Chunk(r.ctx, []byte("two"))
 	if c := next[*wire.Chunk](q); c.Seq != 1 || string(c.Data) != "two" {
 		t.Fatalf("chunk %+v", c)
 	}
 	r.end <- call.Result{Sent: true, Whole: true}
-	if e := next[*wire.End](q); !e.Whole || e.Chunks != 2 || e.Bytes != 6 {
+	if e := next[*wire.End](q); !e.Complete || e.Chunks != 2 || e.Bytes != 6 {
 		t.Fatalf("end %+v", e)
 	}
 	// The same again after the end, from the first piece.
-	q.send(&wire.Attach{ID: m.ID, Agent: selfInc})
+	q.send(&wire.Attach{ID: m.ID, AgentIncarnation: selfInc})
 	if c := next[*wire.Chunk](q); c.Seq != 0 || string(c.Data) != "one" {
 		t.Fatalf("chunk %+v", c)
 	}
@@ -188,7 +188,7 @@
 	p.send(m)
 	next[*wire.Claim](p)
 	q := b.link(entryInc)
-	q.send(&wire.Attach{ID: m.ID, Agent: selfInc})
+	q.send(&wire.Attach{ID: m.ID, AgentIncarnation: selfInc})
 	if r := next[*wire.Return](q); r.Reason != wire.ReasonNeverGranted {
 		t.Fatalf("return %+v", r)
 	}
@@ -223,7 +223,7 @@
 	p.send(offerOf(1))
 	next[*wire.Claim](p)
 	b.after(claimTimeout + time.Millisecond)
-	p.send(&wire.Attach{ID: offerOf(1).ID, Agent: selfInc})
+	p.send(&wire.Attach{ID: offerOf(1).ID, AgentIncarnation: selfInc})
 	if r := next[*wire.Return](p); r.Reason != wire.ReasonNeverGranted {
 		t.Fatalf("return %+v", r)
 	}
@@ -242,8 +242,8 @@
 		if tombstone {
 			b.after(claimTimeout + time.Millisecond)
 		}
-		p.send(&wire.Attach{ID: m.ID, Agent: selfInc + 1})
-		if e := next[*wire.End](p); e.Whole || e.Reason != wire.ReasonForgotten {
+		p.send(&wire.Attach{ID: m.ID, AgentIncarnation: selfInc + 1})
+		if e := next[*wire.End](p); e.Complete || e.Reason != wire.ReasonForgotten {
 			t.Fatalf("end %+v", e)
 		}
 		none[*wire.Return](p)
@@ -259,23 +259,23 @@
 	b := newBench(t, testBound)
 	p := b.link(entryInc)
 	m := offerOf(1)
-	p.send(&wire.Attach{ID: m.ID, Next: 1, Stream: true, Agent: selfInc + 1})
+	p.send(&wire.Attach{ID: m.ID, NextSeq: 1, Stream: true, AgentIncarnation: selfInc + 1})
 	r := <-b.resumes
 	r.answer("one", "two")
 	if c := next[*wire.Chunk](p); c.Seq != 1 || string(c.Data) != "two" {
 		t.Fatalf("chunk %+v", c)
 	}
-	if e := next[*wire.End](p); !e.Whole || e.Chunks != 2 {
+	if e := next[*wire.End](p); !e.Complete || e.Chunks != 2 {
 		t.Fatalf("end %+v", e)
 	}
-	p.send(&wire.Attach{ID: offerOf(2).ID, Stream: true, Agent: selfInc + 1})
+	p.send(&wire.Attach{ID: offerOf(2).ID, Stream: true, AgentIncarnation: selfInc + 1})
 	r = <-b.resumes
 	r.end <- call.Result{Sent: true, Err: engine.ErrUnknown}
-	if e := next[*wire.End](p); e.Whole || e.Reason != wire.ReasonForgotten {
+	if e := next[*wire.End](p); e.Complete || e.Reason != wire.ReasonForgotten {
 		t.Fatalf("end %+v", e)
 	}
-	p.send(&wire.Attach{ID: offerOf(3).ID, Agent: selfInc + 1})
-	if e := next[*wire.End](p); e.Whole || e.Reason != wire.ReasonForgotten {
+	p.send(&wire.Attach{ID: offerOf(3).ID, AgentIncarnation: selfInc + 1})
+	if e := next[*wire.End](p); e.Complete || e.Reason != wire.ReasonForgotten {
 		t.Fatalf("end %+v", e)
 	}
 	none[*wire.Return](p)
@@ -315,7 +315,7 @@
 	if id := <-b.cancels; id != m.ID {
 		t.Fatalf("cancelled %s", id)
 	}
-	if e := next[*wire.End](p); e.Whole || e.Reason != wire.ReasonCallerGone {
+	if e := next[*wire.End](p); e.Complete || e.Reason != wire.ReasonCallerGone {
 		t.Fatalf("end %+v", e)
 	}
 }
--- a/agent/slot/order.go
+++ b/agent/slot/order.go
@@ -66,13 +66,13 @@
 	model, version string
 }
 
-func (o *Owner) newsAssign(_ time.Duration, m *wire.News) {
-	if m.Gone || o.cfg.Order == nil {
+func (o *Owner) newsAssign(_ time.Duration, m *wire.ObjectUpdate) {
+	if m.Deleted || o.cfg.Order == nil {
 		return
 	}
 	var a spec.Assign
 	if err := json.Unmarshal(m.Data, &a); err != nil {
-		logs.Error(o.log, logs.EventConfigRejected, zap.String("object", m.Object+"/"+m.Name), zap.Int64("version", m.Version), zap.Error(err))
+		logs.Error(o.log, logs.EventConfigRejected, zap.String("object", m.ObjectKind+"/"+m.Name), zap.Int64("version", m.Version), zap.Error(err))
 		return
 	}
 	if o.orders.seen == nil {
@@ -89,7 +89,7 @@
 }
 
 // confirmAssign takes in that an assignment was in force when it was asked.
-func (o *Owner) confirmAssign(_ time.Duration, q ask, m *wire.LeaseAck) {
+func (o *Owner) confirmAssign(_ time.Duration, q ask, m *wire.LeaseReply) {
 	if len(m.Pool) <= len(wire.AssignPrefix) || m.Pool[:len(wire.AssignPrefix)] != wire.AssignPrefix {
 		return
 	}
--- a/agent/slot/order_test.go
+++ b/agent/slot/order_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		p.b.t.Fatal(err)
 	}
-	p.send(&wire.News{Object: spec.KindAssign, Name: "roster", Version: version, Data: data})
+	p.send(&wire.ObjectUpdate{ObjectKind: spec.KindAssign, Name: "roster", Version: version, Data: data})
 }
 
 func (b *bench) ordered(got chan engine.Order) engine.Order {
@@ -88,7 +88,7 @@
 	b.o.orders.model, b.o.orders.version = "roster", "v4"
 	p.drain()
 	b.after(orderRepeat + time.Millisecond)
-	none[*wire.LeaseAsk](p)
+	none[*wire.LeaseRequest](p)
 	if b.o.orders.busy {
 		t.Fatal("an order was given to an endpoint that serves what it should")
 	}
@@ -102,7 +102,7 @@
 	p.assign(13, 3, "v3")
 	p.assign(11, 2, "v3")
 	b.after(time.Second)
-	none[*wire.LeaseAsk](p)
+	none[*wire.LeaseRequest](p)
 	if b.o.orders.busy || len(got) > 0 || b.o.orders.seen["roster"].version != 12 {
 		t.Fatal("old news counted")
 	}
--- a/agent/slot/rec.go
+++ b/agent/slot/rec.go
@@ -107,13 +107,13 @@
 	if m.DeadlineMS > 0 {
 		r.deadline = now + ms(m.DeadlineMS)
 	}
-	if m.FirstMS > 0 {
-		r.due = now + ms(m.FirstMS) - ms(m.WaitedMS)
+	if m.FirstTargetMS > 0 {
+		r.due = now + ms(m.FirstTargetMS) - ms(m.WaitedMS)
 	}
-	if m.CompleteMS > 0 {
+	if m.CompleteTargetMS > 0 {
 		// The cost is an estimate that may be wrong by ten times; capped, it
 		// makes no request look late that has not waited.
-		due := now + ms(m.CompleteMS) - ms(m.WaitedMS) - min(ms(m.CostMS), ms(m.CompleteMS)/2)
+		due := now + ms(m.CompleteTargetMS) - ms(m.WaitedMS) - min(ms(m.CostMS), ms(m.CompleteTargetMS)/2)
 		if r.due == 0 || due < r.due {
 			r.due = due
 		}
--- a/agent/slot/run.go
+++ b/agent/slot/run.go
@@ -71,7 +71,7 @@
 		reason = wire.ReasonNone
 	}
 	o.publish()
-	r.log.Close(wire.End{Whole: res.Whole, Reason: reason, Usage: res.Usage})
+	r.log.Close(wire.End{Complete: res.Whole, Reason: reason, Usage: res.Usage})
 	o.cfg.Stats.ended(r.offer, res, took)
 	o.keyEnded(now, r)
 	// The record is kept for long, so it lets go of what only the run needed.
--- a/agent/slot/stats.go
+++ b/agent/slot/stats.go
@@ -22,7 +22,7 @@
 	prompt      metrics.Counter
 	cached      metrics.Counter
 	output      metrics.Counter
-	customers   *meter.Top
+	customers   *meter.CustomerHistograms
 	returns     map[wire.Reason]metrics.Counter
 	classes     map[string]classStats
 }
@@ -35,7 +35,7 @@
 		set: set, strayGrants: set.Counter("agent_grants_refused"),
 		complete: set.Counter("agent_runs", meter.Outcome("complete")), broken: set.Counter("agent_runs", meter.Outcome("broken")),
 		prompt: set.Counter("agent_prompt_tokens"), cached: set.Counter("agent_cached_tokens"), output: set.Counter("agent_output_tokens"),
-		customers: set.Top("agent_run_ms"), returns: make(map[wire.Reason]metrics.Counter), classes: make(map[string]classStats),
+		customers: set.CustomerHistograms("agent_run_ms"), returns: make(map[wire.Reason]metrics.Counter), classes: make(map[string]classStats),
 	}
 }
 
@@ -51,7 +51,7 @@
 // started notes how long a request has waited here.
 func (s *Stats) started(o *wire.Offer, waited time.Duration) {
 	if o != nil {
-		meter.Milliseconds(s.class(o.Class).queued, waited)
+		meter.UpdateMS(s.class(o.Class).queued, waited)
 	}
 }
 
@@ -68,8 +68,8 @@
 		return
 	}
 	c := s.class(o.Class)
-	c.first.Update(int64(res.Usage.FirstMS))
-	meter.Milliseconds(c.total, took)
+	c.first.Update(int64(res.Usage.FirstByteMS))
+	meter.UpdateMS(c.total, took)
 	s.customers.Observe(o.Customer, took.Milliseconds())
 }
 
--- a/agent/slot/tier_test.go
+++ b/agent/slot/tier_test.go
@@ -22,8 +22,8 @@
 	p.started(tiered(1, 2))
 	p.send(tiered(2, 1))
 	p.send(tiered(3, 3))
-	p.send(&wire.Level{Pool: pool, Level: 1, HoldMS: 5000})
-	if r := next[*wire.Return](p); r.ID != tiered(3, 3).ID || r.Reason != wire.ReasonShed || r.Load.Level != 1 {
+	p.send(&wire.ShedLevel{Pool: pool, Level: 1, HoldMS: 5000})
+	if r := next[*wire.Return](p); r.ID != tiered(3, 3).ID || r.Reason != wire.ReasonShed || r.Load.ShedLevel != 1 {
 		t.Fatalf("return %+v", r)
 	}
 	p.send(tiered(4, 2))
@@ -43,14 +43,14 @@
 func TestLevelIsConfirmedAtOnce(t *testing.T) {
 	b := newBench(t, testBound)
 	p, other := b.link(entryInc), b.link(entryInc+1)
-	p.send(&wire.Level{Pool: pool, Level: 1, HoldMS: 5000})
+	p.send(&wire.ShedLevel{Pool: pool, Level: 1, HoldMS: 5000})
 	for _, e := range []*peer{p, other} {
-		if m := next[*wire.Beat](e); m.Load.Level != 1 {
-			t.Fatalf("level %d confirmed", m.Load.Level)
+		if m := next[*wire.Heartbeat](e); m.Load.ShedLevel != 1 {
+			t.Fatalf("level %d confirmed", m.Load.ShedLevel)
 		}
 	}
-	p.send(&wire.Level{Pool: pool, Level: 1, HoldMS: 5000})
-	none[*wire.Beat](p)
+	p.send(&wire.ShedLevel{Pool: pool, Level: 1, HoldMS: 5000})
+	none[*wire.Heartbeat](p)
 }
 
 // The level falls while the grant of a lower tier is on its way.
@@ -59,7 +59,7 @@
 	p := b.link(entryInc)
 	p.send(tiered(1, 3))
 	next[*wire.Claim](p)
-	p.send(&wire.Level{Pool: pool, Level: 2, HoldMS: 5000})
+	p.send(&wire.ShedLevel{Pool: pool, Level: 2, HoldMS: 5000})
 	if r := next[*wire.Return](p); r.Reason != wire.ReasonShed {
 		t.Fatalf("return %+v", r)
 	}
@@ -73,13 +73,13 @@
 func TestStrictestLevelCounts(t *testing.T) {
 	b := newBench(t, testBound)
 	p, q := b.link(entryInc), b.link(entryInc+1)
-	p.send(&wire.Level{Pool: pool, Level: 1, HoldMS: 60000})
-	q.send(&wire.Level{Pool: pool, Level: 3, HoldMS: 60000})
+	p.send(&wire.ShedLevel{Pool: pool, Level: 1, HoldMS: 60000})
+	q.send(&wire.ShedLevel{Pool: pool, Level: 3, HoldMS: 60000})
 	q.send(tiered(1, 2))
 	if r := next[*wire.Return](q); r.Reason != wire.ReasonShed {
 		t.Fatalf("return %+v", r)
 	}
-	p.send(&wire.Level{Pool: pool, Level: 2, HoldMS: 60000})
+	p.send(&wire.ShedLevel{Pool: pool, Level: 2, HoldMS: 60000})
 	q.send(tiered(2, 2))
 	next[*wire.Claim](q)
 }
@@ -146,7 +146,7 @@
 	b.after(time.Millisecond)
 	p.started(tiered(3, 2))
 	swap := tiered(4, 0)
-	swap.FirstMS = 8000
+	swap.FirstTargetMS = 8000
 	p.send(swap)
 	if len(b.cancels) != 0 {
 		t.Fatal("cancelled although the swap could wait")
@@ -164,7 +164,7 @@
 	if r := b.o.recs[swap.ID]; r.state != claimed {
 		t.Fatalf("the swap is in state %d", r.state)
 	}
-	if e := next[*wire.End](p); e.ID != tiered(3, 2).ID || e.Whole || e.Reason != wire.ReasonDisplaced {
+	if e := next[*wire.End](p); e.ID != tiered(3, 2).ID || e.Complete || e.Reason != wire.ReasonDisplaced {
 		t.Fatalf("end %+v", e)
 	}
 	b.after(time.Minute)
@@ -180,11 +180,11 @@
 	p := b.link(entryInc)
 	p.started(tiered(1, 3))
 	swap := tiered(2, 0)
-	swap.FirstMS, swap.WaitedMS = 1000, 1001
+	swap.FirstTargetMS, swap.WaitedMS = 1000, 1001
 	p.send(swap)
 	// An estimate of the swap's own cost beyond its target makes it no later.
 	long := tiered(3, 0)
-	long.CompleteMS, long.CostMS = 60000, 600000
+	long.CompleteTargetMS, long.CostMS = 60000, 600000
 	p.send(long)
 	b.after(time.Second)
 	if n := b.o.halting(); n != 0 {
@@ -200,7 +200,7 @@
 	r := p.started(tiered(1, 1))
 	p.send(tiered(2, 1))
 	b.do(leave{})
-	if beat := next[*wire.Beat](p); !beat.Load.Leaving {
+	if beat := next[*wire.Heartbeat](p); !beat.Load.Leaving {
 		t.Fatalf("beat %+v", beat)
 	}
 	if got := next[*wire.Return](p); got.ID != tiered(2, 1).ID || got.Reason != wire.ReasonLeaving || !got.Load.Leaving {
@@ -215,7 +215,7 @@
 		t.Fatal("left while a request runs")
 	}
 	r.answer("all")
-	if e := next[*wire.End](p); !e.Whole {
+	if e := next[*wire.End](p); !e.Complete {
 		t.Fatalf("end %+v", e)
 	}
 	b.pump(b.o.left)
@@ -227,7 +227,7 @@
 	p.started(tiered(1, 1))
 	b.do(leave{})
 	b.after(time.Minute + time.Millisecond)
-	if e := next[*wire.End](p); e.Whole || e.Reason != wire.ReasonLeaving {
+	if e := next[*wire.End](p); e.Complete || e.Reason != wire.ReasonLeaving {
 		t.Fatalf("end %+v", e)
 	}
 	b.pump(b.o.left)
--- a/agent/slot/watch.go
+++ b/agent/slot/watch.go
@@ -36,7 +36,7 @@
 			begun = true
 			alive = max(alive, r.started+time.Duration(r.progress.Last.Load()))
 		}
-		target := ms(r.offer.FirstMS)
+		target := ms(r.offer.FirstTargetMS)
 		overdue := first == 0 && target > 0 && now-r.started > lateFactor*target
 		if !r.firstSeen && (first != 0 || overdue) || tokens-r.tokens >= sampleTokens {
 			o.observe(now, r, wire.Usage{})
@@ -134,7 +134,7 @@
 // endpoint says nothing about the endpoint: taken for its fault it would lower
 // the bound, the queue would grow and make more requests late.
 func firstTarget(r *rec) time.Duration {
-	target := ms(r.offer.FirstMS)
+	target := ms(r.offer.FirstTargetMS)
 	if target == 0 {
 		return wholeTarget(r)
 	}
@@ -143,17 +143,17 @@
 
 // betweenTarget returns the time between two tokens that the class allows.
 func betweenTarget(r *rec) time.Duration {
-	if r.offer.BetweenMS == 0 && r.offer.OutputTokens > 0 {
+	if r.offer.BetweenTargetMS == 0 && r.offer.OutputTokens > 0 {
 		return wholeTarget(r) / time.Duration(r.offer.OutputTokens)
 	}
-	return ms(r.offer.BetweenMS)
+	return ms(r.offer.BetweenTargetMS)
 }
 
 // wholeTarget returns how long the endpoint may take for the whole answer: half
 // of the target, or of half the deadline, which leaves the other half to wait.
 func wholeTarget(r *rec) time.Duration {
-	if r.offer.CompleteMS > 0 {
-		return ms(r.offer.CompleteMS) / 2
+	if r.offer.CompleteTargetMS > 0 {
+		return ms(r.offer.CompleteTargetMS) / 2
 	}
 	return (r.deadline - r.arrived) / 4
 }
--- a/agent/slot/watch_test.go
+++ b/agent/slot/watch_test.go
@@ -38,7 +38,7 @@
 func TestWaitingIsNotTheEndpointsFault(t *testing.T) {
 	b := newBench(t, testBound)
 	m := offerOf(1)
-	m.FirstMS, m.WaitedMS = 1000, 990
+	m.FirstTargetMS, m.WaitedMS = 1000, 990
 	r := seen(m, true, 20*time.Millisecond, 20*time.Millisecond, 1)
 	s := observed(b.o, 0, r, wire.Usage{})
 	if s.First != 20*time.Millisecond || s.FirstTarget != 500*time.Millisecond {
@@ -52,7 +52,7 @@
 func TestStreamShowsItsPaceSinceTheLastSample(t *testing.T) {
 	b := newBench(t, testBound)
 	m := offerOf(1)
-	m.CompleteMS, m.OutputTokens = 7000, 100
+	m.CompleteTargetMS, m.OutputTokens = 7000, 100
 	r := seen(m, true, 100*time.Millisecond, 250*time.Millisecond, 16)
 	s := observed(b.o, 0, r, wire.Usage{})
 	if s.Between != 10*time.Millisecond || s.BetweenTarget != 35*time.Millisecond || s.FirstTarget != 3500*time.Millisecond {
@@ -70,7 +70,7 @@
 func TestWholeAnswersAreNotLateFirstTokens(t *testing.T) {
 	b := newBench(t, testBound)
 	m := offerOf(1)
-	m.CompleteMS = 4000
+	m.CompleteTargetMS = 4000
 	r := seen(m, false, 120*time.Millisecond, 120*time.Millisecond, 1)
 	s := observed(b.o, time.Second, r, wire.Usage{OutputTokens: 12})
 	if s.First != 10*time.Millisecond || s.FirstTarget != 2*time.Second/12 {
--- a/agent/speed_test.go
+++ b/agent/speed_test.go
@@ -34,7 +34,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	send(b, link, &wire.Grant{ID: id, Method: http.MethodPost, Path: "/v1/completions", Stream: true})
-	if e := await[*wire.End](b, got); !e.Whole || e.Chunks != uint32(b.N)+1 {
+	if e := await[*wire.End](b, got); !e.Complete || e.Chunks != uint32(b.N)+1 {
 		b.Fatalf("end %+v", e)
 	}
 }
--- a/agent/stop_test.go
+++ b/agent/stop_test.go
@@ -52,12 +52,12 @@
 	if link, got, err = dial(t, a, fleetKey); err != nil {
 		t.Fatal(err)
 	}
-	await[*wire.Beat](t, got)
-	send(t, link, &wire.Attach{ID: id, Next: 1, Agent: link.Peer().Incarnation})
+	await[*wire.Heartbeat](t, got)
+	send(t, link, &wire.Attach{ID: id, NextSeq: 1, AgentIncarnation: link.Peer().Incarnation})
 	if c := await[*wire.Chunk](t, got); string(c.Data) != "last" {
 		t.Fatalf("chunk %q", c.Data)
 	}
-	if e := await[*wire.End](t, got); !e.Whole {
+	if e := await[*wire.End](t, got); !e.Complete {
 		t.Fatalf("end %+v", e)
 	}
 	begun := time.Now()
--- a/core/boot/boot.go
+++ b/core/boot/boot.go
@@ -25,7 +25,7 @@
 // settings.
 type Program[T any] struct {
 	// Name and Description appear in the help text.
-	Name, About string
+	Name, Description string
 	// Release is the version that the version subcommand prints.
 	Release string
 	// Run runs the program with checked settings until ctx ends. path is the settings
@@ -41,7 +41,7 @@
 
 // Main reads the command line, runs the program and returns its exit code.
 func (p Program[T]) Main() int {
-	conf.KeepOnHangup()
+	conf.CatchHangup()
 	cmd, err := p.parse()
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", p.Name, err)
@@ -71,7 +71,7 @@
 func (p Program[T]) parse() (command, error) {
 	var cmd command
 	f := flaggy.NewParser(p.Name)
-	f.Description = p.About
+	f.Description = p.Description
 	f.AdditionalHelpAppend = "Exit codes: 0 stopped as planned or settings good, 1 failed, 2 settings wrong."
 	f.Version = p.Release
 	f.ShowHelpOnUnexpected = true
--- a/core/certs/logged.go
+++ b/core/certs/logged.go
@@ -8,7 +8,7 @@
 
 // NewLogged returns a Source that logs each reload of its files. Without files it
 // returns nil, which means links without TLS.
-func Logged(files Files, log *zap.Logger) (*Source, error) {
+func NewLogged(files Files, log *zap.Logger) (*Source, error) {
 	if files == (Files{}) {
 		return nil, nil
 	}
--- a/core/conf/check.go
+++ b/core/conf/check.go
@@ -117,7 +117,7 @@
 	var c checker
 	c.common(&e.Common)
 	c.listenAddress("listen", e.Listen)
-	c.listenAddress("link", e.Link)
+	c.listenAddress("link", e.LinkListen)
 	c.admin(e.Admin)
 	for i, p := range e.Peers {
 		c.listenAddress("peers["+strconv.Itoa(i)+"]", p)
@@ -134,7 +134,7 @@
 func (a *Agent) check() spec.Problems {
 	var c checker
 	c.common(&a.Common)
-	c.listenAddress("link", a.Link)
+	c.listenAddress("link", a.LinkListen)
 	c.serverAddress("endpoint.address", a.Endpoint.Address)
 	if k := a.Endpoint.Kind; k != EndpointEngine && k != EndpointService {
 		c.add("endpoint.kind", fmt.Sprintf("%q is not a kind", k), "write engine or service")
--- a/core/conf/conf.go
+++ b/core/conf/conf.go
@@ -78,9 +78,9 @@
 	Common `yaml:",inline"`
 	// Listen is the listen address for callers and LinkListen that for other
 	// lycheepond processes.
-	Listen string `yaml:"listen"`
-	Link   string `yaml:"link"`
-	Admin  Admin  `yaml:"admin"`
+	Listen     string `yaml:"listen"`
+	LinkListen string `yaml:"link"`
+	Admin      Admin  `yaml:"admin"`
 	// Peers are the link addresses of other entries from which the configuration is
 	// read if the platform is unavailable at the start.
 	Peers []string `yaml:"peers"`
@@ -98,9 +98,9 @@
 type Agent struct {
 	Common `yaml:",inline"`
 	// LinkListen is the address on which the agent listens for entries.
-	Link     string   `yaml:"link"`
-	Endpoint Endpoint `yaml:"endpoint"`
-	Admin    Admin    `yaml:"admin"`
+	LinkListen string   `yaml:"link"`
+	Endpoint   Endpoint `yaml:"endpoint"`
+	Admin      Admin    `yaml:"admin"`
 	// Heartbeat and IdleHeartbeat are the heartbeat periods of links with and without
 	// requests.
 	Heartbeat     spec.Duration `yaml:"heartbeat"`
--- a/core/conf/conf_test.go
+++ b/core/conf/conf_test.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	live := NewLive(path, initial, AgentKeys)
+	live := NewLiveKeys(path, initial, AgentKeys)
 	ctx, stop := context.WithCancel(context.Background())
 	hup, reloaded, ended := make(chan os.Signal), make(chan error), make(chan struct{})
 	go func() {
--- a/core/conf/direct.go
+++ b/core/conf/direct.go
@@ -15,18 +15,18 @@
 	Common `yaml:",inline"`
 	// Listen is the listen address for callers, ReadyListen that for the balancer's
 	// readiness checks and LinkListen that for other entries.
-	Listen string `yaml:"listen"`
-	Ready  string `yaml:"ready"`
-	Link   string `yaml:"link"`
+	Listen      string `yaml:"listen"`
+	ReadyListen string `yaml:"ready"`
+	LinkListen  string `yaml:"link"`
 	// Advertise is the address at which other entries reach LinkListen, if it differs
 	// because of a port mapping or a proxy.
 	Advertise string `yaml:"advertise"`
 	// MetricsListen is the listen address for metrics; empty means none.
-	Metrics string `yaml:"metrics"`
+	MetricsListen string `yaml:"metrics"`
 	// Peers are the link addresses of the entries to contact first.
 	Peers []string `yaml:"peers"`
 	// MemoryMB is the memory that the process may use, in MB.
-	Memory int `yaml:"memory"`
+	MemoryMB int `yaml:"memory"`
 	// Processor and Bandwidth describe the capacity of the entry. The entries with
 	// the largest capacity do the work that only a few entries of a fleet do. Without
 	// them an entry counts as the smallest.
@@ -35,7 +35,7 @@
 	Bandwidth float64 `yaml:"bandwidth"`
 	// MaxChangeDelay is the time within which a change of the configuration or of the
 	// instance list must be in force.
-	Fresh spec.Duration `yaml:"fresh"`
+	MaxChangeDelay spec.Duration `yaml:"fresh"`
 	// Grace is the time between the stop signal and the end of the process.
 	Grace   spec.Duration `yaml:"grace"`
 	Repeats RepeatBudget  `yaml:"repeats"`
@@ -55,7 +55,7 @@
 
 // Tolerance is a share of a customer's limit and a number of units on top.
 type Tolerance struct {
-	Over  float64 `yaml:"over"`
+	Share float64 `yaml:"over"`
 	Slack float64 `yaml:"slack"`
 }
 
@@ -103,7 +103,7 @@
 	if d.Advertise != "" {
 		return d.Advertise
 	}
-	return d.Link
+	return d.LinkListen
 }
 
 func (d *Direct) setDefaults() {
@@ -117,19 +117,19 @@
 	var c checker
 	c.common(&d.Common)
 	c.listenAddress("listen", d.Listen)
-	c.listenAddress("ready", d.Ready)
-	c.listenAddress("link", d.Link)
+	c.listenAddress("ready", d.ReadyListen)
+	c.listenAddress("link", d.LinkListen)
 	if d.Advertise != "" {
 		c.listenAddress("advertise", d.Advertise)
 	}
-	if d.Metrics != "" {
-		c.listenAddress("metrics", d.Metrics)
+	if d.MetricsListen != "" {
+		c.listenAddress("metrics", d.MetricsListen)
 	}
 	for i, p := range d.Peers {
 		c.listenAddress("peers["+strconv.Itoa(i)+"]", p)
 	}
-	if d.Memory < minMemoryMB {
-		c.add("memory", fmt.Sprintf("%d MB is too little", d.Memory), fmt.Sprintf("write the process's memory in MB, %d or more", minMemoryMB))
+	if d.MemoryMB < minMemoryMB {
+		c.add("memory", fmt.Sprintf("%d MB is too little", d.MemoryMB), fmt.Sprintf("write the process's memory in MB, %d or more", minMemoryMB))
 	}
 	for name, v := range map[string]float64{"processor.share": d.Processor.Share, "processor.speed": d.Processor.Speed, "bandwidth": d.Bandwidth} {
 		if v < 0 {
@@ -142,8 +142,8 @@
 	if d.Repeats.Slack < 0 {
 		c.add("repeats.slack", fmt.Sprintf("%v is out of range", d.Repeats.Slack), "write a number of requests, 0 or more")
 	}
-	if d.Tolerance.Over < 0 || d.Tolerance.Over > 1 {
-		c.add("tolerance.over", fmt.Sprintf("%v is out of range", d.Tolerance.Over), "write a share of the limit between 0 and 1")
+	if d.Tolerance.Share < 0 || d.Tolerance.Share > 1 {
+		c.add("tolerance.over", fmt.Sprintf("%v is out of range", d.Tolerance.Share), "write a share of the limit between 0 and 1")
 	}
 	if d.Tolerance.Slack < 0 {
 		c.add("tolerance.slack", fmt.Sprintf("%v is out of range", d.Tolerance.Slack), "write a number of units, 0 or more")
@@ -154,7 +154,7 @@
 	if d.Rollouts.Slack < 0 {
 		c.add("rollouts.slack", fmt.Sprintf("%v is out of range", d.Rollouts.Slack), "write a number of requests, 0 or more")
 	}
-	c.between("fresh", d.Fresh, minChangeDelay, maxChangeDelay)
+	c.between("fresh", d.MaxChangeDelay, minChangeDelay, maxChangeDelay)
 	c.between("grace", d.Grace, 0, maxGrace)
 	return c.problems
 }
--- a/core/conf/live.go
+++ b/core/conf/live.go
@@ -23,7 +23,7 @@
 //
 // To replace the fleet key without an interruption, write fleet_keys: [old, new] on
 // all instances, then [new, old], then fleet_key: new.
-type Live struct {
+type LiveKeys struct {
 	path string
 	read func(path string) (wire.Keys, error)
 	keys atomic.Pointer[wire.Keys]
@@ -33,8 +33,8 @@
 
 // NewLiveKeys returns the keys of the settings that were read from path. read is
 // EntryKeys or AgentKeys.
-func NewLive(path string, initial wire.Keys, read func(path string) (wire.Keys, error)) *Live {
-	l := &Live{path: path, read: read}
+func NewLiveKeys(path string, initial wire.Keys, read func(path string) (wire.Keys, error)) *LiveKeys {
+	l := &LiveKeys{path: path, read: read}
 	l.keys.Store(&initial)
 	if info, err := os.Stat(path); err == nil {
 		l.modTime = info.ModTime()
@@ -61,11 +61,11 @@
 }
 
 // Keys returns the keys in use.
-func (l *Live) Keys() wire.Keys { return *l.keys.Load() }
+func (l *LiveKeys) Keys() wire.Keys { return *l.keys.Load() }
 
 // Reload reads the file. If the settings have a problem, it returns the error and
 // keeps the current keys.
-func (l *Live) Reload() error {
+func (l *LiveKeys) Reload() error {
 	keys, err := l.read(l.path)
 	if err != nil {
 		return err
@@ -76,7 +76,7 @@
 
 // Run reloads after each signal and each change of the file until ctx ends. It passes
 // the result of each reload to onReload.
-func (l *Live) Run(ctx context.Context, hup <-chan os.Signal, period time.Duration, onReload func(error)) {
+func (l *LiveKeys) Run(ctx context.Context, hup <-chan os.Signal, period time.Duration, onReload func(error)) {
 	t := time.NewTicker(period)
 	defer t.Stop()
 	for {
@@ -94,7 +94,7 @@
 }
 
 // Follow calls Run with the signal SIGHUP and ReloadPeriod.
-func (l *Live) Follow(ctx context.Context, onReload func(error)) error {
+func (l *LiveKeys) Follow(ctx context.Context, onReload func(error)) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
@@ -103,7 +103,7 @@
 }
 
 // changed reports whether the file's modification time has changed.
-func (l *Live) changed() bool {
+func (l *LiveKeys) changed() bool {
 	info, err := os.Stat(l.path)
 	if err != nil || info.ModTime().Equal(l.modTime) {
 		return false
@@ -113,7 +113,7 @@
 }
 
 // LogReload returns a function for Follow that logs the result of each reload.
-func (l *Live) Logged(log *zap.Logger) func(error) {
+func (l *LiveKeys) LogReload(log *zap.Logger) func(error) {
 	return func(err error) {
 		if err != nil {
 			logs.Error(log, logs.EventSettingsRejected, zap.Error(err))
@@ -126,4 +126,4 @@
 // CatchHangup prevents SIGHUP from ending the process. The signal means that the
 // settings file has changed. It may arrive before the handler that reloads the file
 // is installed or after it has been removed.
-func KeepOnHangup() { signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP) }
+func CatchHangup() { signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP) }
--- a/core/feed/feed.go
+++ b/core/feed/feed.go
@@ -33,7 +33,7 @@
 	// peers too; zero means DefaultPeerDelay.
 	PeerDelay time.Duration
 	// OnNote is called with each Note, one call at a time; it may be nil.
-	Note func(Note)
+	OnNote func(Note)
 }
 
 // Fetch returns everything in force at a peer. The version of the batch is the one up
@@ -99,8 +99,8 @@
 	if cfg.Random == nil {
 		cfg.Random = func() float64 { return 0.5 }
 	}
-	if cfg.Note == nil {
-		cfg.Note = func(Note) {}
+	if cfg.OnNote == nil {
+		cfg.OnNote = func(Note) {}
 	}
 	return &Feed{cfg: cfg, ready: make(chan struct{}), sleep: sleep}
 }
@@ -119,7 +119,7 @@
 }
 
 // PlatformUnavailable reports whether the last call to the platform failed.
-func (f *Feed) Away() bool { return f.unavailable.Load() }
+func (f *Feed) PlatformUnavailable() bool { return f.unavailable.Load() }
 
 // Run keeps the store up to date until ctx ends and returns after all its goroutines
 // have ended.
@@ -147,7 +147,7 @@
 func (f *Feed) recordAnswer(requestedAt time.Time) {
 	f.lastContact.Store(&Contact{RequestedAt: requestedAt, AnsweredAt: time.Now()})
 	if f.unavailable.CompareAndSwap(true, false) {
-		f.note(Note{Kind: NoteBack})
+		f.note(Note{Kind: NoteAvailable})
 	}
 }
 
@@ -155,7 +155,7 @@
 // outage.
 func (f *Feed) recordFailure(err error) {
 	if f.unavailable.CompareAndSwap(false, true) {
-		f.note(Note{Kind: NoteAway, Err: err})
+		f.note(Note{Kind: NoteUnavailable, Err: err})
 	}
 }
 
--- a/core/feed/feed_test.go
+++ b/core/feed/feed_test.go
@@ -107,8 +107,8 @@
 	server := httptest.NewServer(p)
 	f := &testFeed{store: store.New(), notes: make(chan Note, 100)}
 	f.Feed = New(Config{
-		Platform: plat.New(plat.Config{Base: server.URL}), Store: f.store, Peers: peers,
-		Random: func() float64 { return 0 }, MinInterval: time.Millisecond, Note: func(n Note) { f.notes <- n },
+		Platform: plat.New(plat.Config{BaseURL: server.URL}), Store: f.store, Peers: peers,
+		Random: func() float64 { return 0 }, MinInterval: time.Millisecond, OnNote: func(n Note) { f.notes <- n },
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -151,8 +151,8 @@
 	f.waitForClass("first")
 	p.put("second")
 	f.waitForClass("second")
-	if c := f.LastContact(); c.RequestedAt.IsZero() || c.AnsweredAt.Before(c.RequestedAt) || f.Away() {
-		t.Errorf("last contact %+v, unavailable %v", c, f.Away())
+	if c := f.LastContact(); c.RequestedAt.IsZero() || c.AnsweredAt.Before(c.RequestedAt) || f.PlatformUnavailable() {
+		t.Errorf("last contact %+v, unavailable %v", c, f.PlatformUnavailable())
 	}
 }
 
@@ -164,12 +164,12 @@
 	f := run(t, p)
 	f.waitForClass("first")
 	p.update(func() { p.unavailable = true })
-	f.waitForNote(NoteAway)
-	if _, ok := f.store.Class("first"); !ok || !f.Away() {
-		t.Errorf("class in force %v, unavailable %v", ok, f.Away())
+	f.waitForNote(NoteUnavailable)
+	if _, ok := f.store.Class("first"); !ok || !f.PlatformUnavailable() {
+		t.Errorf("class in force %v, unavailable %v", ok, f.PlatformUnavailable())
 	}
 	p.update(func() { p.unavailable = false })
-	f.waitForNote(NoteBack)
+	f.waitForNote(NoteAvailable)
 	p.put("second")
 	f.waitForClass("second")
 }
@@ -191,7 +191,7 @@
 	}))
 	defer server.Close()
 	s := store.New()
-	f := New(Config{Platform: plat.New(plat.Config{Base: server.URL}), Store: s, MinInterval: time.Hour})
+	f := New(Config{Platform: plat.New(plat.Config{BaseURL: server.URL}), Store: s, MinInterval: time.Hour})
 	pauses, resume := make(chan time.Duration), make(chan struct{})
 	f.sleep = func(ctx context.Context, d time.Duration) {
 		select {
@@ -222,8 +222,8 @@
 	f := run(t, p)
 	f.waitForClass("first")
 	set := meter.New()
-	f.Measure(set)
-	set.Process()
+	f.RegisterMetrics(set)
+	set.RegisterProcess()
 	g := set.Read().Gauges
 	if g["config_version"] != 1 || g["platform_away"] != 0 || g[`platform_calls{kind="list"}`] == 0 || g["process_heap_bytes"] == 0 {
 		t.Errorf("got %v", g)
@@ -238,7 +238,7 @@
 	f := run(t, p)
 	f.waitForClass("first")
 	p.update(func() { p.unavailable = true })
-	f.waitForNote(NoteAway)
+	f.waitForNote(NoteUnavailable)
 	p.update(func() {
 		p.events = append(p.events, class("second", 2), class("third", 3))
 		p.compacted, p.unavailable = 3, false
@@ -284,7 +284,7 @@
 	}
 	s := store.New()
 	f := New(Config{
-		Platform: plat.New(plat.Config{Base: server.URL}), Store: s, Peers: []Fetch{peer}, PeerDelay: time.Millisecond,
+		Platform: plat.New(plat.Config{BaseURL: server.URL}), Store: s, Peers: []Fetch{peer}, PeerDelay: time.Millisecond,
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -347,7 +347,7 @@
 		}
 	}
 	have.AcceptBatch(plat.Batch{Version: classes + 1, Events: []plat.Event{
-		{Gone: true, Object: plat.Object{Kind: spec.KindClass, Name: "c0", Version: classes + 1}},
+		{Deleted: true, Object: plat.Object{Kind: spec.KindClass, Name: "c0", Version: classes + 1}},
 	}})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -363,7 +363,7 @@
 		return new(net.Dialer).DialContext(ctx, "tcp", address)
 	}
 	hello := func() wire.Hello { return wire.Hello{Role: wire.RoleEntry, Name: "a", Zone: "z", Incarnation: 1} }
-	b, err := Dial(l.Addr().String(), dial, hello, func() wire.Keys { return keys })(ctx)
+	b, err := NewPeerFetch(l.Addr().String(), dial, hello, func() wire.Keys { return keys })(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -381,7 +381,7 @@
 	if err != nil {
 		return err
 	}
-	peer, err := wire.Open(ctx, conn, wire.Hello{Role: wire.RoleEntry, Name: "b", Zone: "z", Incarnation: 2}, keys)
+	peer, err := wire.Handshake(ctx, conn, wire.Hello{Role: wire.RoleEntry, Name: "b", Zone: "z", Incarnation: 2}, keys)
 	if err != nil {
 		return err
 	}
@@ -389,7 +389,7 @@
 	answered := make(chan error, 1)
 	err = link.Run(ctx, func(m wire.Message) {
 		if _, ok := m.(*wire.Fetch); ok {
-			go func() { answered <- Answer(ctx, have, link) }()
+			go func() { answered <- SendAll(ctx, have, link) }()
 		}
 	})
 	return errors.Join(err, <-answered)
--- a/core/feed/note.go
+++ b/core/feed/note.go
@@ -10,9 +10,9 @@
 	// NoteRejected: an object was rejected; Err is set.
 	NoteRejected
 	// NoteUnavailable: the platform does not answer; Err is set.
-	NoteAway
+	NoteUnavailable
 	// NoteAvailable: the platform answers again.
-	NoteBack
+	NoteAvailable
 	// NoteFromPeers: the configuration was read from peers; Changed is set.
 	NoteFromPeers
 	// NoteNoPeers: no peer had a configuration either; Err is set.
@@ -34,7 +34,7 @@
 	f.noteMu.Lock()
 	defer f.noteMu.Unlock()
 	n.Version = f.cfg.Store.Version()
-	f.cfg.Note(n)
+	f.cfg.OnNote(n)
 }
 
 // reportBatch reports the result of applying a batch.
--- a/core/feed/peer.go
+++ b/core/feed/peer.go
@@ -26,7 +26,7 @@
 
 // NewPeerFetch returns the Fetch of the peer at a link address. self and keys are
 // called for each fetch, because keys are replaced without a restart.
-func Dial(address string, dial Dialer, self func() wire.Hello, keys func() wire.Keys) Fetch {
+func NewPeerFetch(address string, dial Dialer, self func() wire.Hello, keys func() wire.Keys) Fetch {
 	return func(ctx context.Context) (plat.Batch, error) {
 		ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 		defer cancel()
@@ -35,7 +35,7 @@
 			return plat.Batch{}, eris.Wrapf(err, "feed: peer %s", address)
 		}
 		own := self()
-		peer, err := wire.Open(ctx, conn, own, keys())
+		peer, err := wire.Handshake(ctx, conn, own, keys())
 		if err != nil {
 			conn.Close()
 			return plat.Batch{}, eris.Wrapf(err, "feed: peer %s", address)
@@ -96,7 +96,7 @@
 			}
 		}
 		switch m := m.(type) {
-		case *wire.News:
+		case *wire.ObjectUpdate:
 			b.Events = append(b.Events, EventOf(m))
 		case *wire.FetchDone:
 			b.Version = m.Version
@@ -109,19 +109,19 @@
 }
 
 // EventOf returns the change that m carries.
-func EventOf(m *wire.News) plat.Event {
-	return plat.Event{Gone: m.Gone, Object: plat.Object{Kind: m.Object, Name: m.Name, Version: m.Version, Data: m.Data}}
+func EventOf(m *wire.ObjectUpdate) plat.Event {
+	return plat.Event{Deleted: m.Deleted, Object: plat.Object{Kind: m.ObjectKind, Name: m.Name, Version: m.Version, Data: m.Data}}
 }
 
 // UpdateOf returns the message that carries a change.
-func UpdateOf(ev plat.Event) *wire.News {
+func UpdateOf(ev plat.Event) *wire.ObjectUpdate {
 	o := ev.Object
-	return &wire.News{Object: o.Kind, Name: o.Name, Version: o.Version, Gone: ev.Gone, Data: o.Data}
+	return &wire.ObjectUpdate{ObjectKind: o.Kind, Name: o.Name, Version: o.Version, Deleted: ev.Deleted, Data: o.Data}
 }
 
 // SendAll sends everything in force to a peer, in answer to its wire.Fetch. It waits
 // for room on the link, so the link's handler must not call it directly.
-func Answer(ctx context.Context, s *store.Store, link *wire.Link) error {
+func SendAll(ctx context.Context, s *store.Store, link *wire.Link) error {
 	// The version is read first: what is accepted meanwhile is newer than it.
 	complete := s.CompleteVersion()
 	all := s.All()
--- a/core/feed/roster_test.go
+++ b/core/feed/roster_test.go
@@ -12,7 +12,7 @@
 // and refuse every request until the platform is available again.
 func TestInstanceListFromPeers(t *testing.T) {
 	have, got := store.New(), store.New()
-	have.AcceptRoster(plat.Roster{Version: 5, Instances: []plat.Instance{{Name: "a", Link: "127.0.0.1:1"}}})
+	have.AcceptRoster(plat.Roster{Version: 5, Instances: []plat.Instance{{Name: "a", LinkAddr: "127.0.0.1:1"}}})
 	ev, ok := rosterEvent(have)
 	if !ok {
 		t.Fatal("no instance list to send")
--- a/core/homes/hand.go
+++ b/core/homes/hand.go
@@ -18,17 +18,17 @@
 	for i := range next.Slots {
 		s := &next.Slots[i]
 		from, ok := leftOwner(t, i)
-		if s.Took == next.Epoch {
+		if s.OwnedSinceEpoch == next.Epoch {
 			from, ok = ownerOf(t, i)
 		}
-		if !ok || wall > s.Since+keepLeft {
+		if !ok || wall > s.LostBefore+keepLeft {
 			continue
 		}
 		if at[from] == 0 {
-			next.Left = append(next.Left, from)
-			at[from] = len(next.Left)
+			next.FormerOwners = append(next.FormerOwners, from)
+			at[from] = len(next.FormerOwners)
 		}
-		s.From = at[from]
+		s.PreviousOwner = at[from]
 	}
 }
 
@@ -48,11 +48,11 @@
 	if slot >= len(t.Slots) {
 		return spec.HomeOwner{}, false
 	}
-	f := t.Slots[slot].From
-	if f <= 0 || f > len(t.Left) {
+	f := t.Slots[slot].PreviousOwner
+	if f <= 0 || f > len(t.FormerOwners) {
 		return spec.HomeOwner{}, false
 	}
-	return t.Left[f-1], true
+	return t.FormerOwners[f-1], true
 }
 
 // given is a slot that this agent owned until the table gave it to another.
@@ -88,10 +88,10 @@
 		if from, left := leftOwner(t, i); !ok || !left || from != h.self {
 			continue
 		}
-		if g, known := h.given[i]; known && g.took == s.Took {
+		if g, known := h.given[i]; known && g.took == s.OwnedSinceEpoch {
 			next[i] = g
-		} else if ownedBy(h.table, i, h.self) && h.table.Slots[i].Took < s.Took {
-			next[i] = given{to: to, took: s.Took, begin: h.begins[i], since: h.sinceOf(i)}
+		} else if ownedBy(h.table, i, h.self) && h.table.Slots[i].OwnedSinceEpoch < s.OwnedSinceEpoch {
+			next[i] = given{to: to, took: s.OwnedSinceEpoch, begin: h.begins[i], since: h.sinceOf(i)}
 		}
 	}
 	h.given = next
@@ -101,7 +101,7 @@
 	if v, ok := h.since[slot]; ok {
 		return v
 	}
-	return h.table.Slots[slot].Since
+	return h.table.Slots[slot].LostBefore
 }
 
 // Holds reports whether the table gives any slot to this agent.
@@ -140,7 +140,7 @@
 		return false
 	}
 	left, ok := leftOwner(h.table, slot)
-	return ok && left == from && h.table.Slots[slot].Took == took
+	return ok && left == from && h.table.Slots[slot].OwnedSinceEpoch == took
 }
 
 // Receive takes in the word of the owner before, after all records of the
--- a/core/homes/hand_test.go
+++ b/core/homes/hand_test.go
@@ -134,7 +134,7 @@
 	names := owners("a", "b")
 	tab, _ = Takeover(spec.Homes{}, names, wall)
 	for i := range tab.Slots {
-		tab.Slots[i].Since = since
+		tab.Slots[i].LostBefore = since
 	}
 	old, next = NewHolder(names[0]), NewHolder(names[1])
 	old.Learn(0, tab)
@@ -197,13 +197,13 @@
 func TestTableForgetsWhoLeft(t *testing.T) {
 	tab, _ := Takeover(spec.Homes{}, owners("a", "b", "c"), wall)
 	tab, _ = Takeover(tab, owners("b", "c"), wall)
-	if len(tab.Left) != 1 {
-		t.Fatalf("left %v", tab.Left)
+	if len(tab.FormerOwners) != 1 {
+		t.Fatalf("left %v", tab.FormerOwners)
 	}
 	later := wall + Margin(DefaultLease).Milliseconds() + keepLeft + 1
 	tab, _ = Takeover(tab, owners("c"), later)
-	if len(tab.Left) != 1 || tab.Left[0].Name != "b" {
-		t.Fatalf("left %v", tab.Left)
+	if len(tab.FormerOwners) != 1 || tab.FormerOwners[0].Name != "b" {
+		t.Fatalf("left %v", tab.FormerOwners)
 	}
 }
 
--- a/core/homes/holder.go
+++ b/core/homes/holder.go
@@ -57,14 +57,14 @@
 	begins, since := make(map[int]time.Duration), make(map[int]int64)
 	h.give(t)
 	for i, s := range t.Slots {
-		if !ownedBy(t, i, h.self) || s.Took <= 1 {
+		if !ownedBy(t, i, h.self) || s.OwnedSinceEpoch <= 1 {
 			continue
 		}
-		if v, ok := h.since[i]; ok && h.table.Slots[i].Took == s.Took {
+		if v, ok := h.since[i]; ok && h.table.Slots[i].OwnedSinceEpoch == s.OwnedSinceEpoch {
 			since[i] = v
 			continue
 		}
-		if at, ok := h.begins[i]; ok && ownedBy(h.table, i, h.self) && h.table.Slots[i].Took == s.Took {
+		if at, ok := h.begins[i]; ok && ownedBy(h.table, i, h.self) && h.table.Slots[i].OwnedSinceEpoch == s.OwnedSinceEpoch {
 			begins[i] = at
 			continue
 		}
@@ -101,7 +101,7 @@
 		return NotHome
 	}
 	i := Slot(key, len(h.table.Slots))
-	if !ownedBy(h.table, i, h.self) || epoch < h.table.Slots[i].Took {
+	if !ownedBy(h.table, i, h.self) || epoch < h.table.Slots[i].OwnedSinceEpoch {
 		return NotHome
 	}
 	if now >= h.until || now < h.begins[i] {
--- a/core/homes/homes.go
+++ b/core/homes/homes.go
@@ -99,7 +99,7 @@
 	for _, i := range orphans {
 		o := least(counts)
 		counts[o]++
-		next.Slots[i] = spec.HomeSlot{Owner: o, Since: since, Took: next.Epoch}
+		next.Slots[i] = spec.HomeSlot{Owner: o, LostBefore: since, OwnedSinceEpoch: next.Epoch}
 	}
 	mark(t, &next, wall)
 	return next, true
@@ -109,9 +109,9 @@
 	if len(live) == 0 {
 		return spec.Homes{}, false
 	}
-	t := spec.Homes{Epoch: 1, Lease: spec.Duration(DefaultLease), Owners: live, Touched: wall, Slots: make([]spec.HomeSlot, Slots)}
+	t := spec.Homes{Epoch: 1, Lease: spec.Duration(DefaultLease), Owners: live, ConfirmedAtMS: wall, Slots: make([]spec.HomeSlot, Slots)}
 	for i := range t.Slots {
-		t.Slots[i] = spec.HomeSlot{Owner: i % len(live), Took: 1}
+		t.Slots[i] = spec.HomeSlot{Owner: i % len(live), OwnedSinceEpoch: 1}
 	}
 	return t, true
 }
@@ -153,7 +153,7 @@
 	for i, o := range live {
 		at[o] = i
 	}
-	next := spec.Homes{Epoch: t.Epoch + 1, Lease: t.Lease, Owners: live, Touched: wall, Slots: make([]spec.HomeSlot, len(t.Slots))}
+	next := spec.Homes{Epoch: t.Epoch + 1, Lease: t.Lease, Owners: live, ConfirmedAtMS: wall, Slots: make([]spec.HomeSlot, len(t.Slots))}
 	for i, s := range t.Slots {
 		owner := -1
 		if s.Owner >= 0 && s.Owner < len(t.Owners) {
@@ -161,7 +161,7 @@
 				owner = n
 			}
 		}
-		next.Slots[i] = spec.HomeSlot{Owner: owner, Since: s.Since, Took: s.Took}
+		next.Slots[i] = spec.HomeSlot{Owner: owner, LostBefore: s.LostBefore, OwnedSinceEpoch: s.OwnedSinceEpoch}
 	}
 	return next
 }
--- a/core/homes/homes_test.go
+++ b/core/homes/homes_test.go
@@ -29,7 +29,7 @@
 	counts := make([]int, 3)
 	for _, s := range tab.Slots {
 		counts[s.Owner]++
-		if s.Since != 0 {
+		if s.LostBefore != 0 {
 			t.Fatal("a new table says that records are lost")
 		}
 	}
@@ -63,10 +63,10 @@
 			}
 			for s := range tab.Slots {
 				before, after := tab.Owners[tab.Slots[s].Owner], next.Owners[next.Slots[s].Owner]
-				if before.Name != all[i].Name && (before != after || tab.Slots[s] != next.Slots[s] && tab.Slots[s].Since != next.Slots[s].Since) {
+				if before.Name != all[i].Name && (before != after || tab.Slots[s] != next.Slots[s] && tab.Slots[s].LostBefore != next.Slots[s].LostBefore) {
 					t.Fatalf("slot %d moved from %v to %v", s, before, after)
 				}
-				if before != after && next.Slots[s].Since < now+tab.Lease.Std().Milliseconds() {
+				if before != after && next.Slots[s].LostBefore < now+tab.Lease.Std().Milliseconds() {
 					t.Fatalf("slot %d may be used before the old lease ran out", s)
 				}
 			}
@@ -227,8 +227,8 @@
 		"no lease":        func(h *spec.Homes) { h.Lease = 0 },
 		"no slots":        func(h *spec.Homes) { h.Slots = nil },
 		"unknown owner":   func(h *spec.Homes) { h.Slots[3].Owner = 2 },
-		"unknown left":    func(h *spec.Homes) { h.Slots[3].From = 1 },
-		"taken in future": func(h *spec.Homes) { h.Slots[3].Took = 2 },
+		"unknown left":    func(h *spec.Homes) { h.Slots[3].PreviousOwner = 1 },
+		"taken in future": func(h *spec.Homes) { h.Slots[3].OwnedSinceEpoch = 2 },
 	} {
 		bad, _ := Takeover(spec.Homes{}, owners("a", "b"), wall)
 		spoil(&bad)
--- a/core/logs/quarantine.go
+++ b/core/logs/quarantine.go
@@ -7,7 +7,7 @@
 )
 
 // LogQuarantine writes one line for the beginning or the early end of a quarantine.
-func Quarantine(l *zap.Logger, c poison.Change) {
+func LogQuarantine(l *zap.Logger, c poison.Change) {
 	if c.Released {
 		Info(l, EventQuarantineLifted, zap.Stringer("fingerprint", c.Fingerprint))
 		return
--- a/core/logs/server.go
+++ b/core/logs/server.go
@@ -14,7 +14,7 @@
 
 // ServerLogger returns the logger for the messages of a standard HTTP server, such as
 // a failed accept. The server's default logger would write lines that are not JSON.
-func Server(l *zap.Logger) *log.Logger { return log.New(serverLines{l}, "", 0) }
+func ServerLogger(l *zap.Logger) *log.Logger { return log.New(serverLines{l}, "", 0) }
 
 // serverLines writes each line of a server as an event.
 type serverLines struct{ log *zap.Logger }
@@ -28,7 +28,7 @@
 // RecoverPanics returns a handler that calls h and logs its panics; the standard
 // server would only close the connection. It calls count for each panic. If no part
 // of an answer was written, answer writes one; a nil answer writes status 500.
-func Guard(l *zap.Logger, count func(), answer http.HandlerFunc, h http.Handler) http.Handler {
+func RecoverPanics(l *zap.Logger, count func(), answer http.HandlerFunc, h http.Handler) http.Handler {
 	if answer == nil {
 		answer = func(w http.ResponseWriter, _ *http.Request) {
 			http.Error(w, "a fault of this program: its log has the event handler_panicked; report it", http.StatusInternalServerError)
@@ -45,7 +45,7 @@
 				panic(v)
 			}
 			count()
-			Panicked(l, v, zap.String("path", r.URL.Path))
+			LogPanic(l, v, zap.String("path", r.URL.Path))
 			if o.started {
 				// Closing the connection shows the caller that the answer is
 				// incomplete.
@@ -60,7 +60,7 @@
 // LogPanic logs that the handler of a request panicked with v. It must be called in
 // the deferred function that recovered v, so that the line has the stack of the
 // panic.
-func Panicked(l *zap.Logger, v any, request zap.Field) {
+func LogPanic(l *zap.Logger, v any, request zap.Field) {
 	stack := debug.Stack()
 	Error(l, EventHandlerPanicked, request, zap.Any("panic", v), zap.ByteString("stack", stack[:min(len(stack), maxTextBytes)]))
 }
@@ -76,7 +76,7 @@
 
 // OriginalWriter returns the standard server's own writer. http.MaxBytesReader needs
 // it to tell the server that the rest of a body is not read.
-func Bare(w http.ResponseWriter) http.ResponseWriter {
+func OriginalWriter(w http.ResponseWriter) http.ResponseWriter {
 	if o, ok := w.(*trackedWriter); ok {
 		return o.ResponseWriter
 	}
--- a/core/meter/meter_test.go
+++ b/core/meter/meter_test.go
@@ -14,7 +14,7 @@
 	s.Gauge("level").Update(2)
 	s.GaugeFunc("links", func() int64 { return 7 })
 	s.Histogram("first_token_ms", Class("swap")).Update(40)
-	s.Top("latency_ms").Observe("metro \"league\"", 5)
+	s.CustomerHistograms("latency_ms").Observe("metro \"league\"", 5)
 	w := httptest.NewRecorder()
 	s.ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	for _, line := range []string{
@@ -38,7 +38,7 @@
 	// their own histograms, also if they start late, and the memory must not grow
 	// with the number of customers.
 	s := New()
-	top := s.Top("latency_ms")
+	top := s.CustomerHistograms("latency_ms")
 	for i := range 21000 {
 		top.Observe(fmt.Sprint("seldom-", i), 1)
 	}
@@ -65,7 +65,7 @@
 }
 
 func BenchmarkObserve(b *testing.B) {
-	top := New().Top("latency_ms")
+	top := New().CustomerHistograms("latency_ms")
 	names := make([]string, 21000)
 	for i := range names {
 		names[i] = fmt.Sprint("customer-", i)
@@ -84,7 +84,7 @@
 	s.Histogram("latency_ms", Class("swap")).Update(4)
 	for _, target := range []string{"/metrics", "/metrics?format=json"} {
 		w := httptest.NewRecorder()
-		s.Public().ServeHTTP(w, httptest.NewRequest("GET", target, nil))
+		s.PublicHandler().ServeHTTP(w, httptest.NewRequest("GET", target, nil))
 		body := w.Body.String()
 		if strings.Contains(body, "metro") || !strings.Contains(body, "swap") {
 			t.Errorf("%s: %s", target, body)
--- a/core/meter/proc.go
+++ b/core/meter/proc.go
@@ -7,7 +7,7 @@
 )
 
 // RegisterProcess adds gauges of the process's own resource usage.
-func (s *Set) Process() {
+func (s *Set) RegisterProcess() {
 	s.GaugeFunc("process_cpu_ms", cpuMS)
 	s.GaugeFunc("process_heap_bytes", heapBytes)
 	s.GaugeFunc("process_goroutines", func() int64 { return int64(runtime.NumGoroutine()) })
--- a/core/meter/set.go
+++ b/core/meter/set.go
@@ -72,7 +72,7 @@
 }
 
 // UpdateMS updates a histogram with a duration in milliseconds.
-func Milliseconds(h metrics.Histogram, d time.Duration) { h.Update(d.Milliseconds()) }
+func UpdateMS(h metrics.Histogram, d time.Duration) { h.Update(d.Milliseconds()) }
 
 // fullName returns name{key="value",...}.
 func fullName(name string, labels []Label) string {
--- a/core/meter/top.go
+++ b/core/meter/top.go
@@ -21,7 +21,7 @@
 
 // CustomerHistograms holds a histogram for each of the busiest customers and one for
 // all others. It is safe for concurrent use.
-type Top struct {
+type CustomerHistograms struct {
 	set  *Set
 	name string
 
@@ -42,15 +42,15 @@
 
 // CustomerHistograms returns histograms by customer with a name. It must be called
 // only once for each name.
-func (s *Set) Top(name string) *Top {
-	return &Top{
+func (s *Set) CustomerHistograms(name string) *CustomerHistograms {
+	return &CustomerHistograms{
 		set: s, name: name, own: make(map[string]*ownHistogram), candidateCounts: make(map[string]uint64),
 		other: s.Histogram(name, Customer(Other)),
 	}
 }
 
 // Observe adds one value of a customer.
-func (t *Top) Observe(customer string, value int64) {
+func (t *CustomerHistograms) Observe(customer string, value int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.decay()
@@ -73,7 +73,7 @@
 // have about twice as many, so that two equally busy customers don't replace each
 // other in turn and lose their histograms. promote reports whether the customer now
 // has its own histogram. n is the number of the customer's observations.
-func (t *Top) promote(customer string, n uint64) bool {
+func (t *CustomerHistograms) promote(customer string, n uint64) bool {
 	if len(t.own) >= MaxOwnHistograms {
 		name, fewest := t.leastBusy()
 		if n < 2*fewest+8 {
@@ -92,7 +92,7 @@
 
 // leastBusy returns the customer with its own histogram that has the fewest
 // observations, and their number.
-func (t *Top) leastBusy() (string, uint64) {
+func (t *CustomerHistograms) leastBusy() (string, uint64) {
 	name, fewest := "", ^uint64(0)
 	for c, own := range t.own {
 		if own.count < fewest || (own.count == fewest && c < name) {
@@ -105,7 +105,7 @@
 // addCandidate records the number of a customer's observations. If there are too many
 // candidates, all counts decrease by one and those at zero are removed. This never
 // loses a customer with more than 1/maxCandidates of all observations.
-func (t *Top) addCandidate(customer string, n uint64) {
+func (t *CustomerHistograms) addCandidate(customer string, n uint64) {
 	if _, ok := t.candidateCounts[customer]; ok || len(t.candidateCounts) < maxCandidates {
 		t.candidateCounts[customer] = n
 		return
@@ -120,7 +120,7 @@
 }
 
 // decay halves all counts once every decayPeriod observations.
-func (t *Top) decay() {
+func (t *CustomerHistograms) decay() {
 	t.observations++
 	if t.observations%decayPeriod != 0 {
 		return
--- a/core/meter/write.go
+++ b/core/meter/write.go
@@ -60,7 +60,7 @@
 // PublicHandler returns a handler that omits the metrics of individual customers. It
 // is for ports that don't require the operators' token, where any caller could
 // otherwise read which customers send how many requests.
-func (s *Set) Public() http.Handler {
+func (s *Set) PublicHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { serve(w, r, s.Read().withoutCustomers()) })
 }
 
--- a/core/plat/client.go
+++ b/core/plat/client.go
@@ -37,7 +37,7 @@
 type Config struct {
 	// BaseURL is the platform's address with its scheme, such as
 	// http://127.0.0.1:7000.
-	Base string
+	BaseURL string
 	// Token is sent as the bearer token; if it is empty, none is sent.
 	Token string
 	// HTTP makes the calls; nil means a separate client. It must have no timeout,
@@ -60,7 +60,7 @@
 			MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute, ResponseHeaderTimeout: 2 * time.Minute,
 		}}
 	}
-	return &Client{baseURL: strings.TrimRight(cfg.Base, "/"), token: cfg.Token, http: cfg.HTTP}
+	return &Client{baseURL: strings.TrimRight(cfg.BaseURL, "/"), token: cfg.Token, http: cfg.HTTP}
 }
 
 // Calls returns the counters of the client's calls.
@@ -192,5 +192,5 @@
 	if q.isWrite() && !isDialError(err) {
 		return &UncertainError{kind: q.kind, name: q.name, err: err}
 	}
-	return &AwayError{err: err}
+	return &UnavailableError{err: err}
 }
--- a/core/plat/client_test.go
+++ b/core/plat/client_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	server := httptest.NewServer(f)
 	t.Cleanup(server.Close)
-	return New(Config{Base: server.URL + "/", Token: "t0", HTTP: server.Client()})
+	return New(Config{BaseURL: server.URL + "/", Token: "t0", HTTP: server.Client()})
 }
 
 func TestCalls(t *testing.T) {
@@ -77,7 +77,7 @@
 	if err := c.Delete(context.Background(), "class", "swap", 3); !errors.As(err, &uncertain) {
 		t.Errorf("Delete: %v, want an UncertainError", err)
 	}
-	var unavailable *AwayError
+	var unavailable *UnavailableError
 	if _, err := c.Get(context.Background(), "class", "swap"); !errors.As(err, &unavailable) {
 		t.Errorf("Get: %v, want an UnavailableError", err)
 	}
@@ -87,9 +87,9 @@
 	// No process listens at the platform's address. The write certainly had no effect
 	// and may be repeated.
 	server := httptest.NewServer(http.NotFoundHandler())
-	c := New(Config{Base: server.URL})
+	c := New(Config{BaseURL: server.URL})
 	server.Close()
-	var unavailable *AwayError
+	var unavailable *UnavailableError
 	if _, err := c.Put(context.Background(), "class", "swap", []byte("{}"), 3); !errors.As(err, &unavailable) {
 		t.Errorf("got %v, want an UnavailableError", err)
 	}
@@ -97,7 +97,7 @@
 
 func TestErrorStatuses(t *testing.T) {
 	var conflict *ConflictError
-	var unavailable *AwayError
+	var unavailable *UnavailableError
 	var status *StatusError
 	var uncertain *UncertainError
 	for _, tt := range []struct {
--- a/core/plat/errors.go
+++ b/core/plat/errors.go
@@ -24,15 +24,15 @@
 
 // UnavailableError reports a platform that could not be reached or stated that it is
 // unavailable. The call had no effect.
-type AwayError struct{ err error }
+type UnavailableError struct{ err error }
 
 // Error describes the cause and the remedy.
-func (e *AwayError) Error() string {
+func (e *UnavailableError) Error() string {
 	return fmt.Sprintf("plat: platform is unavailable (%v): the last accepted configuration stays in force; check platform.address and the platform's own status", e.err)
 }
 
 // Unwrap returns the cause.
-func (e *AwayError) Unwrap() error { return e.err }
+func (e *UnavailableError) Unwrap() error { return e.err }
 
 // UncertainError reports a write whose reply was lost. It may have taken effect.
 type UncertainError struct {
@@ -86,7 +86,7 @@
 	case http.StatusUnauthorized, http.StatusForbidden:
 		return ErrToken
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return &AwayError{err: errors.New(resp.Status)}
+		return &UnavailableError{err: errors.New(resp.Status)}
 	}
 	err := &StatusError{status: resp.StatusCode, text: strings.TrimSpace(string(body))}
 	if resp.StatusCode < http.StatusInternalServerError {
@@ -97,7 +97,7 @@
 	if q.isWrite() {
 		return &UncertainError{kind: q.kind, name: q.name, err: err}
 	}
-	return &AwayError{err: err}
+	return &UnavailableError{err: err}
 }
 
 // isDialError reports whether a call failed before anything was sent.
--- a/core/plat/object.go
+++ b/core/plat/object.go
@@ -19,8 +19,8 @@
 type Event struct {
 	// Deleted is set if the object was deleted; Object.Version is then the version of
 	// the deletion.
-	Gone   bool   `json:"gone,omitempty"`
-	Object Object `json:"object"`
+	Deleted bool   `json:"gone,omitempty"`
+	Object  Object `json:"object"`
 }
 
 // Batch is the result of a list or a watch.
@@ -49,10 +49,10 @@
 	Zone   string            `json:"zone"`
 	Labels map[string]string `json:"labels,omitempty"`
 	// LinkAddr is the link address of the lycheepond process on the instance.
-	Link string `json:"link"`
+	LinkAddr string `json:"link"`
 	// AdminAddr is the address of that process for operators.
-	Admin string `json:"admin,omitempty"`
-	State string `json:"state"`
+	AdminAddr string `json:"admin,omitempty"`
+	State     string `json:"state"`
 }
 
 // Roster is the instance list at a version.
--- a/core/report/report.go
+++ b/core/report/report.go
@@ -17,41 +17,41 @@
 	Running int    `json:"running"`
 	// ConfigVersion is the newest version in force. Entries with the same
 	// ConfigDigest have the same objects in force.
-	Config int64  `json:"config_version"`
-	Digest uint64 `json:"config_digest"`
+	ConfigVersion int64  `json:"config_version"`
+	ConfigDigest  uint64 `json:"config_digest"`
 	// PlatformUnavailable is set while the platform does not answer, and
 	// PlatformAnswerAgeMS is the age of its last answer in milliseconds.
-	Away     bool              `json:"platform_away"`
-	AgeMS    int64             `json:"platform_answer_age_ms"`
-	Rejected []store.Rejection `json:"rejected,omitempty"`
-	Pools    []Pool            `json:"pools"`
-	Traffic  wire.Counts       `json:"link_bytes"`
+	PlatformUnavailable bool              `json:"platform_away"`
+	PlatformAnswerAgeMS int64             `json:"platform_answer_age_ms"`
+	Rejected            []store.Rejection `json:"rejected,omitempty"`
+	Pools               []Pool            `json:"pools"`
+	Traffic             wire.Counts       `json:"link_bytes"`
 }
 
 // Pool is an entry's view of a pool. InFlight and Queued count the entry's own
 // requests.
 type Pool struct {
-	Pool     string `json:"pool"`
-	InFlight int    `json:"in_flight"`
-	Queued   int    `json:"queued"`
-	Level    int    `json:"shed_level"`
+	Pool      string `json:"pool"`
+	InFlight  int    `json:"in_flight"`
+	Queued    int    `json:"queued"`
+	ShedLevel int    `json:"shed_level"`
 	// Unlinked counts the live agents of the pool to which the entry has no link.
-	Beyond int     `json:"unlinked"`
-	Agents []Agent `json:"agents"`
+	Unlinked int     `json:"unlinked"`
+	Agents   []Agent `json:"agents"`
 }
 
 // Agent is an entry's view of an agent.
 type Agent struct {
-	Name     string `json:"name"`
-	Zone     string `json:"zone"`
-	Linked   bool   `json:"linked"`
-	Leaving  bool   `json:"leaving"`
-	InFlight int    `json:"in_flight"`
-	Bound    int    `json:"bound"`
-	Queued   int    `json:"queued"`
-	Level    int    `json:"level"`
-	Slow     bool   `json:"slow"`
-	Version  string `json:"version,omitempty"`
+	Name          string `json:"name"`
+	Zone          string `json:"zone"`
+	Linked        bool   `json:"linked"`
+	Leaving       bool   `json:"leaving"`
+	InFlight      int    `json:"in_flight"`
+	InFlightBound int    `json:"bound"`
+	Queued        int    `json:"queued"`
+	ShedLevel     int    `json:"level"`
+	Slow          bool   `json:"slow"`
+	Version       string `json:"version,omitempty"`
 }
 
 // Request is the record of the decisions about one request. Outcome is empty while the
@@ -70,8 +70,8 @@
 // Step is one decision about a request. AtMS is the time since the entry accepted the
 // request, in milliseconds.
 type Step struct {
-	AtMS  int64  `json:"at_ms"`
-	What  string `json:"what"`
-	Agent string `json:"agent,omitempty"`
-	Why   string `json:"why,omitempty"`
+	AtMS   int64  `json:"at_ms"`
+	Action string `json:"what"`
+	Agent  string `json:"agent,omitempty"`
+	Reason string `json:"why,omitempty"`
 }
--- a/core/spec/decode.go
+++ b/core/spec/decode.go
@@ -19,7 +19,7 @@
 }
 
 // Object is implemented by the objects that operators write.
-type Named interface {
+type Object interface {
 	// Check returns every problem of the object that can be found without other
 	// objects.
 	Check() Problems
@@ -41,7 +41,7 @@
 
 // newObject returns a pointer to an empty object of a kind, nil for the kinds that
 // operators do not write.
-func newObject(kind string) Named {
+func newObject(kind string) Object {
 	switch kind {
 	case KindClass:
 		return new(Class)
@@ -56,7 +56,7 @@
 }
 
 // deref returns the object that o, a pointer from newObject, points to.
-func deref(o Named) Named {
+func deref(o Object) Object {
 	switch o := o.(type) {
 	case *Class:
 		return *o
@@ -73,7 +73,7 @@
 // Decode reads and checks the content of an object as the platform stores it. It
 // returns a Class, Customer, Model or Service and every problem found. For the kinds
 // that processes write it returns nil and no problems.
-func Decode(kind, name string, data []byte) (Named, Problems) {
+func Decode(kind, name string, data []byte) (Object, Problems) {
 	o := newObject(kind)
 	if o == nil {
 		return nil, nil
@@ -132,7 +132,7 @@
 
 // Encode returns the content of an object as the platform stores it, with applied as
 // its writer.
-func Encode(o Named, applied *Applied) ([]byte, error) {
+func Encode(o Object, applied *Applied) ([]byte, error) {
 	switch o := o.(type) {
 	case Class:
 		o.Applied = applied
--- a/core/spec/homes.go
+++ b/core/spec/homes.go
@@ -14,10 +14,10 @@
 	Slots HomeSlots `json:"slots"`
 	// FormerOwners are the owners that lost slots recently; HomeSlot.PreviousOwner
 	// refers to them.
-	Left []HomeOwner `json:"left,omitempty"`
+	FormerOwners []HomeOwner `json:"left,omitempty"`
 	// ConfirmedAtMS is set by each write that only confirms the epoch, in Unix
 	// milliseconds of the writer's clock. No decision depends on it.
-	Touched int64 `json:"touched"`
+	ConfirmedAtMS int64 `json:"touched"`
 }
 
 // HomeOwner identifies one agent process. A restarted agent has another incarnation
@@ -33,12 +33,12 @@
 	Owner int `json:"o"`
 	// LostBefore is the time in Unix milliseconds before which records may be lost,
 	// zero if none can be lost.
-	Since int64 `json:"s,omitempty"`
+	LostBefore int64 `json:"s,omitempty"`
 	// OwnedSinceEpoch is the epoch in which the owner took over the slot.
-	Took int64 `json:"t"`
+	OwnedSinceEpoch int64 `json:"t"`
 	// PreviousOwner is one more than the index in Homes.FormerOwners of the previous
 	// owner, which may hand over its records; zero if there is none.
-	From int `json:"f,omitempty"`
+	PreviousOwner int `json:"f,omitempty"`
 }
 
 // Assign is the content of assign/MODEL: what each endpoint has to serve. The version
--- a/core/spec/read.go
+++ b/core/spec/read.go
@@ -19,7 +19,7 @@
 	Name string
 	// Line is the line on which the object begins.
 	Line   int
-	Object Named
+	Object Object
 	// IfVersion is the version on which the operator's change is based, zero if the
 	// file does not state it.
 	IfVersion int64
@@ -27,7 +27,7 @@
 }
 
 // NewItem returns an Item for an object that does not come from a file.
-func ItemOf(kind string, o Named) Item { return Item{Kind: kind, Name: o.ObjectName(), Object: o} }
+func NewItem(kind string, o Object) Item { return Item{Kind: kind, Name: o.ObjectName(), Object: o} }
 
 // Ref returns KIND/NAME.
 func (i Item) Ref() string { return i.Kind + "/" + i.Name }
@@ -118,7 +118,7 @@
 }
 
 // readKind decodes and checks the object of a kind in n.
-func readKind(kind string, n *yaml.Node) (Named, Problems) {
+func readKind(kind string, n *yaml.Node) (Object, Problems) {
 	o := newObject(kind)
 	ps := DecodeNode(n, o)
 	found := o.Check()
--- a/core/spec/slots.go
+++ b/core/spec/slots.go
@@ -42,9 +42,9 @@
 	c := homeColumns{Owners: make([]int, len(s)), LostBefore: []homeRun{}, OwnedSinceEpoch: []homeRun{}}
 	for i := range s {
 		c.Owners[i] = s[i].Owner
-		c.LostBefore = appendRun(c.LostBefore, s[i].Since)
-		c.OwnedSinceEpoch = appendRun(c.OwnedSinceEpoch, s[i].Took)
-		c.PreviousOwner = appendRun(c.PreviousOwner, int64(s[i].From))
+		c.LostBefore = appendRun(c.LostBefore, s[i].LostBefore)
+		c.OwnedSinceEpoch = appendRun(c.OwnedSinceEpoch, s[i].OwnedSinceEpoch)
+		c.PreviousOwner = appendRun(c.PreviousOwner, int64(s[i].PreviousOwner))
 	}
 	if len(c.PreviousOwner) == 1 && c.PreviousOwner[0][1] == 0 {
 		c.PreviousOwner = nil
@@ -66,11 +66,11 @@
 	for i, o := range c.Owners {
 		out[i].Owner = o
 	}
-	if !expandRuns(c.LostBefore, len(out), func(i int, v int64) { out[i].Since = v }) ||
-		!expandRuns(c.OwnedSinceEpoch, len(out), func(i int, v int64) { out[i].Took = v }) {
+	if !expandRuns(c.LostBefore, len(out), func(i int, v int64) { out[i].LostBefore = v }) ||
+		!expandRuns(c.OwnedSinceEpoch, len(out), func(i int, v int64) { out[i].OwnedSinceEpoch = v }) {
 		return errHomeSlots
 	}
-	if len(c.PreviousOwner) > 0 && !expandRuns(c.PreviousOwner, len(out), func(i int, v int64) { out[i].From = int(v) }) {
+	if len(c.PreviousOwner) > 0 && !expandRuns(c.PreviousOwner, len(out), func(i int, v int64) { out[i].PreviousOwner = int(v) }) {
 		return errHomeSlots
 	}
 	*s = out
--- a/core/spec/slots_test.go
+++ b/core/spec/slots_test.go
@@ -14,9 +14,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		slot := rapid.Custom(func(t *rapid.T) HomeSlot {
 			return HomeSlot{
-				Owner: rapid.IntRange(-1, 3).Draw(t, "owner"),
-				From:  rapid.IntRange(0, 1).Draw(t, "from"),
-				Since: rapid.Int64Range(0, 2).Draw(t, "since"), Took: rapid.Int64Range(1, 3).Draw(t, "took"),
+				Owner:         rapid.IntRange(-1, 3).Draw(t, "owner"),
+				PreviousOwner: rapid.IntRange(0, 1).Draw(t, "from"),
+				LostBefore:    rapid.Int64Range(0, 2).Draw(t, "since"), OwnedSinceEpoch: rapid.Int64Range(1, 3).Draw(t, "took"),
 			}
 		})
 		want := Homes{Epoch: 3, Owners: []HomeOwner{}, Slots: rapid.SliceOf(slot).Draw(t, "slots")}
--- a/core/store/accept.go
+++ b/core/store/accept.go
@@ -109,7 +109,7 @@
 	if (!known || previous.deleted) && !wasRejected && o.Version <= next.complete {
 		return false, nil
 	}
-	if ev.Gone {
+	if ev.Deleted {
 		s.remove(next, id, o.Version, inferred)
 		return true, nil
 	}
--- a/core/store/keys.go
+++ b/core/store/keys.go
@@ -63,7 +63,7 @@
 // index adds a decoded object to the typed tables. Names share their memory with the
 // record and between objects. The writer of the object is dropped, because the
 // platform keeps it.
-func (s *Store) index(next *snapshot, id objectID, decoded spec.Named) {
+func (s *Store) index(next *snapshot, id objectID, decoded spec.Object) {
 	switch o := decoded.(type) {
 	case spec.Class:
 		o.Name, o.Applied = id.name, nil
--- a/core/store/list.go
+++ b/core/store/list.go
@@ -26,13 +26,13 @@
 	next := *s.snap.Load()
 	listed := make(map[objectID]struct{}, len(b.Events))
 	for _, ev := range b.Events {
-		if !ev.Gone {
+		if !ev.Deleted {
 			listed[objectID{ev.Object.Kind, ev.Object.Name}] = struct{}{}
 		}
 	}
 	changed, rejected = s.acceptAll(&next, b.Events)
 	for _, id := range missing(&next, kind, listed, b.Version) {
-		deletion := plat.Event{Gone: true, Object: plat.Object{Kind: id.kind, Name: id.name, Version: b.Version}}
+		deletion := plat.Event{Deleted: true, Object: plat.Object{Kind: id.kind, Name: id.name, Version: b.Version}}
 		if hasChanged, _ := s.accept(&next, deletion, true); hasChanged {
 			changed++
 		}
@@ -98,7 +98,7 @@
 	current := s.snap.Load()
 	all := make([]plat.Event, 0, current.records.size)
 	current.records.each(func(id objectID, r record) bool {
-		all = append(all, plat.Event{Gone: r.deleted, Object: current.object(id, r)})
+		all = append(all, plat.Event{Deleted: r.deleted, Object: current.object(id, r)})
 		return true
 	})
 	current.rejected.each(func(_ objectID, r Rejection) bool {
--- a/core/store/model_test.go
+++ b/core/store/model_test.go
@@ -18,7 +18,7 @@
 	version := int64(len(h.events) + 1)
 	switch rapid.IntRange(0, 5).Draw(t, "write") {
 	case 0:
-		h.events = append(h.events, plat.Event{Gone: true, Object: plat.Object{Kind: spec.KindClass, Name: name, Version: version}})
+		h.events = append(h.events, plat.Event{Deleted: true, Object: plat.Object{Kind: spec.KindClass, Name: name, Version: version}})
 	case 1:
 		h.events = append(h.events, plat.Event{Object: plat.Object{
 			Kind: spec.KindClass, Name: name, Version: version, Data: []byte(`{"name":"bad","tier":-1}`),
@@ -37,7 +37,7 @@
 	}
 	b := plat.Batch{Version: version}
 	for _, ev := range last {
-		if !ev.Gone {
+		if !ev.Deleted {
 			b.Events = append(b.Events, ev)
 		}
 	}
@@ -138,7 +138,7 @@
 			}
 			last = ev
 			_, bad := spec.Decode(ev.Object.Kind, name, ev.Object.Data)
-			good[ev.Object.Version] = !ev.Gone && len(bad) == 0
+			good[ev.Object.Version] = !ev.Deleted && len(bad) == 0
 		}
 		o, ok := s.Raw(spec.KindClass, name)
 		switch {
@@ -146,7 +146,7 @@
 			t.Fatalf("%s: version %d in force was never good", name, o.Version)
 		case good[last.Object.Version] && o.Version != last.Object.Version:
 			t.Fatalf("%s: version %d in force, newest is %d", name, o.Version, last.Object.Version)
-		case last.Gone && ok:
+		case last.Deleted && ok:
 			t.Fatalf("%s: deleted at %d, version %d in force", name, last.Object.Version, o.Version)
 		}
 	}
--- a/core/store/store.go
+++ b/core/store/store.go
@@ -133,7 +133,7 @@
 }
 
 // typed returns the decoded object of a kind that operators write.
-func (n *snapshot) typed(id objectID) spec.Named {
+func (n *snapshot) typed(id objectID) spec.Object {
 	switch id.kind {
 	case spec.KindClass:
 		o, _ := n.classes.get(id.name)
--- a/core/store/store_test.go
+++ b/core/store/store_test.go
@@ -73,7 +73,7 @@
 	// in force, or its callers would be refused.
 	s := New()
 	accept(t, s, class(t, "swap", 1, 0), class(t, "old", 2, 1), class(t, "new", 9, 1))
-	accept(t, s, plat.Event{Gone: true, Object: plat.Object{Kind: spec.KindClass, Name: "old", Version: 7}})
+	accept(t, s, plat.Event{Deleted: true, Object: plat.Object{Kind: spec.KindClass, Name: "old", Version: 7}})
 	s.AcceptList(plat.AnyKind, plat.Batch{Version: 5, Events: []plat.Event{class(t, "swap", 1, 0), class(t, "old", 2, 1)}})
 	if _, ok := s.Class("new"); !ok {
 		t.Error("the list deleted an object that is newer than it")
@@ -91,7 +91,7 @@
 	// A class is deleted, created again and deleted again. One process received the
 	// first deletion and later a list without the class; a peer with older state
 	// still serves it. Neither may restore the class at the other.
-	deleted := plat.Event{Gone: true, Object: plat.Object{Kind: spec.KindClass, Name: "swap", Version: 1}}
+	deleted := plat.Event{Deleted: true, Object: plat.Object{Kind: spec.KindClass, Name: "swap", Version: 1}}
 	newer, older := New(), New()
 	newer.AcceptBatch(plat.Batch{Version: 1, Events: []plat.Event{deleted}})
 	newer.AcceptList(plat.AnyKind, plat.Batch{Version: 9})
@@ -183,7 +183,7 @@
 		name := fmt.Sprint("c", i)
 		s.AcceptBatch(plat.Batch{Version: 2*i + 2, Events: []plat.Event{
 			class(t, name, 2*i+1, 0),
-			{Gone: true, Object: plat.Object{Kind: spec.KindClass, Name: name, Version: 2*i + 2}},
+			{Deleted: true, Object: plat.Object{Kind: spec.KindClass, Name: name, Version: 2*i + 2}},
 		}})
 	}
 	if n := len(s.All()); n > maxTombstones {
--- a/core/wire/hand.go
+++ b/core/wire/hand.go
@@ -10,11 +10,11 @@
 	// MaxRecords is the maximum number of records in one Handover.
 	MaxRecords = 64
 	// MaxSlots is the maximum number of slots in one Handover.
-	MaxShares = 4096
+	MaxSlots = 4096
 )
 
 // AgentProcess identifies one agent process in a handover.
-type Party struct {
+type AgentProcess struct {
 	_msgpack    struct{} `msgpack:",as_array"`
 	Name        string
 	Incarnation uint64
@@ -25,9 +25,9 @@
 type Handover struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Pool     string
-	From, To Party
+	From, To AgentProcess
 	// Epoch is the epoch in which the slots changed their owner.
-	Took int64
+	Epoch int64
 	// Seq numbers the parts from zero. A part is sent again until its HandoverAck
 	// arrives, and only then the next one is sent.
 	Seq     uint32
@@ -35,43 +35,43 @@
 	// Last is set in the final part: all records of the keys in Slots have been sent,
 	// and the sender will never act for any slot again. Slots is empty in all other
 	// parts.
-	Last   bool
-	Shares Shares
+	Last  bool
+	Slots HandoverSlots
 }
 
 // HandoverAck acknowledges part Seq of a handover. From is the agent that received
 // the part.
-type HandAck struct {
+type HandoverAck struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Pool     string
-	From, To Party
-	Took     int64
+	From, To AgentProcess
+	Epoch    int64
 	Seq      uint32
 }
 
 // HandoverSlot is a slot and the time in Unix milliseconds before which records of
 // its keys may be lost, zero if none can be lost.
-type Share struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	Slot     uint32
-	Since    int64
+type HandoverSlot struct {
+	_msgpack   struct{} `msgpack:",as_array"`
+	Slot       uint32
+	LostBefore int64
 }
 
 // KeyRecord holds what is known about one idempotency key and its finished run.
 type KeyRecord struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Key      []byte
-	First    ident.ID
+	FirstID  ident.ID
 	Digest   uint64
 	// AnswerDropped is set when the answer is no longer kept; the fields after it are
 	// empty then. Status is zero if the answer never began.
-	Gone   bool
-	Status uint16
-	Header Fields
-	Body   []byte
-	Whole  bool
-	Reason Reason
-	Usage  Usage
+	AnswerDropped bool
+	Status        uint16
+	Header        Fields
+	Body          []byte
+	Complete      bool
+	Reason        Reason
+	Usage         Usage
 }
 
 // KeyRecords is a list of at most MaxRecords records.
@@ -86,11 +86,11 @@
 }
 
 // HandoverSlots is a list of at most MaxSlots slots.
-type Shares []Share
+type HandoverSlots []HandoverSlot
 
 // DecodeMsgpack reads at most MaxSlots slots and returns an error for a longer list.
-func (s *Shares) DecodeMsgpack(d *msgpack.Decoder) error {
-	list, err := decodeList[Share](d, MaxShares)
+func (s *HandoverSlots) DecodeMsgpack(d *msgpack.Decoder) error {
+	list, err := decodeList[HandoverSlot](d, MaxSlots)
 	*s = list
 	return err
 }
--- a/core/wire/kind.go
+++ b/core/wire/kind.go
@@ -8,7 +8,7 @@
 const (
 	KindHello Kind = 1 + iota
 	KindProof
-	KindBeat
+	KindHeartbeat
 	KindOffer
 	KindWithdraw
 	KindClaim
@@ -39,7 +39,7 @@
 )
 
 var kindNames = [...]string{
-	KindHello: "hello", KindProof: "proof", KindBeat: "beat", KindOffer: "offer",
+	KindHello: "hello", KindProof: "proof", KindHeartbeat: "beat", KindOffer: "offer",
 	KindWithdraw: "withdraw", KindClaim: "claim", KindGrant: "grant", KindDeny: "deny",
 	KindReturn: "return", KindKeyStatus: "known", KindHead: "head", KindChunk: "chunk",
 	KindEnd: "end", KindCancel: "cancel", KindAttach: "attach", KindShedLevel: "level",
@@ -75,8 +75,8 @@
 		return new(Hello)
 	case KindProof:
 		return new(Proof)
-	case KindBeat:
-		return new(Beat)
+	case KindHeartbeat:
+		return new(Heartbeat)
 	case KindOffer:
 		return new(Offer)
 	case KindWithdraw:
@@ -90,7 +90,7 @@
 	case KindReturn:
 		return new(Return)
 	case KindKeyStatus:
-		return new(Known)
+		return new(KeyStatus)
 	case KindHead:
 		return new(Head)
 	case KindChunk:
@@ -102,13 +102,13 @@
 	case KindAttach:
 		return new(Attach)
 	case KindShedLevel:
-		return new(Level)
+		return new(ShedLevel)
 	case KindObjectUpdate:
-		return new(News)
+		return new(ObjectUpdate)
 	case KindLeaseRequest:
-		return new(LeaseAsk)
+		return new(LeaseRequest)
 	case KindLeaseReply:
-		return new(LeaseAck)
+		return new(LeaseReply)
 	case KindFetch:
 		return new(Fetch)
 	case KindFetchDone:
@@ -116,7 +116,7 @@
 	case KindHandover:
 		return new(Handover)
 	case KindHandoverAck:
-		return new(HandAck)
+		return new(HandoverAck)
 	case KindTally:
 		return new(Tally)
 	case KindSnapshot:
@@ -124,11 +124,11 @@
 	case KindRelay:
 		return new(Relay)
 	case KindPlaceRequest:
-		return new(PlaceAsk)
+		return new(PlaceRequest)
 	case KindPlaceReply:
-		return new(PlaceAck)
+		return new(PlaceReply)
 	case KindPlaceReport:
-		return new(PlaceNote)
+		return new(PlaceReport)
 	}
 	return nil
 }
--- a/core/wire/kinds.go
+++ b/core/wire/kinds.go
@@ -7,7 +7,7 @@
 func (*Proof) Kind() Kind { return KindProof }
 
 // Kind returns KindHeartbeat.
-func (*Beat) Kind() Kind { return KindBeat }
+func (*Heartbeat) Kind() Kind { return KindHeartbeat }
 
 // Kind returns KindOffer.
 func (*Offer) Kind() Kind { return KindOffer }
@@ -28,7 +28,7 @@
 func (*Return) Kind() Kind { return KindReturn }
 
 // Kind returns KindKeyStatus.
-func (*Known) Kind() Kind { return KindKeyStatus }
+func (*KeyStatus) Kind() Kind { return KindKeyStatus }
 
 // Kind returns KindHead.
 func (*Head) Kind() Kind { return KindHead }
@@ -46,16 +46,16 @@
 func (*Attach) Kind() Kind { return KindAttach }
 
 // Kind returns KindShedLevel.
-func (*Level) Kind() Kind { return KindShedLevel }
+func (*ShedLevel) Kind() Kind { return KindShedLevel }
 
 // Kind returns KindObjectUpdate.
-func (*News) Kind() Kind { return KindObjectUpdate }
+func (*ObjectUpdate) Kind() Kind { return KindObjectUpdate }
 
 // Kind returns KindLeaseRequest.
-func (*LeaseAsk) Kind() Kind { return KindLeaseRequest }
+func (*LeaseRequest) Kind() Kind { return KindLeaseRequest }
 
 // Kind returns KindLeaseReply.
-func (*LeaseAck) Kind() Kind { return KindLeaseReply }
+func (*LeaseReply) Kind() Kind { return KindLeaseReply }
 
 // Kind returns KindFetch.
 func (*Fetch) Kind() Kind { return KindFetch }
@@ -67,7 +67,7 @@
 func (*Handover) Kind() Kind { return KindHandover }
 
 // Kind returns KindHandoverAck.
-func (*HandAck) Kind() Kind { return KindHandoverAck }
+func (*HandoverAck) Kind() Kind { return KindHandoverAck }
 
 // Kind returns KindTally.
 func (*Tally) Kind() Kind { return KindTally }
--- a/core/wire/last_test.go
+++ b/core/wire/last_test.go
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	far.Close()
-	for end := time.Now().Add(10 * time.Second); l.Send(new(Known)) == nil; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); l.Send(new(KeyStatus)) == nil; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("writes to a closed peer still succeed")
 		}
@@ -94,7 +94,7 @@
 	go func() { ended <- l.Run(context.Background(), func(Message) {}) }()
 	var sendErr error
 	for sendErr == nil {
-		sendErr = l.Send(new(Known))
+		sendErr = l.Send(new(KeyStatus))
 	}
 	if err := <-ended; !errors.Is(sendErr, ring.ErrFull) || !errors.Is(err, ring.ErrFull) {
 		t.Errorf("the link ended with %v, the send with %v", err, sendErr)
--- a/core/wire/late_test.go
+++ b/core/wire/late_test.go
@@ -87,7 +87,7 @@
 		time.Sleep(heartbeat)
 	}
 	close(conn.resume)
-	if err := peerLink.Send(new(Known)); err != nil {
+	if err := peerLink.Send(new(KeyStatus)); err != nil {
 		t.Errorf("the peer could not send: %v", err)
 	}
 	for received := false; !received; {
--- a/core/wire/link.go
+++ b/core/wire/link.go
@@ -87,7 +87,7 @@
 	// The peer's Hello may ask for a shorter time.
 	Idle time.Duration
 	// NewHeartbeat returns the heartbeat to send; nil sends an empty Heartbeat.
-	Beat func() Message
+	NewHeartbeat func() Message
 }
 
 // New returns a link over conn to the peer whose Hello the handshake returned. It
@@ -96,8 +96,8 @@
 	if cfg.Heartbeat <= 0 {
 		cfg.Heartbeat = DefaultHeartbeat
 	}
-	if cfg.Beat == nil {
-		cfg.Beat = func() Message { return new(Beat) }
+	if cfg.NewHeartbeat == nil {
+		cfg.NewHeartbeat = func() Message { return new(Heartbeat) }
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	sendCtx, stopSends := context.WithCancel(ctx)
@@ -105,7 +105,7 @@
 	return &Link{
 		conn: conn, timedConn: &deadlineConn{Conn: conn, liveness: live, writeTimeout: cfg.Heartbeat * MissedHeartbeats},
 		peer: peer, sendQueue: ring.New[Message](queueSize), bulkQueue: ring.New[Message](queueSize), done: make(chan struct{}),
-		finish: make(chan struct{}), ctx: ctx, cancel: cancel, sendCtx: sendCtx, stopSends: stopSends, newHeartbeat: cfg.Beat, heartbeat: cfg.Heartbeat, liveness: live, start: time.Now(),
+		finish: make(chan struct{}), ctx: ctx, cancel: cancel, sendCtx: sendCtx, stopSends: stopSends, newHeartbeat: cfg.NewHeartbeat, heartbeat: cfg.Heartbeat, liveness: live, start: time.Now(),
 	}
 }
 
--- a/core/wire/link_test.go
+++ b/core/wire/link_test.go
@@ -26,7 +26,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	open := func(conn net.Conn, name string, keys Keys) result {
-		peer, err := Open(ctx, conn, Hello{Role: RoleAgent, Name: name, Zone: "z"}, keys)
+		peer, err := Handshake(ctx, conn, Hello{Role: RoleAgent, Name: name, Zone: "z"}, keys)
 		if err != nil {
 			conn.Close()
 			return result{nil, err}
@@ -54,7 +54,7 @@
 // receiveOpening receives the heartbeat that opens a link.
 func receiveOpening(t *testing.T, got <-chan Message) {
 	t.Helper()
-	if m := <-got; m.Kind() != KindBeat {
+	if m := <-got; m.Kind() != KindHeartbeat {
 		t.Fatalf("the link opened with %s", m.Kind())
 	}
 }
@@ -73,14 +73,14 @@
 	ended := make(chan error, 2)
 	go func() { ended <- a.Run(ctx, func(Message) {}) }()
 	go func() { ended <- b.Run(ctx, func(m Message) { got <- m }) }()
-	want := &Offer{ID: ident.Make(1, 2), Pool: "roster", Customer: "metro", Tier: 3, KeyMade: 1 << 60, Key: []byte{9, 8}}
+	want := &Offer{ID: ident.Make(1, 2), Pool: "roster", Customer: "metro", Tier: 3, KeyCreatedMS: 1 << 60, KeyHash: []byte{9, 8}}
 	if err := a.Send(want); err != nil {
 		t.Fatal(err)
 	}
 	receiveOpening(t, got)
 	m := <-got
 	o, ok := m.(*Offer)
-	if !ok || o.ID != want.ID || o.Pool != want.Pool || string(o.Key) != string(want.Key) || o.KeyMade != want.KeyMade {
+	if !ok || o.ID != want.ID || o.Pool != want.Pool || string(o.KeyHash) != string(want.KeyHash) || o.KeyCreatedMS != want.KeyCreatedMS {
 		t.Fatalf("got %#v", m)
 	}
 	cancel()
@@ -137,7 +137,7 @@
 	if err := a.SendWait(canceled, &Chunk{}); !errors.Is(err, context.Canceled) {
 		t.Fatalf("SendWait into a full queue did not wait: %v", err)
 	}
-	if err := a.Send(&Known{}); err != nil {
+	if err := a.Send(&KeyStatus{}); err != nil {
 		t.Fatal(err)
 	}
 	got := make(chan Message, 2*queueSize)
@@ -153,7 +153,7 @@
 			t.Fatalf("piece %d: %#v", i, c)
 		}
 	}
-	if err := a.Send(&Known{}); err != nil {
+	if err := a.Send(&KeyStatus{}); err != nil {
 		t.Fatal(err)
 	}
 	if err := a.SendWait(ctx, &Head{}); err != nil {
--- a/core/wire/message.go
+++ b/core/wire/message.go
@@ -58,19 +58,19 @@
 	InFlight uint16
 	// InFlightBound is the number of in-flight requests that the agent allows at
 	// present.
-	Bound uint16
+	InFlightBound uint16
 	// Queued is the number of offers in the queue in front of the endpoint.
 	Queued uint16
 	// QueuedCostMS is the estimated work of the queue, in milliseconds of the
 	// endpoint at its present speed.
-	QueuedCost uint32
+	QueuedCostMS uint32
 	// RunningTiers has bit t set while a request of tier t is in flight.
-	Running uint8
+	RunningTiers uint8
 	// WaitingTiers has bit t set while an offer of tier t is queued or claimed.
-	Waiting uint8
+	WaitingTiers uint8
 	// ShedLevel is the shed level in force at the agent: it accepts and starts no
 	// work of a tier above it.
-	Level uint8
+	ShedLevel uint8
 	// Leaving is set once a planned stop has begun.
 	Leaving bool
 	// Slow is set while the endpoint is far below its usual speed.
@@ -79,14 +79,14 @@
 
 // Heartbeat is the heartbeat of an idle link, in both directions. Any other message
 // counts as a heartbeat too.
-type Beat struct {
+type Heartbeat struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	// Load is set in an agent's heartbeat.
 	Load Load
 	// Leaving is set by an entry that is stopping.
 	Leaving bool
 	// ConfigVersion is the newest configuration version in force at the sender.
-	Config int64
+	ConfigVersion int64
 	// Model and Version are what the agent's endpoint serves. They are empty when
 	// unknown, and when this link has carried them before.
 	Model, Version string
@@ -115,9 +115,9 @@
 	// time between two tokens and CompleteTargetMS for the whole answer, in
 	// milliseconds. FirstTargetMS and CompleteTargetMS count from acceptance. Zero
 	// means no target.
-	FirstMS    uint32
-	BetweenMS  uint32
-	CompleteMS uint32
+	FirstTargetMS    uint32
+	BetweenTargetMS  uint32
+	CompleteTargetMS uint32
 	// DeadlineMS is the time in milliseconds until the caller gives up.
 	DeadlineMS uint32
 	// Repeatable is set when the request may be cancelled at any time and run again.
@@ -129,10 +129,10 @@
 	// KeyHash is the hash of the customer and the idempotency key, empty for a
 	// request without a key. A request with a key is offered only to the key's home
 	// agent.
-	Key []byte
+	KeyHash []byte
 	// KeyCreatedMS is the time in Unix milliseconds at which the key was created,
 	// zero if the key does not contain it.
-	KeyMade int64
+	KeyCreatedMS int64
 	// Digest is the hash of the request. It detects a key that is used for two
 	// different requests.
 	Digest uint64
@@ -241,17 +241,17 @@
 	KeyMismatch
 	// KeyAnswerDropped: the first request has finished, but its answer is no longer
 	// kept.
-	KeyForgotAnswer
+	KeyAnswerDropped
 )
 
 // KeyStatus is the reply to an offer whose request must not run again because of its
 // idempotency key.
-type Known struct {
+type KeyStatus struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       ident.ID
-	// First is the ID of the request that ran under the key.
-	First ident.ID
-	State KeyState
+	// FirstID is the ID of the request that ran under the key.
+	FirstID ident.ID
+	State   KeyState
 }
 
 // Head is the beginning of an answer.
@@ -278,8 +278,8 @@
 	OutputTokens uint32
 	// FirstByteMS is the time from the endpoint's acceptance to its first byte and
 	// TotalMS to its last byte, in milliseconds.
-	FirstMS uint32
-	TotalMS uint32
+	FirstByteMS uint32
+	TotalMS     uint32
 }
 
 // End ends an answer. Its counts and checksum let the entry detect a truncated
@@ -292,10 +292,10 @@
 	// CRC is the CRC-32C of the body.
 	CRC uint32
 	// Complete is set when the endpoint itself finished the answer.
-	Whole  bool
-	Reason Reason
-	Usage  Usage
-	Load   Load
+	Complete bool
+	Reason   Reason
+	Usage    Usage
+	Load     Load
 }
 
 // Cancel cancels a request: the agent drops an offer and cancels a running request at
@@ -311,18 +311,18 @@
 type Attach struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       ident.ID
-	Next     uint32
+	NextSeq  uint32
 	// Stream allows a new incarnation of the agent to resume the request at an engine
 	// that can do so.
 	Stream bool
 	// AgentIncarnation is the incarnation of the agent to which the grant was
 	// written. Another incarnation cannot know that the grant never arrived, so it
 	// never replies with ReasonNeverGranted. Zero means unknown.
-	Agent uint64
+	AgentIncarnation uint64
 }
 
 // ShedLevel sets the shed level of an agent's pool.
-type Level struct {
+type ShedLevel struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Pool     string
 	Level    uint8
@@ -333,18 +333,18 @@
 
 // ObjectUpdate carries one object of the platform to a process that does not watch
 // the platform.
-type News struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	Object   string
-	Name     string
-	Version  int64
-	Gone     bool
-	Data     []byte
+type ObjectUpdate struct {
+	_msgpack   struct{} `msgpack:",as_array"`
+	ObjectKind string
+	Name       string
+	Version    int64
+	Deleted    bool
+	Data       []byte
 }
 
 // LeaseRequest asks an entry how old its knowledge of a pool's homes is. If Pool is
 // AssignPrefix and a model, it asks for that model's assignments instead.
-type LeaseAsk struct {
+type LeaseRequest struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Seq      uint32
 	Pool     string
@@ -358,14 +358,14 @@
 // before the request was received. The age counts from the moment before the entry
 // sent the conditional write that returned the epoch. A plain read may return an old
 // state and confirms nothing.
-type LeaseAck struct {
+type LeaseReply struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Seq      uint32
 	Pool     string
 	Epoch    int64
 	AgeMS    uint32
 	// Confirmed is false when the entry has no confirmation at all.
-	Fresh bool
+	Confirmed bool
 }
 
 // Fetch requests every object that is in force at a peer.
--- a/core/wire/pace.go
+++ b/core/wire/pace.go
@@ -45,7 +45,7 @@
 // belongsToRequest reports whether a message of kind k belongs to a request.
 func belongsToRequest(k Kind) bool {
 	switch k {
-	case KindBeat, KindShedLevel, KindObjectUpdate, KindLeaseRequest, KindLeaseReply, KindFetch, KindFetchDone:
+	case KindHeartbeat, KindShedLevel, KindObjectUpdate, KindLeaseRequest, KindLeaseReply, KindFetch, KindFetchDone:
 		return false
 	}
 	return true
@@ -135,7 +135,7 @@
 // A new configuration version alone is not worth a heartbeat: in a large fleet it
 // changes every few seconds, and no peer acts on it.
 func sameHeartbeat(a, b Message) bool {
-	prev, ok := a.(*Beat)
-	next, nextOK := b.(*Beat)
+	prev, ok := a.(*Heartbeat)
+	next, nextOK := b.(*Heartbeat)
 	return ok && nextOK && prev.Load == next.Load && prev.Leaving == next.Leaving && prev.Model == next.Model && prev.Version == next.Version
 }
--- a/core/wire/pace_test.go
+++ b/core/wire/pace_test.go
@@ -113,11 +113,11 @@
 }
 
 func TestSameHeartbeat(t *testing.T) {
-	a := &Beat{Load: Load{InFlight: 3}, Config: 7}
-	if !sameHeartbeat(a, &Beat{Load: Load{InFlight: 3}, Config: 8}) {
+	a := &Heartbeat{Load: Load{InFlight: 3}, ConfigVersion: 7}
+	if !sameHeartbeat(a, &Heartbeat{Load: Load{InFlight: 3}, ConfigVersion: 8}) {
 		t.Error("a new configuration version alone counts as a change")
 	}
-	if sameHeartbeat(a, &Beat{Load: Load{InFlight: 4}, Config: 7}) || sameHeartbeat(a, &Beat{Load: a.Load, Leaving: true}) || sameHeartbeat(a, new(Deny)) {
+	if sameHeartbeat(a, &Heartbeat{Load: Load{InFlight: 4}, ConfigVersion: 7}) || sameHeartbeat(a, &Heartbeat{Load: a.Load, Leaving: true}) || sameHeartbeat(a, new(Deny)) {
 		t.Error("a change is not detected")
 	}
 }
--- a/core/wire/place.go
+++ b/core/wire/place.go
@@ -2,53 +2,53 @@
 
 // PlaceRequest asks the entry that owns a shard of a pool's endpoints to place a
 // request at one of them.
-type PlaceAsk struct {
+type PlaceRequest struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	// ID is the sender's number of the request. It is never used twice on one link.
 	ID   uint64
 	Pool string
 	// Zone and ShardIndex identify the shard.
-	Zone string
-	Part uint16
+	Zone       string
+	ShardIndex uint16
 	// CustomerTier and RouteTier are the request's tier.
-	Customer, Route int
+	CustomerTier, RouteTier int
 	// TargetUS is the request's target, TargetLeftUS the time left until the target
 	// and DeadlineLeftUS the time left until the answer must be complete, in
 	// microseconds.
-	TargetUS, DueUS, LeftUS int64
+	TargetUS, TargetLeftUS, DeadlineLeftUS int64
 	// PromptTokens and OutputTokens are the request's expected token counts.
-	Prompt, Output uint32
+	PromptTokens, OutputTokens uint32
 	// MayQueue is set if the request may wait for a slot.
-	Stand bool
+	MayQueue bool
 }
 
 // PlaceReply answers a PlaceRequest. The place then belongs to the sender of the
 // request until a PlaceReport ends it.
-type PlaceAck struct {
+type PlaceReply struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       uint64
 	// Decided is false if the receiver could not decide because it does not know the
 	// pool or its shard is empty.
-	Known bool
+	Decided bool
 	// Endpoint is empty for a refusal. Addr and Slots are the endpoint's address and
 	// number of slots in the instance list of revision RosterRevision.
 	Endpoint, Addr string
 	Slots          int
-	Roster         int64
+	RosterRevision int64
 	// RefusalReason is the reason of a refusal, an admit.Why. RetryAfterUS is the
 	// time until there should be room, and SlotIntervalUS the time until a slot is
 	// free for the next request, in microseconds.
-	Why             uint8
-	RetryUS, TurnUS int64
+	RefusalReason                uint8
+	RetryAfterUS, SlotIntervalUS int64
 	// FirstEventUS is the predicted time to the first event, WaitUS the part of it
 	// spent waiting for a slot and QueuedUS the time for which the request has
 	// already waited, in microseconds.
-	FirstUS, WaitUS, StoodUS int64
+	FirstEventUS, WaitUS, QueuedUS int64
 	// RequestsAhead is the number of requests that the endpoint had, and PromptTokens
 	// the number of prompt tokens that it had to process, including this request's.
 	// HadFreeSlot is set if the endpoint had a free slot.
-	Ahead, Prompt uint32
-	Free          bool
+	RequestsAhead, PromptTokens uint32
+	HadFreeSlot                 bool
 }
 
 // The values of PlaceReport.Outcome. Values from PlaceResult on are the sum of
@@ -68,23 +68,23 @@
 
 // PlaceReport reports the progress or the end of a placed request to the owner of the
 // shard.
-type PlaceNote struct {
+type PlaceReport struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       uint64
 	// OutputTokens is the number of output tokens so far.
-	Tokens uint32
+	OutputTokens uint32
 	// Outcome is PlaceOpen while the request is running.
-	End uint8
+	Outcome uint8
 	// EndpointRequests is the number of requests that the endpoint stated when it
 	// declined; zero if it stated none.
-	Load uint32
+	EndpointRequests uint32
 }
 
 // Kind returns KindPlaceRequest.
-func (*PlaceAsk) Kind() Kind { return KindPlaceRequest }
+func (*PlaceRequest) Kind() Kind { return KindPlaceRequest }
 
 // Kind returns KindPlaceReply.
-func (*PlaceAck) Kind() Kind { return KindPlaceReply }
+func (*PlaceReply) Kind() Kind { return KindPlaceReply }
 
 // Kind returns KindPlaceReport.
-func (*PlaceNote) Kind() Kind { return KindPlaceReport }
+func (*PlaceReport) Kind() Kind { return KindPlaceReport }
--- a/core/wire/shake.go
+++ b/core/wire/shake.go
@@ -39,7 +39,7 @@
 // Handshake performs the handshake on a new connection, at either end, and returns
 // the peer's Hello. The deadline is that of ctx, or handshakeTimeout if that is
 // earlier. Handshake does not close conn on an error, except when ctx ends.
-func Open(ctx context.Context, conn net.Conn, self Hello, keys Keys) (Hello, error) {
+func Handshake(ctx context.Context, conn net.Conn, self Hello, keys Keys) (Hello, error) {
 	self.Version = Version
 	self.Nonce = make([]byte, nonceSize)
 	if _, err := rand.Read(self.Nonce); err != nil {
--- a/core/wire/tally.go
+++ b/core/wire/tally.go
@@ -10,30 +10,30 @@
 	Addr string
 	// ConfigRevision and RosterRevision are the revisions of the configuration and of
 	// the instance list in force at the sender.
-	Config, Roster int64
+	ConfigRevision, RosterRevision int64
 	// Customers holds the customers whose total changed.
-	Used []Used
+	Customers []CustomerUsage
 	// Endpoints holds the endpoints at which the sender's in-flight requests changed.
-	Held []Held
+	Endpoints []EndpointLoad
 	// Entries lists the other entries that the sender knows.
 	Entries []EntryAddr
 	// Seq numbers the sender's tallies. Full is set in a tally that contains the
 	// complete state as of Seq; any other contains the changes since the previous
 	// tally.
-	Seq   uint64
-	Whole bool
+	Seq  uint64
+	Full bool
 	// MissingFrom names the entries from which the sender has not received every
 	// tally. These send their tallies to it directly.
-	Lacks []string
+	MissingFrom []string
 	// Queues holds the tiers of pools in which the number of the sender's queued
 	// requests changed.
-	Waiting []Waiting
+	Queues []TierQueue
 	// UptimeMS is the time in milliseconds for which the sender had run when it sent
 	// the tally. It shows the tally's transit time. Zero means unknown.
-	Clock uint64
+	UptimeMS uint64
 	// Freshness holds the lists for which the sender has new evidence that it has the
 	// newest revision.
-	Fresh []Fresh
+	Freshness []Freshness
 	// Capacity is the work that the sender can carry, in thousandths of a core; zero
 	// means unknown.
 	Capacity uint32
@@ -47,8 +47,8 @@
 
 // HasChanges reports whether the tally contains more than the sign that its sender is
 // alive.
-func (t *Tally) News() bool {
-	return len(t.Used)+len(t.Held)+len(t.Waiting)+len(t.Fresh)+len(t.Suspects)+len(t.Limits)+len(t.Rollouts) > 0
+func (t *Tally) HasChanges() bool {
+	return len(t.Customers)+len(t.Endpoints)+len(t.Queues)+len(t.Freshness)+len(t.Suspects)+len(t.Limits)+len(t.Rollouts) > 0
 }
 
 // Suspect is the sender's report on a request that may have crashed endpoints. Its
@@ -59,16 +59,16 @@
 	Fingerprint []byte
 	// CompletedAgoMS is the age of the last completion, negative if the request never
 	// completed.
-	CompletedMS int64
-	Crashes     []Crash
+	CompletedAgoMS int64
+	Crashes        []Crash
 	// QuarantinedAgoMS is the age of the beginning of the last quarantine,
 	// QuarantineLeftMS its remaining time and Quarantines the number of quarantines.
-	SinceMS, LeftMS uint32
-	Quarantines     uint16
+	QuarantinedAgoMS, QuarantineLeftMS uint32
+	Quarantines                        uint16
 	// ProbedAgoMS is the age of a probe that has no outcome yet, negative if there is
 	// none. ProbeAborted is set if the last probe did not run.
-	ProbedMS int64
-	Aborted  bool
+	ProbedAgoMS  int64
+	ProbeAborted bool
 }
 
 // Crash is a crash of an endpoint while the suspect request was running on it.
@@ -81,14 +81,14 @@
 // Freshness states how current a list is: the revision in force at the sender, as
 // stated in the same tally, contains every change made up to AgeMS milliseconds
 // before the tally was sent.
-type Fresh struct {
+type Freshness struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	// Content is SnapshotConfig or SnapshotRoster.
-	What  uint8
-	AgeMS uint32
+	Content uint8
+	AgeMS   uint32
 	// RefreshID identifies the lookup at the platform that is the evidence. Entries
 	// with the same evidence derive the same refresh order from it.
-	Mark uint32
+	RefreshID uint32
 }
 
 // Limit is the sender's report on an endpoint that limits the rate of requests.
@@ -97,12 +97,12 @@
 	Endpoint string
 	// RequestsPerSecond is valid if Limited is set. AgeMS is the age in milliseconds,
 	// when the tally was sent, of the answer that stated the limit.
-	Rate    float64
-	Limited bool
-	AgeMS   uint32
+	RequestsPerSecond float64
+	Limited           bool
+	AgeMS             uint32
 	// SentTotal is the number of requests that the sender has sent to the endpoint
 	// under a limit since it started.
-	Sent float64
+	SentTotal float64
 }
 
 // Rollout is the sender's report on an order to move a pool to another version. A
@@ -112,15 +112,15 @@
 	Pool, Target string
 	// DurationMS is the duration that the operator gave for the roll-out, and AgeMS
 	// the age of the order when the tally was sent, in milliseconds.
-	OverMS, AgeMS uint32
+	DurationMS, AgeMS uint32
 	// Created is the platform's revision of the pool's first order of this name, and
 	// Revision a revision at which the platform held this order.
 	Created, Revision int64
 	// State is a state of core/canary. LeftOldVersion is set if the sender no longer
 	// sends requests to the old version.
-	State uint8
-	Moved bool
-	Cells []RolloutCell
+	State          uint8
+	LeftOldVersion bool
+	Cells          []RolloutCell
 }
 
 // RolloutCell holds the sender's counts of answers, as in core/canary: Answers and
@@ -132,10 +132,10 @@
 	Epoch           uint16
 	Route, Endpoint string
 	Answers, Failed uint32
-	First           uint32
-	LogFirst        float32
-	Paced           uint32
-	LogPaced        float32
+	FirstCount      uint32
+	FirstLogSum     float32
+	TokenCount      uint32
+	TokenLogSum     float32
 }
 
 // Relay forwards the tallies of other entries.
@@ -149,18 +149,18 @@
 const maxTallies = 1 << 14
 
 // Tallies is the list of at most maxTallies tallies of a Relay.
-type Tallies []Relayed
+type Tallies []RelayedTally
 
 // DecodeMsgpack reads at most maxTallies tallies and returns an error for a longer
 // list.
 func (t *Tallies) DecodeMsgpack(d *msgpack.Decoder) error {
-	list, err := decodeList[Relayed](d, maxTallies)
+	list, err := decodeList[RelayedTally](d, maxTallies)
 	*t = list
 	return err
 }
 
 // RelayedTally is the tally of another entry.
-type Relayed struct {
+type RelayedTally struct {
 	_msgpack    struct{} `msgpack:",as_array"`
 	Name, Zone  string
 	Incarnation uint64
@@ -169,40 +169,40 @@
 }
 
 // Encode returns the tally as the Body of a RelayedTally.
-func (t *Tally) Encoded() ([]byte, error) { return msgpack.Marshal(t) }
+func (t *Tally) Encode() ([]byte, error) { return msgpack.Marshal(t) }
 
 // Decode returns the tally in Body.
-func (r *Relayed) Decoded() (*Tally, error) {
+func (r *RelayedTally) Decode() (*Tally, error) {
 	t := new(Tally)
 	return t, msgpack.Unmarshal(r.Body, t)
 }
 
 // CustomerUsage is the total that the sender has admitted for a customer since it
 // started.
-type Used struct {
+type CustomerUsage struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Customer string
 	Total    float64
 }
 
 // EndpointLoad is the sender's in-flight load at an endpoint.
-type Held struct {
+type EndpointLoad struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Endpoint string
 	Requests uint32
 	// PromptTokens counts the prompt tokens of requests without a first event,
 	// OutputTokens the output tokens still expected and MemoryTokens the tokens that
 	// occupy the endpoint's memory.
-	Prompt, Output, Tokens uint32
+	PromptTokens, OutputTokens, MemoryTokens uint32
 }
 
 // TierQueue is the number of requests of one tier of a pool that are queued at the
 // sender.
-type Waiting struct {
-	_msgpack        struct{} `msgpack:",as_array"`
-	Pool            string
-	Customer, Route int
-	Requests        uint32
+type TierQueue struct {
+	_msgpack                struct{} `msgpack:",as_array"`
+	Pool                    string
+	CustomerTier, RouteTier int
+	Requests                uint32
 }
 
 // EntryAddr is the name and the link address of an entry.
@@ -224,7 +224,7 @@
 // may be unable to reach the platform.
 type Snapshot struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	What     uint8
+	Content  uint8
 	Revision int64
 	// Body is the list, encoded by the package that defines it.
 	Body []byte
--- a/core/wire/tally_test.go
+++ b/core/wire/tally_test.go
@@ -12,31 +12,31 @@
 	_msgpack                       struct{} `msgpack:",as_array"`
 	Addr                           string
 	ConfigRevision, RosterRevision int64
-	Customers                      []Used
-	Endpoints                      []Held
+	Customers                      []CustomerUsage
+	Endpoints                      []EndpointLoad
 	Entries                        []EntryAddr
 	Seq                            uint64
 	Full                           bool
 	MissingFrom                    []string
-	Queues                         []Waiting
+	Queues                         []TierQueue
 }
 
 // During an upgrade, entries of adjacent versions run side by side. If they could not
 // read each other's tallies, each would count the other as silent and hand out the
 // other's share of every limit a second time.
 func TestTalliesOfAdjacentVersionsAreRead(t *testing.T) {
-	queues := []Waiting{{Pool: "p", Requests: 2}}
+	queues := []TierQueue{{Pool: "p", Requests: 2}}
 	older, err := msgpack.Marshal(&olderTally{Addr: "a", ConfigRevision: 3, Seq: 9, Queues: queues})
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := new(Tally)
-	if err := msgpack.Unmarshal(older, got); err != nil || got.Seq != 9 || len(got.Waiting) != 1 || got.ReadsOn() {
+	if err := msgpack.Unmarshal(older, got); err != nil || got.Seq != 9 || len(got.Queues) != 1 || got.AcceptsMoreFields() {
 		t.Errorf("an older tally is read as %+v, %v", got, err)
 	}
-	own := &Tally{Addr: "a", Config: 3, Seq: 9, Waiting: queues}
-	own.SetReadsOn()
-	newer, err := own.Encoded()
+	own := &Tally{Addr: "a", ConfigRevision: 3, Seq: 9, Queues: queues}
+	own.SetAcceptsMoreFields()
+	newer, err := own.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	if err := msgpack.Unmarshal(newer, old); err != nil || old.ConfigRevision != 3 || old.Seq != 9 || len(old.Queues) != 1 {
 		t.Errorf("a newer tally is read as %+v, %v", old, err)
 	}
-	if err := msgpack.Unmarshal(newer, got); err != nil || !got.ReadsOn() {
+	if err := msgpack.Unmarshal(newer, got); err != nil || !got.AcceptsMoreFields() {
 		t.Errorf("the mark of a sender that accepts more fields is lost: %+v, %v", got, err)
 	}
 }
@@ -52,15 +52,15 @@
 // A later version sends fields that this version does not know. They must be skipped.
 // A tally with too few fields is an error.
 func TestTallyWithUnknownFields(t *testing.T) {
-	freshness := []Fresh{{What: SnapshotConfig, AgeMS: 5, Mark: 1 << 31}}
-	suspects := []Suspect{{Fingerprint: []byte("fingerprint"), CompletedMS: -1, Crashes: []Crash{{Endpoint: "e", AgeMS: 5}}}}
+	freshness := []Freshness{{Content: SnapshotConfig, AgeMS: 5, RefreshID: 1 << 31}}
+	suspects := []Suspect{{Fingerprint: []byte("fingerprint"), CompletedAgoMS: -1, Crashes: []Crash{{Endpoint: "e", AgeMS: 5}}}}
 	rollouts := []Rollout{{Pool: "p", Target: "v2", Cells: []RolloutCell{{Route: "r", Answers: 3}}}}
-	later, err := msgpack.Marshal([]any{"a", 3, 4, nil, nil, nil, uint64(9), true, nil, nil, uint64(1) << 40, freshness, uint32(800), suspects, []Limit{{Endpoint: "e", Rate: 2.5}}, rollouts, []string{"new"}, 7})
+	later, err := msgpack.Marshal([]any{"a", 3, 4, nil, nil, nil, uint64(9), true, nil, nil, uint64(1) << 40, freshness, uint32(800), suspects, []Limit{{Endpoint: "e", RequestsPerSecond: 2.5}}, rollouts, []string{"new"}, 7})
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := new(Tally)
-	if err := msgpack.Unmarshal(later, got); err != nil || got.Seq != 9 || got.Clock != 1<<40 || len(got.Fresh) != 1 || got.Fresh[0] != freshness[0] || got.Capacity != 800 || len(got.Suspects) != 1 || got.Suspects[0].Crashes[0] != suspects[0].Crashes[0] || len(got.Limits) != 1 || got.Limits[0].Rate != 2.5 || len(got.Rollouts) != 1 || got.Rollouts[0].Cells[0].Answers != 3 {
+	if err := msgpack.Unmarshal(later, got); err != nil || got.Seq != 9 || got.UptimeMS != 1<<40 || len(got.Freshness) != 1 || got.Freshness[0] != freshness[0] || got.Capacity != 800 || len(got.Suspects) != 1 || got.Suspects[0].Crashes[0] != suspects[0].Crashes[0] || len(got.Limits) != 1 || got.Limits[0].RequestsPerSecond != 2.5 || len(got.Rollouts) != 1 || got.Rollouts[0].Cells[0].Answers != 3 {
 		t.Errorf("a later tally is read as %+v, %v", got, err)
 	}
 	if err := msgpack.Unmarshal([]byte{0x92, 0xa1, 'a', 3}, new(Tally)); err == nil {
--- a/core/wire/tallycode.go
+++ b/core/wire/tallycode.go
@@ -27,16 +27,18 @@
 
 // AcceptsMoreFields reports whether the sender reads tallies with fields after
 // Queues.
-func (t *Tally) ReadsOn() bool { return slices.Contains(t.Lacks, moreFieldsMark) }
+func (t *Tally) AcceptsMoreFields() bool { return slices.Contains(t.MissingFrom, moreFieldsMark) }
 
 // SetAcceptsMoreFields marks the sender as one that reads tallies with fields after
 // Queues.
-func (t *Tally) SetReadsOn() { t.Lacks = append(slices.Clip(t.Lacks), moreFieldsMark) }
+func (t *Tally) SetAcceptsMoreFields() {
+	t.MissingFrom = append(slices.Clip(t.MissingFrom), moreFieldsMark)
+}
 
 // EncodeMsgpack writes the tally as an array. It omits as many of the fields after
 // Queues as possible: trailing fields without a value are left out.
 func (t *Tally) EncodeMsgpack(e *msgpack.Encoder) error {
-	fields := []any{t.Addr, t.Config, t.Roster, t.Used, t.Held, t.Entries, t.Seq, t.Whole, t.Lacks, t.Waiting}
+	fields := []any{t.Addr, t.ConfigRevision, t.RosterRevision, t.Customers, t.Endpoints, t.Entries, t.Seq, t.Full, t.MissingFrom, t.Queues}
 	n := tallyFields
 	switch {
 	case len(t.Rollouts) > 0:
@@ -47,7 +49,7 @@
 		n = suspectFields
 	case t.Capacity > 0:
 		n = capacityFields
-	case t.Clock > 0 || len(t.Fresh) > 0:
+	case t.UptimeMS > 0 || len(t.Freshness) > 0:
 		n = freshnessFields
 	}
 	if err := e.EncodeArrayLen(n); err != nil {
@@ -58,10 +60,10 @@
 	}
 	// EncodeUint uses the smallest encoding, which matters because every tally has
 	// this field.
-	if err := e.EncodeUint(t.Clock); err != nil {
+	if err := e.EncodeUint(t.UptimeMS); err != nil {
 		return err
 	}
-	if err := e.Encode(t.Fresh); err != nil || n < capacityFields {
+	if err := e.Encode(t.Freshness); err != nil || n < capacityFields {
 		return err
 	}
 	if err := e.EncodeUint(uint64(t.Capacity)); err != nil || n < suspectFields {
@@ -86,13 +88,13 @@
 	if n < tallyFields {
 		return errTallyFields
 	}
-	if err := d.DecodeMulti(&t.Addr, &t.Config, &t.Roster, &t.Used, &t.Held, &t.Entries, &t.Seq, &t.Whole, &t.Lacks, &t.Waiting); err != nil {
+	if err := d.DecodeMulti(&t.Addr, &t.ConfigRevision, &t.RosterRevision, &t.Customers, &t.Endpoints, &t.Entries, &t.Seq, &t.Full, &t.MissingFrom, &t.Queues); err != nil {
 		return err
 	}
 	if n < freshnessFields {
 		return nil
 	}
-	if err := d.DecodeMulti(&t.Clock, &t.Fresh); err != nil {
+	if err := d.DecodeMulti(&t.UptimeMS, &t.Freshness); err != nil {
 		return err
 	}
 	if n < capacityFields {
--- a/entry/admin/admin.go
+++ b/entry/admin/admin.go
@@ -49,7 +49,7 @@
 		return err
 	}
 	server := &http.Server{
-		Handler: logs.Guard(s.cfg.Log, s.cfg.Panicked, nil, s.Handler()), ReadHeaderTimeout: 10 * time.Second, ErrorLog: logs.Server(s.cfg.Log),
+		Handler: logs.RecoverPanics(s.cfg.Log, s.cfg.Panicked, nil, s.Handler()), ReadHeaderTimeout: 10 * time.Second, ErrorLog: logs.ServerLogger(s.cfg.Log),
 	}
 	defer context.AfterFunc(ctx, func() { server.Close() })()
 	err = server.Serve(ln)
--- a/entry/agents/dial.go
+++ b/entry/agents/dial.go
@@ -64,11 +64,11 @@
 func (s *Set) session(ctx context.Context, p *Peer) error {
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	conn, err := s.cfg.Dial(dialCtx, p.Instance().Link)
+	conn, err := s.cfg.Dial(dialCtx, p.Instance().LinkAddr)
 	if err != nil {
 		return err
 	}
-	hello, err := wire.Open(dialCtx, conn, s.cfg.Self, s.cfg.Keys())
+	hello, err := wire.Handshake(dialCtx, conn, s.cfg.Self, s.cfg.Keys())
 	if err != nil {
 		conn.Close()
 		return err
@@ -77,7 +77,7 @@
 		conn.Close()
 		return fmt.Errorf("%w: want agent %q, got %q", errName, p.name, hello.Name)
 	}
-	link := wire.New(conn, hello, wire.Config{Heartbeat: s.cfg.Heartbeat, Idle: s.cfg.Self.Idle(), Beat: s.cfg.Beat})
+	link := wire.New(conn, hello, wire.Config{Heartbeat: s.cfg.Heartbeat, Idle: s.cfg.Self.Idle(), NewHeartbeat: s.cfg.Beat})
 	// The link counts only from the agent's first word on, which is its load.
 	// Before that a leaving agent would look as good as any other, and a
 	// request given to it would be cut off by its end.
--- a/entry/agents/peer.go
+++ b/entry/agents/peer.go
@@ -136,7 +136,7 @@
 // hear takes the load out of the messages that carry one.
 func (p *Peer) hear(m wire.Message) {
 	switch m := m.(type) {
-	case *wire.Beat:
+	case *wire.Heartbeat:
 		p.setLoad(&m.Load)
 		if m.Version != "" {
 			p.serves.Store(&served{m.Model, m.Version})
--- a/entry/agents/set.go
+++ b/entry/agents/set.go
@@ -205,7 +205,7 @@
 // take returns the peer for inst, with a goroutine that keeps its link.
 func (s *Set) take(ctx context.Context, old *view, inst *plat.Instance) *Peer {
 	if p, ok := old.peers[inst.Name]; ok {
-		moved := p.Instance().Link != inst.Link
+		moved := p.Instance().LinkAddr != inst.LinkAddr
 		p.inst.Store(inst)
 		wasGone := p.gone.Swap(false)
 		if !moved && (!wasGone || p.Linked()) {
@@ -240,7 +240,7 @@
 func endpoints(pool Pool, r plat.Roster) []plat.Instance {
 	var out []plat.Instance
 	for _, i := range r.Instances {
-		if i.Role == plat.RoleEndpoint && i.Link != "" && spec.Matches(pool.Selector, i.Labels) {
+		if i.Role == plat.RoleEndpoint && i.LinkAddr != "" && spec.Matches(pool.Selector, i.Labels) {
 			out = append(out, i)
 		}
 	}
--- a/entry/answer/answer.go
+++ b/entry/answer/answer.go
@@ -88,7 +88,7 @@
 
 // Finish takes the end of the answer. Pieces may still be missing then.
 func (a *Answer) Finish(e *wire.End) Verdict {
-	if a.end == nil || !a.end.Whole {
+	if a.end == nil || !a.end.Complete {
 		a.end = e
 	}
 	return a.verdict()
@@ -109,7 +109,7 @@
 	switch {
 	case e == nil:
 		return Open
-	case !e.Whole:
+	case !e.Complete:
 		return Broken
 	case a.next < e.Chunks:
 		return Gap
--- a/entry/answer/answer_test.go
+++ b/entry/answer/answer_test.go
@@ -11,7 +11,7 @@
 )
 
 func endOf(parts [][]byte) *wire.End {
-	e := &wire.End{Chunks: uint32(len(parts)), Whole: true}
+	e := &wire.End{Chunks: uint32(len(parts)), Complete: true}
 	for _, p := range parts {
 		e.Bytes += uint64(len(p))
 		e.CRC = crc32.Update(e.CRC, castagnoli, p)
--- a/entry/caller/accept.go
+++ b/entry/caller/accept.go
@@ -178,7 +178,7 @@
 func body(w http.ResponseWriter, r *http.Request) ([]byte, *fault.Error) {
 	rc := http.NewResponseController(w)
 	defer rc.SetReadDeadline(time.Time{})
-	data, err := io.ReadAll(&patient{body: http.MaxBytesReader(logs.Bare(w), r.Body, maxBody), rc: rc})
+	data, err := io.ReadAll(&patient{body: http.MaxBytesReader(logs.OriginalWriter(w), r.Body, maxBody), rc: rc})
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
--- a/entry/caller/bench_test.go
+++ b/entry/caller/bench_test.go
@@ -42,7 +42,7 @@
 			go stream(l, m, each, pace)
 		}
 	})
-	a.load.Bound = uint16(streams)
+	a.load.InFlightBound = uint16(streams)
 	f := newFront(b, frontOptions{}, a)
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -68,7 +68,7 @@
 func stream(l *wire.Link, m *wire.Grant, n uint32, pace time.Duration) {
 	ctx := context.Background()
 	l.SendWait(ctx, &wire.Head{ID: m.ID, Status: 200})
-	end := &wire.End{ID: m.ID, Chunks: n, Whole: true, Load: idle}
+	end := &wire.End{ID: m.ID, Chunks: n, Complete: true, Load: idle}
 	for i := range n {
 		time.Sleep(pace)
 		l.SendWait(ctx, &wire.Chunk{ID: m.ID, Seq: i, Data: token})
--- a/entry/caller/path_test.go
+++ b/entry/caller/path_test.go
@@ -217,7 +217,7 @@
 func TestJoinedAnswerThatBreaksIsUnknown(t *testing.T) {
 	a := newStub(t, "a", func(_ *stub, l *wire.Link, m wire.Message) {
 		if o, ok := m.(*wire.Offer); ok {
-			l.Send(&wire.Known{ID: o.ID, State: wire.KeyJoined})
+			l.Send(&wire.KeyStatus{ID: o.ID, State: wire.KeyJoined})
 			l.Send(&wire.Head{ID: o.ID, Status: 200})
 			l.Send(&wire.End{ID: o.ID, Reason: wire.ReasonBroken})
 		}
@@ -260,7 +260,7 @@
 func TestTopTierWaitsWhileLowerIsServed(t *testing.T) {
 	var offers atomic.Int32
 	busy := idle
-	busy.Running = 1 << (spec.Tiers - 1)
+	busy.RunningTiers = 1 << (spec.Tiers - 1)
 	a := newStub(t, "a", func(_ *stub, l *wire.Link, m wire.Message) {
 		switch m := m.(type) {
 		case *wire.Offer:
--- a/entry/caller/server.go
+++ b/entry/caller/server.go
@@ -73,7 +73,7 @@
 	s.mux.HandleFunc("GET /readyz", s.readyz)
 	s.mux.Handle("GET /metrics", cfg.Metrics)
 	s.mux.HandleFunc("/", s.missing)
-	s.front = logs.Guard(cfg.Log, cfg.Panicked, s.panicked, s.mux)
+	s.front = logs.RecoverPanics(cfg.Log, cfg.Panicked, s.panicked, s.mux)
 	return s
 }
 
@@ -130,7 +130,7 @@
 // unread tells that an answer was given up.
 func (s *Server) unread(r *reply) {
 	s.cfg.Unread()
-	logs.Warn(s.cfg.Log, logs.EventAnswerNotTaken, logs.Request(r.job.ID), zap.Duration("took", time.Since(r.began)),
+	logs.Warn(s.cfg.Log, logs.EventAnswerNotRead, logs.Request(r.job.ID), zap.Duration("took", time.Since(r.began)),
 		zap.Duration("patience", callerPatience))
 }
 
--- a/entry/caller/stub_test.go
+++ b/entry/caller/stub_test.go
@@ -40,7 +40,7 @@
 	got  []wire.Message
 }
 
-var idle = wire.Load{Bound: 8, Level: spec.Tiers - 1}
+var idle = wire.Load{InFlightBound: 8, ShedLevel: spec.Tiers - 1}
 
 func newStub(tb testing.TB, name string, handle func(*stub, *wire.Link, wire.Message)) *stub {
 	tb.Helper()
@@ -50,7 +50,7 @@
 	}
 	s := &stub{name: name, ln: ln, load: idle}
 	s.handle = func(l *wire.Link, m wire.Message) {
-		if m.Kind() != wire.KindBeat {
+		if m.Kind() != wire.KindHeartbeat {
 			s.mu.Lock()
 			s.got = append(s.got, m)
 			s.mu.Unlock()
@@ -78,12 +78,12 @@
 }
 
 func (s *stub) serve(ctx context.Context, conn net.Conn) {
-	peer, err := wire.Open(ctx, conn, wire.Hello{Role: wire.RoleAgent, Name: s.name, Zone: "z", Incarnation: 7}, stubKeys())
+	peer, err := wire.Handshake(ctx, conn, wire.Hello{Role: wire.RoleAgent, Name: s.name, Zone: "z", Incarnation: 7}, stubKeys())
 	if err != nil {
 		conn.Close()
 		return
 	}
-	l := wire.New(conn, peer, wire.Config{Beat: func() wire.Message { return &wire.Beat{Load: s.load} }})
+	l := wire.New(conn, peer, wire.Config{NewHeartbeat: func() wire.Message { return &wire.Heartbeat{Load: s.load} }})
 	s.mu.Lock()
 	s.link = l
 	s.mu.Unlock()
@@ -133,7 +133,7 @@
 }
 
 func endOf(id ident.ID, parts ...string) *wire.End {
-	end := &wire.End{ID: id, Chunks: uint32(len(parts)), Whole: true, Load: idle}
+	end := &wire.End{ID: id, Chunks: uint32(len(parts)), Complete: true, Load: idle}
 	for _, p := range parts {
 		end.Bytes += uint64(len(p))
 		end.CRC = crc32.Update(end.CRC, crc32.MakeTable(crc32.Castagnoli), []byte(p))
@@ -167,7 +167,7 @@
 	})
 	f.set = agents.New(agents.Config{
 		Self: wire.Hello{Role: wire.RoleEntry, Name: "e", Incarnation: 42}, Keys: stubKeys, Heartbeat: time.Second,
-		Beat: func() wire.Message { return new(wire.Beat) }, Now: now, Log: zap.NewNop(), Roster: st.Roster,
+		Beat: func() wire.Message { return new(wire.Heartbeat) }, Now: now, Log: zap.NewNop(), Roster: st.Roster,
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 			return new(net.Dialer).DialContext(ctx, "tcp", addr)
 		},
@@ -236,7 +236,7 @@
 	r := plat.Roster{Version: 1}
 	for _, s := range stubs {
 		r.Instances = append(r.Instances, plat.Instance{
-			Name: s.name, Role: plat.RoleEndpoint, Zone: "z", Link: s.ln.Addr().String(), State: plat.StateLive,
+			Name: s.name, Role: plat.RoleEndpoint, Zone: "z", LinkAddr: s.ln.Addr().String(), State: plat.StateLive,
 		})
 	}
 	st.AcceptRoster(r)
--- a/entry/caller/told_test.go
+++ b/entry/caller/told_test.go
@@ -75,7 +75,7 @@
 		return sched.Result{Outcome: once.Unknown}
 	}
 	onClock(t, core, completion(true), serve, func(net.Conn) { time.Sleep(2 * callerPatience) })
-	if n := lines(seen, logs.EventAnswerNotTaken); n != 1 {
+	if n := lines(seen, logs.EventAnswerNotRead); n != 1 {
 		t.Errorf("%d lines about the answer", n)
 	}
 }
@@ -99,7 +99,7 @@
 		c.Close()
 		synctest.Wait()
 	})
-	if n := lines(seen, logs.EventAnswerNotTaken); n != 0 {
+	if n := lines(seen, logs.EventAnswerNotRead); n != 0 {
 		t.Errorf("%d lines about the answer", n)
 	}
 }
--- a/entry/direct/canary.go
+++ b/entry/direct/canary.go
@@ -256,13 +256,13 @@
 	for _, r := range d.v.rollouts.Reports(d.since(time.Now()), again, known) {
 		o := r.Order
 		w := wire.Rollout{
-			Pool: o.Pool, Target: o.Target, OverMS: ms(o.Over), AgeMS: ms(r.Age), Created: o.Created, Revision: o.Revision,
-			State: uint8(r.State), Moved: r.Moved,
+			Pool: o.Pool, Target: o.Target, DurationMS: ms(o.Over), AgeMS: ms(r.Age), Created: o.Created, Revision: o.Revision,
+			State: uint8(r.State), LeftOldVersion: r.Moved,
 		}
 		for _, c := range r.Cells {
 			w.Cells = append(w.Cells, wire.RolloutCell{
 				Epoch: uint16(c.Epoch), Route: c.Route, Endpoint: c.Endpoint, Answers: c.Answers, Failed: c.Failed,
-				First: c.First, LogFirst: float32(c.LogFirst), Paced: c.Paced, LogPaced: float32(c.LogPaced),
+				FirstCount: c.First, FirstLogSum: float32(c.LogFirst), TokenCount: c.Paced, TokenLogSum: float32(c.LogPaced),
 			})
 		}
 		out = append(out, w)
@@ -287,13 +287,13 @@
 			continue
 		}
 		r := canary.Report{
-			Order: canary.Order{Pool: w.Pool, Target: w.Target, Over: fromMS(w.OverMS), Created: w.Created, Revision: w.Revision},
-			Age:   fromMS(w.AgeMS), State: canary.State(w.State), Moved: w.Moved,
+			Order: canary.Order{Pool: w.Pool, Target: w.Target, Over: fromMS(w.DurationMS), Created: w.Created, Revision: w.Revision},
+			Age:   fromMS(w.AgeMS), State: canary.State(w.State), Moved: w.LeftOldVersion,
 		}
 		for _, c := range w.Cells {
 			r.Cells = append(r.Cells, canary.CellReport{
 				Key:  canary.Key{Epoch: int(c.Epoch), Route: c.Route, Endpoint: c.Endpoint},
-				Cell: canary.Cell{Answers: c.Answers, Failed: c.Failed, First: c.First, LogFirst: float64(c.LogFirst), Paced: c.Paced, LogPaced: float64(c.LogPaced)},
+				Cell: canary.Cell{Answers: c.Answers, Failed: c.Failed, First: c.FirstCount, LogFirst: float64(c.FirstLogSum), Paced: c.TokenCount, LogPaced: float64(c.TokenLogSum)},
 			})
 		}
 		d.v.rollouts.Merge(now, peer, r)
--- a/entry/direct/crowd_test.go
+++ b/entry/direct/crowd_test.go
@@ -131,13 +131,13 @@
 	for first := true; ctx.Err() == nil; first = false {
 		time.Sleep(hearing)
 		tally := all[from].Tally(first)
-		if !first && !tally.News() {
+		if !first && !tally.HasChanges() {
 			continue
 		}
-		tally.Whole = first
+		tally.Full = first
 		for i, d := range all {
 			if i != from {
-				d.Heard(fmt.Sprint("entry-", from), first, &wire.Tally{Held: tally.Held, Waiting: tally.Waiting, Whole: first})
+				d.Heard(fmt.Sprint("entry-", from), first, &wire.Tally{Endpoints: tally.Endpoints, Queues: tally.Queues, Full: first})
 			}
 		}
 	}
--- a/entry/direct/direct.go
+++ b/entry/direct/direct.go
@@ -65,7 +65,7 @@
 	start time.Time
 	// answered holds by customer how long answers took, refused the times to
 	// come back that were told.
-	answered, refused *meter.Top
+	answered, refused *meter.CustomerHistograms
 
 	mu sync.Mutex
 	v  *view
@@ -85,7 +85,7 @@
 	d := &Director{
 		cfg: cfg, start: time.Now(), v: newView(cfg.Zone, cfg.Rollouts),
 		asking: make(map[uint64]*asked), placed: make(map[string]map[uint64]*visit), passed: make(map[string]time.Time),
-		answered: cfg.Metrics.Top("customer_answer_ms"), refused: cfg.Metrics.Top("customer_retry_ms"),
+		answered: cfg.Metrics.CustomerHistograms("customer_answer_ms"), refused: cfg.Metrics.CustomerHistograms("customer_retry_ms"),
 	}
 	d.v.share = d.share
 	return d
@@ -173,12 +173,12 @@
 	defer d.mu.Unlock()
 	t := new(wire.Tally)
 	for _, h := range d.v.peers[peer] {
-		t.Held = append(t.Held, h)
+		t.Endpoints = append(t.Endpoints, h)
 	}
 	d.v.quota.TotalsOf(peer, func(customer string, total float64) {
-		t.Used = append(t.Used, wire.Used{Customer: customer, Total: total})
+		t.Customers = append(t.Customers, wire.CustomerUsage{Customer: customer, Total: total})
 	})
-	t.Waiting = d.v.waits.of(peer)
+	t.Queues = d.v.waits.of(peer)
 	return t
 }
 
@@ -197,18 +197,18 @@
 	defer d.mu.Unlock()
 	v := d.v
 	v.quota.Reach(heard, known)
-	t := &wire.Tally{Config: v.table.Revision(), Roster: v.roster.Revision, Waiting: v.waits.tell(all)}
+	t := &wire.Tally{ConfigRevision: v.table.Revision(), RosterRevision: v.roster.Revision, Queues: v.waits.tell(all)}
 	if all {
 		t.Addr = d.cfg.Addr
 	}
 	v.quota.Totals(func(customer string, total float64) {
 		if all || v.changedUsed[customer] {
-			t.Used = append(t.Used, wire.Used{Customer: customer, Total: total})
+			t.Customers = append(t.Customers, wire.CustomerUsage{Customer: customer, Total: total})
 		}
 	})
 	for id, e := range v.endpoints {
 		if all && e.own.requests > 0 || v.changedHeld[id] {
-			t.Held = append(t.Held, e.held())
+			t.Endpoints = append(t.Endpoints, e.held())
 		}
 	}
 	if all {
@@ -225,10 +225,10 @@
 	return t
 }
 
-func (e *endpoint) held() wire.Held {
-	return wire.Held{
-		Endpoint: e.ID, Requests: uint32(e.own.requests), Prompt: uint32(max(e.own.prompt, 0)),
-		Output: uint32(max(e.own.output, 0)), Tokens: uint32(max(e.own.tokens, 0)),
+func (e *endpoint) held() wire.EndpointLoad {
+	return wire.EndpointLoad{
+		Endpoint: e.ID, Requests: uint32(e.own.requests), PromptTokens: uint32(max(e.own.prompt, 0)),
+		OutputTokens: uint32(max(e.own.output, 0)), MemoryTokens: uint32(max(e.own.tokens, 0)),
 	}
 }
 
--- a/entry/direct/late_test.go
+++ b/entry/direct/late_test.go
@@ -15,7 +15,7 @@
 // noRoom fills the other endpoint with requests of another entry: they take its
 // slots many times over.
 func noRoom(g *rig) {
-	g.d.Heard("entry-2", true, &wire.Tally{Held: []wire.Held{{Endpoint: "b", Requests: 100 * rigSlots}}})
+	g.d.Heard("entry-2", true, &wire.Tally{Endpoints: []wire.EndpointLoad{{Endpoint: "b", Requests: 100 * rigSlots}}})
 }
 
 // An endpoint becomes slow: it sends nothing for longer than an answer may pause,
--- a/entry/direct/limit.go
+++ b/entry/direct/limit.go
@@ -93,7 +93,7 @@
 func (d *Director) limits(again bool) []wire.Limit {
 	var out []wire.Limit
 	for _, r := range d.v.limits.Reports(d.since(time.Now()), again) {
-		out = append(out, wire.Limit{Endpoint: r.Endpoint, Rate: r.Rate, Limited: r.Limited, AgeMS: ms(r.Age), Sent: r.Sent})
+		out = append(out, wire.Limit{Endpoint: r.Endpoint, RequestsPerSecond: r.Rate, Limited: r.Limited, AgeMS: ms(r.Age), SentTotal: r.Sent})
 	}
 	return out
 }
@@ -103,8 +103,8 @@
 	now := d.since(time.Now())
 	for _, r := range all {
 		age := fromMS(r.AgeMS)
-		if d.v.limits.Merge(now, peer, limit.Report{Endpoint: r.Endpoint, Rate: r.Rate, Limited: r.Limited, Age: age, Sent: r.Sent}) {
-			logs.Info(d.cfg.Log, logs.EventLimitChanged, zap.String("endpoint", r.Endpoint), zap.Bool("limited", r.Limited), zap.Float64("limit", r.Rate),
+		if d.v.limits.Merge(now, peer, limit.Report{Endpoint: r.Endpoint, Rate: r.RequestsPerSecond, Limited: r.Limited, Age: age, Sent: r.SentTotal}) {
+			logs.Info(d.cfg.Log, logs.EventLimitChanged, zap.String("endpoint", r.Endpoint), zap.Bool("limited", r.Limited), zap.Float64("limit", r.RequestsPerSecond),
 				zap.Duration("age", age), zap.String("peer", peer))
 		}
 	}
--- a/entry/direct/place.go
+++ b/entry/direct/place.go
@@ -66,7 +66,7 @@
 type asked struct {
 	owner string
 	// answer gets the answer; it is closed if the link to the owner ends.
-	answer chan *wire.PlaceAck
+	answer chan *wire.PlaceReply
 }
 
 // note tells the owner of the try's place, if there is one, what has become of it;
@@ -81,7 +81,7 @@
 	if end == wire.PlaceOpen && !first && p.tokens*notePart <= p.output && now.Sub(p.toldAt) < noteEvery {
 		return
 	}
-	v.d.cfg.Peers.Send(p.owner, &wire.PlaceNote{ID: p.id, Tokens: uint32(p.tokens), End: end, Load: uint32(max(p.load, 0))})
+	v.d.cfg.Peers.Send(p.owner, &wire.PlaceReport{ID: p.id, OutputTokens: uint32(p.tokens), Outcome: end, EndpointRequests: uint32(max(p.load, 0))})
 	p.tokens, p.toldAt = 0, now
 	if end != wire.PlaceOpen {
 		delete(v.d.placed[p.owner], p.id)
@@ -197,13 +197,13 @@
 	now := time.Now()
 	d.asks++
 	id := d.asks
-	a := &asked{owner: owner, answer: make(chan *wire.PlaceAck, 1)}
-	m := &wire.PlaceAsk{
-		ID: id, Pool: j.Pool.Name, Zone: k.Zone, Part: k.N, Customer: j.Tier.Customer, Route: j.Tier.Route,
-		TargetUS: j.Route.Target.Microseconds(), DueUS: j.due().Sub(now).Microseconds(), LeftUS: j.End().Sub(now).Microseconds(), Stand: stand,
+	a := &asked{owner: owner, answer: make(chan *wire.PlaceReply, 1)}
+	m := &wire.PlaceRequest{
+		ID: id, Pool: j.Pool.Name, Zone: k.Zone, ShardIndex: k.N, CustomerTier: j.Tier.Customer, RouteTier: j.Tier.Route,
+		TargetUS: j.Route.Target.Microseconds(), TargetLeftUS: j.due().Sub(now).Microseconds(), DeadlineLeftUS: j.End().Sub(now).Microseconds(), MayQueue: stand,
 	}
 	if j.Pool.Engine {
-		m.Prompt, m.Output = uint32(max(j.Prompt, 0)), uint32(max(j.Output, 0))
+		m.PromptTokens, m.OutputTokens = uint32(max(j.Prompt, 0)), uint32(max(j.Output, 0))
 	}
 	if !d.cfg.Peers.Send(owner, m) {
 		return nil, admit.Decision{}, false
@@ -215,7 +215,7 @@
 	}
 	d.mu.Unlock()
 	timer := time.NewTimer(wait)
-	var got *wire.PlaceAck
+	var got *wire.PlaceReply
 	late := false
 	select {
 	case got = <-a.answer:
@@ -227,7 +227,7 @@
 	d.mu.Lock()
 	if d.asking[id] == a {
 		delete(d.asking, id)
-		d.cfg.Peers.Send(owner, &wire.PlaceNote{ID: id, End: wire.PlaceDropped})
+		d.cfg.Peers.Send(owner, &wire.PlaceReport{ID: id, Outcome: wire.PlaceDropped})
 	} else if got == nil {
 		// The answer, or the end of the link, came at the same moment.
 		got = <-a.answer
@@ -247,15 +247,15 @@
 // granted turns an owner's answer into a try, or into a refusal. It returns false if
 // the owner could not decide or does not know yet that the endpoint leaves. d.mu is
 // held.
-func (d *Director) granted(j *Job, p *pool, owner string, m *wire.PlaceAck) (*visit, admit.Decision, bool) {
-	if !m.Known {
+func (d *Director) granted(j *Job, p *pool, owner string, m *wire.PlaceReply) (*visit, admit.Decision, bool) {
+	if !m.Decided {
 		return nil, admit.Decision{}, false
 	}
 	heard, known := d.cfg.Reach()
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
-	dec := admit.Decision{Endpoint: -1, First: us(m.FirstUS), Wait: us(m.WaitUS), Retry: us(m.RetryUS), Turn: us(m.TurnUS), Why: admit.Why(m.Why)}
+	dec := admit.Decision{Endpoint: -1, First: us(m.FirstEventUS), Wait: us(m.WaitUS), Retry: us(m.RetryAfterUS), Turn: us(m.SlotIntervalUS), Why: admit.Why(m.RefusalReason)}
 	v := &visit{basis: Basis{
-		Endpoint: m.Endpoint, Predicted: dec.First, Wait: dec.Wait, Ahead: int(m.Ahead), Prompt: int(m.Prompt), Heard: heard, Known: known, Owner: owner,
+		Endpoint: m.Endpoint, Predicted: dec.First, Wait: dec.Wait, Ahead: int(m.RequestsAhead), Prompt: int(m.PromptTokens), Heard: heard, Known: known, Owner: owner,
 	}}
 	if m.Endpoint == "" {
 		return v, dec, true
@@ -263,15 +263,15 @@
 	e := d.v.endpoints[m.Endpoint]
 	switch {
 	case e != nil && !e.Leaving && e.Pool == j.Pool.Name && d.v.rollouts.Use(e.Pool, e.Version) == canary.Service:
-	case e == nil && m.Roster > d.v.roster.Revision && !d.v.rollouts.Open(j.Pool.Name):
+	case e == nil && m.RosterRevision > d.v.roster.Revision && !d.v.rollouts.Open(j.Pool.Name):
 		e = &endpoint{Endpoint: route.Endpoint{ID: m.Endpoint, Addr: m.Addr, Pool: j.Pool.Name, Slots: m.Slots}}
 	default:
-		d.cfg.Peers.Send(owner, &wire.PlaceNote{ID: m.ID, End: wire.PlaceDropped})
+		d.cfg.Peers.Send(owner, &wire.PlaceReport{ID: m.ID, Outcome: wire.PlaceDropped})
 		return nil, admit.Decision{}, false
 	}
 	dec.Endpoint, dec.Why = 0, admit.Admitted
 	v.d, v.pool, v.e, v.id, v.addr = d, p, e, e.ID, e.Addr
-	v.alone, v.sent, v.free, v.ahead, v.wait, v.rest = len(p.endpoints) < 2, time.Now(), m.Free, int(m.Prompt), dec.Wait, dec.First-dec.Wait
+	v.alone, v.sent, v.free, v.ahead, v.wait, v.rest = len(p.endpoints) < 2, time.Now(), m.HadFreeSlot, int(m.PromptTokens), dec.Wait, dec.First-dec.Wait
 	v.held, v.fingerprint, v.route, v.version = holdOf(j, j.Output), j.fingerprint, j.Route.Name, e.Version
 	v.place = &place{owner: owner, id: m.ID, output: v.held.output}
 	if d.placed[owner] == nil {
@@ -282,14 +282,14 @@
 }
 
 // Acked takes in the answer of an owner.
-func (d *Director) Acked(owner string, m *wire.PlaceAck) {
+func (d *Director) Acked(owner string, m *wire.PlaceReply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	a := d.asking[m.ID]
 	if a == nil || a.owner != owner {
 		// The request has been given up.
 		if m.Endpoint != "" {
-			d.cfg.Peers.Send(owner, &wire.PlaceNote{ID: m.ID, End: wire.PlaceDropped})
+			d.cfg.Peers.Send(owner, &wire.PlaceReport{ID: m.ID, Outcome: wire.PlaceDropped})
 		}
 		return
 	}
--- a/entry/direct/place_test.go
+++ b/entry/direct/place_test.go
@@ -68,7 +68,7 @@
 	c.asker, c.owner = entry("asker"), entry("owner")
 	c.session = c.owner.Session(t.Context(), "z", func(m wire.Message) error {
 		if !c.down.Load() {
-			go c.asker.Acked("owner", m.(*wire.PlaceAck))
+			go c.asker.Acked("owner", m.(*wire.PlaceReply))
 		}
 		return nil
 	})
@@ -195,7 +195,7 @@
 		if counted(c.asker, "a") != 1 || counted(c.owner, "a") != 1 {
 			t.Errorf("right after it the asker counts %d, the owner %d", counted(c.asker, "a"), counted(c.owner, "a"))
 		}
-		if told := c.asker.Tally(false).Held; len(told) != 1 || told[0].Requests != 1 {
+		if told := c.asker.Tally(false).Endpoints; len(told) != 1 || told[0].Requests != 1 {
 			t.Errorf("the others are told %+v", told)
 		}
 		time.Sleep(2 * keepFor)
--- a/entry/direct/poison.go
+++ b/entry/direct/poison.go
@@ -120,7 +120,7 @@
 // notePoison logs and passes on what has changed about quarantines; d.mu is held.
 func (d *Director) notePoison() {
 	for _, c := range d.v.poison.Changes() {
-		logs.Quarantine(d.cfg.Log, c)
+		logs.LogQuarantine(d.cfg.Log, c)
 		if !c.Released {
 			d.cfg.Metrics.Counter("quarantines").Inc(1)
 		}
@@ -151,8 +151,8 @@
 	var out []wire.Suspect
 	for _, r := range d.v.poison.Reports(d.since(time.Now()), again) {
 		s := wire.Suspect{
-			Fingerprint: r.Fingerprint[:], CompletedMS: age(r.Completed), SinceMS: ms(r.Since), LeftMS: ms(r.Left),
-			Quarantines: uint16(r.Quarantines), ProbedMS: age(r.Probed), Aborted: r.Aborted,
+			Fingerprint: r.Fingerprint[:], CompletedAgoMS: age(r.Completed), QuarantinedAgoMS: ms(r.Since), QuarantineLeftMS: ms(r.Left),
+			Quarantines: uint16(r.Quarantines), ProbedAgoMS: age(r.Probed), ProbeAborted: r.Aborted,
 		}
 		for _, c := range r.Crashes {
 			s.Crashes = append(s.Crashes, wire.Crash{Endpoint: c.Endpoint, AgeMS: ms(c.Age)})
@@ -167,8 +167,8 @@
 	now := d.since(time.Now())
 	for _, s := range all {
 		r := poison.Report{
-			Completed: fromMS(s.CompletedMS), Since: fromMS(s.SinceMS), Left: fromMS(s.LeftMS),
-			Quarantines: int(s.Quarantines), Probed: fromMS(s.ProbedMS), Aborted: s.Aborted,
+			Completed: fromMS(s.CompletedAgoMS), Since: fromMS(s.QuarantinedAgoMS), Left: fromMS(s.QuarantineLeftMS),
+			Quarantines: int(s.Quarantines), Probed: fromMS(s.ProbedAgoMS), Aborted: s.ProbeAborted,
 		}
 		if copy(r.Fingerprint[:], s.Fingerprint) < len(r.Fingerprint) {
 			continue
--- a/entry/direct/serve.go
+++ b/entry/direct/serve.go
@@ -122,9 +122,9 @@
 func (d *Director) measure(j *Job, res Result, took time.Duration) {
 	m, class := d.cfg.Metrics, meter.Class(j.Route.Name)
 	m.Counter("requests", meter.Outcome(res.Outcome.String()), class).Inc(1)
-	meter.Milliseconds(m.Histogram("answer_ms", class), took)
+	meter.UpdateMS(m.Histogram("answer_ms", class), took)
 	if first := res.Basis.First; first > 0 {
-		meter.Milliseconds(m.Histogram("first_ms", class), first)
+		meter.UpdateMS(m.Histogram("first_ms", class), first)
 	}
 	if j.Customer == nil {
 		return
--- a/entry/direct/session.go
+++ b/entry/direct/session.go
@@ -44,9 +44,9 @@
 // Take takes in what the peer asks or notes.
 func (s *Session) Take(m wire.Message) {
 	switch m := m.(type) {
-	case *wire.PlaceAsk:
+	case *wire.PlaceRequest:
 		s.ask(m)
-	case *wire.PlaceNote:
+	case *wire.PlaceReport:
 		s.note(m)
 	}
 }
@@ -66,23 +66,23 @@
 }
 
 // ask places a request or puts it into line.
-func (s *Session) ask(m *wire.PlaceAsk) {
+func (s *Session) ask(m *wire.PlaceRequest) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	_, known := s.d.cfg.Reach()
 	cfg, ok := s.d.v.table.Pool(m.Pool)
 	if !ok {
-		_ = s.reply(&wire.PlaceAck{ID: m.ID})
+		_ = s.reply(&wire.PlaceReply{ID: m.ID})
 		return
 	}
 	p := s.d.v.pool(m.Pool, s.d.cfg.Repeats, known)
-	part := p.shards[shard.Key{Zone: m.Zone, N: m.Part}]
+	part := p.shards[shard.Key{Zone: m.Zone, N: m.ShardIndex}]
 	if part == nil {
-		_ = s.reply(&wire.PlaceAck{ID: m.ID})
+		_ = s.reply(&wire.PlaceReply{ID: m.ID})
 		return
 	}
 	j := jobOf(m, cfg)
-	v, dec, w := s.d.line(j, p, lineup{shard: part, zone: s.zone, stand: m.Stand})
+	v, dec, w := s.d.line(j, p, lineup{shard: part, zone: s.zone, stand: m.MayQueue})
 	if w == nil {
 		s.answer(m.ID, v, dec)
 		return
@@ -105,25 +105,25 @@
 }
 
 // jobOf returns what placement needs to know of a request.
-func jobOf(m *wire.PlaceAsk, cfg *route.Pool) *Job {
+func jobOf(m *wire.PlaceRequest, cfg *route.Pool) *Job {
 	now := time.Now()
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 	return &Job{
-		Route: &route.Route{Target: us(m.TargetUS), Timeout: math.MaxInt64}, Pool: cfg, Tier: route.Tier{Customer: m.Customer, Route: m.Route},
-		Accepted: now.Add(us(m.DueUS - m.TargetUS)), Deadline: now.Add(us(m.LeftUS)), Prompt: int(m.Prompt), Output: int(m.Output),
+		Route: &route.Route{Target: us(m.TargetUS), Timeout: math.MaxInt64}, Pool: cfg, Tier: route.Tier{Customer: m.CustomerTier, Route: m.RouteTier},
+		Accepted: now.Add(us(m.TargetLeftUS - m.TargetUS)), Deadline: now.Add(us(m.DeadlineLeftUS)), Prompt: int(m.PromptTokens), Output: int(m.OutputTokens),
 	}
 }
 
 // answer tells the peer what was decided; Director's mutex is held.
 func (s *Session) answer(id uint64, v *visit, dec admit.Decision) {
 	b := v.basis
-	m := &wire.PlaceAck{
-		ID: id, Known: true, Roster: s.d.v.roster.Revision, Why: uint8(dec.Why), RetryUS: dec.Retry.Microseconds(), TurnUS: dec.Turn.Microseconds(),
-		FirstUS: dec.First.Microseconds(), WaitUS: dec.Wait.Microseconds(), StoodUS: b.Stood.Microseconds(),
+	m := &wire.PlaceReply{
+		ID: id, Decided: true, RosterRevision: s.d.v.roster.Revision, RefusalReason: uint8(dec.Why), RetryAfterUS: dec.Retry.Microseconds(), SlotIntervalUS: dec.Turn.Microseconds(),
+		FirstEventUS: dec.First.Microseconds(), WaitUS: dec.Wait.Microseconds(), QueuedUS: b.Stood.Microseconds(),
 	}
 	if dec.Endpoint >= 0 {
 		m.Endpoint, m.Addr, m.Slots = v.id, v.addr, v.e.Slots
-		m.Ahead, m.Prompt, m.Free = uint32(max(b.Ahead, 0)), uint32(max(b.Prompt, 0)), v.free
+		m.RequestsAhead, m.PromptTokens, m.HadFreeSlot = uint32(max(b.Ahead, 0)), uint32(max(b.Prompt, 0)), v.free
 		s.granted[id] = v
 	}
 	// A link that cannot take it ends, and with it the session.
@@ -131,32 +131,32 @@
 }
 
 // note takes in what has become of a place.
-func (s *Session) note(m *wire.PlaceNote) {
+func (s *Session) note(m *wire.PlaceReport) {
 	s.d.mu.Lock()
 	v := s.granted[m.ID]
 	if v == nil {
-		if cancel := s.waiting[m.ID]; cancel != nil && m.End != wire.PlaceOpen {
+		if cancel := s.waiting[m.ID]; cancel != nil && m.Outcome != wire.PlaceOpen {
 			cancel()
 		}
 		s.d.mu.Unlock()
 		return
 	}
 	v.e.heard = time.Now()
-	if m.End != wire.PlaceOpen {
+	if m.Outcome != wire.PlaceOpen {
 		delete(s.granted, m.ID)
 	}
 	s.d.mu.Unlock()
-	if m.Tokens > 0 || m.End == wire.PlaceOpen {
-		v.progress(int(m.Tokens))
+	if m.OutputTokens > 0 || m.Outcome == wire.PlaceOpen {
+		v.progress(int(m.OutputTokens))
 	}
 	switch {
-	case m.End == wire.PlaceDropped:
+	case m.Outcome == wire.PlaceDropped:
 		v.abandon()
-	case m.End == wire.PlaceDeclined:
-		v.declined(int(m.Load))
-	case m.End == wire.PlaceMoved:
+	case m.Outcome == wire.PlaceDeclined:
+		v.declined(int(m.EndpointRequests))
+	case m.Outcome == wire.PlaceMoved:
 		v.misplaced()
-	case m.End >= wire.PlaceResult:
-		v.end(trust.Result(m.End - wire.PlaceResult))
+	case m.Outcome >= wire.PlaceResult:
+		v.end(trust.Result(m.Outcome - wire.PlaceResult))
 	}
 }
--- a/entry/direct/size_test.go
+++ b/entry/direct/size_test.go
@@ -153,7 +153,7 @@
 		l = new(wireTo)
 		w.to[[2]string{from, to}] = l
 		l.session = w.all[to].Session(w.ctx, w.zone[from], func(m wire.Message) error {
-			l.back.send(func() { w.all[from].Acked(to, m.(*wire.PlaceAck)) })
+			l.back.send(func() { w.all[from].Acked(to, m.(*wire.PlaceReply)) })
 			return nil
 		})
 	}
@@ -308,10 +308,10 @@
 	for first := true; ctx.Err() == nil; first = false {
 		time.Sleep(every)
 		tally := all[from].Tally(first)
-		if !first && !tally.News() {
+		if !first && !tally.HasChanges() {
 			continue
 		}
-		t := &wire.Tally{Held: tally.Held, Waiting: tally.Waiting, Whole: first}
+		t := &wire.Tally{Endpoints: tally.Endpoints, Queues: tally.Queues, Full: first}
 		time.AfterFunc(way, func() {
 			for i, d := range all {
 				if i != from {
--- a/entry/direct/view.go
+++ b/entry/direct/view.go
@@ -54,7 +54,7 @@
 	quota     *quota.Book
 	rollouts  *canary.Book
 	// peers holds what each peer has in flight, by endpoint.
-	peers map[string]map[string]wire.Held
+	peers map[string]map[string]wire.EndpointLoad
 	// heardAt is when each peer's last tally came.
 	heardAt map[string]time.Time
 	// changedHeld and changedUsed are what the peers have not been told yet.
@@ -169,7 +169,7 @@
 	return &view{
 		zone: zone, table: route.NewTable(route.Config{}), endpoints: make(map[string]*endpoint),
 		pools: make(map[string]*pool), trust: trust.New(), poison: poison.New(), limits: limit.New(), quota: quota.New(), rollouts: canary.New(rollouts),
-		peers: make(map[string]map[string]wire.Held), changedHeld: make(map[string]bool), changedUsed: make(map[string]bool),
+		peers: make(map[string]map[string]wire.EndpointLoad), changedHeld: make(map[string]bool), changedUsed: make(map[string]bool),
 		waits: newWaits(), heardAt: make(map[string]time.Time),
 	}
 }
@@ -298,19 +298,19 @@
 		v.quota.Forget(peer)
 		v.limits.Forget(peer)
 	}
-	if t.Whole {
+	if t.Full {
 		v.drop(peer)
 	}
-	for _, u := range t.Used {
+	for _, u := range t.Customers {
 		v.quota.Told(peer, u.Customer, u.Total)
 	}
-	v.waits.heard(peer, t.Waiting)
+	v.waits.heard(peer, t.Queues)
 	held := v.peers[peer]
 	if held == nil {
-		held = make(map[string]wire.Held)
+		held = make(map[string]wire.EndpointLoad)
 		v.peers[peer] = held
 	}
-	for _, h := range t.Held {
+	for _, h := range t.Endpoints {
 		v.count(held[h.Endpoint], -1)
 		v.count(h, 1)
 		if h.Requests == 0 {
@@ -323,9 +323,9 @@
 
 // count adds what a peer has at an endpoint to what all peers have there, or
 // takes it away.
-func (v *view) count(h wire.Held, sign int) {
+func (v *view) count(h wire.EndpointLoad, sign int) {
 	if e := v.endpoints[h.Endpoint]; e != nil && h.Requests > 0 {
-		e.others.add(hold{int(h.Requests), int(h.Prompt), int(h.Output), int(h.Tokens)}, sign)
+		e.others.add(hold{int(h.Requests), int(h.PromptTokens), int(h.OutputTokens), int(h.MemoryTokens)}, sign)
 	}
 }
 
--- a/entry/direct/view_test.go
+++ b/entry/direct/view_test.go
@@ -36,11 +36,11 @@
 // would fill the same endpoint while the other stands empty.
 func TestPeersWorkCountsInPlacement(t *testing.T) {
 	v, p := newPoolView("a", "b")
-	v.heard("peer", true, &wire.Tally{Held: []wire.Held{{Endpoint: "a", Requests: 6, Prompt: 20000, Output: 3000}}})
+	v.heard("peer", true, &wire.Tally{Endpoints: []wire.EndpointLoad{{Endpoint: "a", Requests: 6, PromptTokens: 20000, OutputTokens: 3000}}})
 	if d := v.decide(p); p.endpoints[d.Endpoint].ID != "b" {
 		t.Errorf("sent to the endpoint that a peer has filled")
 	}
-	v.heard("peer", false, &wire.Tally{Held: []wire.Held{{Endpoint: "a"}, {Endpoint: "b", Requests: 6, Prompt: 20000, Output: 3000}}})
+	v.heard("peer", false, &wire.Tally{Endpoints: []wire.EndpointLoad{{Endpoint: "a"}, {Endpoint: "b", Requests: 6, PromptTokens: 20000, OutputTokens: 3000}}})
 	if d := v.decide(p); p.endpoints[d.Endpoint].ID != "a" {
 		t.Errorf("sent to the endpoint that a peer has filled since")
 	}
@@ -50,7 +50,7 @@
 // not be taken for full for ever.
 func TestLostPeersWorkNoLongerCounts(t *testing.T) {
 	v, p := newPoolView("a")
-	v.heard("peer", true, &wire.Tally{Held: []wire.Held{{Endpoint: "a", Requests: 40, Prompt: 90000, Output: 9000}}})
+	v.heard("peer", true, &wire.Tally{Endpoints: []wire.EndpointLoad{{Endpoint: "a", Requests: 40, PromptTokens: 90000, OutputTokens: 9000}}})
 	if d := v.decide(p); d.Why != admit.Full {
 		t.Fatalf("%+v", d)
 	}
@@ -121,13 +121,13 @@
 	v, _ := newPoolView("a")
 	limit := quota.Limit{Rate: 10, Burst: 100}
 	v.quota.Take(0, "c", limit, 0)
-	v.heard("peer", true, &wire.Tally{Used: []wire.Used{{Customer: "c", Total: 1000}}})
-	v.heard("peer", true, &wire.Tally{Used: []wire.Used{{Customer: "c", Total: 5}}})
+	v.heard("peer", true, &wire.Tally{Customers: []wire.CustomerUsage{{Customer: "c", Total: 1000}}})
+	v.heard("peer", true, &wire.Tally{Customers: []wire.CustomerUsage{{Customer: "c", Total: 5}}})
 	now := time.Hour
 	if _, ok := v.quota.Take(now, "c", limit, 50); !ok {
 		t.Fatal("refused by a full bucket")
 	}
-	v.heard("peer", false, &wire.Tally{Used: []wire.Used{{Customer: "c", Total: 105}}})
+	v.heard("peer", false, &wire.Tally{Customers: []wire.CustomerUsage{{Customer: "c", Total: 105}}})
 	if _, ok := v.quota.Take(now, "c", limit, 1); ok {
 		t.Error("the peer's new use does not count")
 	}
@@ -143,7 +143,7 @@
 	stream := &visit{d: d, pool: p, e: e, id: "a", held: hold{requests: 1, prompt: 100, output: 400, tokens: 500}}
 	e.own.add(stream.held, 1)
 	v.changedHeld["a"] = true
-	told := func() int { return len(d.Tally(false).Held) }
+	told := func() int { return len(d.Tally(false).Endpoints) }
 	if told() != 1 {
 		t.Error("a new request was not told")
 	}
@@ -160,7 +160,7 @@
 		t.Error("a quarter of the output was not told")
 	}
 	stream.abandon()
-	if held := d.Tally(false).Held; len(held) != 1 || held[0].Requests != 0 {
+	if held := d.Tally(false).Endpoints; len(held) != 1 || held[0].Requests != 0 {
 		t.Errorf("the end was not told: %+v", held)
 	}
 }
--- a/entry/direct/visit.go
+++ b/entry/direct/visit.go
@@ -142,7 +142,7 @@
 // full by that.
 func (d *Director) observe(v *visit, p *pool, e admit.Endpoint) {
 	pool := meter.Label{Key: "pool", Value: p.name}
-	meter.Milliseconds(d.cfg.Metrics.Histogram("view_age_ms", pool), v.basis.Age)
+	meter.UpdateMS(d.cfg.Metrics.Histogram("view_age_ms", pool), v.basis.Age)
 	if e.Requests >= e.Slots {
 		d.cfg.Metrics.Counter("placed_beyond_slots", pool).Inc(1)
 	}
--- a/entry/direct/waits.go
+++ b/entry/direct/waits.go
@@ -44,7 +44,7 @@
 }
 
 // heard takes in what a peer told.
-func (s *waits) heard(peer string, told []wire.Waiting) {
+func (s *waits) heard(peer string, told []wire.TierQueue) {
 	if len(told) == 0 {
 		return
 	}
@@ -54,7 +54,7 @@
 		s.peers[peer] = known
 	}
 	for _, w := range told {
-		t := tierIn{w.Pool, route.Tier{Customer: w.Customer, Route: w.Route}}
+		t := tierIn{w.Pool, route.Tier{Customer: w.CustomerTier, Route: w.RouteTier}}
 		add(s.others, t, int(w.Requests)-known[t])
 		add(known, t, int(w.Requests)-known[t])
 	}
@@ -85,8 +85,8 @@
 }
 
 // tell returns what has changed since it was last told, or all of it.
-func (s *waits) tell(all bool) []wire.Waiting {
-	var out []wire.Waiting
+func (s *waits) tell(all bool) []wire.TierQueue {
+	var out []wire.TierQueue
 	if all {
 		for t, n := range s.own {
 			out = append(out, t.waiting(n))
@@ -101,16 +101,16 @@
 }
 
 // of returns what a peer told.
-func (s *waits) of(peer string) []wire.Waiting {
-	var out []wire.Waiting
+func (s *waits) of(peer string) []wire.TierQueue {
+	var out []wire.TierQueue
 	for t, n := range s.peers[peer] {
 		out = append(out, t.waiting(n))
 	}
 	return out
 }
 
-func (t tierIn) waiting(n int) wire.Waiting {
-	return wire.Waiting{Pool: t.pool, Customer: t.tier.Customer, Route: t.tier.Route, Requests: uint32(n)}
+func (t tierIn) waiting(n int) wire.TierQueue {
+	return wire.TierQueue{Pool: t.pool, CustomerTier: t.tier.Customer, RouteTier: t.tier.Route, Requests: uint32(n)}
 }
 
 // crowd returns what competes with a request of a tier that joins the other
--- a/entry/door/answer.go
+++ b/entry/door/answer.go
@@ -136,7 +136,7 @@
 	a.noted = true
 	d := a.door
 	d.cfg.Metrics.Counter("answers_not_taken").Inc(1)
-	logs.Warn(d.cfg.Log, logs.EventAnswerNotTaken, zap.String("request_id", d.cfg.ID(a.r)), zap.Duration("took", time.Since(a.began)),
+	logs.Warn(d.cfg.Log, logs.EventAnswerNotRead, zap.String("request_id", d.cfg.ID(a.r)), zap.Duration("took", time.Since(a.began)),
 		zap.Time("deadline", a.deadline), zap.String("caller", a.r.RemoteAddr))
 }
 
@@ -188,7 +188,7 @@
 	}
 	d := a.door
 	d.cfg.Metrics.Counter("handlers_panicked").Inc(1)
-	logs.Panicked(d.cfg.Log, v, zap.String("request_id", d.cfg.ID(a.r)))
+	logs.LogPanic(d.cfg.Log, v, zap.String("request_id", d.cfg.ID(a.r)))
 	if !a.began.IsZero() {
 		panic(http.ErrAbortHandler)
 	}
--- a/entry/door/door.go
+++ b/entry/door/door.go
@@ -115,7 +115,7 @@
 	server := &http.Server{Handler: http.HandlerFunc(d.serve), ReadHeaderTimeout: headerTime, MaxHeaderBytes: maxHeader}
 	d.conns.Attach(server)
 	asked := &http.Server{
-		Handler: http.HandlerFunc(d.ready), ReadHeaderTimeout: headerTime, IdleTimeout: defaultIdle, ErrorLog: logs.Server(d.cfg.Log),
+		Handler: http.HandlerFunc(d.ready), ReadHeaderTimeout: headerTime, IdleTimeout: defaultIdle, ErrorLog: logs.ServerLogger(d.cfg.Log),
 	}
 	defer server.Close()
 	ended := make(chan error, 2)
--- a/entry/follow/age.go
+++ b/entry/follow/age.go
@@ -49,7 +49,7 @@
 // state notes the age of a list and logs when it passes the bound. It is called
 // with mu held.
 func (k *Known) state(l *known, age time.Duration, revision int64) {
-	meter.Milliseconds(l.age, age)
+	meter.UpdateMS(l.age, age)
 	old := k.cfg.Rule.Old(age)
 	if old {
 		l.worst = max(l.worst, age)
@@ -63,7 +63,7 @@
 	}
 	l.old, l.worst = old, 0
 	if old {
-		logs.Warn(k.cfg.Log, logs.EventKnowledgeOld, fields...)
+		logs.Warn(k.cfg.Log, logs.EventKnowledgeStale, fields...)
 		return
 	}
 	logs.Info(k.cfg.Log, logs.EventKnowledgeFresh, fields...)
--- a/entry/follow/known.go
+++ b/entry/follow/known.go
@@ -116,7 +116,7 @@
 // Heard takes in what a peer's tally tells of its lists; anew is set for the
 // first one of a process.
 func (k *Known) Heard(peer string, anew bool, t *wire.Tally) {
-	if t.Clock == 0 {
+	if t.UptimeMS == 0 {
 		return
 	}
 	config, roster := k.cfg.Revisions()
@@ -127,18 +127,18 @@
 		w = new(fresh.Way)
 		k.ways[peer] = w
 	}
-	late, ok := w.Late(now, time.Duration(t.Clock)*time.Millisecond)
+	late, ok := w.Late(now, time.Duration(t.UptimeMS)*time.Millisecond)
 	var gained time.Duration
-	for _, f := range t.Fresh {
-		l := k.lists[f.What]
+	for _, f := range t.Freshness {
+		l := k.lists[f.Content]
 		if l == nil || !ok {
 			continue
 		}
-		told, inForce := t.Config, config
-		if f.What == wire.SnapshotRoster {
-			told, inForce = t.Roster, roster
+		told, inForce := t.ConfigRevision, config
+		if f.Content == wire.SnapshotRoster {
+			told, inForce = t.RosterRevision, roster
 		}
-		l.book.Told(fresh.Told(now, late, time.Duration(f.AgeMS)*time.Millisecond, told, f.Mark))
+		l.book.Told(fresh.Told(now, late, time.Duration(f.AgeMS)*time.Millisecond, told, f.RefreshID))
 		gained = max(gained, k.update(l, inForce))
 	}
 	k.mu.Unlock()
@@ -170,7 +170,7 @@
 // the last one, and now and then what it has heard, and for how many milliseconds it
 // has run. The revisions in that tally
 // must be read later, as these may only be newer than those that it is true of.
-func (k *Known) Tell() (told []wire.Fresh, clock uint64) {
+func (k *Known) Tell() (told []wire.Freshness, clock uint64) {
 	config, roster := k.cfg.Revisions()
 	now := k.now()
 	k.mu.Lock()
@@ -188,7 +188,7 @@
 			continue
 		}
 		l.own, l.told, l.toldAt = false, c.Mark, now
-		told = append(told, wire.Fresh{What: what, AgeMS: uint32((now - c.At + time.Millisecond).Milliseconds()), Mark: c.Mark})
+		told = append(told, wire.Freshness{Content: what, AgeMS: uint32((now - c.At + time.Millisecond).Milliseconds()), RefreshID: c.Mark})
 	}
 	return told, max(uint64(now.Milliseconds()), 1)
 }
--- a/entry/follow/known_test.go
+++ b/entry/follow/known_test.go
@@ -34,7 +34,7 @@
 	for n := 20; n > 0; n-- {
 		back := time.Duration(n) * 250 * time.Millisecond
 		k.start, other.start = k.start.Add(back), other.start.Add(back)
-		k.Heard(other.cfg.Self, false, &wire.Tally{Clock: uint64(other.now().Milliseconds())})
+		k.Heard(other.cfg.Self, false, &wire.Tally{UptimeMS: uint64(other.now().Milliseconds())})
 		k.start, other.start = k.start.Add(-back), other.start.Add(-back)
 	}
 }
@@ -42,7 +42,7 @@
 // hears lets k hear what other tells now.
 func (k *knower) hears(other *knower) {
 	told, clock := other.Tell()
-	k.Heard(other.cfg.Self, false, &wire.Tally{Fresh: told, Clock: clock, Config: other.config, Roster: other.roster})
+	k.Heard(other.cfg.Self, false, &wire.Tally{Freshness: told, UptimeMS: clock, ConfigRevision: other.config, RosterRevision: other.roster})
 }
 
 func (k *knower) seen(what uint8, back time.Duration) {
@@ -138,7 +138,7 @@
 		t.Errorf("told %+v with revision 5 in force", told)
 	}
 	a.roster = 8
-	if told, _ := a.Tell(); len(told) != 1 || told[0].What != wire.SnapshotRoster {
+	if told, _ := a.Tell(); len(told) != 1 || told[0].Content != wire.SnapshotRoster {
 		t.Errorf("told %+v", told)
 	}
 }
--- a/entry/kept/kept.go
+++ b/entry/kept/kept.go
@@ -57,7 +57,7 @@
 func (s *Set) Attach(server *http.Server) {
 	server.ConnState = s.state
 	server.ConnContext = s.context
-	server.ErrorLog = logs.Server(s.cfg.Log)
+	server.ErrorLog = logs.ServerLogger(s.cfg.Log)
 }
 
 // context gives requests a context that ends with a *Closed as its cause when
--- a/entry/keys/keeper.go
+++ b/entry/keys/keeper.go
@@ -184,7 +184,7 @@
 	if len(next.Slots) == 0 || (!changed && now < b.next) {
 		return false
 	}
-	next.Touched = k.cfg.Wall()
+	next.ConfirmedAtMS = k.cfg.Wall()
 	return k.write(ctx, pool, b, next)
 }
 
@@ -229,7 +229,7 @@
 
 // Ack fills in the answer to an agent that asks how fresh the entry's
 // knowledge of a pool's table is.
-func (k *Keeper) Ack(ack *wire.LeaseAck) {
+func (k *Keeper) Ack(ack *wire.LeaseReply) {
 	k.mu.Lock()
 	b := k.books[ack.Pool]
 	k.mu.Unlock()
--- a/entry/keys/keeper_test.go
+++ b/entry/keys/keeper_test.go
@@ -104,7 +104,7 @@
 func (w *world) connect(p *agents.Peer, incarnation uint64) {
 	near, far := net.Pipe()
 	w.t.Cleanup(func() { near.Close(); far.Close() })
-	p.Connect(wire.New(near, wire.Hello{Name: p.Name(), Incarnation: incarnation}, wire.Config{}), new(wire.Beat))
+	p.Connect(wire.New(near, wire.Hello{Name: p.Name(), Incarnation: incarnation}, wire.Config{}), new(wire.Heartbeat))
 }
 
 // look does what the keeper does at each tick, after d.
@@ -125,8 +125,8 @@
 	return t
 }
 
-func (w *world) ack() wire.LeaseAck {
-	ack := wire.LeaseAck{Pool: pool}
+func (w *world) ack() wire.LeaseReply {
+	ack := wire.LeaseReply{Pool: pool}
 	w.k.Ack(&ack)
 	return ack
 }
@@ -167,8 +167,8 @@
 		t.Fatalf("epoch %d", got.Epoch)
 	}
 	for i, s := range got.Slots {
-		if o := got.Owners[s.Owner]; s.Took == 2 && s.Since == 0 || o.Name == "a" && o.Incarnation == 1 {
-			t.Fatalf("slot %d is with %v, since %d", i, o, s.Since)
+		if o := got.Owners[s.Owner]; s.OwnedSinceEpoch == 2 && s.LostBefore == 0 || o.Name == "a" && o.Incarnation == 1 {
+			t.Fatalf("slot %d is with %v, since %d", i, o, s.LostBefore)
 		}
 	}
 }
@@ -201,7 +201,7 @@
 	w.agent("a", 1)
 	w.slow = 2 * time.Second
 	w.look(0)
-	if ack := w.ack(); !ack.Fresh || ack.Epoch != 1 || ack.AgeMS != 2000 {
+	if ack := w.ack(); !ack.Confirmed || ack.Epoch != 1 || ack.AgeMS != 2000 {
 		t.Errorf("ack %+v", ack)
 	}
 }
@@ -284,7 +284,7 @@
 	}
 	w.rivals = 0
 	w.look(b.next - w.now)
-	if ack := w.ack(); !ack.Fresh || ack.AgeMS != 0 || b.failed != 0 {
+	if ack := w.ack(); !ack.Confirmed || ack.AgeMS != 0 || b.failed != 0 {
 		t.Errorf("ack %+v, %d failed after a good write", ack, b.failed)
 	}
 }
@@ -296,11 +296,11 @@
 	w.agent("a", 1)
 	w.lose = true
 	w.look(0)
-	if w.ack().Fresh {
+	if w.ack().Confirmed {
 		t.Fatal("a write without a reply counted")
 	}
 	w.look(time.Second)
-	if ack := w.ack(); !ack.Fresh || ack.AgeMS != 0 {
+	if ack := w.ack(); !ack.Confirmed || ack.AgeMS != 0 {
 		t.Errorf("ack %+v", ack)
 	}
 }
--- a/entry/keys/relay.go
+++ b/entry/keys/relay.go
@@ -10,11 +10,11 @@
 // reports whether m was one. What cannot be carried now is dropped: the sender
 // tries again, perhaps through another entry.
 func (k *Keeper) Relay(p *agents.Peer, m wire.Message) bool {
-	var from, to wire.Party
+	var from, to wire.AgentProcess
 	switch m := m.(type) {
 	case *wire.Handover:
 		from, to = m.From, m.To
-	case *wire.HandAck:
+	case *wire.HandoverAck:
 		from, to = m.From, m.To
 	default:
 		return false
--- a/entry/keys/relay_test.go
+++ b/entry/keys/relay_test.go
@@ -14,16 +14,16 @@
 	a, b := w.agent("a", 1), w.agent("b", 2)
 	for _, tc := range []struct {
 		name     string
-		from, to wire.Party
+		from, to wire.AgentProcess
 		want     bool
 	}{
-		{"other sender", wire.Party{Name: "b", Incarnation: 2}, wire.Party{Name: "b", Incarnation: 2}, false},
-		{"former self", wire.Party{Name: "a", Incarnation: 7}, wire.Party{Name: "b", Incarnation: 2}, false},
-		{"restarted receiver", wire.Party{Name: "a", Incarnation: 1}, wire.Party{Name: "b", Incarnation: 1}, false},
-		{"unknown receiver", wire.Party{Name: "a", Incarnation: 1}, wire.Party{Name: "c", Incarnation: 1}, false},
-		{"as named", wire.Party{Name: "a", Incarnation: 1}, wire.Party{Name: "b", Incarnation: 2}, true},
+		{"other sender", wire.AgentProcess{Name: "b", Incarnation: 2}, wire.AgentProcess{Name: "b", Incarnation: 2}, false},
+		{"former self", wire.AgentProcess{Name: "a", Incarnation: 7}, wire.AgentProcess{Name: "b", Incarnation: 2}, false},
+		{"restarted receiver", wire.AgentProcess{Name: "a", Incarnation: 1}, wire.AgentProcess{Name: "b", Incarnation: 1}, false},
+		{"unknown receiver", wire.AgentProcess{Name: "a", Incarnation: 1}, wire.AgentProcess{Name: "c", Incarnation: 1}, false},
+		{"as named", wire.AgentProcess{Name: "a", Incarnation: 1}, wire.AgentProcess{Name: "b", Incarnation: 2}, true},
 	} {
-		for _, m := range []wire.Message{&wire.Handover{From: tc.from, To: tc.to}, &wire.HandAck{From: tc.from, To: tc.to}} {
+		for _, m := range []wire.Message{&wire.Handover{From: tc.from, To: tc.to}, &wire.HandoverAck{From: tc.from, To: tc.to}} {
 			if !w.k.Relay(a, m) {
 				t.Errorf("%s: %s is not taken for a handover", tc.name, m.Kind())
 			}
@@ -32,7 +32,7 @@
 			t.Errorf("%s: passed on %v", tc.name, got)
 		}
 	}
-	if w.k.Relay(a, new(wire.Beat)) {
+	if w.k.Relay(a, new(wire.Heartbeat)) {
 		t.Error("a heartbeat was taken for a handover")
 	}
 }
--- a/entry/main.go
+++ b/entry/main.go
@@ -15,7 +15,7 @@
 
 func main() {
 	p := boot.Program[conf.Entry]{
-		Name: "entry", About: "accepts callers' requests and carries each to its one final answer", Release: release,
+		Name: "entry", Description: "accepts callers' requests and carries each to its one final answer", Release: release,
 		Run: func(ctx context.Context, cfg *conf.Entry, path string) error { return newNode(cfg, path).run(ctx) },
 	}
 	os.Exit(p.Main())
--- a/entry/measure.go
+++ b/entry/measure.go
@@ -7,8 +7,8 @@
 
 // measure adds the entry's own state to its metrics.
 func (n *node) measure() {
-	n.feed.Measure(n.meter)
-	n.meter.Process()
+	n.feed.RegisterMetrics(n.meter)
+	n.meter.RegisterProcess()
 	n.meter.GaugeFunc("entry_running", func() int64 { return int64(n.sched.Running()) })
 	n.meter.GaugeFunc("entry_lowest_level", n.lowestLevel)
 	for name, count := range map[string]func(wire.Counts) uint64{
@@ -25,7 +25,7 @@
 func (n *node) lowestLevel() int64 {
 	level := spec.Tiers - 1
 	for _, p := range n.set.Pools() {
-		level = min(level, n.sched.Figures(p).Level)
+		level = min(level, n.sched.Figures(p).ShedLevel)
 	}
 	return int64(level)
 }
--- a/entry/mesh/accept.go
+++ b/entry/mesh/accept.go
@@ -51,7 +51,7 @@
 // listen runs one link that another entry dialled.
 func (m *Mesh) listen(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
-	hello, err := wire.Open(ctx, conn, m.cfg.Self, m.cfg.Keys)
+	hello, err := wire.Handshake(ctx, conn, m.cfg.Self, m.cfg.Keys)
 	if err != nil {
 		logs.Warn(m.cfg.Log, logs.EventLinkRefused, zap.String("remote", conn.RemoteAddr().String()), zap.Error(err))
 		return
@@ -69,7 +69,7 @@
 	}()
 	link.Run(ctx, func(msg wire.Message) {
 		switch t := msg.(type) {
-		case *wire.PlaceAsk, *wire.PlaceNote:
+		case *wire.PlaceRequest, *wire.PlaceReport:
 			if take == nil {
 				if m.cfg.Serve == nil {
 					return
@@ -132,8 +132,8 @@
 }
 
 // unpack takes in a tally that a hub passed on.
-func (m *Mesh) unpack(from relay.Source, r *wire.Relayed) {
-	t, err := r.Decoded()
+func (m *Mesh) unpack(from relay.Source, r *wire.RelayedTally) {
+	t, err := r.Decode()
 	if err != nil {
 		logs.Warn(m.cfg.Log, logs.EventBadFrame, zap.String("peer", r.Name), zap.Error(err))
 		return
@@ -172,33 +172,33 @@
 	if from == relay.Direct {
 		p.direct = now
 	}
-	if slices.Contains(t.Lacks, m.cfg.Self.Name) {
+	if slices.Contains(t.MissingFrom, m.cfg.Self.Name) {
 		p.lacksUs = now
 	}
 	anew = p.incarnation != o.incarnation
 	switch {
-	case anew && !t.Whole:
+	case anew && !t.Full:
 		// What the process told before is missing, or it is one that has ended.
 		p.gap, p.named = true, now
 		return false, false
-	case !anew && t.Seq <= p.seq && p.reached && !(p.gap && t.Whole):
+	case !anew && t.Seq <= p.seq && p.reached && !(p.gap && t.Full):
 		return false, false
 	}
-	p.gap = !t.Whole && (p.gap || t.Seq != p.seq+1)
+	p.gap = !t.Full && (p.gap || t.Seq != p.seq+1)
 	p.incarnation = o.incarnation
 	if !p.reached {
-		logs.Info(m.cfg.Log, logs.EventPeerHeard, zap.String("peer", o.name), zap.Int64("config", t.Config), zap.Int64("roster", t.Roster))
+		logs.Info(m.cfg.Log, logs.EventPeerRecovered, zap.String("peer", o.name), zap.Int64("config", t.ConfigRevision), zap.Int64("roster", t.RosterRevision))
 	}
 	p.zone, p.heard, p.reached = o.zone, now, true
 	if t.Addr != "" {
 		p.addr = t.Addr
 	}
-	p.config, p.roster = t.Config, t.Roster
+	p.config, p.roster = t.ConfigRevision, t.RosterRevision
 	if anew || t.Capacity > 0 {
 		p.capacity = t.Capacity
 	}
-	if t.Whole {
-		p.readsOn = t.ReadsOn()
+	if t.Full {
+		p.readsOn = t.AcceptsMoreFields()
 	}
 	for _, e := range t.Entries {
 		m.named(e, now)
--- a/entry/mesh/ask.go
+++ b/entry/mesh/ask.go
@@ -53,7 +53,7 @@
 
 // replied takes in what the other end of a link says to this entry, which dialled it.
 func (m *Mesh) replied(peer string, msg wire.Message) {
-	if ack, ok := msg.(*wire.PlaceAck); ok && m.cfg.Acked != nil {
+	if ack, ok := msg.(*wire.PlaceReply); ok && m.cfg.Acked != nil {
 		m.cfg.Acked(peer, ack)
 	}
 }
--- a/entry/mesh/dial.go
+++ b/entry/mesh/dial.go
@@ -214,7 +214,7 @@
 // talk runs one link that this entry dialled.
 func (m *Mesh) talk(ctx context.Context, conn net.Conn, addr string, d *dial) error {
 	defer conn.Close()
-	hello, err := wire.Open(ctx, conn, m.cfg.Self, m.cfg.Keys)
+	hello, err := wire.Handshake(ctx, conn, m.cfg.Self, m.cfg.Keys)
 	if err != nil {
 		return err
 	}
--- a/entry/mesh/fresh_test.go
+++ b/entry/mesh/fresh_test.go
@@ -21,7 +21,7 @@
 	for n, from := range all {
 		mark := uint32(n + 1)
 		began := time.Now()
-		from.with(func() { from.fresh = []wire.Fresh{{What: wire.SnapshotConfig, AgeMS: 1, Mark: mark}} })
+		from.with(func() { from.fresh = []wire.Freshness{{Content: wire.SnapshotConfig, AgeMS: 1, RefreshID: mark}} })
 		from.mesh.Hurry()
 		for _, e := range all {
 			if e != from {
@@ -43,7 +43,7 @@
 // An entry of a version that wants tallies with exactly the fields that it knows is
 // heard. What it cannot read must not be told while it is.
 func TestEvidenceIsNotToldToThoseWhoCannotReadIt(t *testing.T) {
-	m := New(Config{Self: wire.Hello{Name: "a"}, Fresh: func() ([]wire.Fresh, uint64) { return []wire.Fresh{{Mark: 1}}, 1 }})
+	m := New(Config{Self: wire.Hello{Name: "a"}, Fresh: func() ([]wire.Freshness, uint64) { return []wire.Freshness{{RefreshID: 1}}, 1 }})
 	*m.peer("b") = peer{reached: true, readsOn: true}
 	if told, clock := m.fresh(); len(told) != 1 || clock == 0 {
 		t.Error("nothing is told although all read it")
--- a/entry/mesh/mesh.go
+++ b/entry/mesh/mesh.go
@@ -53,7 +53,7 @@
 	Tally func(all bool) *wire.Tally
 	// Fresh returns what the next tally tells of how new the versions in force
 	// are, and the milliseconds for which this entry has run; nil is nothing.
-	Fresh func() (told []wire.Fresh, clock uint64)
+	Fresh func() (told []wire.Freshness, clock uint64)
 	// Extend adds to a tally what peers of older versions cannot read: what has changed
 	// since it was last told, and again what a new peer has to know. It may be nil.
 	Extend func(t *wire.Tally, again bool)
@@ -73,7 +73,7 @@
 	Serve func(ctx context.Context, zone string, reply func(m wire.Message) error) (take func(m wire.Message), end func())
 	// Acked takes in what a peer answers to such a message of this entry, Parted tells
 	// that the link over which it was sent has ended.
-	Acked  func(peer string, m *wire.PlaceAck)
+	Acked  func(peer string, m *wire.PlaceReply)
 	Parted func(peer string)
 	// Lost tells that a peer has not been heard for a while.
 	Lost func(peer string)
--- a/entry/mesh/mesh_test.go
+++ b/entry/mesh/mesh_test.go
@@ -30,7 +30,7 @@
 	config int64
 	// fresh is what the next tally tells of new evidence, marks holds those that
 	// peers told of.
-	fresh []wire.Fresh
+	fresh []wire.Freshness
 	marks map[uint32]bool
 }
 
@@ -60,15 +60,15 @@
 		Snapshot: func(what uint8) (*wire.Snapshot, error) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			return &wire.Snapshot{What: what, Revision: e.config}, nil
+			return &wire.Snapshot{Content: what, Revision: e.config}, nil
 		},
 		Heard: func(h Heard) {
 			e.with(func() {
-				for _, u := range h.Tally.Used {
+				for _, u := range h.Tally.Customers {
 					e.heard[h.Peer] = u.Total
 				}
-				for _, f := range h.Tally.Fresh {
-					e.marks[f.Mark] = true
+				for _, f := range h.Tally.Freshness {
+					e.marks[f.RefreshID] = true
 					e.mesh.HurryOn()
 				}
 			})
@@ -76,7 +76,7 @@
 		Whole: func(peer string) *wire.Tally {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			return &wire.Tally{Used: []wire.Used{{Customer: "c", Total: e.heard[peer]}}}
+			return &wire.Tally{Customers: []wire.CustomerUsage{{Customer: "c", Total: e.heard[peer]}}}
 		},
 		Took: func(s *wire.Snapshot) { e.with(func() { e.config = max(e.config, s.Revision) }) },
 		Lost: func(peer string) { e.with(func() { e.lost[peer] = true }) }, Log: zap.NewNop(),
@@ -101,7 +101,7 @@
 	return e
 }
 
-func (e *entry) evidence() ([]wire.Fresh, uint64) {
+func (e *entry) evidence() ([]wire.Freshness, uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := e.fresh
@@ -112,9 +112,9 @@
 func (e *entry) tally(all bool) *wire.Tally {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	t := &wire.Tally{Addr: e.addr, Config: e.config}
+	t := &wire.Tally{Addr: e.addr, ConfigRevision: e.config}
 	if e.changed || all && e.used > 0 {
-		t.Used = []wire.Used{{Customer: "c", Total: e.used}}
+		t.Customers = []wire.CustomerUsage{{Customer: "c", Total: e.used}}
 	}
 	if !all {
 		e.changed = false
