--- a/entry/mesh/pass.go
+++ b/entry/mesh/pass.go
@@ -16,7 +16,7 @@
 type passing struct {
 	origin relay.Entry
 	from   relay.Source
-	tally  wire.Relayed
+	tally  wire.RelayedTally
 }
 
 // keep notes a tally to be passed on, if this entry is a hub. It is called with
@@ -35,7 +35,7 @@
 
 // encoded returns a tally as it is passed on, nil if it cannot be.
 func (m *Mesh) encoded(t *wire.Tally) []byte {
-	body, err := t.Encoded()
+	body, err := t.Encode()
 	if err != nil {
 		logs.Error(m.cfg.Log, logs.EventFailed, zap.String("what", "encoding a tally for others"), zap.Error(err))
 		return nil
@@ -43,8 +43,8 @@
 	return body
 }
 
-func (o origin) relayed(body []byte) wire.Relayed {
-	return wire.Relayed{Name: o.name, Zone: o.zone, Incarnation: o.incarnation, Body: body}
+func (o origin) relayed(body []byte) wire.RelayedTally {
+	return wire.RelayedTally{Name: o.name, Zone: o.zone, Incarnation: o.incarnation, Body: body}
 }
 
 // pass sends what has been heard since the last call to those that hear it from
@@ -103,9 +103,9 @@
 		t := m.cfg.Whole(o.name)
 		m.mu.Lock()
 		p := m.peer(o.name)
-		t.Addr, t.Config, t.Roster, t.Seq, t.Whole = p.addr, p.config, p.roster, p.seq, true
+		t.Addr, t.ConfigRevision, t.RosterRevision, t.Seq, t.Full = p.addr, p.config, p.roster, p.seq, true
 		if p.readsOn {
-			t.SetReadsOn()
+			t.SetAcceptsMoreFields()
 		}
 		m.mu.Unlock()
 		if body := m.encoded(t); body != nil {
--- a/entry/mesh/relay_test.go
+++ b/entry/mesh/relay_test.go
@@ -145,7 +145,7 @@
 func TestLostAndRepeatedTallies(t *testing.T) {
 	m, heard := receiver()
 	from := origin{"other", "z2", 7}
-	tell := func(seq uint64, whole bool) { m.take(from, relay.Between, &wire.Tally{Seq: seq, Whole: whole}, nil) }
+	tell := func(seq uint64, whole bool) { m.take(from, relay.Between, &wire.Tally{Seq: seq, Full: whole}, nil) }
 	tell(3, true)
 	tell(4, false)
 	tell(4, false)
@@ -179,8 +179,8 @@
 // counted as new use.
 func TestTallyOfAnEndedProcess(t *testing.T) {
 	m, heard := receiver()
-	m.take(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 3, Whole: true}, nil)
-	m.take(origin{"other", "z2", 8}, relay.Direct, &wire.Tally{Seq: 1, Whole: true}, nil)
+	m.take(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 3, Full: true}, nil)
+	m.take(origin{"other", "z2", 8}, relay.Direct, &wire.Tally{Seq: 1, Full: true}, nil)
 	m.take(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 4}, nil)
 	if len(*heard) != 2 || !(*heard)[1].Anew {
 		t.Errorf("took in %+v, want one tally of each process", *heard)
@@ -192,7 +192,7 @@
 func TestPeerHeardAgainMustTellEverything(t *testing.T) {
 	m, _ := receiver()
 	from := origin{"other", "z", 7}
-	m.take(from, relay.Direct, &wire.Tally{Seq: 1, Whole: true}, nil)
+	m.take(from, relay.Direct, &wire.Tally{Seq: 1, Full: true}, nil)
 	m.take(from, relay.Direct, &wire.Tally{Seq: 2}, nil)
 	m.peers["other"].heard = time.Now().Add(-2 * heardTimes * tellAtLeast)
 	m.expire()
@@ -200,7 +200,7 @@
 	if l := m.lacking(); len(l) != 1 {
 		t.Error("what it has in flight since before stays unknown")
 	}
-	m.take(from, relay.Direct, &wire.Tally{Seq: 3, Whole: true}, nil)
+	m.take(from, relay.Direct, &wire.Tally{Seq: 3, Full: true}, nil)
 	if l := m.lacking(); len(l) != 0 {
 		t.Errorf("lacks %v though everything was told", l)
 	}
@@ -211,7 +211,7 @@
 // entry is asked for everything, it stays unknown.
 func TestChangeOfAnUnknownEntryIsAskedFor(t *testing.T) {
 	m, heard := receiver()
-	m.take(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 5, Lacks: []string{"me"}}, nil)
+	m.take(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 5, MissingFrom: []string{"me"}}, nil)
 	if len(*heard) != 0 {
 		t.Errorf("took in %+v of a process that it does not know", *heard)
 	}
--- a/entry/mesh/stopped_test.go
+++ b/entry/mesh/stopped_test.go
@@ -32,7 +32,7 @@
 		m.cfg.Lost = func(string) { lost++ }
 		from := origin{"other", "z", 7}
 		for seq := uint64(1); seq <= 3; seq++ {
-			m.take(from, relay.Direct, &wire.Tally{Seq: seq, Whole: seq == 1}, nil)
+			m.take(from, relay.Direct, &wire.Tally{Seq: seq, Full: seq == 1}, nil)
 			m.run(within / 2)
 			time.Sleep(2 * within)
 			m.expire()
@@ -49,7 +49,7 @@
 	for _, stop := range []time.Duration{0, within / 2, within, 2 * within} {
 		synctest.Test(t, func(t *testing.T) {
 			m, _ := receiver()
-			m.take(origin{"other", "z", 7}, relay.Direct, &wire.Tally{Seq: 1, Whole: true}, nil)
+			m.take(origin{"other", "z", 7}, relay.Direct, &wire.Tally{Seq: 1, Full: true}, nil)
 			began, ran := time.Now(), time.Duration(0)
 			for heard := 2; heard == 2 && ran < 2*within; heard, _ = m.Reach() {
 				time.Sleep(stop)
@@ -72,7 +72,7 @@
 func TestStopOfTheProcessTakesNoPeerOffTheList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, _ := receiver()
-		m.take(origin{"other", "z", 7}, relay.Direct, &wire.Tally{Seq: 1, Whole: true}, nil)
+		m.take(origin{"other", "z", 7}, relay.Direct, &wire.Tally{Seq: 1, Full: true}, nil)
 		m.peers["other"].listed = true
 		m.run(within / 2)
 		time.Sleep(2 * knownFor)
@@ -98,7 +98,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m, _ := receiver()
 		m.linked(wire.Hello{Name: "other"}, true)
-		m.take(origin{"other", "z", 7}, relay.Direct, &wire.Tally{Seq: 1, Whole: true}, nil)
+		m.take(origin{"other", "z", 7}, relay.Direct, &wire.Tally{Seq: 1, Full: true}, nil)
 		m.run(tellAtLeast)
 		time.Sleep(within)
 		m.expire()
--- a/entry/mesh/tell.go
+++ b/entry/mesh/tell.go
@@ -49,7 +49,7 @@
 		m.adjust(ctx)
 		m.greet()
 		t := m.cfg.Tally(false)
-		t.Fresh, t.Clock = m.fresh()
+		t.Freshness, t.UptimeMS = m.fresh()
 		if m.readOn() {
 			t.Capacity = m.cfg.Capacity
 			if m.cfg.Extend != nil {
@@ -57,7 +57,7 @@
 			}
 			m.retell = false
 		}
-		if t.News() || time.Since(last) >= m.aliveNow() {
+		if t.HasChanges() || time.Since(last) >= m.aliveNow() {
 			last = time.Now()
 			m.send(t)
 		}
@@ -113,7 +113,7 @@
 
 // fresh returns what the next tally tells of how new the versions are: nothing
 // while an entry is heard that could not read it.
-func (m *Mesh) fresh() (told []wire.Fresh, clock uint64) {
+func (m *Mesh) fresh() (told []wire.Freshness, clock uint64) {
 	if m.cfg.Fresh == nil || !m.readOn() {
 		return nil, 0
 	}
@@ -150,7 +150,7 @@
 func (m *Mesh) send(t *wire.Tally) {
 	m.mu.Lock()
 	m.seq++
-	t.Seq, t.Lacks = m.seq, m.lacks()
+	t.Seq, t.MissingFrom = m.seq, m.lacks()
 	m.mu.Unlock()
 	for _, l := range m.links(func(d *dial) bool { return d.tells && !d.fresh }) {
 		// A link that cannot take it closes itself and is dialled again.
@@ -181,11 +181,11 @@
 	}
 	m.retell = true
 	t := m.cfg.Tally(true)
-	t.Whole = true
+	t.Full = true
 	m.mu.Lock()
-	t.Seq, t.Lacks = m.seq, m.lacks()
+	t.Seq, t.MissingFrom = m.seq, m.lacks()
 	m.mu.Unlock()
-	t.SetReadsOn()
+	t.SetAcceptsMoreFields()
 	m.sendWhole(again, t, now)
 	// Whoever has just been reached may know nobody else.
 	known := *t
@@ -266,7 +266,7 @@
 	}
 	m.mu.Unlock()
 	if away > awayTimes*spare {
-		logs.Warn(m.cfg.Log, logs.EventHeldUp, zap.Duration("away", away), zap.Duration("spare", spare))
+		logs.Warn(m.cfg.Log, logs.EventProcessPaused, zap.Duration("away", away), zap.Duration("spare", spare))
 	}
 	for _, name := range lost {
 		logs.Warn(m.cfg.Log, logs.EventPeerSilent, zap.String("peer", name), zap.Duration("within", within))
--- a/entry/node.go
+++ b/entry/node.go
@@ -54,7 +54,7 @@
 	meter   *meter.Set
 	tally   *tally.Tally
 	// live holds the fleet's keys, which are replaced without a restart.
-	live *conf.Live
+	live *conf.LiveKeys
 	// noted is the digest of the configuration that was last logged.
 	noted   atomic.Uint64
 	leaving atomic.Bool
@@ -65,9 +65,9 @@
 	n := &node{
 		cfg: cfg, start: time.Now(), store: store.New(), meter: meter.New(),
 		log:  logs.New(cfg.Log.Level, cfg.Name),
-		plat: plat.New(plat.Config{Base: cfg.Platform.Address, Token: string(cfg.Platform.Token)}),
+		plat: plat.New(plat.Config{BaseURL: cfg.Platform.Address, Token: string(cfg.Platform.Token)}),
 	}
-	n.live = conf.NewLive(path, cfg.Keys(), conf.EntryKeys)
+	n.live = conf.NewLiveKeys(path, cfg.Keys(), conf.EntryKeys)
 	n.self = wire.Hello{
 		Role: wire.RoleEntry, Name: cfg.Name, Zone: cfg.Zone, Incarnation: incarnation(),
 		IdleMS: uint32(cfg.IdleHeartbeat.Std().Milliseconds()),
@@ -88,7 +88,7 @@
 
 // beat is what an idle link carries.
 func (n *node) beat() wire.Message {
-	return &wire.Beat{Leaving: n.leaving.Load(), Config: n.store.Version()}
+	return &wire.Heartbeat{Leaving: n.leaving.Load(), ConfigVersion: n.store.Version()}
 }
 
 // run serves until ctx ends, then stops in order.
@@ -96,7 +96,7 @@
 	work, end := context.WithCancel(context.Background())
 	logs.Info(n.log, logs.EventStarting)
 	var err error
-	if n.certs, err = certs.Logged(certs.Files(n.cfg.TLS), n.log); err != nil {
+	if n.certs, err = certs.NewLogged(certs.Files(n.cfg.TLS), n.log); err != nil {
 		end()
 		return err
 	}
@@ -185,7 +185,7 @@
 func (n *node) server(conns *kept.Set) *http.Server {
 	front := caller.New(caller.Config{
 		Store: n.store, NewID: n.sched.NewID, Serve: n.sched.Serve, Now: n.now,
-		Ready: n.ready.Load, Leaving: n.leaving.Load, Done: n.tally.Done, Metrics: n.meter.Public(),
+		Ready: n.ready.Load, Leaving: n.leaving.Load, Done: n.tally.Done, Metrics: n.meter.PublicHandler(),
 		Panicked: n.panicked, Unread: func() { n.meter.Counter("answers_not_taken").Inc(1) }, Log: n.log,
 	})
 	server := &http.Server{ReadHeaderTimeout: headerTimeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -212,10 +212,10 @@
 // build makes the parts; begin starts them.
 func (n *node) build(ctx context.Context) {
 	n.feed = feed.New(feed.Config{
-		Platform: n.plat, Store: n.store, Peers: n.peerFetches(), Random: mathrand.Float64, Note: n.noteFeed,
+		Platform: n.plat, Store: n.store, Peers: n.peerFetches(), Random: mathrand.Float64, OnNote: n.noteFeed,
 	})
-	n.feed.Measure(n.meter)
-	n.meter.Process()
+	n.feed.RegisterMetrics(n.meter)
+	n.meter.RegisterProcess()
 	n.sched = sched.New(ctx, sched.Config{
 		Memory:      int64(n.cfg.RequestMemory) << 20,
 		Incarnation: n.self.Incarnation, Zone: n.cfg.Zone, Now: n.now, Log: n.log,
@@ -245,11 +245,11 @@
 	changed, _ := n.store.Subscribe()
 	p.start(func() error { return n.feed.Run(ctx) })
 	p.start(func() error { return n.set.Run(ctx, changed) })
-	p.start(func() error { return n.live.Follow(ctx, n.live.Logged(n.log)) })
+	p.start(func() error { return n.live.Follow(ctx, n.live.LogReload(n.log)) })
 	p.start(func() error { return n.keeper.Run(ctx) })
 	p.start(func() error { return n.planner.Run(ctx) })
 	port := peers.New(peers.Config{
-		Listen: n.cfg.Link, Self: n.self, Keys: n.live.Keys, Heartbeat: n.cfg.Heartbeat.Std(),
+		Listen: n.cfg.LinkListen, Self: n.self, Keys: n.live.Keys, Heartbeat: n.cfg.Heartbeat.Std(),
 		Beat: n.beat, Store: n.store, Accept: n.certs.Accept, Log: n.log,
 	})
 	p.start(func() error { return port.Run(ctx) })
@@ -262,7 +262,7 @@
 
 // handle takes a message of an agent; it is called by the link's reader.
 func (n *node) handle(p *agents.Peer, m wire.Message) {
-	if ask, ok := m.(*wire.LeaseAsk); ok {
+	if ask, ok := m.(*wire.LeaseRequest); ok {
 		n.ack(p, ask)
 		return
 	}
@@ -272,8 +272,8 @@
 }
 
 // ack tells an agent how fresh the entry's knowledge of a record is.
-func (n *node) ack(p *agents.Peer, ask *wire.LeaseAsk) {
-	ack := &wire.LeaseAck{Seq: ask.Seq, Pool: ask.Pool}
+func (n *node) ack(p *agents.Peer, ask *wire.LeaseRequest) {
+	ack := &wire.LeaseReply{Seq: ask.Seq, Pool: ask.Pool}
 	if model, ok := strings.CutPrefix(ask.Pool, wire.AssignPrefix); ok {
 		n.planner.Ack(model, ack)
 	} else {
--- a/entry/orders/planner.go
+++ b/entry/orders/planner.go
@@ -81,7 +81,7 @@
 
 // Ack fills in the answer to an agent that asks how fresh the entry's
 // knowledge of a model's assignment is.
-func (p *Planner) Ack(model string, ack *wire.LeaseAck) {
+func (p *Planner) Ack(model string, ack *wire.LeaseReply) {
 	p.mu.Lock()
 	b := p.books[model]
 	p.mu.Unlock()
--- a/entry/orders/planner_test.go
+++ b/entry/orders/planner_test.go
@@ -68,7 +68,7 @@
 func (w *world) serves(p *agents.Peer, version string) {
 	near, far := net.Pipe()
 	w.t.Cleanup(func() { near.Close(); far.Close() })
-	p.Connect(wire.New(near, wire.Hello{Name: p.Name(), Incarnation: 1}, wire.Config{}), &wire.Beat{Model: model, Version: version})
+	p.Connect(wire.New(near, wire.Hello{Name: p.Name(), Incarnation: 1}, wire.Config{}), &wire.Heartbeat{Model: model, Version: version})
 }
 
 func (w *world) plan(d time.Duration) {
@@ -132,9 +132,9 @@
 	w.plan(planEvery)
 	first := w.assign()
 	w.plan(2 * touchEvery)
-	ack := wire.LeaseAck{Pool: wire.AssignPrefix + model}
+	ack := wire.LeaseReply{Pool: wire.AssignPrefix + model}
 	w.p.Ack(model, &ack)
-	if !ack.Fresh || ack.AgeMS != 0 || ack.Epoch != first.Epoch {
+	if !ack.Confirmed || ack.AgeMS != 0 || ack.Epoch != first.Epoch {
 		t.Errorf("ack %+v", ack)
 	}
 }
--- a/entry/peers/peers.go
+++ b/entry/peers/peers.go
@@ -81,12 +81,12 @@
 func (p *Port) serve(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	conn = p.cfg.Accept(conn)
-	peer, err := wire.Open(ctx, conn, p.cfg.Self, p.cfg.Keys())
+	peer, err := wire.Handshake(ctx, conn, p.cfg.Self, p.cfg.Keys())
 	if err != nil {
 		logs.Warn(p.cfg.Log, logs.EventLinkRefused, zap.String("remote", conn.RemoteAddr().String()), zap.Error(err))
 		return
 	}
-	p.answer(ctx, wire.New(conn, peer, wire.Config{Heartbeat: p.cfg.Heartbeat, Idle: p.cfg.Self.Idle(), Beat: p.cfg.Beat}))
+	p.answer(ctx, wire.New(conn, peer, wire.Config{Heartbeat: p.cfg.Heartbeat, Idle: p.cfg.Self.Idle(), NewHeartbeat: p.cfg.Beat}))
 }
 
 // answer serves the fetches of one link, one at a time.
@@ -100,7 +100,7 @@
 				done <- nil
 				return
 			case <-asked:
-				if err := feed.Answer(ctx, p.cfg.Store, link); err != nil {
+				if err := feed.SendAll(ctx, p.cfg.Store, link); err != nil {
 					link.Close()
 				}
 			}
--- a/entry/record/record.go
+++ b/entry/record/record.go
@@ -72,7 +72,7 @@
 }
 
 func (r *Record) refresh(ctx context.Context, err error) {
-	var away *plat.AwayError
+	var away *plat.UnavailableError
 	if errors.As(err, &away) {
 		return
 	}
@@ -87,7 +87,7 @@
 // Confirmations change nothing for agents and are not sent.
 func (r *Record) Tell(peers []*agents.Peer, version, epoch int64, data []byte) {
 	seen := make(map[*wire.Link]int64, len(peers))
-	var news *wire.News
+	var news *wire.ObjectUpdate
 	for _, p := range peers {
 		l := p.Link()
 		if l == nil {
@@ -95,7 +95,7 @@
 		}
 		if r.told[l] != epoch {
 			if news == nil {
-				news = &wire.News{Object: r.kind, Name: r.name, Version: version, Data: data}
+				news = &wire.ObjectUpdate{ObjectKind: r.kind, Name: r.name, Version: version, Data: data}
 			}
 			if l.Send(news) != nil {
 				continue
@@ -107,12 +107,12 @@
 }
 
 // Ack fills in what an agent asked about the freshness of the record.
-func (r *Record) Ack(ack *wire.LeaseAck) {
+func (r *Record) Ack(ack *wire.LeaseReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.fresh {
 		return
 	}
-	ack.Epoch, ack.Fresh = r.epoch, true
+	ack.Epoch, ack.Confirmed = r.epoch, true
 	ack.AgeMS = uint32((r.cfg.Now() - r.confirmed + time.Millisecond - 1) / time.Millisecond)
 }
--- a/entry/sched/admit.go
+++ b/entry/sched/admit.go
@@ -82,7 +82,7 @@
 		return true
 	}
 	for _, peer := range m.Peers {
-		if l, _ := peer.Load(); l.Level > tier && !peer.Leaving() {
+		if l, _ := peer.Load(); l.ShedLevel > tier && !peer.Leaving() {
 			return false
 		}
 	}
@@ -113,7 +113,7 @@
 		if !ok && !peer.Leaving() {
 			return allTiers
 		}
-		mask |= l.Running | l.Waiting
+		mask |= l.RunningTiers | l.WaitingTiers
 	}
 	return mask
 }
@@ -130,8 +130,8 @@
 		if !ok || peer.Leaving() {
 			continue
 		}
-		v.Places += int(l.Bound)
-		v.Free += max(0, int(l.Bound)-int(l.InFlight)-int(l.Queued)-peer.Offered())
+		v.Places += int(l.InFlightBound)
+		v.Free += max(0, int(l.InFlightBound)-int(l.InFlight)-int(l.Queued)-peer.Offered())
 	}
 	return v
 }
--- a/entry/sched/flight.go
+++ b/entry/sched/flight.go
@@ -173,14 +173,14 @@
 	case *wire.Head:
 		f.head(e.peer, m)
 	case *wire.End:
-		if f.from(e.peer) && (!m.Whole || !f.overtook(e)) {
+		if f.from(e.peer) && (!m.Complete || !f.overtook(e)) {
 			f.end(m)
 		}
 	case *wire.Claim:
 		f.claim(e.peer, a, m)
 	case *wire.Return:
 		f.returned(e.peer, a, m)
-	case *wire.Known:
+	case *wire.KeyStatus:
 		f.known(e.peer, a, m)
 	}
 }
--- a/entry/sched/level.go
+++ b/entry/sched/level.go
@@ -25,8 +25,8 @@
 		return
 	}
 	for _, peer := range m.Peers {
-		if l, ok := peer.Load(); ok && l.Level < p.level {
-			p.shed.Peer(now, l.Level, tickEvery*2)
+		if l, ok := peer.Load(); ok && l.ShedLevel < p.level {
+			p.shed.Peer(now, l.ShedLevel, tickEvery*2)
 		}
 	}
 }
@@ -46,6 +46,6 @@
 		return
 	}
 	for _, peer := range m.Peers {
-		peer.Send(&wire.Level{Pool: p.name, Level: level, HoldMS: uint32(levelHold.Milliseconds())})
+		peer.Send(&wire.ShedLevel{Pool: p.name, Level: level, HoldMS: uint32(levelHold.Milliseconds())})
 	}
 }
--- a/entry/sched/offer.go
+++ b/entry/sched/offer.go
@@ -107,7 +107,7 @@
 	if !ok {
 		return ""
 	}
-	return strconv.Itoa(int(l.InFlight)) + " of " + strconv.Itoa(int(l.Bound)) + " in flight, " + strconv.Itoa(int(l.Queued)) + " queued"
+	return strconv.Itoa(int(l.InFlight)) + " of " + strconv.Itoa(int(l.InFlightBound)) + " in flight, " + strconv.Itoa(int(l.Queued)) + " queued"
 }
 
 // widen offers the request to one more agent that the pool proposes.
@@ -129,9 +129,9 @@
 		ID: f.once.ID(), Pool: j.Pool, Customer: j.Customer, Class: j.Class.Name, Tier: j.Class.Tier,
 		Model: j.Model, PromptTokens: uint32(f.est.PromptTokens), OutputTokens: uint32(f.est.OutputTokens),
 		CostMS: millis(f.est.Work), WaitedMS: millis(waited),
-		FirstMS: millis(t.FirstToken.Std()), BetweenMS: millis(t.BetweenTokens.Std()),
-		CompleteMS: millis(t.Complete.Std()), DeadlineMS: millis(j.Deadline - waited),
-		Repeatable: j.Repeatable, Cancellable: j.Cancellable, Key: j.Key, KeyMade: j.KeyMade, Digest: j.Digest, Epoch: epoch,
+		FirstTargetMS: millis(t.FirstToken.Std()), BetweenTargetMS: millis(t.BetweenTokens.Std()),
+		CompleteTargetMS: millis(t.Complete.Std()), DeadlineMS: millis(j.Deadline - waited),
+		Repeatable: j.Repeatable, Cancellable: j.Cancellable, KeyHash: j.Key, KeyCreatedMS: j.KeyMade, Digest: j.Digest, Epoch: epoch,
 	}
 }
 
--- a/entry/sched/pick.go
+++ b/entry/sched/pick.go
@@ -41,8 +41,8 @@
 
 func describe(now time.Duration, peer *agents.Peer, l *wire.Load) place.Agent {
 	return place.Agent{
-		Name: peer.Name(), Zone: peer.Zone(), InFlight: int(l.InFlight), Bound: max(1, int(l.Bound)),
-		Queued: int(l.Queued) + peer.Offered(), QueuedCost: time.Duration(l.QueuedCost) * time.Millisecond,
+		Name: peer.Name(), Zone: peer.Zone(), InFlight: int(l.InFlight), Bound: max(1, int(l.InFlightBound)),
+		Queued: int(l.Queued) + peer.Offered(), QueuedCost: time.Duration(l.QueuedCostMS) * time.Millisecond,
 		Slow: l.Slow, Full: peer.Full(now),
 	}
 }
--- a/entry/sched/poison.go
+++ b/entry/sched/poison.go
@@ -71,7 +71,7 @@
 	c := q.crashes[agent]
 	switch end := f.ans.End(); {
 	case end == nil:
-	case end.Whole:
+	case end.Complete:
 		q.book.Completed(now, f.fingerprint, start(agent, c.n+1))
 	case end.Reason == wire.ReasonUnreachable:
 		if c.n == 0 || now-c.last > sameCrash {
@@ -82,7 +82,7 @@
 		q.book.Crashed(now, start(agent, c.n))
 	}
 	for _, c := range q.book.Changes() {
-		logs.Quarantine(f.s.cfg.Log, c)
+		logs.LogQuarantine(f.s.cfg.Log, c)
 	}
 }
 
--- a/entry/sched/pool_test.go
+++ b/entry/sched/pool_test.go
@@ -25,7 +25,7 @@
 		p := agents.NewPeer(&plat.Instance{Name: name, Zone: "z" + strconv.Itoa(i%3), State: plat.StateLive})
 		near, far := net.Pipe()
 		tb.Cleanup(func() { near.Close(); far.Close() })
-		p.Connect(wire.New(near, wire.Hello{Name: name, Incarnation: 1}, wire.Config{}), &wire.Beat{Load: load})
+		p.Connect(wire.New(near, wire.Hello{Name: name, Incarnation: 1}, wire.Config{}), &wire.Heartbeat{Load: load})
 		m.Peers = append(m.Peers, p)
 	}
 	return m
@@ -51,12 +51,12 @@
 		want   bool
 	}{
 		{"idle", wire.Load{}, 0, 0, false},
-		{"lower runs", wire.Load{Running: low}, 0, 0, true},
-		{"lower waits", wire.Load{Waiting: low}, 0, 2, true},
-		{"same runs", wire.Load{Running: 1 << 1}, 0, 1, false},
-		{"higher runs", wire.Load{Running: 1}, 0, 1, false},
+		{"lower runs", wire.Load{RunningTiers: low}, 0, 0, true},
+		{"lower waits", wire.Load{WaitingTiers: low}, 0, 2, true},
+		{"same runs", wire.Load{RunningTiers: 1 << 1}, 0, 1, false},
+		{"higher runs", wire.Load{RunningTiers: 1}, 0, 1, false},
 		{"unlinked agent", wire.Load{}, 1, 0, true},
-		{"lowest tier", wire.Load{Running: low}, 1, spec.Tiers - 1, false},
+		{"lowest tier", wire.Load{RunningTiers: low}, 1, spec.Tiers - 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := *linked(t, 2, c.load)
@@ -81,7 +81,7 @@
 // BenchmarkPlace chooses agents for a request among as many as an entry links
 // to at the target's size.
 func BenchmarkPlace(b *testing.B) {
-	p := testPool(linked(b, 115, wire.Load{Bound: 16, InFlight: 9, Queued: 3, QueuedCost: 500}))
+	p := testPool(linked(b, 115, wire.Load{InFlightBound: 16, InFlight: 9, Queued: 3, QueuedCostMS: 500}))
 	f := &flight{job: &Job{Class: spec.Class{Tier: 1}}, trace: &Trace{prefix: place.Fingerprint(make([]byte, 4096))}}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -94,14 +94,14 @@
 // there this very moment; a caller of a higher tier that is refused now would
 // have been shed for it.
 func TestUnconfirmedLevelRefusesNothingHigher(t *testing.T) {
-	m := linked(t, 2, wire.Load{Level: 1})
+	m := linked(t, 2, wire.Load{ShedLevel: 1})
 	p := testPool(m)
 	for tier, want := range []bool{false, true, true, true} {
 		if got := p.confirmed(uint8(tier)); got != want {
 			t.Errorf("tier %d: confirmed %t", tier, got)
 		}
 	}
-	m.Peers = append(m.Peers, linked(t, 1, wire.Load{Level: spec.Tiers - 1}).Peers...)
+	m.Peers = append(m.Peers, linked(t, 1, wire.Load{ShedLevel: spec.Tiers - 1}).Peers...)
 	for tier, want := range []bool{false, false, false, true} {
 		if got := p.confirmed(uint8(tier)); got != want {
 			t.Errorf("tier %d with an agent that has not heard: confirmed %t", tier, got)
--- a/entry/sched/relay.go
+++ b/entry/sched/relay.go
@@ -136,7 +136,7 @@
 // broken gives up on the present attempt's answer.
 func (f *flight) broken() {
 	why := "its answer was damaged"
-	if e := f.ans.End(); e != nil && !e.Whole {
+	if e := f.ans.End(); e != nil && !e.Complete {
 		why = "it ended with " + e.Reason.String()
 	}
 	f.s.poison.ended(f)
@@ -165,7 +165,7 @@
 func (f *flight) attach() {
 	f.ans.Resume()
 	f.holder.Send(&wire.Attach{
-		ID: f.once.ID(), Next: f.ans.Next(), Stream: f.job.Stream, Agent: f.once.Holder().Incarnation,
+		ID: f.once.ID(), NextSeq: f.ans.Next(), Stream: f.job.Stream, AgentIncarnation: f.once.Holder().Incarnation,
 	})
 	f.sleep(waitAttach, f.patience())
 }
@@ -220,7 +220,7 @@
 }
 
 // known takes a home agent's word about an idempotency key.
-func (f *flight) known(p *agents.Peer, a once.Agent, m *wire.Known) {
+func (f *flight) known(p *agents.Peer, a once.Agent, m *wire.KeyStatus) {
 	if m.ID != f.once.ID() || f.once.State() != once.Offered {
 		return
 	}
@@ -233,7 +233,7 @@
 		}
 	case wire.KeyMismatch:
 		f.finish(fault.New(fault.KeyMismatch, "this idempotency key was used with another request: use a new key for each request"))
-	case wire.KeyForgotAnswer:
+	case wire.KeyAnswerDropped:
 		f.once.Taint()
 		f.finish(fault.New(fault.UnknownFate, "a request with this idempotency key has run to its end and its answer is no longer kept: look up its effect"))
 	default:
--- a/entry/sched/sched.go
+++ b/entry/sched/sched.go
@@ -86,7 +86,7 @@
 func (s *Sched) Figures(name string) report.Pool {
 	p := s.pool(name)
 	return report.Pool{
-		Pool: name, InFlight: int(p.inflight.Load()), Queued: int(p.queued.Load()), Level: int(p.shown.Load()),
+		Pool: name, InFlight: int(p.inflight.Load()), Queued: int(p.queued.Load()), ShedLevel: int(p.shown.Load()),
 	}
 }
 
@@ -213,7 +213,7 @@
 		return m.ID, true
 	case *wire.Return:
 		return m.ID, true
-	case *wire.Known:
+	case *wire.KeyStatus:
 		return m.ID, true
 	}
 	return ident.ID{}, false
--- a/entry/sched/trail.go
+++ b/entry/sched/trail.go
@@ -73,7 +73,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.view.Steps) < maxSteps {
-		t.view.Steps = append(t.view.Steps, report.Step{AtMS: (f.now() - t.begin).Milliseconds(), What: what, Agent: agent, Why: why})
+		t.view.Steps = append(t.view.Steps, report.Step{AtMS: (f.now() - t.begin).Milliseconds(), Action: what, Agent: agent, Reason: why})
 	}
 }
 
--- a/entry/status.go
+++ b/entry/status.go
@@ -6,8 +6,8 @@
 func (n *node) status() report.Entry {
 	s := report.Entry{
 		Name: n.cfg.Name, Zone: n.cfg.Zone, Ready: n.ready.Load(), Leaving: n.leaving.Load(),
-		Running: n.sched.Running(), Config: n.store.Version(), Digest: n.store.Digest(),
-		Away: n.feed.Away(), AgeMS: n.feed.AgeMS(), Rejected: n.store.Rejected(), Pools: []report.Pool{}, Traffic: n.set.Counts(),
+		Running: n.sched.Running(), ConfigVersion: n.store.Version(), ConfigDigest: n.store.Digest(),
+		PlatformUnavailable: n.feed.PlatformUnavailable(), PlatformAnswerAgeMS: n.feed.AnswerAgeMS(), Rejected: n.store.Rejected(), Pools: []report.Pool{}, Traffic: n.set.Counts(),
 	}
 	for _, p := range n.pools() {
 		s.Pools = append(s.Pools, n.poolStatus(p.Name))
@@ -22,13 +22,13 @@
 	if m == nil {
 		return ps
 	}
-	ps.Beyond = m.Beyond
+	ps.Unlinked = m.Beyond
 	for _, p := range m.Peers {
 		l, _ := p.Load()
 		_, version := p.Serves()
 		ps.Agents = append(ps.Agents, report.Agent{
 			Name: p.Name(), Zone: p.Zone(), Linked: p.Linked(), Leaving: p.Leaving(),
-			InFlight: int(l.InFlight), Bound: int(l.Bound), Queued: int(l.Queued), Level: int(l.Level), Slow: l.Slow,
+			InFlight: int(l.InFlight), InFlightBound: int(l.InFlightBound), Queued: int(l.Queued), ShedLevel: int(l.ShedLevel), Slow: l.Slow,
 			Version: version,
 		})
 	}
--- a/entry/tally/tally.go
+++ b/entry/tally/tally.go
@@ -32,8 +32,8 @@
 type Tally struct {
 	meter *meter.Set
 	log   *zap.Logger
-	total *meter.Top
-	first *meter.Top
+	total *meter.CustomerHistograms
+	first *meter.CustomerHistograms
 	// byTier holds the counters of each tier.
 	byTier [spec.Tiers]tier
 	// byOutcome holds a counter for each outcome.
@@ -46,7 +46,7 @@
 // New returns a Tally that counts into m.
 func New(m *meter.Set, log *zap.Logger) *Tally {
 	t := &Tally{
-		meter: m, log: log, total: m.Top(nameTotal), first: m.Top(nameFirst),
+		meter: m, log: log, total: m.CustomerHistograms(nameTotal), first: m.CustomerHistograms(nameFirst),
 		prompt: m.Counter(namePrompt), cached: m.Counter(nameCached), output: m.Counter(nameOutput),
 	}
 	for i := range t.byTier {
@@ -77,9 +77,9 @@
 	t.cached.Inc(int64(res.Usage.CachedTokens))
 	t.output.Inc(int64(res.Usage.OutputTokens))
 	class := meter.Class(j.Class.Name)
-	meter.Milliseconds(t.meter.Histogram(nameFirst, class), res.First)
-	meter.Milliseconds(t.meter.Histogram(nameTotal, class), res.Total)
-	meter.Milliseconds(t.meter.Histogram(nameBetween, class), res.Between)
+	meter.UpdateMS(t.meter.Histogram(nameFirst, class), res.First)
+	meter.UpdateMS(t.meter.Histogram(nameTotal, class), res.Total)
+	meter.UpdateMS(t.meter.Histogram(nameBetween, class), res.Between)
 	t.first.Observe(j.Customer, int64(res.First/time.Millisecond))
 	t.total.Observe(j.Customer, int64(res.Total/time.Millisecond))
 }
--- a/entry/view.go
+++ b/entry/view.go
@@ -67,7 +67,7 @@
 func (n *node) peerFetches() []feed.Fetch {
 	var out []feed.Fetch
 	for _, addr := range n.cfg.Peers {
-		out = append(out, feed.Dial(addr, n.dial, n.hello, n.live.Keys))
+		out = append(out, feed.NewPeerFetch(addr, n.dial, n.hello, n.live.Keys))
 	}
 	return out
 }
@@ -83,9 +83,9 @@
 		logs.Info(n.log, logs.EventConfigChanged, zap.Int("changed", note.Changed), zap.Int64("version", note.Version))
 	case feed.NoteRejected:
 		logs.Warn(n.log, logs.EventConfigRejected, zap.Error(note.Err))
-	case feed.NoteAway:
+	case feed.NoteUnavailable:
 		logs.Warn(n.log, logs.EventPlatformAway, zap.Error(note.Err))
-	case feed.NoteBack:
+	case feed.NoteAvailable:
 		logs.Info(n.log, logs.EventPlatformBack)
 	case feed.NoteFromPeers:
 		logs.Info(n.log, logs.EventConfigFromPeers, zap.Int64("version", note.Version))
--- a/lychee/apply/plan.go
+++ b/lychee/apply/plan.go
@@ -68,7 +68,7 @@
 }
 
 // Text returns an object as YAML, as files hold it.
-func Text(kind string, o spec.Named) string {
+func Text(kind string, o spec.Object) string {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "kind: %s\n", kind)
 	enc := yaml.NewEncoder(&b)
--- a/lychee/config.go
+++ b/lychee/config.go
@@ -110,8 +110,8 @@
 		return nil, err
 	}
 	var all []spec.Item
-	add := func(kind string, o spec.Named) {
-		if it := spec.ItemOf(kind, o); !without(it.Ref()) {
+	add := func(kind string, o spec.Object) {
+		if it := spec.NewItem(kind, o); !without(it.Ref()) {
 			all = append(all, it)
 		}
 	}
--- a/lychee/flags.go
+++ b/lychee/flags.go
@@ -91,7 +91,7 @@
 func newTool(w world, o options) *tool {
 	return &tool{
 		world: w, options: o, show: show.New(w.out, o.output == outputJSON),
-		platform: plat.New(plat.Config{Base: o.platform, Token: o.token}),
+		platform: plat.New(plat.Config{BaseURL: o.platform, Token: o.token}),
 		admin:    admin.New(o.adminToken, nil),
 	}
 }
--- a/lychee/fleet.go
+++ b/lychee/fleet.go
@@ -38,11 +38,11 @@
 		if i.Name != t.first {
 			continue
 		}
-		if i.Role != plat.RoleEndpoint || i.Admin == "" {
+		if i.Role != plat.RoleEndpoint || i.AdminAddr == "" {
 			fmt.Fprintf(t.errOut, "lychee: %s is no endpoint with an admin address: stop it with SIGTERM, which drains it too\n", i.Name)
 			return exitInput
 		}
-		if err := t.admin.Drain(ctx, i.Admin); err != nil {
+		if err := t.admin.Drain(ctx, i.AdminAddr); err != nil {
 			return t.fail(err)
 		}
 		t.show.Message(i.Name + ": takes no more work, finishes what runs and stops; `lychee status` shows it as leaving")
--- a/lychee/fleet_test.go
+++ b/lychee/fleet_test.go
@@ -51,7 +51,7 @@
 		"POST /drain": "",
 	}
 	instance := func(name, role, admin string) {
-		s.platform.instances = append(s.platform.instances, plat.Instance{Name: name, Role: role, Zone: "ne-a", Admin: admin, State: plat.StateLive})
+		s.platform.instances = append(s.platform.instances, plat.Instance{Name: name, Role: role, Zone: "ne-a", AdminAddr: admin, State: plat.StateLive})
 	}
 	instance("entry-1", plat.RoleEntry, process(t, map[string]string{"GET /status": fmt.Sprintf(entryStatus, "entry-1", false, 2, have.Digest(), 5, 3)}))
 	instance("entry-2", plat.RoleEntry, process(t, map[string]string{
@@ -78,7 +78,7 @@
 	s := fleet(t)
 	var args []string
 	for _, i := range s.platform.instances[:2] {
-		args = append(args, "--entry", i.Admin)
+		args = append(args, "--entry", i.AdminAddr)
 	}
 	s.address = "http://127.0.0.1:1"
 	code, out := s.run(append([]string{"status", "--admin-token", "op"}, args...)...)
@@ -99,7 +99,7 @@
 	// An entry of the instance list does not answer. Nobody can say what it
 	// has in force, so the configuration does not count as in force everywhere.
 	s := newShell(t)
-	s.platform.instances = []plat.Instance{{Name: "entry-1", Role: plat.RoleEntry, Admin: "127.0.0.1:1", State: plat.StateLive}}
+	s.platform.instances = []plat.Instance{{Name: "entry-1", Role: plat.RoleEntry, AdminAddr: "127.0.0.1:1", State: plat.StateLive}}
 	code, out := s.run("status")
 	if code != exitLags || !strings.Contains(out, "silent") {
 		t.Errorf("exit code %d: %s", code, out)
--- a/lychee/main_test.go
+++ b/lychee/main_test.go
@@ -274,8 +274,8 @@
 func (s *shell) plain(text string) string {
 	pairs := []string{s.address, "PLATFORM", s.dir, "DIR"}
 	for _, i := range s.platform.instances {
-		if i.Admin != "" {
-			pairs = append(pairs, i.Admin, "ADMIN-OF-"+i.Name)
+		if i.AdminAddr != "" {
+			pairs = append(pairs, i.AdminAddr, "ADMIN-OF-"+i.Name)
 		}
 	}
 	return strings.NewReplacer(pairs...).Replace(text)
--- a/lychee/show/show.go
+++ b/lychee/show/show.go
@@ -252,7 +252,7 @@
 	t := tabwriter.NewWriter(w.out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "AFTER\tDECISION\tENDPOINT\tWHY")
 	for _, s := range e.Steps {
-		fmt.Fprintf(t, "%dms\t%s\t%s\t%s\n", s.AtMS, s.What, dash(s.Agent), s.Why)
+		fmt.Fprintf(t, "%dms\t%s\t%s\t%s\n", s.AtMS, s.Action, dash(s.Agent), s.Reason)
 	}
 	t.Flush()
 }
--- a/lychee/survey/pools.go
+++ b/lychee/survey/pools.go
@@ -19,10 +19,10 @@
 		for _, p := range e.Pools {
 			pool := byName[p.Pool]
 			if pool == nil {
-				pool = &Pool{Name: p.Pool, Level: p.Level}
+				pool = &Pool{Name: p.Pool, Level: p.ShedLevel}
 				byName[p.Pool], lines[p.Pool] = pool, make(map[string]Line)
 			}
-			pool.Level = min(pool.Level, p.Level)
+			pool.Level = min(pool.Level, p.ShedLevel)
 			pool.Waiting += p.Queued
 			for _, a := range p.Agents {
 				lines[p.Pool][a.Name] = lines[p.Pool][a.Name].join(a)
@@ -47,7 +47,7 @@
 	if a.Version != "" {
 		l.Version = a.Version
 	}
-	l.InFlight, l.Bound, l.Queued = max(l.InFlight, a.InFlight), max(l.Bound, a.Bound), max(l.Queued, a.Queued)
+	l.InFlight, l.Bound, l.Queued = max(l.InFlight, a.InFlight), max(l.Bound, a.InFlightBound), max(l.Queued, a.Queued)
 	l.Linked, l.Leaving, l.Slow = l.Linked || a.Linked, l.Leaving || a.Leaving, l.Slow || a.Slow
 	return l
 }
@@ -57,7 +57,7 @@
 	addresses := make(map[string]string)
 	for _, i := range roster.Instances {
 		if i.Role == plat.RoleEndpoint {
-			addresses[i.Name] = i.Admin
+			addresses[i.Name] = i.AdminAddr
 		}
 	}
 	each(len(agents), func(i int) {
--- a/lychee/survey/survey.go
+++ b/lychee/survey/survey.go
@@ -105,8 +105,8 @@
 func (s *Surveyor) EntryAddresses(roster plat.Roster) []Entry {
 	var out []Entry
 	for _, i := range roster.Instances {
-		if i.Role == plat.RoleEntry && i.Admin != "" {
-			out = append(out, Entry{Name: i.Name, Zone: i.Zone, Address: i.Admin})
+		if i.Role == plat.RoleEntry && i.AdminAddr != "" {
+			out = append(out, Entry{Name: i.Name, Zone: i.Zone, Address: i.AdminAddr})
 		}
 	}
 	for _, a := range s.Entries {
@@ -186,8 +186,8 @@
 	}
 	var newest sight
 	for _, a := range answers {
-		if a.Config > newest.version {
-			newest = sight{a.Config, a.Digest}
+		if a.ConfigVersion > newest.version {
+			newest = sight{a.ConfigVersion, a.ConfigDigest}
 		}
 	}
 	return newest
@@ -197,9 +197,9 @@
 	if e.State == StateSilent {
 		return
 	}
-	e.Name, e.Zone, e.Config, e.Running = a.Name, a.Zone, a.Config, a.Running
-	e.Away, e.AgeMS, e.Rejected = a.Away, a.AgeMS, a.Rejected
-	e.Lags = a.Digest != digest
+	e.Name, e.Zone, e.Config, e.Running = a.Name, a.Zone, a.ConfigVersion, a.Running
+	e.Away, e.AgeMS, e.Rejected = a.PlatformUnavailable, a.PlatformAnswerAgeMS, a.Rejected
+	e.Lags = a.ConfigDigest != digest
 	e.State = StateNotReady
 	if a.Leaving {
 		e.State = StateLeaving
--- a/trial/capac/sizes.go
+++ b/trial/capac/sizes.go
@@ -87,11 +87,11 @@
 func roster() plat.Roster {
 	r := plat.Roster{Version: 1}
 	for i, e := range nodes("entry", targetEntries) {
-		r.Instances = append(r.Instances, plat.Instance{Name: e.Name, Role: plat.RoleEntry, Zone: e.Zone, Link: address(i), Admin: address(i), State: plat.StateLive})
+		r.Instances = append(r.Instances, plat.Instance{Name: e.Name, Role: plat.RoleEntry, Zone: e.Zone, LinkAddr: address(i), AdminAddr: address(i), State: plat.StateLive})
 	}
 	for i, a := range nodes("endpoint", targetAgents) {
 		r.Instances = append(r.Instances, plat.Instance{
-			Name: a.Name, Role: plat.RoleEndpoint, Zone: a.Zone, Labels: map[string]string{"model": model}, Link: address(i), Admin: address(i), State: plat.StateLive,
+			Name: a.Name, Role: plat.RoleEndpoint, Zone: a.Zone, Labels: map[string]string{"model": model}, LinkAddr: address(i), AdminAddr: address(i), State: plat.StateLive,
 		})
 	}
 	return r
@@ -101,12 +101,12 @@
 
 // table is the table of a pool after each slot changed its owner once.
 func table() spec.Homes {
-	t := spec.Homes{Epoch: 100000, Lease: spec.Duration(homes.DefaultLease), Touched: time.Now().UnixMilli()}
+	t := spec.Homes{Epoch: 100000, Lease: spec.Duration(homes.DefaultLease), ConfirmedAtMS: time.Now().UnixMilli()}
 	for i, a := range nodes("endpoint", targetAgents/targetModels) {
 		t.Owners = append(t.Owners, spec.HomeOwner{Name: a.Name, Incarnation: 1<<63 + uint64(i)})
 	}
 	for i := range homes.Slots {
-		t.Slots = append(t.Slots, spec.HomeSlot{Owner: i, Since: t.Touched, Took: t.Epoch})
+		t.Slots = append(t.Slots, spec.HomeSlot{Owner: i, LostBefore: t.ConfirmedAtMS, OwnedSinceEpoch: t.Epoch})
 	}
 	return t
 }
@@ -120,23 +120,23 @@
 }
 
 func messages() []wire.Message {
-	load := wire.Load{InFlight: 40, Bound: 64, Queued: 20, QueuedCost: 4000, Running: 15, Waiting: 15, Level: 3}
+	load := wire.Load{InFlight: 40, InFlightBound: 64, Queued: 20, QueuedCostMS: 4000, RunningTiers: 15, WaitingTiers: 15, ShedLevel: 3}
 	data, err := json.Marshal(table())
 	if err != nil {
 		data = nil
 	}
 	return []wire.Message{
-		&wire.Beat{Load: load, Config: 4_000_000},
+		&wire.Heartbeat{Load: load, ConfigVersion: 4_000_000},
 		&wire.Claim{Load: load},
-		&wire.Level{Pool: model, Level: 3, HoldMS: 1500},
-		&wire.LeaseAsk{Seq: 100000, Pool: model},
-		&wire.LeaseAck{Seq: 100000, Pool: model, Epoch: 100000, AgeMS: 4000, Fresh: true},
+		&wire.ShedLevel{Pool: model, Level: 3, HoldMS: 1500},
+		&wire.LeaseRequest{Seq: 100000, Pool: model},
+		&wire.LeaseReply{Seq: 100000, Pool: model, Epoch: 100000, AgeMS: 4000, Confirmed: true},
 		&wire.Offer{
 			Pool: model, Customer: "customer-00001", Class: ownClass, Tier: 1, Model: model, PromptTokens: 1200, OutputTokens: 450, CostMS: 9000,
-			FirstMS: 1500, BetweenMS: 49, DeadlineMS: 30000, Cancellable: true,
+			FirstTargetMS: 1500, BetweenTargetMS: 49, DeadlineMS: 30000, Cancellable: true,
 		},
 		&wire.Withdraw{}, &wire.Deny{},
-		&wire.News{Object: spec.KindHomes, Name: model, Version: 4_000_000, Data: data},
+		&wire.ObjectUpdate{ObjectKind: spec.KindHomes, Name: model, Version: 4_000_000, Data: data},
 	}
 }
 
--- a/trial/fleet/fleet.go
+++ b/trial/fleet/fleet.go
@@ -153,8 +153,8 @@
 
 func (u *Unit) instance(state string) plat.Instance {
 	return plat.Instance{
-		Name: u.Name, Role: plat.RoleEndpoint, Zone: u.Zone, Labels: u.Labels, Link: u.Dial,
-		Admin: u.Admin, State: state,
+		Name: u.Name, Role: plat.RoleEndpoint, Zone: u.Zone, Labels: u.Labels, LinkAddr: u.Dial,
+		AdminAddr: u.Admin, State: state,
 	}
 }
 
@@ -288,6 +288,6 @@
 		return errors.Join(err, fmt.Errorf("fleet: %s is not ready: read %s", e.Name, e.Proc.Log()))
 	}
 	return f.platform.PutInstance(ctx, plat.Instance{
-		Name: e.Name, Role: plat.RoleEntry, Zone: e.Zone, Link: e.Link, Admin: e.Admin, State: plat.StateLive,
+		Name: e.Name, Role: plat.RoleEntry, Zone: e.Zone, LinkAddr: e.Link, AdminAddr: e.Admin, State: plat.StateLive,
 	})
 }
--- a/trial/platf/platf.go
+++ b/trial/platf/platf.go
@@ -143,7 +143,7 @@
 }
 
 func (t table) apply(ev plat.Event) {
-	if ev.Gone {
+	if ev.Deleted {
 		delete(t[ev.Object.Kind], ev.Object.Name)
 		return
 	}
--- a/trial/platf/store.go
+++ b/trial/platf/store.go
@@ -39,7 +39,7 @@
 		return old.Version, false
 	}
 	p.version++
-	p.record(plat.Event{Gone: true, Object: plat.Object{Kind: kind, Name: name, Version: p.version}})
+	p.record(plat.Event{Deleted: true, Object: plat.Object{Kind: kind, Name: name, Version: p.version}})
 	return p.version, true
 }
 
