--- a/entry/mesh/accept.go
+++ b/entry/mesh/accept.go
@@ -14,42 +14,43 @@
 	"lycheepond/core/wire"
 )
 
-// maxLinks bounds accepted links.
+// maxLinks bounds the accepted links.
 const maxLinks = 1024
 
-// errFull reports a link beyond maxLinks.
-var errFull = errors.New("mesh: as many links as an entry takes: look for processes that dial it and should not")
+// errTooManyLinks reports a link beyond maxLinks.
+var errTooManyLinks = errors.New("mesh: too many links: look for processes that should not dial this entry")
 
-// accept takes links of other entries until ctx ends.
+// accept accepts links from other entries until ctx ends.
 func (m *Mesh) accept(ctx context.Context, ln net.Listener) {
-	room := make(chan struct{}, maxLinks)
+	slots := make(chan struct{}, maxLinks)
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			// Without descriptors accepting fails at once, again and again.
+			// Without free file descriptors Accept fails at once, so pause before
+			// the next call.
 			logs.Warn(m.cfg.Log, logs.EventFailed, zap.String("what", "accept"), zap.Error(err))
 			time.Sleep(dialPause)
 			continue
 		}
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
-			logs.Warn(m.cfg.Log, logs.EventLinkRefused, zap.String("remote", conn.RemoteAddr().String()), zap.Error(errFull))
+			logs.Warn(m.cfg.Log, logs.EventLinkRefused, zap.String("remote", conn.RemoteAddr().String()), zap.Error(errTooManyLinks))
 			conn.Close()
 			continue
 		}
 		m.spawn(func() {
-			m.listen(ctx, conn)
-			<-room
+			m.serveLink(ctx, conn)
+			<-slots
 		})
 	}
 }
 
-// listen runs one link that another entry dialled.
-func (m *Mesh) listen(ctx context.Context, conn net.Conn) {
+// serveLink runs one link that another entry dialled.
+func (m *Mesh) serveLink(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	hello, err := wire.Open(ctx, conn, m.cfg.Self, m.cfg.Keys)
 	if err != nil {
@@ -57,33 +58,33 @@
 		return
 	}
 	link := wire.New(conn, hello, wire.Config{Heartbeat: heartbeat})
-	m.linked(hello, true)
-	defer m.linked(hello, false)
-	var take func(wire.Message)
-	end := func() {}
-	defer func() { end() }()
+	m.countLink(hello, true)
+	defer m.countLink(hello, false)
+	var handlePlacement func(wire.Message)
+	endPlacements := func() {}
+	defer func() { endPlacements() }()
 	defer func() {
-		if take != nil {
-			m.serve(-1)
+		if handlePlacement != nil {
+			m.addPlacementLinks(-1)
 		}
 	}()
 	link.Run(ctx, func(msg wire.Message) {
 		switch t := msg.(type) {
 		case *wire.PlaceAsk, *wire.PlaceNote:
-			if take == nil {
+			if handlePlacement == nil {
 				if m.cfg.Serve == nil {
 					return
 				}
-				take, end = m.cfg.Serve(ctx, hello.Zone, link.Send)
-				m.serve(1)
+				handlePlacement, endPlacements = m.cfg.Serve(ctx, hello.Zone, link.Send)
+				m.addPlacementLinks(1)
 			}
-			take(t)
+			handlePlacement(t)
 		case *wire.Tally:
-			m.take(origin{hello.Name, hello.Zone, hello.Incarnation}, relay.Direct, t, nil)
+			m.handleTally(origin{hello.Name, hello.Zone, hello.Incarnation}, relay.Direct, t, nil)
 		case *wire.Relay:
-			from := m.touched(hello)
+			from := m.noteHub(hello)
 			for i := range t.Tallies {
-				m.unpack(from, &t.Tallies[i])
+				m.handleRelayed(from, &t.Tallies[i])
 			}
 		case *wire.Snapshot:
 			m.cfg.Took(t)
@@ -91,128 +92,129 @@
 	})
 }
 
-// entry returns what a plan needs to know of a peer.
+// entry returns what relay.New needs to know about a peer.
 func (p *peer) entry(name string) relay.Entry {
 	return relay.Entry{Name: name, Zone: p.zone, Capacity: p.capacity}
 }
 
-// linked notes that a link of a peer has begun or ended.
-func (m *Mesh) linked(hello wire.Hello, up bool) {
+// countLink counts a link from a peer that was opened (up) or closed.
+func (m *Mesh) countLink(hello wire.Hello, up bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.peer(hello.Name)
 	now := time.Now()
 	if up {
 		p.links++
-		p.direct = now
+		p.directAt = now
 		return
 	}
 	p.links--
 	if p.links == 0 {
-		p.broke = now
+		p.linkLostAt = now
 	}
 }
 
-// touched notes that a hub has passed something on, and returns what that is a
-// source of.
-func (m *Mesh) touched(hello wire.Hello) relay.Source {
+// noteHub records that a hub relayed tallies to this entry, and returns the source
+// that these tallies have.
+func (m *Mesh) noteHub(hello wire.Hello) relay.Source {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.peer(hello.Name).direct = time.Now()
+	m.peer(hello.Name).directAt = time.Now()
 	if m.plan.Near(relay.Entry{Name: hello.Name, Zone: hello.Zone}) {
 		return relay.Within
 	}
 	return relay.Between
 }
 
-// origin is the process that told a tally.
+// origin is the process that sent a tally.
 type origin struct {
 	name, zone  string
 	incarnation uint64
 }
 
-// unpack takes in a tally that a hub passed on.
-func (m *Mesh) unpack(from relay.Source, r *wire.Relayed) {
+// handleRelayed decodes and handles a tally that a hub relayed.
+func (m *Mesh) handleRelayed(from relay.Source, r *wire.Relayed) {
 	t, err := r.Decoded()
 	if err != nil {
 		logs.Warn(m.cfg.Log, logs.EventBadFrame, zap.String("peer", r.Name), zap.Error(err))
 		return
 	}
-	m.take(origin{r.Name, r.Zone, r.Incarnation}, from, t, r.Body)
+	m.handleTally(origin{r.Name, r.Zone, r.Incarnation}, from, t, r.Body)
 }
 
-// take takes in a tally of another entry; body is the tally as it came by way of
-// a hub, nil if it came directly.
-func (m *Mesh) take(o origin, from relay.Source, t *wire.Tally, body []byte) {
+// handleTally processes a tally of another entry. body is the encoded tally if a
+// hub relayed it, nil if it came directly.
+func (m *Mesh) handleTally(o origin, from relay.Source, t *wire.Tally, body []byte) {
 	if o.name == m.cfg.Self.Name {
 		return
 	}
-	m.taking.Lock()
-	defer m.taking.Unlock()
-	anew, ok := m.follows(o, from, t)
+	m.tallyMu.Lock()
+	defer m.tallyMu.Unlock()
+	newProcess, ok := m.recordTally(o, from, t)
 	if !ok {
 		return
 	}
-	m.cfg.Heard(Heard{Peer: o.name, Anew: anew, Tally: t})
+	m.cfg.Heard(Heard{Peer: o.name, Anew: newProcess, Tally: t})
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if p := m.peer(o.name); !p.gap {
+	if p := m.peer(o.name); !p.hasGap {
 		p.seq = t.Seq
 	}
-	m.keep(o, from, t, body)
+	m.enqueueRelay(o, from, t, body)
 }
 
-// follows notes a tally and reports whether it is news, and whether it is the
-// first of its process.
-func (m *Mesh) follows(o origin, from relay.Source, t *wire.Tally) (anew, ok bool) {
+// recordTally updates the peer from a tally. ok reports whether the tally is new
+// and complete enough to use, newProcess whether it is the first one of its process.
+func (m *Mesh) recordTally(o origin, from relay.Source, t *wire.Tally) (newProcess, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.peer(o.name)
 	now := time.Now()
 	if from == relay.Direct {
-		p.direct = now
+		p.directAt = now
 	}
 	if slices.Contains(t.Lacks, m.cfg.Self.Name) {
-		p.lacksUs = now
+		p.lacksUsAt = now
 	}
-	anew = p.incarnation != o.incarnation
+	newProcess = p.incarnation != o.incarnation
 	switch {
-	case anew && !t.Whole:
-		// What the process told before is missing, or it is one that has ended.
-		p.gap, p.named = true, now
+	case newProcess && !t.Whole:
+		// Either earlier tallies of this process are missing, or the process has
+		// already ended.
+		p.hasGap, p.namedAt = true, now
 		return false, false
-	case !anew && t.Seq <= p.seq && p.reached && !(p.gap && t.Whole):
+	case !newProcess && t.Seq <= p.seq && p.isReachable && !(p.hasGap && t.Whole):
 		return false, false
 	}
-	p.gap = !t.Whole && (p.gap || t.Seq != p.seq+1)
+	p.hasGap = !t.Whole && (p.hasGap || t.Seq != p.seq+1)
 	p.incarnation = o.incarnation
-	if !p.reached {
+	if !p.isReachable {
 		logs.Info(m.cfg.Log, logs.EventPeerHeard, zap.String("peer", o.name), zap.Int64("config", t.Config), zap.Int64("roster", t.Roster))
 	}
-	p.zone, p.heard, p.reached = o.zone, now, true
+	p.zone, p.tallyAt, p.isReachable = o.zone, now, true
 	if t.Addr != "" {
 		p.addr = t.Addr
 	}
 	p.config, p.roster = t.Config, t.Roster
-	if anew || t.Capacity > 0 {
+	if newProcess || t.Capacity > 0 {
 		p.capacity = t.Capacity
 	}
 	if t.Whole {
-		p.readsOn = t.ReadsOn()
+		p.readsExtensions = t.ReadsOn()
 	}
 	for _, e := range t.Entries {
-		m.named(e, now)
+		m.noteNamed(e, now)
 	}
-	return anew, true
+	return newProcess, true
 }
 
-// named notes that a peer knows of an entry; it is called with mu held.
-func (m *Mesh) named(e wire.EntryAddr, now time.Time) {
+// noteNamed records that a peer knows an entry. It is called with mu held.
+func (m *Mesh) noteNamed(e wire.EntryAddr, now time.Time) {
 	if e.Name == m.cfg.Self.Name {
 		return
 	}
 	p := m.peer(e.Name)
-	p.named = now
+	p.namedAt = now
 	if p.addr == "" {
 		p.addr = e.Addr
 	}
--- a/entry/mesh/ask.go
+++ b/entry/mesh/ask.go
@@ -7,38 +7,41 @@
 	"lycheepond/core/wire"
 )
 
-// askedFor is for how long a link is kept after its peer was last named to Link.
-const askedFor = 5 * time.Second
+// requestedLinkTTL is how long a link is kept after its peer was last passed to
+// KeepLinks.
+const requestedLinkTTL = 5 * time.Second
 
-// Entries returns the entries that are heard, this one included.
+// ReachableEntries returns the reachable entries, including this one.
 func (m *Mesh) Entries() []relay.Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := []relay.Entry{m.self()}
 	for name, p := range m.peers {
-		if p.reached {
+		if p.isReachable {
 			out = append(out, p.entry(name))
 		}
 	}
 	return out
 }
 
-// Link has links to peers kept, for messages that Send takes.
+// KeepLinks requests links to the given peers, so that Send can reach them. Each
+// link is kept for requestedLinkTTL after the last call that names its peer.
 func (m *Mesh) Link(peers []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
 	for _, name := range peers {
-		m.asked[name] = now
+		m.requestedLinks[name] = now
 	}
-	for name, at := range m.asked {
-		if now.Sub(at) > askedFor {
-			delete(m.asked, name)
+	for name, at := range m.requestedLinks {
+		if now.Sub(at) > requestedLinkTTL {
+			delete(m.requestedLinks, name)
 		}
 	}
 }
 
-// Send sends a message over the link to a peer and reports false if there is none.
+// Send sends a message over the link to a peer. It reports false if there is no
+// such link or sending fails.
 func (m *Mesh) Send(peer string, msg wire.Message) bool {
 	m.mu.Lock()
 	var link *wire.Link
@@ -51,16 +54,18 @@
 	return link != nil && link.Send(msg) == nil
 }
 
-// replied takes in what the other end of a link says to this entry, which dialled it.
-func (m *Mesh) replied(peer string, msg wire.Message) {
+// handleReply handles a message that a peer sends over a link that this entry
+// dialled.
+func (m *Mesh) handleReply(peer string, msg wire.Message) {
 	if ack, ok := msg.(*wire.PlaceAck); ok && m.cfg.Acked != nil {
 		m.cfg.Acked(peer, ack)
 	}
 }
 
-// serve notes that n more links are used to ask this entry for places.
-func (m *Mesh) serve(n int) {
+// addPlacementLinks adds n to the number of links over which peers request
+// placements from this entry.
+func (m *Mesh) addPlacementLinks(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.serving += n
+	m.placementLinks += n
 }
--- a/entry/mesh/dial.go
+++ b/entry/mesh/dial.go
@@ -15,144 +15,147 @@
 )
 
 const (
-	// heartbeat is that of the links; one that went silent is dialled again
-	// after three.
+	// heartbeat is the heartbeat interval of the links. A link that is silent for
+	// three of them is closed and dialled again.
 	heartbeat = 300 * time.Millisecond
-	// dialTime and dialPause bound how fast a lost peer is tried.
-	dialTime  = 500 * time.Millisecond
-	dialPause = 300 * time.Millisecond
-	// hubMargin is by how much longer than the time between two tallies a peer may
-	// tell nothing over its own link before it is no hub any more: what its group
-	// hears would wait for it.
+	// dialTimeout and dialPause bound how often an unreachable peer is dialled.
+	dialTimeout = 500 * time.Millisecond
+	dialPause   = 300 * time.Millisecond
+	// hubMargin is added to the longest time between two tallies. A hub that sends
+	// nothing over its own link for longer than the sum is replaced, because its
+	// group would wait for the tallies that it should relay.
 	hubMargin = 200 * time.Millisecond
-	// brokeFor is how long a peer whose link broke is no hub: until it either
-	// counts as silent or has come back.
-	brokeFor = 2 * time.Second
-	// unlinkAfter is how long a link is kept that nobody needs any more, so that
-	// a peer that comes and goes does not cost a link each time.
-	unlinkAfter = 3 * time.Second
-	// lackFor is how long a peer that said that it does not hear this entry is
-	// told directly: several of its tallies.
-	lackFor = 3 * time.Second
-	// seekMost is how many entries that are not heard, or do not hear this one,
-	// it links to at a time, seekTurn how long before it takes the next. After a
-	// start of a whole fleet the first of them tell of all others.
-	seekMost = 32
-	seekTurn = 2 * time.Second
+	// lostLinkPeriod is how long a peer whose link broke is not used as a hub.
+	// After that it has either come back or counts as silent.
+	lostLinkPeriod = 2 * time.Second
+	// unusedLinkTTL is how long an unused link is kept, so that a peer that is
+	// needed on and off doesn't cost a new link each time.
+	unusedLinkTTL = 3 * time.Second
+	// lackPeriod is how long tallies are sent directly to a peer that reported that
+	// it lacks tallies of this entry. It covers several tallies of the peer.
+	lackPeriod = 3 * time.Second
+	// maxExtraLinks is how many links an entry keeps at a time to peers that are
+	// unreachable or lack its tallies. After extraLinkPeriod it moves on to the
+	// next such peers. When a whole fleet starts, the first peers that answer name
+	// all the others.
+	maxExtraLinks   = 32
+	extraLinkPeriod = 2 * time.Second
 )
 
-// dial is one address that this entry tells its tallies to.
+// dial is the state of one address that this entry dials.
 type dial struct {
 	link *wire.Link
-	// peer is the name that answered, empty before the first link.
+	// peer is the name of the entry that answered. It is empty before the first
+	// link.
 	peer string
-	// fresh is set until everything was told over the link, which last happened at
-	// whole.
-	fresh bool
-	whole time.Time
-	// passed is set once everything was passed on over the link by this entry as
-	// a hub, so that what it passes on next follows on that.
-	passed bool
-	// needed is when the link was last needed.
-	needed time.Time
-	// tells is set while this entry tells its tallies over the link. Others carry
-	// messages of Send only.
-	tells bool
-	stop  context.CancelFunc
+	// needsFull is set until a full tally has been sent over the link. fullSentAt
+	// is when that last happened.
+	needsFull  bool
+	fullSentAt time.Time
+	// isRelayTarget is set once this entry, as a hub, has sent the full tallies
+	// that it relays over the link. Later relayed changes build on those.
+	isRelayTarget bool
+	// neededAt is when the link was last needed.
+	neededAt time.Time
+	// sendsTallies is set while this entry sends its tallies over the link. Other
+	// links carry only the messages of Send.
+	sendsTallies bool
+	stop         context.CancelFunc
 }
 
-// replan decides anew who tells whom.
+// replan recomputes which entries send tallies to each other and which are hubs.
 func (m *Mesh) replan() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	known := 1
 	var heard []relay.Entry
 	for name, p := range m.peers {
-		if !p.known() {
+		if !p.isKnown() {
 			continue
 		}
 		known++
-		if p.reached {
+		if p.isReachable {
 			heard = append(heard, p.entry(name))
 		}
 	}
 	m.known = known
-	m.plan = relay.New(m.self(), known, heard, func(e relay.Entry) bool { return !m.peers[e.Name].mute(m.alive()) })
+	m.plan = relay.New(m.self(), known, heard, func(e relay.Entry) bool { return !m.peers[e.Name].isMute(m.maxIntervalLocked()) })
 }
 
 func (m *Mesh) self() relay.Entry {
 	return relay.Entry{Name: m.cfg.Self.Name, Zone: m.cfg.Self.Zone, Capacity: m.cfg.Capacity}
 }
 
-// mute reports whether a peer has stopped to tell over its own link: frozen, cut
-// off or dead. The entries that depend on it as a hub must not wait until it
-// counts as silent. What this process missed while it was stopped is spared.
-func (p *peer) mute(alive time.Duration) bool {
+// isMute reports whether a peer has stopped sending over its own link because it is
+// paused, cut off or dead. The entries that depend on it as a hub must not wait
+// until it counts as silent. Time that this process itself was paused doesn't
+// count.
+func (p *peer) isMute(maxInterval time.Duration) bool {
 	if p.links > 0 {
-		return min(time.Since(p.direct), time.Since(p.spared)) > alive+hubMargin
+		return min(time.Since(p.directAt), time.Since(p.graceAt)) > maxInterval+hubMargin
 	}
-	return time.Since(p.broke) < brokeFor
+	return time.Since(p.linkLostAt) < lostLinkPeriod
 }
 
-// adjust dials the peers that this entry must tell and gives up the links that
-// nobody needs.
-func (m *Mesh) adjust(ctx context.Context) {
+// adjustLinks dials the peers that this entry must send tallies or messages to, and
+// closes links that are no longer needed.
+func (m *Mesh) adjustLinks(ctx context.Context) {
 	m.replan()
 	now := time.Now()
 	m.mu.Lock()
-	wanted := m.wants(now)
-	told := len(wanted)
-	for name := range m.asked {
-		if p := m.peers[name]; p != nil && p.addr != "" && p.maybe() {
+	wanted := m.tallyTargets(now)
+	tallyAddrs := len(wanted)
+	for name := range m.requestedLinks {
+		if p := m.peers[name]; p != nil && p.addr != "" && p.isPossible() {
 			wanted = append(wanted, p.addr)
 		}
 	}
 	for addr, d := range m.dials {
-		tells := slices.Contains(wanted[:told], addr) || !slices.Contains(wanted[told:], addr)
-		if tells && !d.tells {
-			// What it missed in between is told anew.
-			d.fresh, d.passed = true, false
+		sendsTallies := slices.Contains(wanted[:tallyAddrs], addr) || !slices.Contains(wanted[tallyAddrs:], addr)
+		if sendsTallies && !d.sendsTallies {
+			// The peer missed the tallies sent meanwhile, so it needs a full one.
+			d.needsFull, d.isRelayTarget = true, false
 		}
-		d.tells = tells
+		d.sendsTallies = sendsTallies
 		if d.peer == "" || slices.Contains(wanted, addr) {
-			d.needed = now
+			d.neededAt = now
 		}
-		if now.Sub(d.needed) > unlinkAfter {
+		if now.Sub(d.neededAt) > unusedLinkTTL {
 			d.stop()
 		}
 	}
 	m.mu.Unlock()
 	for _, addr := range wanted {
-		m.reach(ctx, addr)
+		m.startDial(ctx, addr)
 	}
 }
 
-// wants returns the addresses of the entries that this one must tell itself: by
-// the plan, or because one of the two does not hear the other, so that whatever
-// is wrong with the hubs, two entries that reach each other hear each other. It is
-// called with mu held.
-func (m *Mesh) wants(now time.Time) []string {
-	var out, seek []string
+// tallyTargets returns the addresses of the peers to which this entry must send its
+// tallies directly. A peer is a target because of the plan, or because one of the
+// two lacks tallies of the other. Two entries that can connect therefore exchange
+// tallies even if the hubs fail. It is called with mu held.
+func (m *Mesh) tallyTargets(now time.Time) []string {
+	var out, extra []string
 	for name, p := range m.peers {
-		if p.addr == "" || !p.maybe() {
+		if p.addr == "" || !p.isPossible() {
 			continue
 		}
-		if p.reached && m.plan.Tells(m.self(), p.entry(name)) {
+		if p.isReachable && m.plan.Tells(m.self(), p.entry(name)) {
 			out = append(out, p.addr)
-		} else if !p.reached || now.Sub(p.lacksUs) < lackFor {
-			seek = append(seek, p.addr)
+		} else if !p.isReachable || now.Sub(p.lacksUsAt) < lackPeriod {
+			extra = append(extra, p.addr)
 		}
 	}
-	if len(seek) > seekMost {
-		slices.Sort(seek)
-		from := int(now.Sub(m.start)/seekTurn) * seekMost % len(seek)
-		seek = append(seek[from:], seek[:from]...)[:seekMost]
+	if len(extra) > maxExtraLinks {
+		slices.Sort(extra)
+		from := int(now.Sub(m.start)/extraLinkPeriod) * maxExtraLinks % len(extra)
+		extra = append(extra[from:], extra[:from]...)[:maxExtraLinks]
 	}
-	return append(out, seek...)
+	return append(out, extra...)
 }
 
-// reach starts to dial an address, if nobody does yet.
-func (m *Mesh) reach(ctx context.Context, addr string) {
+// startDial starts a goroutine that dials an address, unless one exists.
+func (m *Mesh) startDial(ctx context.Context, addr string) {
 	if addr == "" || addr == m.cfg.Listen {
 		return
 	}
@@ -162,29 +165,28 @@
 		return
 	}
 	ctx, stop := context.WithCancel(ctx)
-	d := &dial{needed: time.Now(), stop: stop, tells: true}
+	d := &dial{neededAt: time.Now(), stop: stop, sendsTallies: true}
 	m.dials[addr] = d
 	m.mu.Unlock()
 	m.spawn(func() {
 		defer stop()
-		m.dial(ctx, addr, d)
+		m.dialLoop(ctx, addr, d)
 		m.mu.Lock()
 		delete(m.dials, addr)
 		m.mu.Unlock()
 	})
 }
 
-// dial keeps a link to addr until ctx ends or the address belongs to nobody
-// that is known.
-func (m *Mesh) dial(ctx context.Context, addr string, d *dial) {
-	dialer := net.Dialer{Timeout: dialTime}
+// dialLoop keeps a link to addr until ctx ends or no known entry has the address.
+func (m *Mesh) dialLoop(ctx context.Context, addr string, d *dial) {
+	dialer := net.Dialer{Timeout: dialTimeout}
 	began := time.Now()
 	for ctx.Err() == nil {
 		conn, err := dialer.DialContext(ctx, "tcp", addr)
 		if err == nil {
-			err = m.talk(ctx, conn, addr, d)
+			err = m.runLink(ctx, conn, addr, d)
 		}
-		if errors.Is(err, errSelf) || !m.wanted(addr, began) {
+		if errors.Is(err, errOwnAddress) || !m.worthDialling(addr, began) {
 			return
 		}
 		select {
@@ -194,40 +196,40 @@
 	}
 }
 
-// wanted reports whether an address is worth dialling again.
-func (m *Mesh) wanted(addr string, began time.Time) bool {
-	if time.Since(began) < knownFor || slices.Contains(m.cfg.Seeds, addr) {
+// worthDialling reports whether an address should be dialled again.
+func (m *Mesh) worthDialling(addr string, began time.Time) bool {
+	if time.Since(began) < knownPeriod || slices.Contains(m.cfg.Seeds, addr) {
 		return true
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range m.peers {
-		if p.addr == addr && p.known() {
+		if p.addr == addr && p.isKnown() {
 			return true
 		}
 	}
 	return false
 }
 
-var errSelf = errors.New("mesh: the address is this entry's own")
+var errOwnAddress = errors.New("mesh: the address is this entry's own")
 
-// talk runs one link that this entry dialled.
-func (m *Mesh) talk(ctx context.Context, conn net.Conn, addr string, d *dial) error {
+// runLink runs one link that this entry dialled.
+func (m *Mesh) runLink(ctx context.Context, conn net.Conn, addr string, d *dial) error {
 	defer conn.Close()
 	hello, err := wire.Open(ctx, conn, m.cfg.Self, m.cfg.Keys)
 	if err != nil {
 		return err
 	}
 	if hello.Name == m.cfg.Self.Name {
-		return errSelf
+		return errOwnAddress
 	}
 	link := wire.New(conn, hello, wire.Config{Heartbeat: heartbeat})
 	m.mu.Lock()
 	m.peer(hello.Name).addr = addr
-	d.link, d.fresh, d.passed, d.peer = link, true, false, hello.Name
+	d.link, d.needsFull, d.isRelayTarget, d.peer = link, true, false, hello.Name
 	m.mu.Unlock()
 	logs.Info(m.cfg.Log, logs.EventLinkUp, zap.String("peer", hello.Name), zap.String("remote", addr))
-	err = link.Run(ctx, func(msg wire.Message) { m.replied(hello.Name, msg) })
+	err = link.Run(ctx, func(msg wire.Message) { m.handleReply(hello.Name, msg) })
 	m.mu.Lock()
 	d.link = nil
 	m.mu.Unlock()
--- a/entry/mesh/fresh_test.go
+++ b/entry/mesh/fresh_test.go
@@ -10,12 +10,13 @@
 	"lycheepond/core/wire"
 )
 
-// One entry has asked the platform, for all others. If its word took longer than a
-// step, the next in order would ask too, then the one after it, and a fleet of four
-// hundred would ask four hundred times. Through two hubs it must be there in time.
+// One entry asks the platform for the current revisions on behalf of all others. If
+// its evidence took longer than one freshness step to arrive, the next entry in
+// order would ask as well, then the one after it, and 400 entries would send 400
+// requests. The evidence must arrive within a step, also through two hubs.
 func TestEvidenceReachesAllWithinAStep(t *testing.T) {
 	t.Parallel()
-	all := settled(t, 3, 4, 5)
+	all := startSettledFleet(t, 3, 4, 5)
 	step := fresh.Rule{Bound: 2 * time.Second}.Step()
 	var took []time.Duration
 	for n, from := range all {
@@ -28,32 +29,32 @@
 				await(t, fmt.Sprint("evidence ", mark), func() bool {
 					e.mu.Lock()
 					defer e.mu.Unlock()
-					return e.marks[mark]
+					return e.receivedMarks[mark]
 				})
 			}
 		}
 		took = append(took, time.Since(began))
 	}
 	slices.Sort(took)
-	if middle := took[len(took)/2]; middle > step {
-		t.Errorf("it took %v, a step is %v; all: %v", middle, step, took)
+	if median := took[len(took)/2]; median > step {
+		t.Errorf("median time %v is longer than a step of %v; all: %v", median, step, took)
 	}
 }
 
-// An entry of a version that wants tallies with exactly the fields that it knows is
-// heard. What it cannot read must not be told while it is.
-func TestEvidenceIsNotToldToThoseWhoCannotReadIt(t *testing.T) {
+// Entries of an older version reject tallies with fields that they don't know.
+// While one of them is reachable, no tally may carry evidence.
+func TestEvidenceIsNotSentWhileAPeerCannotReadIt(t *testing.T) {
 	m := New(Config{Self: wire.Hello{Name: "a"}, Fresh: func() ([]wire.Fresh, uint64) { return []wire.Fresh{{Mark: 1}}, 1 }})
-	*m.peer("b") = peer{reached: true, readsOn: true}
-	if told, clock := m.fresh(); len(told) != 1 || clock == 0 {
-		t.Error("nothing is told although all read it")
+	*m.peer("b") = peer{isReachable: true, readsExtensions: true}
+	if evidence, clock := m.freshness(); len(evidence) != 1 || clock == 0 {
+		t.Error("no evidence is sent although all peers can read it")
 	}
-	*m.peer("old") = peer{reached: true}
-	if told, clock := m.fresh(); len(told) != 0 || clock != 0 {
-		t.Error("told although one does not read it")
+	*m.peer("old") = peer{isReachable: true}
+	if evidence, clock := m.freshness(); len(evidence) != 0 || clock != 0 {
+		t.Error("evidence is sent although one peer cannot read it")
 	}
-	m.peer("old").reached = false
-	if told, clock := m.fresh(); len(told) != 1 || clock == 0 {
-		t.Error("nothing is told although the older one is gone")
+	m.peer("old").isReachable = false
+	if evidence, clock := m.freshness(); len(evidence) != 1 || clock == 0 {
+		t.Error("no evidence is sent although the older peer is gone")
 	}
 }
--- a/entry/mesh/mesh.go
+++ b/entry/mesh/mesh.go
@@ -1,12 +1,13 @@
-// Package mesh links the entries with each other. Each tells the others, many
-// times a second, what it has in flight and what it has admitted of each
-// customer, and passes on newer versions of the configuration and the instance
-// list to those that may not reach the platform.
+// Package mesh links the entries with each other. Each entry sends the others a
+// tally many times a second, with the requests that it has in flight and the usage
+// that it has admitted for each customer. It also sends newer versions of the
+// configuration and the roster to peers that may not reach the platform.
 //
-// A link carries what the one that dialled has to say, so a pair that tells each
-// other has two. Neither waits for the other, and no pair has to agree on who
-// dials. Who tells whom is core/relay's: all tell all while they are few, through
-// one hub in each availability zone when they are many.
+// A link carries the tallies of the entry that dialled it, so two entries that send
+// each other tallies have two links. Neither waits for the other, and they need not
+// agree on who dials. Package core/relay decides which entries send tallies to each
+// other: all to all in a small fleet, through one or more hubs in each availability
+// zone in a large one.
 package mesh
 
 import (
@@ -23,152 +24,168 @@
 )
 
 const (
-	// heardTimes is how old the last tally of a peer in reach may be, in the
-	// longest times between two: a second in fleets of up to a hundred.
-	heardTimes = 4
-	// awayTimes is how long this process may not have looked for silent peers, in
-	// the same times, until what it missed counts as its own silence: the pause
-	// between two looks is one at most, and two leave peers half of heardTimes.
-	awayTimes = 2
-	// knownFor is how long a silent peer that is not listed counts as an entry
-	// that may still admit work.
-	knownFor = 20 * time.Second
+	// silentIntervals is how many of the longest intervals between two tallies a
+	// reachable peer may send nothing. This is one second in fleets of up to a
+	// hundred entries.
+	silentIntervals = 4
+	// pauseIntervals is how many such intervals may pass between two checks for
+	// silent peers before this process counts as paused itself. Usually at most one
+	// interval passes, and with two a peer still has half of silentIntervals left.
+	pauseIntervals = 2
+	// knownPeriod is how long a silent peer that the platform doesn't list still
+	// counts as an entry that may admit requests.
+	knownPeriod = 20 * time.Second
 )
 
-// Config is what a Mesh depends on.
+// Config holds the settings and callbacks of a Mesh.
 type Config struct {
 	Self wire.Hello
-	// Listen is where links are accepted; peers dial the same address.
+	// Listen is the address where links are accepted. Peers dial the same address.
 	Listen string
-	// Open listens at an address; nil is TCP.
+	// Open listens at an address. If nil, net.Listen with TCP is used.
 	Open func(addr string) (net.Listener, error)
-	// Seeds are addresses of entries to begin with.
+	// Seeds are the addresses of entries that are dialled at the start.
 	Seeds []string
 	Keys  wire.Keys
 	// Capacity is how much work this entry can carry, in thousandths of a core;
-	// zero if unknown. The largest entries are hubs.
+	// zero if unknown. The entries with the largest capacity become hubs.
 	Capacity uint32
-	// Tally returns what has changed since it was last called, or everything.
-	// It is called by one goroutine.
+	// Tally returns the changes since the last call, or the full state if all is
+	// set. It is called by one goroutine only.
 	Tally func(all bool) *wire.Tally
-	// Fresh returns what the next tally tells of how new the versions in force
-	// are, and the milliseconds for which this entry has run; nil is nothing.
+	// Freshness returns the evidence of how current the versions in force are, for
+	// the next tally, and for how many milliseconds this entry has run. If nil, no
+	// evidence is sent.
 	Fresh func() (told []wire.Fresh, clock uint64)
-	// Extend adds to a tally what peers of older versions cannot read: what has changed
-	// since it was last told, and again what a new peer has to know. It may be nil.
+	// Extend adds the fields to a tally that peers of older versions cannot read:
+	// what has changed since the last call, and if again is set also the state that
+	// a new peer needs. It may be nil.
 	Extend func(t *wire.Tally, again bool)
 	// Revisions returns the revisions in force, zero where there is none.
 	Revisions func() (config, roster int64)
-	// Snapshot returns the version in force.
+	// Snapshot returns the encoded version in force.
 	Snapshot func(what uint8) (*wire.Snapshot, error)
-	// Heard takes in a peer's tally.
+	// OnTally handles a peer's tally.
 	Heard func(h Heard)
-	// Whole returns everything that a peer told and that was taken in.
+	// FullTally returns the full state of a peer, put together from the tallies
+	// that were passed to OnTally.
 	Whole func(peer string) *wire.Tally
-	// Took takes in a version that a peer passed on.
+	// OnSnapshot handles a version that a peer sent.
 	Took func(s *wire.Snapshot)
-	// Serve begins to place requests for a peer of a zone that asks for it over a link.
-	// It returns what takes the peer's messages and what ends it; both are called by
-	// the goroutine of the link. Nil ignores such messages.
+	// ServePlacements begins to handle the placement requests that a peer in a zone
+	// sends over a link. It returns a function that handles the peer's messages and
+	// one that ends the service. Both are called by the goroutine of the link. If
+	// nil, such messages are ignored.
 	Serve func(ctx context.Context, zone string, reply func(m wire.Message) error) (take func(m wire.Message), end func())
-	// Acked takes in what a peer answers to such a message of this entry, Parted tells
-	// that the link over which it was sent has ended.
+	// OnPlaceAck handles a peer's answer to a placement message of this entry.
+	// OnLinkClosed is called when the link over which such messages were sent has
+	// ended. Both may be nil.
 	Acked  func(peer string, m *wire.PlaceAck)
 	Parted func(peer string)
-	// Lost tells that a peer has not been heard for a while.
+	// OnPeerLost is called when a peer has become silent.
 	Lost func(peer string)
 	Log  *zap.Logger
 }
 
-// Heard is a tally of a peer.
+// PeerTally is a tally received from a peer.
 type Heard struct {
 	Peer string
-	// Anew is set for the first tally of a process: it counts from zero.
+	// NewProcess is set for the first tally of a peer's process, whose totals start
+	// at zero.
 	Anew  bool
 	Tally *wire.Tally
 }
 
-// Mesh is the links of one entry. It is safe for concurrent use.
+// Mesh manages the links of one entry. It is safe for concurrent use.
 type Mesh struct {
 	cfg   Config
 	start time.Time
 
-	// taking is held while a tally is taken in, so that what Whole returns and
-	// the peer's seq belong together. It is locked before mu.
-	taking sync.Mutex
+	// tallyMu is held while a tally is processed, so that the state that
+	// Config.FullTally returns always matches the peer's seq. It is locked before
+	// mu.
+	tallyMu sync.Mutex
 
 	mu    sync.Mutex
 	peers map[string]*peer
-	// dials holds the addresses that a goroutine dials.
+	// dials holds the state of each address that a goroutine dials.
 	dials map[string]*dial
-	// passing is what has been heard since tallies were last passed on.
-	passing []passing
-	// plan says who tells whom and known how many may be at work, this entry
-	// included. Both are made anew at each tally.
+	// relayQueue holds the tallies received since tallies were last relayed.
+	relayQueue []queuedTally
+	// plan says which entries send tallies to each other, and known is how many
+	// entries may be running, including this one. Both are recomputed before each
+	// tally.
 	plan  relay.Plan
 	known int
-	// serving counts the links over which this entry is asked for places.
-	serving int
-	// asked holds when each peer was last named to Link.
-	asked map[string]time.Time
-	// seq is that of the last tally of this entry; the first has two.
+	// placementLinks counts the links over which peers request placements from this
+	// entry.
+	placementLinks int
+	// requestedLinks holds when each peer was last passed to KeepLinks.
+	requestedLinks map[string]time.Time
+	// seq is the sequence number of the last tally of this entry. The first tally
+	// has number two.
 	seq uint64
-	// ran is when it was last looked for silent peers.
-	ran time.Time
-	// hurry has a value while the next tally is to be sent at once, and hurryOn
-	// while what others told is to be passed on at once.
-	hurry, hurryOn chan struct{}
-	// retell is set if the next tally is to have all that Extend adds, for a new peer. The goroutine that tells owns it.
-	retell bool
-	// versions holds those that were encoded last. The goroutine that tells owns
-	// it.
-	versions map[uint8]*wire.Snapshot
-	// ended gets one value from each goroutine that has returned.
+	// silenceCheckedAt is when silent peers were last looked for.
+	silenceCheckedAt time.Time
+	// sendSoon holds a value while the next tally is to be sent as soon as
+	// possible, relaySoon while received tallies are to be relayed as soon as
+	// possible.
+	sendSoon, relaySoon chan struct{}
+	// extendAll is set if Config.Extend is to add the full state to the next tally,
+	// for a new peer. Only the sendTallies goroutine uses it.
+	extendAll bool
+	// snapshots holds the version of each kind that was encoded last. Only the
+	// sendTallies goroutine uses it.
+	snapshots map[uint8]*wire.Snapshot
+	// ended receives one value from each goroutine that has returned.
 	ended   chan struct{}
 	running int
 }
 
-// peer is another entry, by name.
+// peer is the state of another entry.
 type peer struct {
 	addr, zone string
-	// listed is set while the platform names it.
+	// listed is set while the platform lists the entry.
 	listed bool
-	// incarnation is that of the process whose tallies were taken in, and seq
-	// that of the last one that followed on all before it.
+	// incarnation is that of the process whose tallies were last accepted. seq is
+	// the sequence number of the last tally before which none is missing.
 	incarnation, seq uint64
-	// heard is when its last tally came, direct when the last one came over its
-	// own link, broke when that link broke and named when another entry last
-	// named it.
-	heard, direct, broke, named time.Time
-	// spared is when it was given one more of the longest times between two
-	// tallies, since this process had been stopped; once for each silence.
-	spared time.Time
-	// links counts those that it has to this entry.
+	// tallyAt is when the last tally arrived, directAt when the last message
+	// arrived over the peer's own link, linkLostAt when that link broke, and
+	// namedAt when another entry last named the peer.
+	tallyAt, directAt, linkLostAt, namedAt time.Time
+	// graceAt is when the peer was given one more of the longest tally intervals
+	// because this process had been paused. This happens once for each silence.
+	graceAt time.Time
+	// links counts the links that the peer has to this entry.
 	links int
-	// capacity is what it told last of how much work it can carry.
+	// capacity is the Config.Capacity that the peer last reported.
 	capacity uint32
-	// readsOn is set if it reads tallies with fields that older versions lack.
-	readsOn bool
-	// reached is set while it counts as heard, and gap while it told something
-	// that has not arrived.
-	reached, gap bool
-	// lacksUs is when it last said that it does not hear this entry.
-	lacksUs time.Time
-	// config and roster are the revisions it last told and behind since when
-	// they are older than ours.
+	// readsExtensions is set if the peer reads tallies with fields that older
+	// versions lack.
+	readsExtensions bool
+	// isReachable is set while the peer's tallies arrive, hasGap while one of its
+	// tallies is missing.
+	isReachable, hasGap bool
+	// lacksUsAt is when the peer last reported that it lacks tallies of this entry.
+	lacksUsAt time.Time
+	// config and roster are the revisions that the peer last reported. staleSince
+	// is the time from which they count as older than ours, zero if they are
+	// current.
 	config, roster int64
-	behind         time.Time
+	staleSince     time.Time
 }
 
-// New returns a mesh that does nothing until Run.
+// New returns a mesh that does nothing before Run is called.
 func New(cfg Config) *Mesh {
 	return &Mesh{
-		cfg: cfg, start: time.Now(), ran: time.Now(), peers: make(map[string]*peer), dials: make(map[string]*dial), asked: make(map[string]time.Time),
-		seq: 1, versions: make(map[uint8]*wire.Snapshot), ended: make(chan struct{}, 1), hurry: make(chan struct{}, 1), hurryOn: make(chan struct{}, 1),
+		cfg: cfg, start: time.Now(), silenceCheckedAt: time.Now(), peers: make(map[string]*peer), dials: make(map[string]*dial), requestedLinks: make(map[string]time.Time),
+		seq: 1, snapshots: make(map[uint8]*wire.Snapshot), ended: make(chan struct{}, 1), sendSoon: make(chan struct{}, 1), relaySoon: make(chan struct{}, 1),
 	}
 }
 
-// Run links with the other entries until ctx ends.
+// Run links with the other entries until ctx ends. It returns an error at once if
+// it cannot listen.
 func (m *Mesh) Run(ctx context.Context) error {
 	ln, err := m.open()
 	if err != nil {
@@ -177,9 +194,9 @@
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
 	m.spawn(func() { m.accept(ctx, ln) })
 	for _, addr := range m.cfg.Seeds {
-		m.reach(ctx, addr)
+		m.startDial(ctx, addr)
 	}
-	m.tell(ctx)
+	m.sendTallies(ctx)
 	m.wait()
 	return ctx.Err()
 }
@@ -201,7 +218,7 @@
 	}()
 }
 
-// wait returns when every goroutine has ended.
+// wait returns when every goroutine started with spawn has ended.
 func (m *Mesh) wait() {
 	for {
 		m.mu.Lock()
@@ -217,7 +234,7 @@
 	}
 }
 
-// List takes in the entries that the platform names.
+// SetListedEntries sets the entries that the platform lists.
 func (m *Mesh) List(ctx context.Context, entries []wire.EntryAddr) {
 	listed := make(map[string]bool)
 	m.mu.Lock()
@@ -231,10 +248,11 @@
 		p.listed = listed[name]
 	}
 	m.mu.Unlock()
-	m.adjust(ctx)
+	m.adjustLinks(ctx)
 }
 
-// peer returns the peer of a name; it is called with mu held.
+// peer returns the state of a peer and creates it if needed. It is called with mu
+// held.
 func (m *Mesh) peer(name string) *peer {
 	p := m.peers[name]
 	if p == nil {
@@ -244,71 +262,76 @@
 	return p
 }
 
-// known reports whether a peer may be at work.
-func (p *peer) known() bool { return p.listed || p.reached || time.Since(p.heard) <= knownFor }
+// isKnown reports whether a peer may be running.
+func (p *peer) isKnown() bool {
+	return p.listed || p.isReachable || time.Since(p.tallyAt) <= knownPeriod
+}
 
-// maybe reports whether a peer is known or another entry named it lately.
-func (p *peer) maybe() bool { return p.known() || time.Since(p.named) <= knownFor }
+// isPossible reports whether a peer is known or another entry has named it
+// recently.
+func (p *peer) isPossible() bool { return p.isKnown() || time.Since(p.namedAt) <= knownPeriod }
 
-// Reach returns how many entries are heard and how many may be at work, this
-// one included.
-func (m *Mesh) Reach() (heard, known int) {
+// EntryCounts returns how many entries are reachable and how many may be running,
+// both including this one.
+func (m *Mesh) Reach() (reachable, known int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	heard, known = 1, 1
+	reachable, known = 1, 1
 	for _, p := range m.peers {
-		if !p.known() {
+		if !p.isKnown() {
 			continue
 		}
 		known++
-		if p.reached {
-			heard++
+		if p.isReachable {
+			reachable++
 		}
 	}
-	return heard, known
+	return reachable, known
 }
 
-// Names returns the entries that are heard, without this one.
+// ReachablePeers returns the names of the reachable entries without this one.
 func (m *Mesh) Names() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []string
 	for name, p := range m.peers {
-		if p.reached {
+		if p.isReachable {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// Hurry has the next tally sent at once.
-func (m *Mesh) Hurry() { once(m.hurry) }
+// SendTallySoon requests that the next tally is sent as soon as possible.
+func (m *Mesh) Hurry() { signal(m.sendSoon) }
 
-// HurryOn has what others told passed on at once, if this entry is a hub.
-func (m *Mesh) HurryOn() { once(m.hurryOn) }
+// RelaySoon requests that received tallies are relayed as soon as possible, if this
+// entry is a hub.
+func (m *Mesh) HurryOn() { signal(m.relaySoon) }
 
-func once(c chan struct{}) {
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// Led reports whether a hub tells this entry what the others do.
+// HasHub reports whether a hub relays the tallies of other entries to this one.
 func (m *Mesh) Led() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.plan.Led()
 }
 
-// Silent returns the listed peers that have not been heard for d. The time since a
-// stop of this process counts only, and none while they are yet to be looked for.
+// SilentPeers returns the listed peers that have been silent for d. After a pause
+// of this process only the time since the pause counts, and no peer is returned
+// before silent peers have been looked for again.
 func (m *Mesh) Silent(d time.Duration) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []string
 	for name, p := range m.peers {
-		if p.listed && !p.reached && min(time.Since(p.heard), time.Since(p.spared), time.Since(m.start)) > d {
+		if p.listed && !p.isReachable && min(time.Since(p.tallyAt), time.Since(p.graceAt), time.Since(m.start)) > d {
 			out = append(out, name)
 		}
 	}
--- a/entry/mesh/mesh_test.go
+++ b/entry/mesh/mesh_test.go
@@ -14,24 +14,26 @@
 	"lycheepond/core/wire"
 )
 
-// entry is one mesh with what it was told.
+// entry is one mesh with the state that it sends and has received.
 type entry struct {
 	mesh *Mesh
 	addr string
 	stop func()
 
 	mu sync.Mutex
-	// used is what the entry tells of customer c; changed is set until told.
-	used    float64
-	changed bool
-	// heard holds the totals told by peers, config the newest version known.
-	heard  map[string]float64
-	lost   map[string]bool
-	config int64
-	// fresh is what the next tally tells of new evidence, marks holds those that
-	// peers told of.
-	fresh []wire.Fresh
-	marks map[uint32]bool
+	// usedTotal is the total that the entry reports for customer c. changed is set
+	// until it has been sent.
+	usedTotal float64
+	changed   bool
+	// peerTotals holds the totals that peers reported, config the newest revision
+	// known.
+	peerTotals map[string]float64
+	lost       map[string]bool
+	config     int64
+	// fresh is the evidence for the next tally, receivedMarks the marks of the
+	// evidence that peers sent.
+	fresh         []wire.Fresh
+	receivedMarks map[uint32]bool
 }
 
 func (e *entry) with(f func()) {
@@ -53,7 +55,7 @@
 		t.Fatal(err)
 	}
 	addr := ln.Addr().String()
-	e := &entry{addr: addr, heard: make(map[string]float64), lost: make(map[string]bool), marks: make(map[uint32]bool)}
+	e := &entry{addr: addr, peerTotals: make(map[string]float64), lost: make(map[string]bool), receivedMarks: make(map[uint32]bool)}
 	e.mesh = New(Config{
 		Self: wire.Hello{Role: wire.RoleEntry, Name: name, Zone: zone, Incarnation: rand.Uint64()}, Listen: addr, Seeds: seeds, Open: func(string) (net.Listener, error) { return ln, nil }, Keys: wire.OneKey([]byte("a key for tests")),
 		Tally: e.tally, Fresh: e.evidence, Revisions: func() (int64, int64) { e.mu.Lock(); defer e.mu.Unlock(); return e.config, 0 },
@@ -65,10 +67,10 @@
 		Heard: func(h Heard) {
 			e.with(func() {
 				for _, u := range h.Tally.Used {
-					e.heard[h.Peer] = u.Total
+					e.peerTotals[h.Peer] = u.Total
 				}
 				for _, f := range h.Tally.Fresh {
-					e.marks[f.Mark] = true
+					e.receivedMarks[f.Mark] = true
 					e.mesh.HurryOn()
 				}
 			})
@@ -76,7 +78,7 @@
 		Whole: func(peer string) *wire.Tally {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			return &wire.Tally{Used: []wire.Used{{Customer: "c", Total: e.heard[peer]}}}
+			return &wire.Tally{Used: []wire.Used{{Customer: "c", Total: e.peerTotals[peer]}}}
 		},
 		Took: func(s *wire.Snapshot) { e.with(func() { e.config = max(e.config, s.Revision) }) },
 		Lost: func(peer string) { e.with(func() { e.lost[peer] = true }) }, Log: zap.NewNop(),
@@ -113,8 +115,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	t := &wire.Tally{Addr: e.addr, Config: e.config}
-	if e.changed || all && e.used > 0 {
-		t.Used = []wire.Used{{Customer: "c", Total: e.used}}
+	if e.changed || all && e.usedTotal > 0 {
+		t.Used = []wire.Used{{Customer: "c", Total: e.usedTotal}}
 	}
 	if !all {
 		e.changed = false
@@ -122,7 +124,7 @@
 	return t
 }
 
-func (e *entry) use(n float64) { e.with(func() { e.used, e.changed = e.used+n, true }) }
+func (e *entry) use(n float64) { e.with(func() { e.usedTotal, e.changed = e.usedTotal+n, true }) }
 
 func await(t *testing.T, what string, f func() bool) {
 	t.Helper()
@@ -131,17 +133,18 @@
 			return
 		}
 	}
-	t.Fatal("waited in vain for " + what)
+	t.Fatal("timed out waiting for " + what)
 }
 
-func (e *entry) knows(peer string, total float64) bool {
+func (e *entry) hasTotal(peer string, total float64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.heard[peer] == total
+	return e.peerTotals[peer] == total
 }
 
-// Entries know one address to begin with, and all must come to hear of all.
-func TestAllHearOfAll(t *testing.T) {
+// Each entry knows only the address of the first one at the start. All must
+// exchange tallies with all others.
+func TestEveryEntryReceivesAllTallies(t *testing.T) {
 	first := start(t, "e0")
 	all := []*entry{first}
 	for i := range 3 {
@@ -151,91 +154,92 @@
 		e.use(float64(i + 1))
 	}
 	for _, e := range all {
-		await(t, "every entry to be heard", func() bool {
+		await(t, "all entries to be reachable", func() bool {
 			heard, known := e.mesh.Reach()
 			return heard == 4 && known == 4
 		})
 		for i := range all {
 			if all[i] != e {
-				await(t, "a total", func() bool { return e.knows(fmt.Sprint("e", i), float64(i+1)) })
+				await(t, "a total", func() bool { return e.hasTotal(fmt.Sprint("e", i), float64(i+1)) })
 			}
 		}
 	}
 	first.use(10)
 	for _, e := range all[1:] {
-		await(t, "the next total", func() bool { return e.knows("e0", 11) })
+		await(t, "the next total", func() bool { return e.hasTotal("e0", 11) })
 	}
 }
 
-// One entry cannot reach the platform, which has a newer configuration. Without
-// its peers it would let a revoked key in for as long as that lasts.
-func TestNewerVersionIsPassedOn(t *testing.T) {
+// One entry cannot reach the platform, which has a newer configuration. Unless its
+// peers send it the newer version, it accepts a revoked key until the platform is
+// back.
+func TestNewerSnapshotIsSentToPeers(t *testing.T) {
 	a := start(t, "a")
 	b := start(t, "b", a.addr)
 	a.with(func() { a.config = 7 })
-	await(t, "the version", func() bool { b.mu.Lock(); defer b.mu.Unlock(); return b.config == 7 })
+	await(t, "the snapshot", func() bool { b.mu.Lock(); defer b.mu.Unlock(); return b.config == 7 })
 	a.with(func() { a.config = 9 })
-	await(t, "the next version", func() bool { b.mu.Lock(); defer b.mu.Unlock(); return b.config == 9 })
+	await(t, "the next snapshot", func() bool { b.mu.Lock(); defer b.mu.Unlock(); return b.config == 9 })
 }
 
-// One of eight entries missed a large configuration. If the seven others all
-// sent it at once, it would cross the small entry's link seven times, with the
-// callers' requests waiting behind it. They must take turns, each with time to
-// hear that the one before has done it.
-func TestEntriesTakeTurnsToPassAVersionOn(t *testing.T) {
+// One of eight entries missed a large configuration. If the seven others all sent
+// it at once, it would cross the entry's network link seven times while callers'
+// requests wait behind it. They must take turns, each late enough to learn that the
+// one before has sent it.
+func TestEntriesTakeTurnsToSendASnapshot(t *testing.T) {
 	names := []string{"e1", "e2", "e3", "e4", "e5", "e6", "e7"}
-	turns := make(map[time.Duration]string)
+	entryByWait := make(map[time.Duration]string)
 	for _, self := range names {
 		m := New(Config{Self: wire.Hello{Name: self}})
 		for _, other := range names {
 			if other != self {
-				*m.peer(other) = peer{reached: true, config: 7, roster: 7}
+				*m.peer(other) = peer{isReachable: true, config: 7, roster: 7}
 			}
 		}
-		behind := &peer{reached: true, config: 3, roster: 7}
-		turn := m.turn("e0", behind, 7, 7)
-		if before, taken := turns[turn]; taken {
-			t.Errorf("%s and %s both send after %v", before, self, turn)
+		stale := &peer{isReachable: true, config: 3, roster: 7}
+		wait := m.snapshotWait("e0", stale, 7, 7)
+		if before, taken := entryByWait[wait]; taken {
+			t.Errorf("%s and %s both send after %v", before, self, wait)
 		}
-		turns[turn] = self
+		entryByWait[wait] = self
 	}
 	for n := range names {
-		if _, ok := turns[passOnAfter+time.Duration(n)*turnTimes*tellAtLeast]; !ok {
-			t.Errorf("nobody sends as number %d: %v", n, turns)
+		if _, ok := entryByWait[snapshotDelay+time.Duration(n)*turnIntervals*maxTallyInterval]; !ok {
+			t.Errorf("no entry sends in turn %d: %v", n, entryByWait)
 		}
 	}
-	// Those that lag themselves, or are not heard, cannot be waited for.
+	// Entries that are stale themselves or unreachable take no turn.
 	m := New(Config{Self: wire.Hello{Name: "e1"}})
 	for _, other := range names[1:] {
-		*m.peer(other) = peer{reached: other < "e4", config: 5, roster: 7}
+		*m.peer(other) = peer{isReachable: other < "e4", config: 5, roster: 7}
 	}
-	if got := m.turn("e0", &peer{reached: true, config: 3, roster: 7}, 7, 7); got != passOnAfter {
+	if got := m.snapshotWait("e0", &peer{isReachable: true, config: 3, roster: 7}, 7, 7); got != snapshotDelay {
 		t.Errorf("the one entry that has the version waits %v", got)
 	}
-	if got := m.turn("e0", &peer{reached: true}, 7, 7); got != 0 {
+	if got := m.snapshotWait("e0", &peer{isReachable: true}, 7, 7); got != 0 {
 		t.Errorf("an entry without any version waits %v for it", got)
 	}
 }
 
-// An entry dies. What it had in flight must no longer count, and it may come
-// back under the same name.
-func TestSilentPeerIsLostAndHeardAgain(t *testing.T) {
+// An entry dies. Its requests in flight must no longer count, and it may come back
+// under the same name.
+func TestSilentPeerIsLostAndReturns(t *testing.T) {
 	a := start(t, "a")
 	b := start(t, "b", a.addr)
 	b.use(5)
-	await(t, "the peer", func() bool { return a.knows("b", 5) })
+	await(t, "the peer", func() bool { return a.hasTotal("b", 5) })
 	b.stop()
 	await(t, "the loss", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.lost["b"] })
 	if heard, known := a.mesh.Reach(); heard != 1 || known != 2 {
-		t.Errorf("%d of %d entries heard, want 1 of 2: the lost one may still admit work", heard, known)
+		t.Errorf("%d of %d entries reachable, want 1 of 2: the lost one may still admit requests", heard, known)
 	}
 	again := start(t, "b", a.addr)
 	again.use(3)
-	await(t, "the peer again", func() bool { return a.knows("b", 3) })
+	await(t, "the returned peer", func() bool { return a.hasTotal("b", 3) })
 }
 
-// Listed entries that were never heard count as known, so that a limit is not
-// given whole to each side of a parted network.
+// Listed entries that were never reachable count as known, so that each side of a
+// network partition doesn't give out a customer's whole limit.
 func TestListedEntriesCountAsKnown(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	a := start(t, "a")
--- a/entry/mesh/pass.go
+++ b/entry/mesh/pass.go
@@ -8,33 +8,33 @@
 	"lycheepond/core/wire"
 )
 
-// maxPassing bounds the tallies that wait to be passed on: some twenty of each of
-// four hundred entries. Whoever misses one asks for everything.
-const maxPassing = 1 << 13
+// maxRelayQueue bounds the tallies that wait to be relayed: about twenty from each
+// of 400 entries. A peer that misses one requests a full tally.
+const maxRelayQueue = 1 << 13
 
-// passing is a tally that a hub passes on.
-type passing struct {
+// queuedTally is a tally that waits to be relayed by this hub.
+type queuedTally struct {
 	origin relay.Entry
 	from   relay.Source
 	tally  wire.Relayed
 }
 
-// keep notes a tally to be passed on, if this entry is a hub. It is called with
-// mu held.
-func (m *Mesh) keep(o origin, from relay.Source, t *wire.Tally, body []byte) {
-	if !m.plan.Hub() || from == relay.Within || len(m.passing) >= maxPassing {
+// enqueueRelay queues a tally to be relayed, if this entry is a hub. It is called
+// with mu held.
+func (m *Mesh) enqueueRelay(o origin, from relay.Source, t *wire.Tally, body []byte) {
+	if !m.plan.Hub() || from == relay.Within || len(m.relayQueue) >= maxRelayQueue {
 		return
 	}
 	if body == nil {
-		body = m.encoded(t)
+		body = m.encode(t)
 	}
 	if body != nil {
-		m.passing = append(m.passing, passing{relay.Entry{Name: o.name, Zone: o.zone}, from, o.relayed(body)})
+		m.relayQueue = append(m.relayQueue, queuedTally{relay.Entry{Name: o.name, Zone: o.zone}, from, o.relayed(body)})
 	}
 }
 
-// encoded returns a tally as it is passed on, nil if it cannot be.
-func (m *Mesh) encoded(t *wire.Tally) []byte {
+// encode returns the encoded tally, or nil after an error, which it logs.
+func (m *Mesh) encode(t *wire.Tally) []byte {
 	body, err := t.Encoded()
 	if err != nil {
 		logs.Error(m.cfg.Log, logs.EventFailed, zap.String("what", "encoding a tally for others"), zap.Error(err))
@@ -47,24 +47,24 @@
 	return wire.Relayed{Name: o.name, Zone: o.zone, Incarnation: o.incarnation, Body: body}
 }
 
-// pass sends what has been heard since the last call to those that hear it from
-// this entry.
-func (m *Mesh) pass() {
-	for _, l := range m.links(m.follower) {
-		m.retell = true
-		m.passWhole(l)
+// relayTallies sends the tallies received since the last call to the entries that
+// this hub relays them to.
+func (m *Mesh) relayTallies() {
+	for _, l := range m.selectLinks(m.becomesRelayTarget) {
+		m.extendAll = true
+		m.relayFull(l)
 	}
 	m.mu.Lock()
-	kept, plan := m.passing, m.plan
-	m.passing = nil
+	queued, plan := m.relayQueue, m.plan
+	m.relayQueue = nil
 	m.mu.Unlock()
-	if len(kept) == 0 {
+	if len(queued) == 0 {
 		return
 	}
-	for _, l := range m.links(func(d *dial) bool { return d.passed }) {
+	for _, l := range m.selectLinks(func(d *dial) bool { return d.isRelayTarget }) {
 		to := m.entry(l.peer)
 		var out wire.Relay
-		for _, p := range kept {
+		for _, p := range queued {
 			if plan.Passes(p.origin, p.from, to) {
 				out.Tallies = append(out.Tallies, p.tally)
 			}
@@ -75,13 +75,14 @@
 	}
 }
 
-// follower reports whether this entry has become the one that passes on to the
-// other end of a link. A process that is told a change of an entry that it does
-// not know could do nothing with it. It is called with mu held.
-func (m *Mesh) follower(d *dial) bool {
-	leads := m.plan.Hub() && d.tells && !d.fresh && m.plan.Tells(m.self(), m.peer(d.peer).entry(d.peer))
-	begins := leads && !d.passed
-	d.passed = leads
+// becomesRelayTarget reports whether this entry has just become the hub that relays
+// tallies to the other end of a link. Such a peer needs full tallies first, because
+// it cannot use a change of an entry that it doesn't know. It is called with mu
+// held.
+func (m *Mesh) becomesRelayTarget(d *dial) bool {
+	relays := m.plan.Hub() && d.sendsTallies && !d.needsFull && m.plan.Tells(m.self(), m.peer(d.peer).entry(d.peer))
+	begins := relays && !d.isRelayTarget
+	d.isRelayTarget = relays
 	return begins
 }
 
@@ -91,24 +92,25 @@
 	return m.peer(name).entry(name)
 }
 
-// passWhole sends all that is known of the entries that a new link's other end
-// hears from this one.
-func (m *Mesh) passWhole(l target) {
+// relayFull sends over a new link the full tallies of all entries that this entry
+// relays to the peer.
+func (m *Mesh) relayFull(l target) {
 	to := m.entry(l.peer)
-	// No tally is taken in meanwhile, so what is sent is as new as its seq says.
-	m.taking.Lock()
-	defer m.taking.Unlock()
+	// No tally is processed meanwhile, so the state matches the sequence number
+	// sent with it.
+	m.tallyMu.Lock()
+	defer m.tallyMu.Unlock()
 	var out wire.Relay
-	for _, o := range m.heardFor(to) {
+	for _, o := range m.relayedOrigins(to) {
 		t := m.cfg.Whole(o.name)
 		m.mu.Lock()
 		p := m.peer(o.name)
 		t.Addr, t.Config, t.Roster, t.Seq, t.Whole = p.addr, p.config, p.roster, p.seq, true
-		if p.readsOn {
+		if p.readsExtensions {
 			t.SetReadsOn()
 		}
 		m.mu.Unlock()
-		if body := m.encoded(t); body != nil {
+		if body := m.encode(t); body != nil {
 			out.Tallies = append(out.Tallies, o.relayed(body))
 		}
 	}
@@ -117,9 +119,9 @@
 	}
 }
 
-// heardFor returns the entries whose tallies this one passes on to another and
-// knows whole.
-func (m *Mesh) heardFor(to relay.Entry) []origin {
+// relayedOrigins returns the processes whose tallies this entry relays to a peer
+// and of which it lacks no tally.
+func (m *Mesh) relayedOrigins(to relay.Entry) []origin {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []origin
@@ -128,7 +130,7 @@
 		if !m.plan.Near(p.entry(name)) {
 			from = relay.Between
 		}
-		if p.reached && !p.gap && m.plan.Passes(p.entry(name), from, to) {
+		if p.isReachable && !p.hasGap && m.plan.Passes(p.entry(name), from, to) {
 			out = append(out, origin{name, p.zone, p.incarnation})
 		}
 	}
--- a/entry/mesh/relay_test.go
+++ b/entry/mesh/relay_test.go
@@ -11,9 +11,9 @@
 	"lycheepond/core/wire"
 )
 
-// fleet starts entries in availability zones, more than tell each other all
-// themselves.
-func fleet(t *testing.T, zones, each int) []*entry {
+// startFleet starts entries in several availability zones, too many for all to send
+// tallies to all.
+func startFleet(t *testing.T, zones, each int) []*entry {
 	t.Helper()
 	var all []*entry
 	for z := range zones {
@@ -30,7 +30,7 @@
 
 func (e *entry) name() string { return e.mesh.cfg.Self.Name }
 
-// links counts those that an entry keeps.
+// links counts the links that an entry dials.
 func (e *entry) links() int {
 	e.mesh.mu.Lock()
 	defer e.mesh.mu.Unlock()
@@ -49,27 +49,29 @@
 	for i, of := range all {
 		for _, e := range all {
 			if e != of {
-				await(t, fmt.Sprintf("%s of %s at %s", what, of.name(), e.name()), func() bool { return e.knows(of.name(), total(i)) })
+				await(t, fmt.Sprintf("%s of %s at %s", what, of.name(), e.name()), func() bool { return e.hasTotal(of.name(), total(i)) })
 			}
 		}
 	}
 }
 
-// settled starts a fleet in which every entry has told a total of its number, all
-// know those of all, and none keeps more links than most.
-func settled(t *testing.T, zones, each, most int) []*entry {
+// startSettledFleet starts a fleet and waits until every entry has received the
+// total of every other one, which is its number, and none keeps more than maxLinks
+// links.
+func startSettledFleet(t *testing.T, zones, each, maxLinks int) []*entry {
 	t.Helper()
-	all := fleet(t, zones, each)
+	all := startFleet(t, zones, each)
 	for i, e := range all {
 		e.use(float64(i + 1))
 	}
 	awaitTotals(t, "the first total", all, func(i int) float64 { return float64(i + 1) })
-	awaitAll(t, "few links", all, func(e *entry) bool { return e.links() <= most })
+	awaitAll(t, "few links", all, func(e *entry) bool { return e.links() <= maxLinks })
 	return all
 }
 
-// awaitNext lets all entries of a settled fleet tell more.
-func awaitNext(t *testing.T, all []*entry) {
+// awaitNextTotals raises the totals of all entries and waits until they have
+// spread.
+func awaitNextTotals(t *testing.T, all []*entry) {
 	t.Helper()
 	for _, e := range all {
 		e.use(100)
@@ -77,33 +79,33 @@
 	awaitTotals(t, "the next total", all, func(i int) float64 { return float64(i + 101) })
 }
 
-// A fleet of twelve tells through one hub in each zone. Each entry must come to
-// know what each other one did, with few links.
+// A fleet of twelve entries exchanges tallies through one hub in each zone. Each
+// entry must receive the totals of all others over few links.
 func TestManyEntriesHearOfAllThroughHubs(t *testing.T) {
 	t.Parallel()
-	all := settled(t, 3, 4, 5)
-	awaitNext(t, all)
+	all := startSettledFleet(t, 3, 4, 5)
+	awaitNextTotals(t, all)
 	for _, e := range all {
 		if heard, known := e.mesh.Reach(); heard != 12 || known != 12 {
-			t.Errorf("%s hears %d of %d", e.name(), heard, known)
+			t.Errorf("%s reaches %d of %d entries", e.name(), heard, known)
 		}
 	}
 }
 
-// Twenty entries in one zone are more than one hub passes everything on to. They
-// tell through the hubs of two groups, and each still hears all.
+// One hub cannot relay everything to twenty entries in one zone. They form two
+// groups with a hub each, and each entry must still receive all totals.
 func TestZoneOfSeveralGroups(t *testing.T) {
 	t.Parallel()
-	all := settled(t, 1, 20, 18)
-	awaitNext(t, all)
+	all := startSettledFleet(t, 1, 20, 18)
+	awaitNextTotals(t, all)
 }
 
-// The hub of a zone dies. What its zone did since must reach everybody by
-// another way, and its zone must hear the rest: otherwise limits of customers
-// are given out twice.
+// The hub of a zone dies. The totals of its zone must reach all other entries
+// another way and the zone must receive theirs, otherwise customers' limits are
+// given out twice.
 func TestHubDies(t *testing.T) {
 	t.Parallel()
-	all := settled(t, 3, 4, 5)
+	all := startSettledFleet(t, 3, 4, 5)
 	all[4].stop()
 	rest := append(append([]*entry(nil), all[:4]...), all[5:]...)
 	began := time.Now()
@@ -116,14 +118,15 @@
 		}
 		return float64(i + 1001)
 	})
-	t.Logf("all hear all again after %v", time.Since(began))
+	t.Logf("all totals have spread again after %v", time.Since(began))
 	awaitAll(t, "the loss of the hub", rest, func(e *entry) bool {
 		heard, known := e.mesh.Reach()
 		return heard == 11 && known == 12
 	})
 }
 
-// receiver is a mesh that hears without links, and what it took in.
+// receiver returns a mesh without links and the list of tallies that it passes on
+// to its callback.
 func receiver() (*Mesh, *[]Heard) {
 	var heard []Heard
 	m := New(Config{
@@ -133,92 +136,95 @@
 	return m, &heard
 }
 
-func (m *Mesh) lacking() []string {
+func (m *Mesh) lackedNow() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.lacks()
+	return m.lackedEntries()
 }
 
-// A hub changes while tallies are under way, so one is lost or comes twice. One
-// that was heard must not count again, and one that was not must be asked for:
-// what it told would stay unknown for ever.
-func TestLostAndRepeatedTallies(t *testing.T) {
+// While a hub changes, a tally may be lost or arrive twice. A duplicate must not
+// count again. A lost one must be requested, otherwise its content stays unknown
+// for ever.
+func TestLostAndDuplicateTallies(t *testing.T) {
 	m, heard := receiver()
 	from := origin{"other", "z2", 7}
-	tell := func(seq uint64, whole bool) { m.take(from, relay.Between, &wire.Tally{Seq: seq, Whole: whole}, nil) }
-	tell(3, true)
-	tell(4, false)
-	tell(4, false)
-	tell(3, true)
+	receive := func(seq uint64, whole bool) {
+		m.handleTally(from, relay.Between, &wire.Tally{Seq: seq, Whole: whole}, nil)
+	}
+	receive(3, true)
+	receive(4, false)
+	receive(4, false)
+	receive(3, true)
 	if len(*heard) != 2 || !(*heard)[0].Anew || (*heard)[1].Anew {
-		t.Fatalf("took in %+v, want tally 3 of a new process and tally 4", *heard)
+		t.Fatalf("accepted %+v, want tally 3 of a new process and tally 4", *heard)
 	}
-	if l := m.lacking(); len(l) != 0 {
+	if l := m.lackedNow(); len(l) != 0 {
 		t.Errorf("lacks %v though nothing is missing", l)
 	}
-	tell(6, false)
-	if l := m.lacking(); len(l) != 1 {
-		t.Error("tally 5 is missing and nobody is told")
+	receive(6, false)
+	if l := m.lackedNow(); len(l) != 1 {
+		t.Error("tally 5 is missing and not requested")
 	}
-	tell(7, false)
-	if l := m.lacking(); len(l) != 1 {
-		t.Error("tally 5 is forgotten after another one")
+	receive(7, false)
+	if l := m.lackedNow(); len(l) != 1 {
+		t.Error("the missing tally 5 is forgotten after the next one")
 	}
-	tell(7, true)
-	if l := m.lacking(); len(l) != 0 {
-		t.Error("a whole tally does not fill the gap")
+	receive(7, true)
+	if l := m.lackedNow(); len(l) != 0 {
+		t.Error("a full tally does not fill the gap")
 	}
-	tell(8, false)
-	if l := m.lacking(); len(l) != 0 {
-		t.Error("a gap where there is none")
+	receive(8, false)
+	if l := m.lackedNow(); len(l) != 0 {
+		t.Error("reports a gap where there is none")
 	}
 }
 
-// A process ends and another one starts under its name. A tally of the first one
-// comes late by way of a hub; taken for the new one's, its totals would be
-// counted as new use.
+// A process ends and another one starts under its name. A late tally of the first
+// process arrives by way of a hub. If it were attributed to the new process, its
+// totals would count as new usage.
 func TestTallyOfAnEndedProcess(t *testing.T) {
 	m, heard := receiver()
-	m.take(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 3, Whole: true}, nil)
-	m.take(origin{"other", "z2", 8}, relay.Direct, &wire.Tally{Seq: 1, Whole: true}, nil)
-	m.take(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 4}, nil)
+	m.handleTally(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 3, Whole: true}, nil)
+	m.handleTally(origin{"other", "z2", 8}, relay.Direct, &wire.Tally{Seq: 1, Whole: true}, nil)
+	m.handleTally(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 4}, nil)
 	if len(*heard) != 2 || !(*heard)[1].Anew {
-		t.Errorf("took in %+v, want one tally of each process", *heard)
+		t.Errorf("accepted %+v, want one tally of each process", *heard)
 	}
 }
 
-// A frozen entry wakes. Meanwhile it counted as gone and what it had in flight
-// was forgotten; its next tally holds what changed only.
-func TestPeerHeardAgainMustTellEverything(t *testing.T) {
+// A paused entry resumes. Meanwhile it counted as gone and its requests in flight
+// were forgotten, but its next tally holds only changes, so a full tally must be
+// requested.
+func TestReturningPeerMustSendAFullTally(t *testing.T) {
 	m, _ := receiver()
 	from := origin{"other", "z", 7}
-	m.take(from, relay.Direct, &wire.Tally{Seq: 1, Whole: true}, nil)
-	m.take(from, relay.Direct, &wire.Tally{Seq: 2}, nil)
-	m.peers["other"].heard = time.Now().Add(-2 * heardTimes * tellAtLeast)
-	m.expire()
-	m.take(from, relay.Direct, &wire.Tally{Seq: 3}, nil)
-	if l := m.lacking(); len(l) != 1 {
-		t.Error("what it has in flight since before stays unknown")
-	}
-	m.take(from, relay.Direct, &wire.Tally{Seq: 3, Whole: true}, nil)
-	if l := m.lacking(); len(l) != 0 {
-		t.Errorf("lacks %v though everything was told", l)
+	m.handleTally(from, relay.Direct, &wire.Tally{Seq: 1, Whole: true}, nil)
+	m.handleTally(from, relay.Direct, &wire.Tally{Seq: 2}, nil)
+	m.peers["other"].tallyAt = time.Now().Add(-2 * silentIntervals * maxTallyInterval)
+	m.expireSilentPeers()
+	m.handleTally(from, relay.Direct, &wire.Tally{Seq: 3}, nil)
+	if l := m.lackedNow(); len(l) != 1 {
+		t.Error("the requests that it had in flight before stay unknown")
+	}
+	m.handleTally(from, relay.Direct, &wire.Tally{Seq: 3, Whole: true}, nil)
+	if l := m.lackedNow(); len(l) != 0 {
+		t.Errorf("lacks %v after a full tally", l)
 	}
 }
 
-// A hub passes on a change of an entry that this one has never heard of, because
-// it has just become the hub. The change alone is of no use; unless the other
-// entry is asked for everything, it stays unknown.
-func TestChangeOfAnUnknownEntryIsAskedFor(t *testing.T) {
+// A hub that has just taken over relays a change of an entry that this one doesn't
+// know. The change alone is useless, and unless a full tally is requested the entry
+// stays unknown.
+func TestFullTallyOfAnUnknownEntryIsRequested(t *testing.T) {
 	m, heard := receiver()
-	m.take(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 5, Lacks: []string{"me"}}, nil)
+	m.handleTally(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 5, Lacks: []string{"me"}}, nil)
 	if len(*heard) != 0 {
-		t.Errorf("took in %+v of a process that it does not know", *heard)
+		t.Errorf("accepted %+v of a process that it does not know", *heard)
 	}
-	if l := m.lacking(); len(l) != 1 || l[0] != "other" {
+	if l := m.lackedNow(); len(l) != 1 || l[0] != "other" {
 		t.Errorf("lacks %v, want the unknown entry", l)
 	}
-	if m.peers["other"].lacksUs.IsZero() {
-		t.Error("does not notice that the other one lacks it")
+	if m.peers["other"].lacksUsAt.IsZero() {
+		t.Error("does not record that the other entry lacks it")
 	}
 }
--- a/entry/mesh/stopped_test.go
+++ b/entry/mesh/stopped_test.go
@@ -9,105 +9,105 @@
 	"lycheepond/core/wire"
 )
 
-// within is how long a peer may be silent among few entries.
-const within = heardTimes * tellAtLeast
+// silenceLimit is how long a peer may be silent in a small fleet.
+const silenceLimit = silentIntervals * maxTallyInterval
 
-// run looks for silent peers as a process that runs does, for d.
-func (m *Mesh) run(d time.Duration) {
+// runSilenceChecks looks for silent peers for d, as a running process does.
+func (m *Mesh) runSilenceChecks(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
-		time.Sleep(tellEvery)
-		m.expire()
+		time.Sleep(minTallyInterval)
+		m.expireSilentPeers()
 	}
 }
 
-// A process is stopped for longer than its peers may be silent. When it goes on it
-// looks for silent peers before it reads what they told meanwhile. If all count as
-// gone, it forgets the work that they have at the endpoints, and sends its requests
-// into queues that it takes for empty. With what it missed counted as their silence
-// it said "1 entries heard after a stop, 3 times lost one".
-func TestStopOfTheProcessIsNotThePeersSilence(t *testing.T) {
+// A process is paused for longer than its peers may be silent. When it resumes, it
+// looks for silent peers before it reads the tallies that arrived meanwhile. If all
+// peers counted as gone, it would forget their requests at the endpoints and send
+// its own into queues that it believes to be empty. When its pause counted as the
+// peers' silence, this test reported 1 entry reachable and 3 losses.
+func TestProcessPauseIsNotPeerSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, _ := receiver()
 		lost := 0
 		m.cfg.Lost = func(string) { lost++ }
 		from := origin{"other", "z", 7}
 		for seq := uint64(1); seq <= 3; seq++ {
-			m.take(from, relay.Direct, &wire.Tally{Seq: seq, Whole: seq == 1}, nil)
-			m.run(within / 2)
-			time.Sleep(2 * within)
-			m.expire()
+			m.handleTally(from, relay.Direct, &wire.Tally{Seq: seq, Whole: seq == 1}, nil)
+			m.runSilenceChecks(silenceLimit / 2)
+			time.Sleep(2 * silenceLimit)
+			m.expireSilentPeers()
 		}
 		if heard, _ := m.Reach(); heard != 2 || lost > 0 {
-			t.Errorf("%d entries heard after a stop, %d times lost one", heard, lost)
+			t.Errorf("%d entries reachable after a pause, %d losses", heard, lost)
 		}
 	})
 }
 
-// A peer that is dead counts as gone also in a process that is stopped again and
-// again: for ever counted, its work would keep requests away from the endpoints.
-func TestDeadPeerIsFoundBetweenStops(t *testing.T) {
-	for _, stop := range []time.Duration{0, within / 2, within, 2 * within} {
+// A dead peer must count as gone also in a process that is paused again and again.
+// If it counted for ever, its requests would keep others away from the endpoints.
+func TestDeadPeerIsDetectedBetweenPauses(t *testing.T) {
+	for _, stop := range []time.Duration{0, silenceLimit / 2, silenceLimit, 2 * silenceLimit} {
 		synctest.Test(t, func(t *testing.T) {
 			m, _ := receiver()
-			m.take(origin{"other", "z", 7}, relay.Direct, &wire.Tally{Seq: 1, Whole: true}, nil)
+			m.handleTally(origin{"other", "z", 7}, relay.Direct, &wire.Tally{Seq: 1, Whole: true}, nil)
 			began, ran := time.Now(), time.Duration(0)
-			for heard := 2; heard == 2 && ran < 2*within; heard, _ = m.Reach() {
+			for heard := 2; heard == 2 && ran < 2*silenceLimit; heard, _ = m.Reach() {
 				time.Sleep(stop)
-				m.expire()
-				m.run(tellEvery)
-				ran += tellEvery
+				m.expireSilentPeers()
+				m.runSilenceChecks(minTallyInterval)
+				ran += minTallyInterval
 			}
 			if heard, _ := m.Reach(); heard == 2 {
-				t.Errorf("with stops of %v still heard after it ran for %v", stop, ran)
+				t.Errorf("with pauses of %v still reachable after running for %v", stop, ran)
 			}
-			t.Logf("with stops of %v gone after %v, of which it ran for %v", stop, time.Since(began), ran)
+			t.Logf("with pauses of %v lost after %v, running for %v of it", stop, time.Since(began), ran)
 		})
 	}
 }
 
-// Peers that were silent for long are taken off the platform's list of entries. A
-// process that goes on after a long stop has heard nobody meanwhile; if it takes
-// that for their silence, it takes entries off the list that are at work: "[other] off
-// the list before it was looked for silent peers".
-func TestStopOfTheProcessTakesNoPeerOffTheList(t *testing.T) {
+// Peers that have been silent for long are removed from the platform's list of
+// entries. A process that resumes after a long pause has received nothing
+// meanwhile. If it took its own pause for the peers' silence, it would have running
+// entries removed, before it even looked for silent peers.
+func TestProcessPauseReportsNoSilentPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, _ := receiver()
-		m.take(origin{"other", "z", 7}, relay.Direct, &wire.Tally{Seq: 1, Whole: true}, nil)
+		m.handleTally(origin{"other", "z", 7}, relay.Direct, &wire.Tally{Seq: 1, Whole: true}, nil)
 		m.peers["other"].listed = true
-		m.run(within / 2)
-		time.Sleep(2 * knownFor)
-		if off := m.Silent(knownFor); len(off) > 0 {
-			t.Errorf("%v off the list before it was looked for silent peers", off)
+		m.runSilenceChecks(silenceLimit / 2)
+		time.Sleep(2 * knownPeriod)
+		if off := m.Silent(knownPeriod); len(off) > 0 {
+			t.Errorf("%v reported before silent peers were looked for", off)
 		}
-		m.expire()
-		m.run(knownFor - within)
-		if off := m.Silent(knownFor); len(off) > 0 {
-			t.Errorf("%v off the list %v after the stop", off, knownFor-within)
+		m.expireSilentPeers()
+		m.runSilenceChecks(knownPeriod - silenceLimit)
+		if off := m.Silent(knownPeriod); len(off) > 0 {
+			t.Errorf("%v reported %v after the pause", off, knownPeriod-silenceLimit)
 		}
-		m.run(2 * within)
-		if off := m.Silent(knownFor); len(off) != 1 {
-			t.Errorf("%v off the list %v after the stop, want the silent peer", off, knownFor+within)
+		m.runSilenceChecks(2 * silenceLimit)
+		if off := m.Silent(knownPeriod); len(off) != 1 {
+			t.Errorf("%v reported %v after the pause, want the silent peer", off, knownPeriod+silenceLimit)
 		}
 	})
 }
 
-// A hub that has stopped to tell is left for another one at once. In a process that
-// goes on after a stop all hubs look so; left together, the fleet is told through
-// others and links are dialled that nobody needs: "left before what it told is read".
-func TestStopOfTheProcessLeavesNoHub(t *testing.T) {
+// A hub that stops sending is replaced at once. To a process that resumes after a
+// pause all hubs look like this. If it replaced them before it has read their
+// tallies, tallies would take other paths and needless links would be dialled.
+func TestProcessPauseKeepsHubs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, _ := receiver()
-		m.linked(wire.Hello{Name: "other"}, true)
-		m.take(origin{"other", "z", 7}, relay.Direct, &wire.Tally{Seq: 1, Whole: true}, nil)
-		m.run(tellAtLeast)
-		time.Sleep(within)
-		m.expire()
-		if m.peers["other"].mute(tellAtLeast) {
-			t.Error("left before what it told is read")
+		m.countLink(wire.Hello{Name: "other"}, true)
+		m.handleTally(origin{"other", "z", 7}, relay.Direct, &wire.Tally{Seq: 1, Whole: true}, nil)
+		m.runSilenceChecks(maxTallyInterval)
+		time.Sleep(silenceLimit)
+		m.expireSilentPeers()
+		if m.peers["other"].isMute(maxTallyInterval) {
+			t.Error("replaced before its tallies are read")
 		}
-		m.run(tellAtLeast + hubMargin + tellEvery)
-		if !m.peers["other"].mute(tellAtLeast) {
-			t.Error("a hub that stays silent is kept")
+		m.runSilenceChecks(maxTallyInterval + hubMargin + minTallyInterval)
+		if !m.peers["other"].isMute(maxTallyInterval) {
+			t.Error("a hub that stays silent is not replaced")
 		}
 	})
 }
--- a/entry/mesh/tell.go
+++ b/entry/mesh/tell.go
@@ -11,205 +11,210 @@
 )
 
 const (
-	// tellEvery is the shortest time between two tallies. Requests come tens of
-	// milliseconds apart at one entry; knowing them 25 ms late costs less than
-	// a place in one queue.
-	tellEvery = 25 * time.Millisecond
-	// tellEach is the same for each link that a tally goes out over: 200 messages
-	// a second at most.
-	tellEach = 5 * time.Millisecond
-	// tellPerEntry is the same for each known entry, for those that tell a hub
-	// only: all that they tell reaches every entry.
-	tellPerEntry = 2500 * time.Microsecond
-	// tellAtLeast is the longest time between two tallies, also without news:
-	// peers take it for a sign of life. In a fleet so large that tellPerEntry is
-	// more, it is that.
-	tellAtLeast = 250 * time.Millisecond
-	// wholeMargin is by how much longer than the time between two tallies a peer
-	// that has not heard everything is left alone after it was told: the way of
-	// what was told.
-	wholeMargin = 50 * time.Millisecond
-	// maxLacks bounds how many unheard entries one tally names. The others are
-	// named once these are heard or forgotten.
+	// minTallyInterval is the shortest time between two tallies. Requests arrive
+	// tens of milliseconds apart at one entry, and information that is 25 ms old
+	// costs less than one position in a queue.
+	minTallyInterval = 25 * time.Millisecond
+	// tallyIntervalPerLink is the shortest time between two tallies for each link
+	// over which they are sent. It bounds the rate to 200 messages a second.
+	tallyIntervalPerLink = 5 * time.Millisecond
+	// tallyIntervalPerEntry is the shortest time between two tallies for each known
+	// entry. It applies to entries that send only to a hub, because each of their
+	// tallies reaches every entry.
+	tallyIntervalPerEntry = 2500 * time.Microsecond
+	// maxTallyInterval is the longest time between two tallies, also without
+	// changes, because peers use tallies as heartbeats. In a large fleet
+	// tallyIntervalPerEntry times the number of entries replaces it, if that is
+	// longer.
+	maxTallyInterval = 250 * time.Millisecond
+	// fullTallyMargin is added to the longest tally interval. A peer that reports a
+	// gap gets no second full tally before the sum has passed, as the first one may
+	// still be on its way.
+	fullTallyMargin = 50 * time.Millisecond
+	// maxLacks bounds how many lacked entries one tally names. The others are named
+	// once these are reachable or forgotten.
 	maxLacks = 16
 )
 
-// tell sends tallies until ctx ends. It is the one goroutine that calls
-// cfg.Tally, so that a link that was told everything misses no change after it.
-func (m *Mesh) tell(ctx context.Context) {
+// sendTallies sends tallies until ctx ends. It is the only goroutine that calls
+// Config.Tally, so a link over which a full tally was sent misses no later change.
+func (m *Mesh) sendTallies(ctx context.Context) {
 	last := time.Now()
 	m.mu.Lock()
-	m.ran = last
+	m.silenceCheckedAt = last
 	m.mu.Unlock()
 	for {
 		if !m.await(ctx) {
 			return
 		}
-		m.expire()
-		m.adjust(ctx)
-		m.greet()
+		m.expireSilentPeers()
+		m.adjustLinks(ctx)
+		m.sendFullTallies()
 		t := m.cfg.Tally(false)
-		t.Fresh, t.Clock = m.fresh()
-		if m.readOn() {
+		t.Fresh, t.Clock = m.freshness()
+		if m.allReadExtensions() {
 			t.Capacity = m.cfg.Capacity
 			if m.cfg.Extend != nil {
-				m.cfg.Extend(t, m.retell)
+				m.cfg.Extend(t, m.extendAll)
 			}
-			m.retell = false
+			m.extendAll = false
 		}
-		if t.News() || time.Since(last) >= m.aliveNow() {
+		if t.News() || time.Since(last) >= m.maxInterval() {
 			last = time.Now()
-			m.send(t)
+			m.sendTally(t)
 		}
-		m.pass()
-		m.passOn()
+		m.relayTallies()
+		m.sendSnapshots()
 	}
 }
 
-// await waits until the next tally is due, passing on what cannot wait, and
-// reports false when ctx ends. Also in a hurry it leaves tellEvery between two.
+// await waits until the next tally is due and relays urgent tallies meanwhile. It
+// reports false when ctx ends. Even a tally requested by SendTallySoon waits until
+// minTallyInterval has passed.
 func (m *Mesh) await(ctx context.Context) bool {
-	began, due := time.Now(), time.After(m.pause())
+	began, due := time.Now(), time.After(m.tallyInterval())
 	for {
 		select {
 		case <-ctx.Done():
 			return false
 		case <-due:
 			return true
-		case <-m.hurry:
-			return rest(ctx, began)
-		case <-m.hurryOn:
-			if !rest(ctx, began) {
+		case <-m.sendSoon:
+			return waitMinInterval(ctx, began)
+		case <-m.relaySoon:
+			if !waitMinInterval(ctx, began) {
 				return false
 			}
-			m.pass()
+			m.relayTallies()
 			began = time.Now()
 		}
 	}
 }
 
-// rest waits until tellEvery has passed and reports false when ctx ends.
-func rest(ctx context.Context, since time.Time) bool {
+// waitMinInterval waits until minTallyInterval has passed since a time. It reports
+// false when ctx ends.
+func waitMinInterval(ctx context.Context, since time.Time) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(time.Until(since.Add(tellEvery))):
+	case <-time.After(time.Until(since.Add(minTallyInterval))):
 		return true
 	}
 }
 
-// readOn reports whether all entries that are heard read tallies with fields that
-// older versions lack.
-func (m *Mesh) readOn() bool {
+// allReadExtensions reports whether all reachable peers read tallies with fields
+// that older versions lack.
+func (m *Mesh) allReadExtensions() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range m.peers {
-		if p.reached && !p.readsOn {
+		if p.isReachable && !p.readsExtensions {
 			return false
 		}
 	}
 	return true
 }
 
-// fresh returns what the next tally tells of how new the versions are: nothing
-// while an entry is heard that could not read it.
-func (m *Mesh) fresh() (told []wire.Fresh, clock uint64) {
-	if m.cfg.Fresh == nil || !m.readOn() {
+// freshness returns the evidence for the next tally of how current the versions in
+// force are. It returns none while a reachable peer could not read it.
+func (m *Mesh) freshness() (evidence []wire.Fresh, clock uint64) {
+	if m.cfg.Fresh == nil || !m.allReadExtensions() {
 		return nil, 0
 	}
 	return m.cfg.Fresh()
 }
 
-// pause is the time between two tallies. It grows with the links, so that what
-// an entry spends on telling and hearing does not: at 27 links a tally each 25 ms
-// would be 1,080 messages a second in each direction.
-func (m *Mesh) pause() time.Duration {
+// tallyInterval returns the time until the next tally. It grows with the number of
+// links, so that the cost of sending and receiving doesn't: with 27 links, a tally
+// every 25 ms would be 1,080 messages a second in each direction.
+func (m *Mesh) tallyInterval() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	wait := max(tellEvery, time.Duration(len(m.dials))*tellEach)
-	// What the owner of a shard tells decides where others ask for places.
-	if !m.plan.Hub() && m.serving == 0 {
-		wait = max(wait, time.Duration(m.known)*tellPerEntry)
+	wait := max(minTallyInterval, time.Duration(len(m.dials))*tallyIntervalPerLink)
+	// Other entries decide by the tallies of a shard's owner where to request
+	// placements.
+	if !m.plan.Hub() && m.placementLinks == 0 {
+		wait = max(wait, time.Duration(m.known)*tallyIntervalPerEntry)
 	}
-	return min(wait, m.alive())
+	return min(wait, m.maxIntervalLocked())
 }
 
-// alive is the longest time between two tallies of any entry; it is called with
-// mu held.
-func (m *Mesh) alive() time.Duration {
-	return max(tellAtLeast, time.Duration(m.known)*tellPerEntry)
+// maxIntervalLocked returns the longest time between two tallies of any entry. It
+// is called with mu held.
+func (m *Mesh) maxIntervalLocked() time.Duration {
+	return max(maxTallyInterval, time.Duration(m.known)*tallyIntervalPerEntry)
 }
 
-func (m *Mesh) aliveNow() time.Duration {
+func (m *Mesh) maxInterval() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.alive()
+	return m.maxIntervalLocked()
 }
 
-// send tells a tally over all links.
-func (m *Mesh) send(t *wire.Tally) {
+// sendTally sends a tally over all links that carry tallies.
+func (m *Mesh) sendTally(t *wire.Tally) {
 	m.mu.Lock()
 	m.seq++
-	t.Seq, t.Lacks = m.seq, m.lacks()
+	t.Seq, t.Lacks = m.seq, m.lackedEntries()
 	m.mu.Unlock()
-	for _, l := range m.links(func(d *dial) bool { return d.tells && !d.fresh }) {
-		// A link that cannot take it closes itself and is dialled again.
+	for _, l := range m.selectLinks(func(d *dial) bool { return d.sendsTallies && !d.needsFull }) {
+		// A link that cannot accept the tally closes itself and is dialled again.
 		_ = l.link.Send(t)
 	}
 }
 
-// lacks names the entries of which not everything was heard; it is called with
-// mu held.
-func (m *Mesh) lacks() []string {
+// lackedEntries names entries of which tallies are missing. It is called with mu
+// held.
+func (m *Mesh) lackedEntries() []string {
 	var out []string
 	for name, p := range m.peers {
-		if len(out) < maxLacks && (!p.reached || p.gap) && p.maybe() {
+		if len(out) < maxLacks && (!p.isReachable || p.hasGap) && p.isPossible() {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// greet tells everything over links that are new, and to peers that miss
-// something. Over the other links the next tally holds what changed.
-func (m *Mesh) greet() {
+// sendFullTallies sends full tallies over new links and to peers that report
+// missing tallies. All other links get only the changes with the next tally.
+func (m *Mesh) sendFullTallies() {
 	now := time.Now()
-	anew := m.links(func(d *dial) bool { return d.tells && d.fresh })
-	again := m.links(func(d *dial) bool { return d.tells && !d.fresh && m.misses(d) })
-	if len(anew)+len(again) == 0 {
+	newLinks := m.selectLinks(func(d *dial) bool { return d.sendsTallies && d.needsFull })
+	lackingLinks := m.selectLinks(func(d *dial) bool { return d.sendsTallies && !d.needsFull && m.lacksTallies(d) })
+	if len(newLinks)+len(lackingLinks) == 0 {
 		return
 	}
-	m.retell = true
+	m.extendAll = true
 	t := m.cfg.Tally(true)
 	t.Whole = true
 	m.mu.Lock()
-	t.Seq, t.Lacks = m.seq, m.lacks()
+	t.Seq, t.Lacks = m.seq, m.lackedEntries()
 	m.mu.Unlock()
 	t.SetReadsOn()
-	m.sendWhole(again, t, now)
-	// Whoever has just been reached may know nobody else.
+	m.sendFull(lackingLinks, t, now)
+	// A peer that has just connected may know no other entry.
 	known := *t
 	known.Entries = m.entries()
-	m.sendWhole(anew, &known, now)
+	m.sendFull(newLinks, &known, now)
 }
 
-// sendWhole sends a whole tally over links and notes that it did.
-func (m *Mesh) sendWhole(links []target, t *wire.Tally, now time.Time) {
+// sendFull sends a full tally over links and records when.
+func (m *Mesh) sendFull(links []target, t *wire.Tally, now time.Time) {
 	for _, l := range links {
 		m.mu.Lock()
 		if l.dial.link == l.link {
-			l.dial.fresh, l.dial.whole = false, now
+			l.dial.needsFull, l.dial.fullSentAt = false, now
 		}
 		m.mu.Unlock()
 		_ = l.link.Send(t)
 	}
 }
 
-// misses reports whether the peer at the other end said that it does not hear
-// this entry, after it was last told everything. It is called with mu held.
-func (m *Mesh) misses(d *dial) bool {
+// lacksTallies reports whether the peer of a link reported that it lacks tallies of
+// this entry, late enough after the last full tally. It is called with mu held.
+func (m *Mesh) lacksTallies(d *dial) bool {
 	p := m.peers[d.peer]
-	return p != nil && p.lacksUs.After(d.whole.Add(m.alive()+wholeMargin))
+	return p != nil && p.lacksUsAt.After(d.fullSentAt.Add(m.maxIntervalLocked()+fullTallyMargin))
 }
 
 func (m *Mesh) entries() []wire.EntryAddr {
@@ -217,59 +222,62 @@
 	defer m.mu.Unlock()
 	var out []wire.EntryAddr
 	for name, p := range m.peers {
-		if p.addr != "" && p.reached {
+		if p.addr != "" && p.isReachable {
 			out = append(out, wire.EntryAddr{Name: name, Addr: p.addr})
 		}
 	}
 	return out
 }
 
-// target is a link to send over and the entry behind it.
+// target is a link to send over and the entry at its other end.
 type target struct {
 	link *wire.Link
 	peer string
 	dial *dial
 }
 
-// links returns those that are up and that to chooses; to is called with mu held.
-func (m *Mesh) links(to func(*dial) bool) []target {
+// selectLinks returns the open links for which selects returns true. selects is
+// called with mu held.
+func (m *Mesh) selectLinks(selects func(*dial) bool) []target {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []target
 	for _, d := range m.dials {
-		if d.link != nil && to(d) {
+		if d.link != nil && selects(d) {
 			out = append(out, target{d.link, d.peer, d})
 		}
 	}
 	return out
 }
 
-// expire notes the peers that fell silent.
-func (m *Mesh) expire() {
+// expireSilentPeers marks silent peers as unreachable and reports each to
+// Config.OnPeerLost.
+func (m *Mesh) expireSilentPeers() {
 	var lost []string
 	m.mu.Lock()
-	within, spare := heardTimes*m.alive(), m.alive()
+	silenceLimit, grace := silentIntervals*m.maxIntervalLocked(), m.maxIntervalLocked()
 	now := time.Now()
-	away := now.Sub(m.ran)
-	m.ran = now
+	pause := now.Sub(m.silenceCheckedAt)
+	m.silenceCheckedAt = now
 	for name, p := range m.peers {
-		// After a stop of this process what peers told meanwhile is yet to be read.
-		if away > awayTimes*spare && !p.spared.After(p.heard) {
-			p.spared = now
+		// After a pause of this process the tallies that peers sent meanwhile are
+		// still unread.
+		if pause > pauseIntervals*grace && !p.graceAt.After(p.tallyAt) {
+			p.graceAt = now
 		}
-		if p.reached && now.Sub(p.heard) > within && now.Sub(p.spared) > spare {
-			// What it had in flight is forgotten, so what it tells next follows on
-			// nothing.
-			p.reached, p.gap, p.seq = false, true, 0
+		if p.isReachable && now.Sub(p.tallyAt) > silenceLimit && now.Sub(p.graceAt) > grace {
+			// Its requests in flight are forgotten, so its next changes have
+			// nothing to build on and a full tally is needed.
+			p.isReachable, p.hasGap, p.seq = false, true, 0
 			lost = append(lost, name)
 		}
 	}
 	m.mu.Unlock()
-	if away > awayTimes*spare {
-		logs.Warn(m.cfg.Log, logs.EventHeldUp, zap.Duration("away", away), zap.Duration("spare", spare))
+	if pause > pauseIntervals*grace {
+		logs.Warn(m.cfg.Log, logs.EventHeldUp, zap.Duration("away", pause), zap.Duration("spare", grace))
 	}
 	for _, name := range lost {
-		logs.Warn(m.cfg.Log, logs.EventPeerSilent, zap.String("peer", name), zap.Duration("within", within))
+		logs.Warn(m.cfg.Log, logs.EventPeerSilent, zap.String("peer", name), zap.Duration("within", silenceLimit))
 		m.cfg.Lost(name)
 	}
 }
--- a/entry/mesh/version.go
+++ b/entry/mesh/version.go
@@ -11,49 +11,50 @@
 )
 
 const (
-	// passOnAfter is how long a peer may lag behind before it is sent a newer
-	// version: the platform usually tells it sooner and for nothing.
-	passOnAfter = 150 * time.Millisecond
-	// turnTimes is how much later the next entry passes a version on, if the one
-	// before did not, in the longest times between two tallies: a version's way
-	// and the tally that tells of its arrival.
-	turnTimes = 2
-	// versionRate is how many bytes a second of versions one peer is sent, and
-	// longestExtra the longest that a peer which lags behind is left alone for
-	// them. A list of three thousand endpoints has 240 KB; as they start, it
-	// changes all the time, and a hub of sixteen entries would send 4 MB a second
-	// of lists that the platform tells of by differences meanwhile.
-	versionRate  = 200 << 10
-	longestExtra = 1200 * time.Millisecond
-	// startExtra is the same for a peer that has just started: it usually reads
-	// the list from the platform itself in this time.
-	startExtra = 300 * time.Millisecond
-	// strangers is by how many turns later at least an entry passes a version on
-	// to one that it is linked to only because one does not hear the other, and
-	// strangerTurns over how many turns such entries spread: after the start of a
-	// large fleet a peer has up to thirty-two of them, and each may have a list
-	// that the peer has not read yet.
-	strangers     = 2
-	strangerTurns = 4
-	// startSpread and startStep spread those that pass versions on to a peer that
-	// has just started: of 32 that are linked to it some four send within a
-	// second, the others find that it has what they have.
-	startSpread = 16
-	startStep   = 500 * time.Millisecond
+	// snapshotDelay is how long a peer may have an older revision before it is sent
+	// a newer version. Usually it gets it earlier from the platform, at no cost to
+	// the peers.
+	snapshotDelay = 150 * time.Millisecond
+	// turnIntervals is how many of the longest tally intervals pass before the next
+	// entry in order sends the version if the one before did not: time for the
+	// version to arrive and for the tally that reports it.
+	turnIntervals = 2
+	// snapshotBytesPerSecond is how many bytes of versions a peer is sent each
+	// second, and maxTransferTime the longest extra wait that follows from it. A
+	// list of 3,000 endpoints has 240 KB. It changes all the time while they start,
+	// and a hub of sixteen entries would send 4 MB of lists a second although the
+	// platform sends just the differences.
+	snapshotBytesPerSecond = 200 << 10
+	maxTransferTime        = 1200 * time.Millisecond
+	// startDelay replaces maxTransferTime for a peer that has just started, which
+	// usually reads the list from the platform within this time.
+	startDelay = 300 * time.Millisecond
+	// extraLinkTurns is how many turns later an entry sends a version over a link
+	// that exists only because one of the two lacks tallies of the other.
+	// extraLinkTurnSpread is over how many further turns such entries are spread.
+	// After the start of a large fleet a peer has up to 32 such links, and each of
+	// these entries may have a list that the peer has not read yet.
+	extraLinkTurns      = 2
+	extraLinkTurnSpread = 4
+	// startSlots and startSlotTime spread the entries that send versions to a peer
+	// that has just started. Of 32 linked entries about four send within a second.
+	// The others find that the peer already has the version.
+	startSlots    = 16
+	startSlotTime = 500 * time.Millisecond
 )
 
-func (m *Mesh) turnTime() time.Duration { return turnTimes * m.alive() }
+func (m *Mesh) turnDuration() time.Duration { return turnIntervals * m.maxIntervalLocked() }
 
-// parcel is a version to be sent over a link.
-type parcel struct {
+// snapshotSend is a kind of version to be sent over a link.
+type snapshotSend struct {
 	link *wire.Link
 	what uint8
 }
 
-// passOn sends newer versions to the peers that lag behind.
-func (m *Mesh) passOn() {
-	for _, o := range m.parcels() {
-		s, err := m.version(o.what)
+// sendSnapshots sends newer versions to the peers whose revisions are stale.
+func (m *Mesh) sendSnapshots() {
+	for _, o := range m.dueSnapshots() {
+		s, err := m.snapshot(o.what)
 		if err != nil {
 			logs.Error(m.cfg.Log, logs.EventFailed, zap.String("what", "encoding a version for a peer"), zap.Error(err))
 			continue
@@ -62,108 +63,110 @@
 	}
 }
 
-// version returns the version in force, encoded once for all that it is sent to.
-// It is called by the goroutine that tells.
-func (m *Mesh) version(what uint8) (*wire.Snapshot, error) {
+// snapshot returns the version in force, encoded once for all peers. Only the
+// sendTallies goroutine calls it.
+func (m *Mesh) snapshot(what uint8) (*wire.Snapshot, error) {
 	config, roster := m.cfg.Revisions()
 	revision := config
 	if what == wire.SnapshotRoster {
 		revision = roster
 	}
-	if s := m.versions[what]; s != nil && s.Revision == revision {
+	if s := m.snapshots[what]; s != nil && s.Revision == revision {
 		return s, nil
 	}
 	s, err := m.cfg.Snapshot(what)
 	if err == nil {
-		m.versions[what] = s
+		m.snapshots[what] = s
 	}
 	return s, err
 }
 
-// extra is how long the sending of a version may take; it goes by the last one
-// that was encoded. A peer without any version serves nobody until it has one.
-func (m *Mesh) extra(what uint8, has int64) time.Duration {
-	s := m.versions[what]
+// transferTime estimates how long sending a version takes, from the size of the one
+// encoded last. A peer without any revision serves no requests until it has one, so
+// its limit is startDelay.
+func (m *Mesh) transferTime(what uint8, peerRevision int64) time.Duration {
+	s := m.snapshots[what]
 	if s == nil {
 		return 0
 	}
-	most := longestExtra
-	if has == 0 {
-		most = startExtra
+	limit := maxTransferTime
+	if peerRevision == 0 {
+		limit = startDelay
 	}
-	return min(time.Duration(len(s.Body))*time.Second/versionRate, most)
+	return min(time.Duration(len(s.Body))*time.Second/snapshotBytesPerSecond, limit)
 }
 
-func (m *Mesh) parcels() []parcel {
+func (m *Mesh) dueSnapshots() []snapshotSend {
 	config, roster := m.cfg.Revisions()
-	var out []parcel
+	var out []snapshotSend
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for name, p := range m.peers {
-		oldConfig, oldRoster := p.config < config, p.roster < roster
-		if !p.reached || !oldConfig && !oldRoster {
-			p.behind = time.Time{}
+		staleConfig, staleRoster := p.config < config, p.roster < roster
+		if !p.isReachable || !staleConfig && !staleRoster {
+			p.staleSince = time.Time{}
 			continue
 		}
-		if p.behind.IsZero() {
-			p.behind = time.Now()
+		if p.staleSince.IsZero() {
+			p.staleSince = time.Now()
 		}
-		var extra time.Duration
-		if oldRoster {
-			extra = m.extra(wire.SnapshotRoster, p.roster)
+		var transfer time.Duration
+		if staleRoster {
+			transfer = m.transferTime(wire.SnapshotRoster, p.roster)
 		}
-		if oldConfig {
-			extra = max(extra, m.extra(wire.SnapshotConfig, p.config))
+		if staleConfig {
+			transfer = max(transfer, m.transferTime(wire.SnapshotConfig, p.config))
 		}
 		d := m.dials[p.addr]
-		if d == nil || d.link == nil || time.Since(p.behind) < m.turn(name, p, config, roster)+extra {
+		if d == nil || d.link == nil || time.Since(p.staleSince) < m.snapshotWait(name, p, config, roster)+transfer {
 			continue
 		}
-		// The next one only when the peer has had time to tell that it has it.
-		p.behind = time.Now().Add(m.turnTime() + extra)
-		if oldConfig {
-			out = append(out, parcel{d.link, wire.SnapshotConfig})
+		// Wait until the peer has had time to report the new revision.
+		p.staleSince = time.Now().Add(m.turnDuration() + transfer)
+		if staleConfig {
+			out = append(out, snapshotSend{d.link, wire.SnapshotConfig})
 		}
-		if oldRoster {
-			out = append(out, parcel{d.link, wire.SnapshotRoster})
+		if staleRoster {
+			out = append(out, snapshotSend{d.link, wire.SnapshotRoster})
 		}
 	}
 	return out
 }
 
-// turn returns for how long a peer must have lagged behind before this entry
-// passes versions on to it. The entries that have them and keep a link to the
-// peer take turns, in an order of their own for each peer. If all sent at once, a
-// large configuration that a few peers missed would cross each of their links as
-// many times as there are entries, and callers' requests wait behind it. It is
-// called with mu held.
-func (m *Mesh) turn(name string, p *peer, config, roster int64) time.Duration {
+// snapshotWait returns how long a peer must have had a stale revision before this
+// entry sends it the newer versions. The entries that have them and keep a link to
+// the peer take turns, in an order that differs for each peer. If all sent at once,
+// a large configuration that a few peers missed would cross each of their links
+// once for every entry, and callers' requests would wait behind it. It is called
+// with mu held.
+func (m *Mesh) snapshotWait(name string, p *peer, config, roster int64) time.Duration {
 	to := p.entry(name)
-	own, ahead := order(name, m.cfg.Self.Name), 0
+	own, ahead := turnOrder(name, m.cfg.Self.Name), 0
 	for other, o := range m.peers {
-		has := o.reached && o.config >= config && o.roster >= roster
-		if other != name && has && m.plan.Tells(o.entry(other), to) && order(name, other) < own {
+		has := o.isReachable && o.config >= config && o.roster >= roster
+		if other != name && has && m.plan.Tells(o.entry(other), to) && turnOrder(name, other) < own {
 			ahead++
 		}
 	}
-	stranger := !m.plan.Tells(m.self(), to)
-	if stranger && (p.config == 0 || p.roster == 0) {
-		// It serves nobody before it has both, and may not know its hub yet.
-		return startExtra + time.Duration(own%startSpread)*startStep
+	isExtraLink := !m.plan.Tells(m.self(), to)
+	if isExtraLink && (p.config == 0 || p.roster == 0) {
+		// The peer serves no requests before it has both, and may not know its hub
+		// yet.
+		return startDelay + time.Duration(own%startSlots)*startSlotTime
 	}
-	if stranger {
-		ahead += strangers + int(own%strangerTurns)
+	if isExtraLink {
+		ahead += extraLinkTurns + int(own%extraLinkTurnSpread)
 	}
-	wait := time.Duration(ahead) * m.turnTime()
+	wait := time.Duration(ahead) * m.turnDuration()
 	if p.config != 0 {
-		wait += passOnAfter
+		wait += snapshotDelay
 	}
 	return wait
 }
 
-// order returns the place of an entry among those that pass versions on to a
+// turnOrder returns the sort key of an entry among those that send versions to a
 // peer.
-func order(peer, entry string) uint64 {
+func turnOrder(peer, entry string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(peer + "\x00" + entry))
 	return h.Sum64()
