--- a/entry/follow/age.go
+++ b/entry/follow/age.go
@@ -11,13 +11,13 @@
 	"lycheepond/core/wire"
 )
 
-// sampleEvery is how often the age of what is known is sampled: a tenth of the
-// shortest bound that is usual.
-const sampleEvery = 200 * time.Millisecond
+// sampleInterval is how often the age of the knowledge is sampled. It is a tenth of
+// the shortest usual freshness bound.
+const sampleInterval = 200 * time.Millisecond
 
-// Run samples the age of what is known until ctx ends.
+// Run samples the age of the knowledge until ctx ends.
 func (k *Known) Run(ctx context.Context) error {
-	tick := time.NewTicker(sampleEvery)
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -41,28 +41,28 @@
 		}
 		k.update(l, revision)
 		if l.any {
-			k.state(l, now-l.at, revision)
+			k.recordAge(l, now-l.verifiedAt, revision)
 		}
 	}
 }
 
-// state notes the age of a list and logs when it passes the bound. It is called
-// with mu held.
-func (k *Known) state(l *known, age time.Duration, revision int64) {
+// recordAge records the age of a list in the metrics and logs when the list becomes
+// old or fresh. It is called with mu held.
+func (k *Known) recordAge(l *listKnowledge, age time.Duration, revision int64) {
 	meter.Milliseconds(l.age, age)
-	old := k.cfg.Rule.Old(age)
-	if old {
-		l.worst = max(l.worst, age)
+	isOld := k.cfg.Rule.Old(age)
+	if isOld {
+		l.worstAge = max(l.worstAge, age)
 	}
-	if old == l.old {
+	if isOld == l.isOld {
 		return
 	}
 	fields := []zap.Field{
 		zap.String("list", l.name), zap.Duration("age", age), zap.Duration("bound", k.cfg.Rule.Bound),
-		zap.Duration("worst", l.worst), zap.Int64("revision", revision),
+		zap.Duration("worst", l.worstAge), zap.Int64("revision", revision),
 	}
-	l.old, l.worst = old, 0
-	if old {
+	l.isOld, l.worstAge = isOld, 0
+	if isOld {
 		logs.Warn(k.cfg.Log, logs.EventKnowledgeOld, fields...)
 		return
 	}
--- a/entry/follow/calls.go
+++ b/entry/follow/calls.go
@@ -6,131 +6,137 @@
 	"time"
 )
 
-// shortestIdle and longestIdle bound the time between two checks of whether
-// anything is to be sent.
+// minIdle and maxIdle bound the time until the follower checks again whether a call
+// is due.
 const (
-	shortestIdle = 10 * time.Millisecond
-	longestIdle  = time.Second
+	minIdle = 10 * time.Millisecond
+	maxIdle = time.Second
 )
 
-// calls are those that have been sent and have no answer.
+// calls is the state of the calls that have no answer yet. There are two kinds: a
+// watch is a long poll that waits for changes, a check reads the whole list and is
+// answered at once.
 type calls[T any] struct {
 	answers chan answer[T]
-	// flying counts all of them, given up or not; looking is set while one of them is
-	// a look.
-	flying  int
-	looking bool
-	// due is in how long the next look is, or is to be asked for again.
-	due time.Duration
-	// lost is set while the platform no longer has the changes since f.since, so
-	// that only a look can tell what changed.
-	lost bool
-	// giveUp ends the waiting call; nil if there is none. next is when the next one
-	// is sent, and serial counts them.
-	giveUp context.CancelFunc
-	next   time.Time
-	serial int
+	// pending counts all calls without an answer, also cancelled ones. isChecking
+	// is set while one of them is a check.
+	pending    int
+	isChecking bool
+	// nextCheckIn is how long until the next check is due, or until
+	// Config.NextCheck is to be called again.
+	nextCheckIn time.Duration
+	// historyLost is set while the platform no longer has the changes since
+	// f.since, so that only a check can find what changed.
+	historyLost bool
+	// cancelWatch cancels the pending watch; nil if there is none. nextWatchAt is
+	// when the next one is sent, and watches counts the watches.
+	cancelWatch context.CancelFunc
+	nextWatchAt time.Time
+	watches     int
 }
 
-// answer is that to one call.
+// answer is the answer to one call.
 type answer[T any] struct {
-	// serial is that of a waiting call, zero for a look: then changes holds all items.
-	serial   int
+	// watch is the number of the watch, zero for a check. For a check, changes
+	// holds all items.
+	watch    int
 	since    int64
-	sent     time.Time
+	sentAt   time.Time
 	changes  []Change[T]
 	revision int64
 	err      error
 }
 
-// waited reports whether it is that to a call that waits.
-func (a *answer[T]) waited() bool { return a.serial > 0 }
+// isWatch reports whether the call was a watch.
+func (a *answer[T]) isWatch() bool { return a.watch > 0 }
 
-// attend waits for changes and looks until ctx ends.
-func (f *Follower[T]) attend(ctx context.Context) {
+// follow sends watches and checks and handles their answers until ctx ends.
+func (f *Follower[T]) follow(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer f.drain()
 	defer stop()
-	f.next = time.Now()
+	f.nextWatchAt = time.Now()
 	for ctx.Err() == nil {
-		f.send(ctx)
+		f.sendDueCalls(ctx)
 		select {
 		case <-ctx.Done():
 		case a := <-f.answers:
-			f.take(ctx, a)
-		case <-time.After(f.idle()):
+			f.handleAnswer(ctx, a)
+		case <-time.After(f.idleTime()):
 		}
 	}
 }
 
-// drain waits for the calls that have been given up.
+// drain waits for the cancelled calls to return.
 func (f *Follower[T]) drain() {
-	for f.flying > 0 {
+	for f.pending > 0 {
 		<-f.answers
-		f.flying--
+		f.pending--
 	}
-	f.looking, f.giveUp = false, nil
+	f.isChecking, f.cancelWatch = false, nil
 }
 
-// send sends the calls that are due.
-func (f *Follower[T]) send(ctx context.Context) {
+// sendDueCalls sends the calls that are due.
+func (f *Follower[T]) sendDueCalls(ctx context.Context) {
 	now := time.Now()
-	if f.failed == 0 && !f.lost && f.giveUp == nil && !now.Before(f.next) {
-		f.wait(ctx)
+	if f.failures == 0 && !f.historyLost && f.cancelWatch == nil && !now.Before(f.nextWatchAt) {
+		f.startWatch(ctx)
 	}
-	if f.lookDue(now) {
-		f.looking = true
-		f.call(ctx, answer[T]{}, 0, f.limit())
+	if f.checkDue(now) {
+		f.isChecking = true
+		f.startCall(ctx, answer[T]{}, 0, f.checkTimeout())
 	}
 }
 
-// lookDue reports whether to look: because it is this entry's turn, or because the
-// last call failed. Then it tells sooner than a waiting call that the platform is
-// back, and that is evidence. One look is on its way at a time, and is given up
-// early: what keeps it from an answer may be over for the next one.
-func (f *Follower[T]) lookDue(now time.Time) bool {
-	if f.looking {
+// checkDue reports whether to send a check, because it is this entry's turn or
+// because the last call failed. After a failure a check finds sooner than a watch
+// that the platform is back, and its answer is evidence. Only one check is pending
+// at a time, and its timeout is short, because whatever delays its answer may not
+// affect the next one.
+func (f *Follower[T]) checkDue(now time.Time) bool {
+	if f.isChecking {
 		return false
 	}
-	if f.failed > 0 {
-		return !now.Before(f.retry)
+	if f.failures > 0 {
+		return !now.Before(f.retryAt)
 	}
 	if f.cfg.Due != nil {
-		f.due = f.cfg.Due()
+		f.nextCheckIn = f.cfg.Due()
 	}
-	return f.lost || f.cfg.Due != nil && f.due <= 0
+	return f.historyLost || f.cfg.Due != nil && f.nextCheckIn <= 0
 }
 
-// limit is how long a look may take.
-func (f *Follower[T]) limit() time.Duration { return Limit(len(f.items), f.cfg.Bound) }
+// checkTimeout returns how long a check may take.
+func (f *Follower[T]) checkTimeout() time.Duration { return CheckTimeout(len(f.items), f.cfg.Bound) }
 
-// wait sends a waiting call.
-func (f *Follower[T]) wait(ctx context.Context) {
-	f.since = max(f.since, f.at)
+// startWatch sends a watch.
+func (f *Follower[T]) startWatch(ctx context.Context) {
+	f.since = max(f.since, f.verifiedRevision)
 	wait := f.cfg.Wait()
-	f.serial++
-	ctx, f.giveUp = context.WithCancel(ctx)
-	f.call(ctx, answer[T]{serial: f.serial}, wait, wait+waitExtra)
+	f.watches++
+	ctx, f.cancelWatch = context.WithCancel(ctx)
+	f.startCall(ctx, answer[T]{watch: f.watches}, wait, wait+watchGrace)
 }
 
-// restart gives up the waiting call and sends the next one after a pause.
-func (f *Follower[T]) restart(pause time.Duration) {
-	if f.giveUp != nil {
-		f.giveUp()
-		f.giveUp = nil
+// restartWatch cancels the pending watch and schedules the next one after a pause.
+func (f *Follower[T]) restartWatch(pause time.Duration) {
+	if f.cancelWatch != nil {
+		f.cancelWatch()
+		f.cancelWatch = nil
 	}
-	f.next = time.Now().Add(pause)
+	f.nextWatchAt = time.Now().Add(pause)
 }
 
-// call sends the call that a tells of. A look reads the whole list: the platform
-// may hold back calls for changes, also those that do not wait.
-func (f *Follower[T]) call(ctx context.Context, a answer[T], wait, limit time.Duration) {
-	a.since, a.sent = f.since, time.Now()
-	f.flying++
+// startCall sends the call described by a. A check reads the whole list instead of
+// asking for changes, because the platform may hold back calls for changes, even
+// those that don't wait.
+func (f *Follower[T]) startCall(ctx context.Context, a answer[T], wait, limit time.Duration) {
+	a.since, a.sentAt = f.since, time.Now()
+	f.pending++
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, limit)
 		defer cancel()
-		if a.waited() {
+		if a.isWatch() {
 			a.changes, a.revision, a.err = f.cfg.Watch(ctx, a.since, wait)
 		} else {
 			a.changes, a.revision, a.err = f.cfg.List(ctx)
@@ -139,100 +145,103 @@
 	}()
 }
 
-// idle is how long nothing needs to be sent unless an answer comes.
-func (f *Follower[T]) idle() time.Duration {
-	now, idle := time.Now(), longestIdle
+// idleTime returns how long the follower has nothing to send unless an answer
+// arrives.
+func (f *Follower[T]) idleTime() time.Duration {
+	now, idle := time.Now(), maxIdle
 	switch {
-	case f.looking:
-	case f.failed > 0:
-		idle = f.retry.Sub(now)
+	case f.isChecking:
+	case f.failures > 0:
+		idle = f.retryAt.Sub(now)
 	case f.cfg.Due != nil:
-		idle = f.due
+		idle = f.nextCheckIn
 	}
-	if f.failed == 0 && f.giveUp == nil {
-		idle = min(idle, f.next.Sub(now))
+	if f.failures == 0 && f.cancelWatch == nil {
+		idle = min(idle, f.nextWatchAt.Sub(now))
 	}
-	return max(idle, shortestIdle)
+	return max(idle, minIdle)
 }
 
-// take takes in an answer.
-func (f *Follower[T]) take(ctx context.Context, a answer[T]) {
-	f.flying--
+// handleAnswer handles the answer to a call.
+func (f *Follower[T]) handleAnswer(ctx context.Context, a answer[T]) {
+	f.pending--
 	switch {
-	case !a.waited():
-		f.looking = false
-	case a.serial != f.serial || f.giveUp == nil:
+	case !a.isWatch():
+		f.isChecking = false
+	case a.watch != f.watches || f.cancelWatch == nil:
 		return
 	default:
-		f.restart(0)
+		f.restartWatch(0)
 	}
 	if a.err != nil {
-		f.failure(ctx, a)
+		f.handleFailure(ctx, a)
 		return
 	}
-	if f.failed > 0 {
-		// What waited through an outage may be forgotten.
-		f.restart(0)
+	if f.failures > 0 {
+		// The platform may have forgotten a watch that was pending through the
+		// outage.
+		f.restartWatch(0)
 	}
-	f.good(a.sent)
-	if a.waited() {
-		f.heard(a)
+	f.noteSuccess(a.sentAt)
+	if a.isWatch() {
+		f.handleWatch(a)
 	} else {
-		f.seen(a)
+		f.handleCheck(a)
 	}
 }
 
-// failure takes in that a call failed. A look that was given up counts too, as
-// removals are the safer for it: the platform then counts as away from early in a
-// silence on, and not only near its end, while one answer after a single lost look
-// ends an outage that is too short to put removals in doubt.
-func (f *Follower[T]) failure(ctx context.Context, a answer[T]) {
+// handleFailure handles a failed call. A check that timed out counts too, because
+// that makes removals safer: the platform then counts as away from early on in a
+// silence rather than only near its end. A single lost check is followed by an
+// answer soon, which ends an outage too short to put removals in doubt.
+func (f *Follower[T]) handleFailure(ctx context.Context, a answer[T]) {
 	switch {
 	case errors.Is(a.err, ErrHistory):
-		f.good(a.sent)
+		f.noteSuccess(a.sentAt)
 		if a.since == f.since {
-			f.lost = true
-			f.restart(0)
+			f.historyLost = true
+			f.restartWatch(0)
 		}
-	case !a.sent.Before(f.well):
-		f.bad(ctx, a.err)
+	case !a.sentAt.Before(f.lastSuccessAt):
+		f.noteFailure(ctx, a.err)
 	}
 }
 
-// heard takes in the answer to a waiting call. Without changes it is no evidence:
-// the platform may have forgotten the call.
-func (f *Follower[T]) heard(a answer[T]) {
+// handleWatch handles the answer to a watch. An answer without changes is no
+// evidence, because the platform may have forgotten the call.
+func (f *Follower[T]) handleWatch(a answer[T]) {
 	switch {
 	case a.since != f.since:
-		// A look has told more.
+		// A check has already brought a newer revision.
 	case len(a.changes) > 0:
-		f.news(a)
+		f.applyChanges(a)
 	case f.cfg.Due == nil:
-		f.at = max(f.at, a.revision)
+		f.verifiedRevision = max(f.verifiedRevision, a.revision)
 	}
 }
 
-// seen takes in the answer to a look: what it differs by from what is held here.
-func (f *Follower[T]) seen(a answer[T]) {
+// handleCheck handles the answer to a check and applies how the list differs from
+// the local copy.
+func (f *Follower[T]) handleCheck(a answer[T]) {
 	if a.revision < f.since {
-		// A waiting call has told more.
+		// A watch has already brought a newer revision.
 		return
 	}
-	f.lost = false
+	f.historyLost = false
 	a.changes = f.differences(a.changes, a.revision)
 	if len(a.changes) > 0 {
-		f.news(a)
+		f.applyChanges(a)
 		return
 	}
-	f.at = max(f.at, a.revision)
-	f.looked(a.sent)
+	f.verifiedRevision = max(f.verifiedRevision, a.revision)
+	f.reportVerified(a.sentAt)
 }
 
-// news takes in changes.
-func (f *Follower[T]) news(a answer[T]) {
+// applyChanges applies changes to the local copy.
+func (f *Follower[T]) applyChanges(a answer[T]) {
 	f.since = max(f.since, a.revision)
-	f.keep(a.changes)
-	f.holds = max(f.holds, f.cfg.Changed(a.changes))
-	f.looked(a.sent)
-	f.restart(f.cfg.Pause())
+	f.recordRevisions(a.changes)
+	f.revision = max(f.revision, f.cfg.Changed(a.changes))
+	f.reportVerified(a.sentAt)
+	f.restartWatch(f.cfg.Pause())
 }
--- a/entry/follow/first.go
+++ b/entry/follow/first.go
@@ -5,49 +5,51 @@
 	"time"
 )
 
-// maxReadings bounds the first readings of a list beside each other: one that may
-// be long, and one that is sent when the first may have been swallowed.
-const maxReadings = 2
+// maxFirstReads bounds the concurrent first reads of a list: one that may take
+// long, and one more in case the platform never answers the first.
+const maxFirstReads = 2
 
-// list reads the list for the first time; its error is that of ctx. The list may be
-// long and all entries may have started at once, so a reading without an answer is
-// not given up as early as a look: another one is sent beside it by then.
-func (f *Follower[T]) list(ctx context.Context) error {
+// readFirst reads the list for the first time. Its only error is that of ctx. The
+// list may be long and all entries may have started at once, so a read isn't
+// cancelled as early as a check. Instead, another one is sent after that time.
+func (f *Follower[T]) readFirst(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer f.drain()
 	defer stop()
-	f.first(ctx)
-	timer := time.NewTimer(f.limit())
+	f.startFirstRead(ctx)
+	timer := time.NewTimer(f.checkTimeout())
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case a := <-f.answers:
-			f.flying--
+			f.pending--
 			if a.err == nil {
-				f.listed(a)
+				f.applyList(a)
 				return nil
 			}
-			f.bad(ctx, a.err)
-			timer.Reset(time.Until(f.retry))
+			f.noteFailure(ctx, a.err)
+			timer.Reset(time.Until(f.retryAt))
 		case <-timer.C:
-			if f.flying < maxReadings {
-				f.first(ctx)
+			if f.pending < maxFirstReads {
+				f.startFirstRead(ctx)
 			}
-			timer.Reset(f.limit())
+			timer.Reset(f.checkTimeout())
 		}
 	}
 }
 
-// first sends a reading that may be the first one.
-func (f *Follower[T]) first(ctx context.Context) { f.call(ctx, answer[T]{}, 0, listTime) }
+// startFirstRead sends a call for the first list.
+func (f *Follower[T]) startFirstRead(ctx context.Context) {
+	f.startCall(ctx, answer[T]{}, 0, listTimeout)
+}
 
-// listed takes in the first list.
-func (f *Follower[T]) listed(a answer[T]) {
-	f.good(a.sent)
-	f.since, f.at = a.revision, a.revision
-	f.keep(a.changes)
-	f.holds = max(f.holds, f.cfg.Listed(a.changes, a.revision))
-	f.looked(a.sent)
+// applyList applies the first list.
+func (f *Follower[T]) applyList(a answer[T]) {
+	f.noteSuccess(a.sentAt)
+	f.since, f.verifiedRevision = a.revision, a.revision
+	f.recordRevisions(a.changes)
+	f.revision = max(f.revision, f.cfg.Listed(a.changes, a.revision))
+	f.reportVerified(a.sentAt)
 }
--- a/entry/follow/follow.go
+++ b/entry/follow/follow.go
@@ -1,11 +1,11 @@
-// Package follow keeps a copy of what the platform lists: it reads a list once
-// and then waits for changes, through outages, lost history and connections
-// that go silent.
+// Package follow keeps a local copy of a list that the platform holds. It reads the
+// list once and then follows its changes, despite outages, dropped history and
+// connections that go silent.
 //
-// A call that waits for changes brings news within milliseconds, and is evidence
-// of nothing while it waits: the platform may have forgotten it. So an entry now
-// and then looks beside it, with a call that is answered at once, and the entries
-// share what these show.
+// A watch, a call that waits for changes, brings them within milliseconds. While it
+// waits it proves nothing, because the platform may have forgotten it. From time to
+// time an entry therefore also sends a check, a call that is answered at once, and
+// the entries share the evidence that checks give of how current their lists are.
 package follow
 
 import (
@@ -19,27 +19,27 @@
 )
 
 // ErrHistory reports that the platform no longer has the changes since the
-// revision asked for.
+// requested revision.
 var ErrHistory = errors.New("follow: the platform has dropped these changes: read the whole list")
 
 const (
-	// waitExtra is what a waiting call may take beyond its wait: the platform's
-	// answers may take sixty times their usual milliseconds.
-	waitExtra = 1500 * time.Millisecond
-	// listTime bounds the calls for a whole list together: the pages of three
-	// thousand items, asked for by three hundred entries at once.
-	listTime = 5 * CallTime
-	// firstPause and longestPause bound how often a platform that fails is
-	// asked. Every entry asks, and the first second after its return matters.
-	firstPause   = 100 * time.Millisecond
-	longestPause = 800 * time.Millisecond
+	// watchGrace is how much longer than its wait a watch may take. The platform's
+	// answers may take sixty times their usual few milliseconds.
+	watchGrace = 1500 * time.Millisecond
+	// listTimeout bounds all calls for a whole list together. It allows for 3,000
+	// items read page by page by 300 entries at once.
+	listTimeout = 5 * CallTime
+	// minRetryPause and maxRetryPause bound how often a failing platform is called.
+	// Every entry calls it, and the first second after its return matters.
+	minRetryPause = 100 * time.Millisecond
+	maxRetryPause = 800 * time.Millisecond
 )
 
-// CallTime bounds one call to the platform that does not wait: some hundred times
-// what it usually takes.
+// CallTimeout bounds a call to the platform that doesn't wait. It is about a
+// hundred times the usual duration.
 const CallTime = 2 * time.Second
 
-// Change is one change of the list.
+// Change is one change of a list.
 type Change[T any] struct {
 	Name    string
 	Removed bool
@@ -49,7 +49,7 @@
 	Revision int64
 }
 
-// Newest returns the highest revision of changes, zero if there are none.
+// NewestRevision returns the highest revision of changes, zero if there are none.
 func Newest[T any](changes []Change[T]) int64 {
 	newest := int64(0)
 	for _, c := range changes {
@@ -58,73 +58,75 @@
 	return newest
 }
 
-// Config is what a Follower depends on.
+// Config holds the settings and callbacks of a Follower.
 type Config[T any] struct {
-	// Name is what is followed, for logs.
+	// Name is the name of the list in logs.
 	Name string
-	// List returns all items and the revision of the list. It bounds each call
-	// that it takes by CallTime.
+	// List returns all items and the revision of the list. It bounds each of its
+	// calls by CallTimeout.
 	List func(ctx context.Context) ([]Change[T], int64, error)
-	// Watch returns the changes since a revision, waiting for the first one up
-	// to wait, and the revision to go on from.
+	// Watch returns the changes since a revision and the revision to continue from.
+	// It waits up to wait for the first change.
 	Watch func(ctx context.Context, since int64, wait time.Duration) ([]Change[T], int64, error)
-	// Wait returns how long the next call waits for a change.
+	// WatchTime returns how long the next watch waits for a change.
 	Wait func() time.Duration
-	// Due returns in how long to look beside the waiting call, or to ask again when
-	// that is; nil is never.
+	// NextCheck returns how long until the next check is due, or until it is to be
+	// called again, whichever is sooner. If nil, no checks are sent while calls
+	// succeed.
 	Due func() time.Duration
-	// Bound is the time within which a change must be in force.
+	// FreshnessBound is the time within which a change must be in force.
 	Bound time.Duration
-	// Pause returns how long to wait after changes before asking for more, which
-	// then come together. Fifty endpoints that start or leave at once would
-	// otherwise cost each entry fifty calls.
+	// BatchTime returns how long to wait after changes before the next watch, so
+	// that several changes arrive together. Fifty endpoints that start or leave at
+	// once would otherwise cost each entry fifty calls.
 	Pause func() time.Duration
-	// Listed takes in a whole list, Changed the changes after it. Both return the
-	// revision that the list has with them.
+	// OnList applies a whole list, OnChanges the changes after it. Both return the
+	// revision that the local copy has afterwards.
 	Listed  func(all []Change[T], revision int64) int64
 	Changed func(changes []Change[T]) int64
-	// Looked notes that a call sent at a time showed that nothing is newer than a
-	// revision; nil if nobody wants to know.
+	// OnVerified is called when a call sent at a time has shown that the platform
+	// has nothing newer than a revision. It may be nil.
 	Looked func(revision int64, sent time.Time)
-	// Away and Back tell that the platform stopped or began to answer.
+	// OnAway and OnBack are called when the platform stops and resumes answering.
 	Away, Back func()
 	// Random returns a number in [0, 1).
 	Random func() float64
 	Log    *zap.Logger
 }
 
-// Follower follows one list.
+// Follower follows one list. Its fields belong to the goroutine of Run.
 type Follower[T any] struct {
 	cfg Config[T]
-	// failed counts the calls that failed since one went well, which was sent at
-	// well. After a failure nothing is asked before retry.
-	failed      int
-	well, retry time.Time
-	// holds is the revision that the list has here, items that of each item.
-	holds int64
-	items map[string]int64
-	// since is the revision from which on changes are asked for, and at a later
-	// one up to which a look has shown that there are none.
-	since, at int64
+	// failures counts the failed calls since the last success, whose call was sent
+	// at lastSuccessAt. After a failure no check is sent before retryAt.
+	failures               int
+	lastSuccessAt, retryAt time.Time
+	// revision is the revision of the local copy, items holds the revision of each
+	// item.
+	revision int64
+	items    map[string]int64
+	// since is the revision after which changes are requested. verifiedRevision is
+	// a later one up to which a check has shown that there are none.
+	since, verifiedRevision int64
 	calls[T]
 }
 
-// New returns a follower that does nothing until Run.
+// New returns a follower that does nothing before Run is called.
 func New[T any](cfg Config[T]) *Follower[T] {
 	return &Follower[T]{cfg: cfg, items: make(map[string]int64), calls: calls[T]{answers: make(chan answer[T])}}
 }
 
 // Run follows the list until ctx ends.
 func (f *Follower[T]) Run(ctx context.Context) error {
-	if err := f.list(ctx); err != nil {
+	if err := f.readFirst(ctx); err != nil {
 		return err
 	}
-	f.attend(ctx)
+	f.follow(ctx)
 	return ctx.Err()
 }
 
-// keep notes the revisions of items that are taken in.
-func (f *Follower[T]) keep(changes []Change[T]) {
+// recordRevisions records the revisions of applied items.
+func (f *Follower[T]) recordRevisions(changes []Change[T]) {
 	for _, c := range changes {
 		if c.Removed {
 			delete(f.items, c.Name)
@@ -134,8 +136,8 @@
 	}
 }
 
-// differences returns the changes that make what is held here a whole list that
-// was read at a revision.
+// differences returns the changes that turn the local copy into a whole list read
+// at a revision.
 func (f *Follower[T]) differences(all []Change[T], revision int64) []Change[T] {
 	var out []Change[T]
 	listed := make(map[string]bool, len(all))
@@ -153,34 +155,34 @@
 	return out
 }
 
-func (f *Follower[T]) looked(sent time.Time) {
+func (f *Follower[T]) reportVerified(sent time.Time) {
 	if f.cfg.Looked != nil {
-		f.cfg.Looked(f.holds, sent)
+		f.cfg.Looked(f.revision, sent)
 	}
 }
 
-// good notes that a call that was sent at a time went well.
-func (f *Follower[T]) good(sent time.Time) {
-	if sent.After(f.well) {
-		f.well = sent
+// noteSuccess records that a call sent at a time succeeded.
+func (f *Follower[T]) noteSuccess(sent time.Time) {
+	if sent.After(f.lastSuccessAt) {
+		f.lastSuccessAt = sent
 	}
-	if f.failed == 0 {
+	if f.failures == 0 {
 		return
 	}
-	f.failed = 0
+	f.failures = 0
 	logs.Info(f.cfg.Log, logs.EventPlatformBack, zap.String("list", f.cfg.Name))
 	f.cfg.Back()
 }
 
-// bad notes that a call failed.
-func (f *Follower[T]) bad(ctx context.Context, err error) {
+// noteFailure records that a call failed and schedules the retry.
+func (f *Follower[T]) noteFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	if f.failed == 0 {
+	if f.failures == 0 {
 		logs.Warn(f.cfg.Log, logs.EventPlatformAway, zap.String("list", f.cfg.Name), zap.Error(err))
 		f.cfg.Away()
 	}
-	f.retry = time.Now().Add(backoff(f.failed, f.cfg.Random()))
-	f.failed++
+	f.retryAt = time.Now().Add(backoff(f.failures, f.cfg.Random()))
+	f.failures++
 }
--- a/entry/follow/follow_test.go
+++ b/entry/follow/follow_test.go
@@ -11,56 +11,56 @@
 	"go.uber.org/zap"
 )
 
-// source is a platform whose waiting calls can go deaf: they return nothing
+// platform is a platform whose watches can be made deaf: they return nothing
 // although there are changes.
-type source struct {
+type platform struct {
 	mu       sync.Mutex
 	revision int64
-	deaf     bool
-	// gone is set when the history was dropped.
-	gone bool
-	// fail is set while the platform is away.
-	fail bool
-	// listed is set once once has answered.
-	listed bool
+	isDeaf   bool
+	// historyDropped is set once the history was dropped.
+	historyDropped bool
+	// isAway is set while the platform is away.
+	isAway bool
+	// listAnswered is set once listOnce has answered.
+	listAnswered bool
 }
 
-func (s *source) set(f func()) {
+func (s *platform) set(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
 }
 
-func (s *source) list(context.Context) ([]Change[int], int64, error) {
+func (s *platform) list(context.Context) ([]Change[int], int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.fail {
+	if s.isAway {
 		return nil, 0, errors.New("away")
 	}
-	s.gone = false
+	s.historyDropped = false
 	return []Change[int]{{Name: "x", Revision: s.revision}}, s.revision, nil
 }
 
-// once is list, which answers only once.
-func (s *source) once(ctx context.Context) ([]Change[int], int64, error) {
+// listOnce is list, but answers only the first call.
+func (s *platform) listOnce(ctx context.Context) ([]Change[int], int64, error) {
 	s.mu.Lock()
-	again := s.listed
-	s.listed = true
+	again := s.listAnswered
+	s.listAnswered = true
 	s.mu.Unlock()
 	if again {
-		return hang(ctx)
+		return neverAnswer(ctx)
 	}
 	return s.list(ctx)
 }
 
-func (s *source) watch(ctx context.Context, since int64, wait time.Duration) ([]Change[int], int64, error) {
+func (s *platform) watch(ctx context.Context, since int64, wait time.Duration) ([]Change[int], int64, error) {
 	end := time.Now().Add(wait)
 	s.mu.Lock()
-	deaf := s.deaf
+	deaf := s.isDeaf
 	s.mu.Unlock()
 	for {
 		s.mu.Lock()
-		revision, gone, fail := s.revision, s.gone, s.fail
+		revision, gone, fail := s.revision, s.historyDropped, s.isAway
 		s.mu.Unlock()
 		switch {
 		case fail:
@@ -80,20 +80,20 @@
 	}
 }
 
-// follow runs a follower and returns the revisions it learns.
-func follow(t *testing.T, s *source) <-chan int64 {
+// startFollower runs a follower and returns the revisions that it learns.
+func startFollower(t *testing.T, s *platform) <-chan int64 {
 	t.Helper()
-	learnt := make(chan int64, 100)
-	tell := func(all []Change[int]) int64 {
+	learned := make(chan int64, 100)
+	report := func(all []Change[int]) int64 {
 		for _, c := range all {
-			learnt <- c.Revision
+			learned <- c.Revision
 		}
 		return Newest(all)
 	}
 	f := New(Config[int]{
 		Name: "x", List: s.list, Watch: s.watch, Wait: func() time.Duration { return 50 * time.Millisecond },
 		Pause:  func() time.Duration { return 10 * time.Millisecond },
-		Listed: func(all []Change[int], _ int64) int64 { return tell(all) }, Changed: tell, Away: func() {}, Back: func() {},
+		Listed: func(all []Change[int], _ int64) int64 { return report(all) }, Changed: report, Away: func() {}, Back: func() {},
 		Random: func() float64 { return 0 }, Log: zap.NewNop(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -103,66 +103,66 @@
 		cancel()
 		<-ended
 	})
-	return learnt
+	return learned
 }
 
-func await(t *testing.T, learnt <-chan int64, want int64) {
+func await(t *testing.T, learned <-chan int64, want int64) {
 	t.Helper()
 	limit := time.After(5 * time.Second)
 	for {
 		select {
-		case got := <-learnt:
+		case got := <-learned:
 			if got == want {
 				return
 			}
 		case <-limit:
-			t.Fatalf("revision %d was never learnt", want)
+			t.Fatalf("timed out waiting for revision %d", want)
 		}
 	}
 }
 
-// The platform forgets a waiting call: it answers nothing although a key was
-// taken away meanwhile, and then drops the history. The old key would go on
-// working for as long as the call waits.
-func TestChangeThatAWaitingCallMissed(t *testing.T) {
-	s := &source{revision: 1}
-	learnt := follow(t, s)
-	await(t, learnt, 1)
-	s.set(func() { s.deaf = true })
+// The platform forgets a watch: it answers nothing although a key was removed
+// meanwhile, and then drops the history. The removed key would stay valid for as
+// long as the watch waits.
+func TestChangeThatAWatchMissed(t *testing.T) {
+	s := &platform{revision: 1}
+	learned := startFollower(t, s)
+	await(t, learned, 1)
+	s.set(func() { s.isDeaf = true })
 	time.Sleep(60 * time.Millisecond)
-	s.set(func() { s.revision, s.gone = 2, true })
+	s.set(func() { s.revision, s.historyDropped = 2, true })
 	time.Sleep(20 * time.Millisecond)
-	s.set(func() { s.deaf = false })
-	await(t, learnt, 2)
+	s.set(func() { s.isDeaf = false })
+	await(t, learned, 2)
 }
 
 // The platform goes away and comes back with a newer revision.
 func TestChangeDuringAnOutage(t *testing.T) {
-	s := &source{revision: 1}
-	learnt := follow(t, s)
-	await(t, learnt, 1)
-	s.set(func() { s.fail = true })
+	s := &platform{revision: 1}
+	learned := startFollower(t, s)
+	await(t, learned, 1)
+	s.set(func() { s.isAway = true })
 	time.Sleep(50 * time.Millisecond)
-	s.set(func() { s.revision, s.fail = 2, false })
-	await(t, learnt, 2)
+	s.set(func() { s.revision, s.isAway = 2, false })
+	await(t, learned, 2)
 }
 
-// Twenty endpoints register within a moment. A call for each of them would cost
-// each entry twenty, at a price each.
-func TestChangesThatComeTogetherCostOneCall(t *testing.T) {
-	s := &source{revision: 1}
+// Twenty endpoints register within 40 ms. If each needed a call, every entry would
+// make twenty calls.
+func TestSimultaneousChangesShareACall(t *testing.T) {
+	s := &platform{revision: 1}
 	calls := 0
 	watch := func(ctx context.Context, since int64, wait time.Duration) ([]Change[int], int64, error) {
 		s.set(func() { calls++ })
 		return s.watch(ctx, since, wait)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	learnt := make(chan int64, 100)
+	learned := make(chan int64, 100)
 	f := New(Config[int]{
 		Name: "x", List: s.list, Watch: watch, Wait: func() time.Duration { return time.Minute },
 		Pause: func() time.Duration { return 2 * time.Second }, Listed: func([]Change[int], int64) int64 { return 0 },
 		Changed: func(all []Change[int]) int64 {
-			learnt <- all[len(all)-1].Revision
+			learned <- all[len(all)-1].Revision
 			return Newest(all)
 		},
 		Away: func() {}, Back: func() {},
@@ -175,60 +175,60 @@
 		time.Sleep(2 * time.Millisecond)
 	}
 	for revision := int64(0); revision != 21; {
-		revision = <-learnt
+		revision = <-learned
 	}
 	cancel()
 	<-ended
 	if calls > 5 {
-		t.Errorf("%d calls for changes that came within 40 ms", calls)
+		t.Errorf("%d calls for changes made within 40 ms", calls)
 	}
 }
 
-// All entries' calls begin together after a change or an outage. They must not end
-// together, and none may wait for longer than the platform lets it.
-func TestWaitsSpread(t *testing.T) {
+// The watches of all entries start together after a change or an outage. They must
+// not end together, and none may wait for longer than the platform allows.
+func TestWatchTimesAreSpread(t *testing.T) {
 	for _, wait := range []func(float64) time.Duration{Wait, WaitEntries} {
 		shortest, longest := wait(0.999), wait(0)
 		if longest < 2*shortest*9/10 || longest > 25*time.Second || shortest < 4*time.Second {
-			t.Errorf("calls wait for %v to %v", shortest, longest)
+			t.Errorf("watches wait for %v to %v", shortest, longest)
 		}
 	}
 }
 
-// The platform swallows a look. An entry must be in time with the next one, but a
-// list of many pages must be readable although the platform is slow.
-func TestLimit(t *testing.T) {
+// The platform doesn't answer a check. The entry must meet the bound with the next
+// one, but a list of many pages must be readable although the platform is slow.
+func TestCheckTimeout(t *testing.T) {
 	for _, bound := range []time.Duration{2 * time.Second, 9 * time.Second} {
-		if limit := Limit(300, bound); limit > bound*4/10 {
-			t.Errorf("with a bound of %v a look may take %v", bound, limit)
+		if limit := CheckTimeout(300, bound); limit > bound*4/10 {
+			t.Errorf("with a bound of %v a check may take %v", bound, limit)
 		}
 	}
-	if limit := Limit(12000, 9*time.Second); limit < 24*200*time.Millisecond {
+	if limit := CheckTimeout(12000, 9*time.Second); limit < 24*200*time.Millisecond {
 		t.Errorf("24 pages may take %v", limit)
 	}
 }
 
-// Fifty endpoints start over four seconds. An entry that a hub tells of them need
-// not ask the platform each time, but must be in time by itself if no hub does.
-func TestPause(t *testing.T) {
+// Fifty endpoints start over four seconds. An entry behind a hub need not ask the
+// platform each time, but must meet the bound if the hub sends nothing.
+func TestBatchTime(t *testing.T) {
 	bound := 3 * time.Second
 	if got := Pause(29, true, bound); got <= Pause(29, false, bound) || got > bound/2 {
-		t.Errorf("an entry behind a hub gathers for %v, others for %v", got, Pause(29, false, bound))
+		t.Errorf("an entry behind a hub collects changes for %v, others for %v", got, Pause(29, false, bound))
 	}
 	if got := Pause(5, false, bound); got != 50*time.Millisecond {
-		t.Errorf("one of five entries gathers for %v", got)
+		t.Errorf("one of five entries collects changes for %v", got)
 	}
 }
 
-// A list of three thousand items is read page by page from a platform that three
-// hundred entries ask at once, after all of them were killed. If the whole list
-// had to come within the time of one call, none would ever have it.
+// After 300 entries were killed and restarted, all of them read a list of 3,000
+// items page by page at once. If the whole list had to arrive within CallTimeout,
+// no entry would ever get it.
 func TestLongListIsReadToItsEnd(t *testing.T) {
 	listed := make(chan int64, 1)
-	var readings atomic.Int32
+	var reads atomic.Int32
 	f := New(Config[int]{
 		List: func(ctx context.Context) ([]Change[int], int64, error) {
-			readings.Add(1)
+			reads.Add(1)
 			for range 25 {
 				select {
 				case <-ctx.Done():
@@ -254,11 +254,11 @@
 			t.Errorf("revision %d", revision)
 		}
 	case <-time.After(3 * CallTime):
-		t.Error("the list was never read to its end")
+		t.Error("the list was not read to its end")
 	}
 	cancel()
 	<-ended
-	if n := readings.Load(); n > maxReadings {
-		t.Errorf("%d readings beside each other", n)
+	if n := reads.Load(); n > maxFirstReads {
+		t.Errorf("%d concurrent reads", n)
 	}
 }
--- a/entry/follow/known.go
+++ b/entry/follow/known.go
@@ -12,71 +12,74 @@
 	"lycheepond/core/wire"
 )
 
-// retellShare is the part of the bound between two tellings of what others
-// showed: those who do not hear them learn it so. What this entry's own looks
-// show is told at once.
-const retellShare = 0.3
+// resendShare is the part of the freshness bound between two reports of evidence
+// received from other entries, for peers that don't receive theirs. Evidence of
+// this entry's own checks is sent at once.
+const resendShare = 0.3
 
-// KnownConfig is what a Known depends on.
+// KnowledgeConfig holds the settings and callbacks of a Knowledge.
 type KnownConfig struct {
 	// Self is the name of this entry.
 	Self string
 	Rule fresh.Rule
 	// Revisions returns the revisions in force.
 	Revisions func() (config, roster int64)
-	// Heard returns the names of the entries that are heard.
+	// ReachablePeers returns the names of the reachable peers.
 	Heard func() []string
-	// Hurry has the next tally sent at once, HurryOn what others told passed on.
+	// SendTallySoon requests that the next tally is sent as soon as possible,
+	// RelaySoon that received tallies are relayed as soon as possible.
 	Hurry, HurryOn func()
 	Metrics        *meter.Set
 	Log            *zap.Logger
 }
 
-// Known is what an entry knows about how new its configuration and its instance
-// list are, from its own calls and from what peers tell. It is safe for
-// concurrent use.
+// Knowledge tracks how current this entry's configuration and roster are, from its
+// own checks and from the evidence that peers send. It is safe for concurrent use.
 type Known struct {
 	cfg   KnownConfig
 	start time.Time
 
 	mu sync.Mutex
-	// looks counts the calls that were evidence.
-	looks uint32
-	// lists holds one of each kind of snapshot.
-	lists map[uint8]*known
-	// ways holds those of the processes that are heard, by name.
-	ways map[string]*fresh.Way
+	// checks counts the calls that gave evidence.
+	checks uint32
+	// lists holds the state of each list by its kind of snapshot.
+	lists map[uint8]*listKnowledge
+	// delays holds the message delay estimate of each reachable peer's process, by
+	// name.
+	delays map[string]*fresh.Way
 }
 
-// known is what is known of one list.
-type known struct {
-	name string
-	book fresh.Book
-	// own is set while the others have to be told of a look of this entry, told the
-	// mark of the claim that they were last told, at the time toldAt.
-	own    bool
-	told   uint32
-	toldAt time.Duration
-	// at is the time as of which the list was last found to be the newest; valid
-	// if any.
-	at  time.Duration
-	any bool
-	// old is set while that is longer ago than the bound, by worst at most.
-	old   bool
-	worst time.Duration
-	age   metrics.Histogram
-	// late counts requests that were decided while old.
-	late metrics.Counter
+// listKnowledge is the state of one list.
+type listKnowledge struct {
+	name   string
+	claims fresh.Book
+	// hasOwnEvidence is set while evidence of a check of this entry is yet to be
+	// sent. sentMark is the mark of the claim sent last, sentAt the time when it
+	// was sent.
+	hasOwnEvidence bool
+	sentMark       uint32
+	sentAt         time.Duration
+	// verifiedAt is the time as of which the list was last known to be the newest.
+	// It is valid if any is set.
+	verifiedAt time.Duration
+	any        bool
+	// isOld is set while verifiedAt is longer ago than the bound, worstAge is its
+	// largest age meanwhile.
+	isOld    bool
+	worstAge time.Duration
+	age      metrics.Histogram
+	// oldRequests counts requests that were decided while the list was old.
+	oldRequests metrics.Counter
 }
 
-// NewKnown returns a Known that knows nothing.
+// NewKnowledge returns a Knowledge without any evidence.
 func NewKnown(cfg KnownConfig) *Known {
-	k := &Known{cfg: cfg, start: time.Now(), lists: make(map[uint8]*known), ways: make(map[string]*fresh.Way)}
+	k := &Known{cfg: cfg, start: time.Now(), lists: make(map[uint8]*listKnowledge), delays: make(map[string]*fresh.Way)}
 	for what, name := range map[uint8]string{wire.SnapshotConfig: "config", wire.SnapshotRoster: "roster"} {
 		label := meter.Label{Key: "list", Value: name}
-		k.lists[what] = &known{
+		k.lists[what] = &listKnowledge{
 			name: name, age: cfg.Metrics.Histogram("known_age_ms", label),
-			late: cfg.Metrics.Counter("requests_on_old_knowledge", label),
+			oldRequests: cfg.Metrics.Counter("requests_on_old_knowledge", label),
 		}
 	}
 	return k
@@ -84,7 +87,7 @@
 
 func (k *Known) now() time.Duration { return time.Since(k.start) }
 
-// revision returns that of a list in force.
+// revision returns the revision of a list in force.
 func (k *Known) revision(what uint8) int64 {
 	config, roster := k.cfg.Revisions()
 	if what == wire.SnapshotConfig {
@@ -93,52 +96,52 @@
 	return roster
 }
 
-// Looked notes that a call which was sent at a time and answered at once showed
-// that revision holds all changes.
+// NoteVerified records that a call sent at a time and answered at once showed that
+// the platform has nothing newer than revision.
 func (k *Known) Looked(what uint8, revision int64, sent time.Time) {
 	inForce := k.revision(what)
 	k.mu.Lock()
-	k.looks++
+	k.checks++
 	l := k.lists[what]
-	mark := fresh.Mark(k.cfg.Self, k.looks)
-	l.book.Looked(fresh.Claim{Revision: revision, At: sent.Sub(k.start), Mark: mark})
+	mark := fresh.Mark(k.cfg.Self, k.checks)
+	l.claims.Looked(fresh.Claim{Revision: revision, At: sent.Sub(k.start), Mark: mark})
 	gained := k.update(l, inForce)
-	worth := gained >= k.cfg.Rule.Step()
-	if worth {
-		l.own = true
+	isNewStep := gained >= k.cfg.Rule.Step()
+	if isNewStep {
+		l.hasOwnEvidence = true
 	}
 	k.mu.Unlock()
-	if worth {
+	if isNewStep {
 		k.cfg.Hurry()
 	}
 }
 
-// Heard takes in what a peer's tally tells of its lists; anew is set for the
-// first one of a process.
-func (k *Known) Heard(peer string, anew bool, t *wire.Tally) {
+// HandleTally handles the evidence in a peer's tally. newProcess is set for the
+// first tally of a process.
+func (k *Known) Heard(peer string, newProcess bool, t *wire.Tally) {
 	if t.Clock == 0 {
 		return
 	}
 	config, roster := k.cfg.Revisions()
 	now := k.now()
 	k.mu.Lock()
-	w := k.ways[peer]
-	if w == nil || anew {
-		w = new(fresh.Way)
-		k.ways[peer] = w
+	d := k.delays[peer]
+	if d == nil || newProcess {
+		d = new(fresh.Way)
+		k.delays[peer] = d
 	}
-	late, ok := w.Late(now, time.Duration(t.Clock)*time.Millisecond)
+	delay, ok := d.Late(now, time.Duration(t.Clock)*time.Millisecond)
 	var gained time.Duration
 	for _, f := range t.Fresh {
 		l := k.lists[f.What]
 		if l == nil || !ok {
 			continue
 		}
-		told, inForce := t.Config, config
+		peerRevision, inForce := t.Config, config
 		if f.What == wire.SnapshotRoster {
-			told, inForce = t.Roster, roster
+			peerRevision, inForce = t.Roster, roster
 		}
-		l.book.Told(fresh.Told(now, late, time.Duration(f.AgeMS)*time.Millisecond, told, f.Mark))
+		l.claims.Told(fresh.Told(now, delay, time.Duration(f.AgeMS)*time.Millisecond, peerRevision, f.Mark))
 		gained = max(gained, k.update(l, inForce))
 	}
 	k.mu.Unlock()
@@ -147,30 +150,31 @@
 	}
 }
 
-// Lost forgets a peer that is not heard any more.
+// ForgetPeer forgets a peer that is no longer reachable.
 func (k *Known) Lost(peer string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	delete(k.ways, peer)
+	delete(k.delays, peer)
 }
 
-// update takes in what the claims come to with a revision in force, and returns
-// by how much that is later than before. It is called with mu held.
-func (k *Known) update(l *known, inForce int64) time.Duration {
-	c, ok := l.book.Known(inForce)
-	if !ok || l.any && c.At <= l.at {
+// update recomputes verifiedAt of a list from the claims and the revision in force,
+// and returns by how much it moved forward. It is called with mu held.
+func (k *Known) update(l *listKnowledge, inForce int64) time.Duration {
+	c, ok := l.claims.Known(inForce)
+	if !ok || l.any && c.At <= l.verifiedAt {
 		return 0
 	}
-	gained := c.At - l.at
-	l.at, l.any = c.At, true
+	gained := c.At - l.verifiedAt
+	l.verifiedAt, l.any = c.At, true
 	return gained
 }
 
-// Tell returns what the next tally tells: what this entry has found itself since
-// the last one, and now and then what it has heard, and for how many milliseconds it
-// has run. The revisions in that tally
-// must be read later, as these may only be newer than those that it is true of.
-func (k *Known) Tell() (told []wire.Fresh, clock uint64) {
+// Evidence returns the evidence for the next tally and for how many milliseconds
+// this entry has run. The evidence is what this entry has found since the last
+// call, and at intervals what it has received. The caller must read the revisions
+// for that tally afterwards, so that they are at least as new as those that the
+// evidence is about.
+func (k *Known) Tell() (evidence []wire.Fresh, clock uint64) {
 	config, roster := k.cfg.Revisions()
 	now := k.now()
 	k.mu.Lock()
@@ -180,27 +184,27 @@
 		if what == wire.SnapshotRoster {
 			revision = roster
 		}
-		c, ok := l.book.Best(revision)
-		if !ok || c.Mark == l.told && !l.own {
+		c, ok := l.claims.Best(revision)
+		if !ok || c.Mark == l.sentMark && !l.hasOwnEvidence {
 			continue
 		}
-		if !l.own && now-l.toldAt < time.Duration(retellShare*float64(k.cfg.Rule.Bound)) {
+		if !l.hasOwnEvidence && now-l.sentAt < time.Duration(resendShare*float64(k.cfg.Rule.Bound)) {
 			continue
 		}
-		l.own, l.told, l.toldAt = false, c.Mark, now
-		told = append(told, wire.Fresh{What: what, AgeMS: uint32((now - c.At + time.Millisecond).Milliseconds()), Mark: c.Mark})
+		l.hasOwnEvidence, l.sentMark, l.sentAt = false, c.Mark, now
+		evidence = append(evidence, wire.Fresh{What: what, AgeMS: uint32((now - c.At + time.Millisecond).Milliseconds()), Mark: c.Mark})
 	}
-	return told, max(uint64(now.Milliseconds()), 1)
+	return evidence, max(uint64(now.Milliseconds()), 1)
 }
 
-// Due returns in how long this entry has to look again, at most a step: what peers
-// tell meanwhile may make that sooner.
+// NextCheck returns how long until this entry must check again, at most one step,
+// because evidence from peers may change it meanwhile.
 func (k *Known) Due(what uint8) time.Duration {
 	inForce := k.revision(what)
 	k.mu.Lock()
 	l := k.lists[what]
 	k.update(l, inForce)
-	c, ok := l.book.Known(inForce)
+	c, ok := l.claims.Known(inForce)
 	k.mu.Unlock()
 	if !ok {
 		return 0
@@ -209,18 +213,19 @@
 	if age < rule.First() {
 		return min(rule.First()-age, rule.Step())
 	}
-	heard := k.cfg.Heard()
-	return min(rule.Due(fresh.Rank(k.cfg.Self, heard, c.Mark), len(heard)+1)-age, rule.Step())
+	reachable := k.cfg.Heard()
+	return min(rule.Due(fresh.Rank(k.cfg.Self, reachable, c.Mark), len(reachable)+1)-age, rule.Step())
 }
 
-// Decided counts a request that is decided on what is known.
+// CountRequest counts a request for each list that is old while the request is
+// decided.
 func (k *Known) Decided() {
 	now := k.now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, l := range k.lists {
-		if l.any && k.cfg.Rule.Old(now-l.at) {
-			l.late.Inc(1)
+		if l.any && k.cfg.Rule.Old(now-l.verifiedAt) {
+			l.oldRequests.Inc(1)
 		}
 	}
 }
--- a/entry/follow/quarantine.go
+++ b/entry/follow/quarantine.go
@@ -12,57 +12,61 @@
 )
 
 const (
-	// maxPending bounds the queue of writes.
-	maxPending = 64
-	// writeTries bounds the attempts of one write. Peers know of the quarantine anyway;
-	// the object only matters if all entries are restarted.
-	writeTries = 5
-	// keepFor is how long an object outlives its quarantine, so that a restarted fleet
-	// still sends a single probe.
-	keepFor = 10 * time.Minute
-	// cleanEvery is the interval between removals of outdated objects.
-	cleanEvery = 30 * time.Second
+	// maxQueuedWrites bounds the queue of writes.
+	maxQueuedWrites = 64
+	// maxWriteAttempts bounds the attempts of one write. Peers know about the
+	// quarantine anyway; the object only matters if all entries are restarted.
+	maxWriteAttempts = 5
+	// objectRetention is how long an object outlives its quarantine, so that a
+	// restarted fleet still sends only one probe.
+	objectRetention = 10 * time.Minute
+	// cleanInterval is the interval between removals of outdated objects.
+	cleanInterval = 30 * time.Second
 )
 
-// QuarantineObject is how the platform stores a quarantine.
+// QuarantineObject is the form in which the platform stores a quarantine.
 type QuarantineObject struct {
 	// SinceMS and UntilMS are Unix times in milliseconds.
 	SinceMS int64 `json:"since_ms"`
 	UntilMS int64 `json:"until_ms"`
-	// Quarantines is their number so far.
+	// Quarantines is how often the fingerprint has been quarantined so far.
 	Quarantines int `json:"quarantines"`
 }
 
-// QuarantinesConfig is what Quarantines depends on.
+// QuarantinesConfig holds the callbacks of a Quarantines.
 type QuarantinesConfig struct {
-	// Create, Replace and Remove write the object of a fingerprint, List returns all.
+	// Create, Replace and Remove write the object of a fingerprint. List returns
+	// all objects by name.
 	Create, Replace func(ctx context.Context, name string, o QuarantineObject) error
 	Remove          func(ctx context.Context, name string) error
 	List            func(ctx context.Context) (map[string]QuarantineObject, error)
 	// Restore restores a quarantine that began before this entry was started.
 	Restore func(f poison.Fingerprint, age, left time.Duration, quarantines int)
-	// Wall is the time of day, which entries share well enough for minutes.
+	// Wall returns the time of day. The clocks of entries may differ by far less
+	// than a minute.
 	Wall   func() time.Time
 	Random func() float64
 	Log    *zap.Logger
 }
 
-// Quarantines stores quarantines in the platform, so that they survive a restart of all
-// entries. Requests never wait for it.
+// Quarantines stores quarantines in the platform, so that they survive a restart of
+// all entries. Requests never wait for it.
 type Quarantines struct {
 	cfg     QuarantinesConfig
 	changes chan poison.Change
-	// written holds the end of each quarantine that this entry stored. Run owns it.
-	written map[string]int64
+	// writtenUntilMS holds the end of each quarantine that this entry stored, in
+	// Unix milliseconds. Only Run uses it.
+	writtenUntilMS map[string]int64
 }
 
-// NewQuarantines returns a Quarantines that does nothing until Run.
+// NewQuarantines returns a Quarantines that does nothing before Run is called.
 func NewQuarantines(cfg QuarantinesConfig) *Quarantines {
-	return &Quarantines{cfg: cfg, changes: make(chan poison.Change, maxPending), written: make(map[string]int64)}
+	return &Quarantines{cfg: cfg, changes: make(chan poison.Change, maxQueuedWrites), writtenUntilMS: make(map[string]int64)}
 }
 
-// Note queues a change to be stored, if this entry has lost a run of the request. It does
-// not block: changes beyond maxPending are dropped.
+// Store queues a change to be stored, if an attempt that this entry dispatched
+// caused it. It does not block; when maxQueuedWrites changes are queued, further
+// ones are dropped.
 func (q *Quarantines) Note(c poison.Change) {
 	if !c.Local {
 		return
@@ -77,19 +81,19 @@
 // Run restores the stored quarantines and then stores changes until ctx ends.
 func (q *Quarantines) Run(ctx context.Context) error {
 	_ = retry(ctx, 0, q.cfg.Random, q.restore)
-	tick := time.NewTicker(cleanEvery)
+	tick := time.NewTicker(cleanInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case c := <-q.changes:
-			err := retry(ctx, writeTries, q.cfg.Random, func(ctx context.Context) error { return q.write(ctx, c) })
+			err := retry(ctx, maxWriteAttempts, q.cfg.Random, func(ctx context.Context) error { return q.write(ctx, c) })
 			if err != nil && ctx.Err() == nil {
 				logs.Warn(q.cfg.Log, logs.EventFailed, zap.String("what", "storing a quarantine; a restart of all entries would lose it"), zap.Error(err))
 			}
 		case <-tick.C:
-			q.clean(ctx)
+			q.removeOutdated(ctx)
 		}
 	}
 }
@@ -104,7 +108,7 @@
 		f, ok := poison.ParseFingerprint(name)
 		switch {
 		case !ok:
-		case outdated(o.UntilMS, now):
+		case isOutdated(o.UntilMS, now):
 			_ = q.cfg.Remove(ctx, name)
 		default:
 			ms := func(n int64) time.Duration { return time.Duration(max(n, 0)) * time.Millisecond }
@@ -114,39 +118,39 @@
 	return nil
 }
 
-func outdated(untilMS, nowMS int64) bool { return untilMS+keepFor.Milliseconds() <= nowMS }
+func isOutdated(untilMS, nowMS int64) bool { return untilMS+objectRetention.Milliseconds() <= nowMS }
 
 func (q *Quarantines) write(ctx context.Context, c poison.Change) error {
 	name := c.Fingerprint.String()
 	if c.Released {
-		delete(q.written, name)
+		delete(q.writtenUntilMS, name)
 		return q.cfg.Remove(ctx, name)
 	}
 	now := q.cfg.Wall()
 	o := QuarantineObject{SinceMS: now.UnixMilli(), UntilMS: now.Add(c.Left).UnixMilli(), Quarantines: c.Quarantines}
 	err := q.cfg.Create(ctx, name, o)
 	if errors.Is(err, ErrExists) {
-		// Another entry has stored the first one.
+		// Another entry has stored the first quarantine.
 		err = nil
 		if c.Quarantines > 1 {
 			err = q.cfg.Replace(ctx, name, o)
 		}
 	}
 	if err == nil {
-		q.written[name] = o.UntilMS
+		q.writtenUntilMS[name] = o.UntilMS
 	}
 	return err
 }
 
-// clean removes the outdated objects of this entry.
-func (q *Quarantines) clean(ctx context.Context) {
+// removeOutdated removes the outdated objects of this entry.
+func (q *Quarantines) removeOutdated(ctx context.Context) {
 	now := q.cfg.Wall().UnixMilli()
-	for name, until := range q.written {
-		if !outdated(until, now) {
+	for name, until := range q.writtenUntilMS {
+		if !isOutdated(until, now) {
 			continue
 		}
 		if call(ctx, func(ctx context.Context) error { return q.cfg.Remove(ctx, name) }) == nil {
-			delete(q.written, name)
+			delete(q.writtenUntilMS, name)
 		}
 	}
 }
--- a/entry/follow/retry.go
+++ b/entry/follow/retry.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// retry calls f until it succeeds or ctx ends, limit times at most, with growing pauses
-// between; zero means no limit. It returns the error of the last call.
+// retry calls f until it succeeds or ctx ends, at most limit times, with growing
+// pauses; zero means no limit. It returns the error of the last call, or that of
+// ctx.
 func retry(ctx context.Context, limit int, random func() float64, f func(ctx context.Context) error) error {
 	for failed := 0; ctx.Err() == nil; failed++ {
 		err := call(ctx, f)
@@ -18,14 +19,14 @@
 	return ctx.Err()
 }
 
-// backoff returns the pause after a call that has failed, after failed earlier ones; rnd is
-// a random number in [0, 1).
+// backoff returns the pause after a failed call that failed earlier failures came
+// before. rnd is a random number in [0, 1).
 func backoff(failed int, rnd float64) time.Duration {
-	pause := min(firstPause<<min(failed, 8), longestPause)
+	pause := min(minRetryPause<<min(failed, 8), maxRetryPause)
 	return time.Duration((0.5 + rnd/2) * float64(pause))
 }
 
-// call calls f with CallTime to end in.
+// call calls f with a timeout of CallTimeout.
 func call(ctx context.Context, f func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, CallTime)
 	defer cancel()
--- a/entry/follow/wait.go
+++ b/entry/follow/wait.go
@@ -3,62 +3,62 @@
 import "time"
 
 const (
-	// longestWait is the longest that a call waits: as it is evidence of nothing, a
-	// shorter one would only cost calls, and the platform ends calls that wait for
-	// longer than half a minute.
-	longestWait = 24 * time.Second
-	// entriesWait is the same for the list of entries: nothing but that list tells
-	// of an entry that none of the others has met, and nothing is decided by it
-	// that must hold at once.
-	entriesWait = 12 * time.Second
-	// limitShare is the part of the bound on changes after which a look without an
-	// answer is given up: the next one must be answered within what is left when it
-	// was due at 0.6 of the bound.
-	limitShare = 0.3
-	// pageItems is how many items the platform puts on a page, and pageTime what each
-	// page of a look may take: sixty times its usual 5 ms, as when it is slow.
-	pageItems = 500
-	pageTime  = 300 * time.Millisecond
-	// pauseEach and longestGather are the pause after changes for each entry
-	// heard, and the longest: a tenth of the usual bound on changes.
-	pauseEach     = 10 * time.Millisecond
-	longestGather = 200 * time.Millisecond
-	// ledShare is the part of the bound on changes for which an entry behind a hub
-	// gathers: as much as its next call's way may take is left.
-	ledShare = 0.4
-	// jitter is the part of a wait that is random, so that the calls of entries
-	// that all began after the same change or outage spread out.
-	jitter = 0.5
+	// maxWatchTime is the longest wait of a watch. A watch is no evidence while it
+	// waits, so a shorter wait would only cost more calls. The platform ends calls
+	// that wait for longer than 30 seconds.
+	maxWatchTime = 24 * time.Second
+	// maxEntriesWatchTime is the same for the list of entries. Only that list
+	// reveals an entry that no other entry has met, and no decision that must hold
+	// at once depends on it.
+	maxEntriesWatchTime = 12 * time.Second
+	// checkTimeoutShare is the part of the freshness bound after which an
+	// unanswered check is cancelled. A check may be due at 0.6 of the bound, and
+	// the next one must be answered in the time that is left.
+	checkTimeoutShare = 0.3
+	// itemsPerPage is how many items the platform puts on a page. pageTimeout is
+	// how long each page of a check may take: sixty times its usual 5 ms, for a
+	// slow platform.
+	itemsPerPage = 500
+	pageTimeout  = 300 * time.Millisecond
+	// batchTimePerEntry is the batch time for each reachable entry, and
+	// maxBatchTime its upper limit, a tenth of the usual freshness bound.
+	batchTimePerEntry = 10 * time.Millisecond
+	maxBatchTime      = 200 * time.Millisecond
+	// hubBatchShare is the part of the freshness bound for which an entry behind a
+	// hub collects changes. The rest suffices for its next call.
+	hubBatchShare = 0.4
+	// jitterShare is the random part of a wait. It spreads the calls of entries
+	// that all started after the same change or outage.
+	jitterShare = 0.5
 )
 
-// Wait returns how long a call for changes waits; rnd is a random number in
-// [0, 1).
-func Wait(rnd float64) time.Duration { return spread(longestWait, rnd) }
+// WatchTime returns how long a watch waits. rnd is a random number in [0, 1).
+func Wait(rnd float64) time.Duration { return jitteredTime(maxWatchTime, rnd) }
 
-// WaitEntries is Wait for the list of entries.
-func WaitEntries(rnd float64) time.Duration { return spread(entriesWait, rnd) }
+// EntriesWatchTime is WatchTime for the list of entries.
+func WaitEntries(rnd float64) time.Duration { return jitteredTime(maxEntriesWatchTime, rnd) }
 
-// Limit returns how long a look at a list of so many items may take when changes
-// must be in force within bound. A list of many pages takes longer than that leaves:
-// one that gave up each look at it would never see it.
-func Limit(items int, bound time.Duration) time.Duration {
-	pages := time.Duration(items/pageItems + 1)
-	return max(time.Duration(limitShare*float64(bound)), pages*pageTime)
+// CheckTimeout returns how long a check of a list of items may take when changes
+// must be in force within bound. A list of many pages gets more than its share of
+// the bound, because an entry that cancels every check of it would never read it.
+func CheckTimeout(items int, bound time.Duration) time.Duration {
+	pages := time.Duration(items/itemsPerPage + 1)
+	return max(time.Duration(checkTimeoutShare*float64(bound)), pages*pageTimeout)
 }
 
-// spread returns a wait of up to longest.
-func spread(longest time.Duration, rnd float64) time.Duration {
-	return time.Duration(float64(longest) * (1 - jitter*rnd))
+// jitteredTime returns a random time of up to longest.
+func jitteredTime(longest time.Duration, rnd float64) time.Duration {
+	return time.Duration(float64(longest) * (1 - jitterShare*rnd))
 }
 
-// Pause returns how long an entry that hears heard others, itself included,
-// gathers changes. More entries make for more calls at each change. One that is
-// led, by a hub that passes newer versions on, may leave the calls to the hubs:
-// it gathers for a part of the bound on changes, so that it is in time by itself
-// if no hub tells it.
-func Pause(heard int, led bool, bound time.Duration) time.Duration {
-	if led {
-		return time.Duration(ledShare * float64(bound))
+// BatchTime returns how long an entry collects changes before it asks for more.
+// reachable counts the reachable entries, including this one: with more entries
+// each change costs more calls. An entry with a hub, which sends it newer versions,
+// can leave the calls to the hubs. It collects for a part of the freshness bound,
+// so that it still meets the bound if no hub sends it anything.
+func Pause(reachable int, hasHub bool, bound time.Duration) time.Duration {
+	if hasHub {
+		return time.Duration(hubBatchShare * float64(bound))
 	}
-	return min(time.Duration(heard)*pauseEach, longestGather)
+	return min(time.Duration(reachable)*batchTimePerEntry, maxBatchTime)
 }
