--- a/entry/caller/reply.go
+++ b/entry/caller/reply.go
@@ -47,7 +47,7 @@
 }
 
 func (r *reply) sink() *sched.Sink {
-	return &sched.Sink{Head: r.head, Data: r.data, Flush: r.flush, Direct: r.job.Stream}
+	return &sched.Sink{Head: r.head, Data: r.data, Flush: r.flush, IsStreaming: r.job.Stream}
 }
 
 func (r *reply) head(status int, header []wire.Field) {
--- a/entry/caller/stub_test.go
+++ b/entry/caller/stub_test.go
@@ -161,7 +161,7 @@
 	now := func() time.Duration { return time.Since(start) }
 	f := new(front)
 	f.sched = sched.New(ctx, sched.Config{
-		Incarnation: 42, Zone: "z", Now: now, Log: zap.NewNop(), Entries: func() int { return 1 },
+		Incarnation: 42, Zone: "z", Now: now, Log: zap.NewNop(), EntryCount: func() int { return 1 },
 		Pool: func(name string) *agents.Members { return f.set.Pool(name) },
 		Home: func(_ string, key []byte) (sched.Home, error) { return opt.home(f, key) },
 	})
@@ -180,7 +180,7 @@
 			}
 			return out
 		},
-		Handle: f.sched.Handle, Up: f.sched.Up, Down: f.sched.Down,
+		Handle: f.sched.Handle, Up: f.sched.LinkUp, Down: f.sched.LinkDown,
 	})
 	changed, stop := st.Subscribe()
 	done := make(chan error, 1)
@@ -189,7 +189,7 @@
 	yes, no := func() bool { return true }, func() bool { return false }
 	server := httptest.NewServer(New(Config{
 		Store: st, NewID: f.sched.NewID, Serve: f.sched.Serve, Now: now, Ready: yes, Leaving: no,
-		Done: tally.New(m, zap.NewNop()).Done, Metrics: m, Panicked: func() {}, Unread: func() {}, Log: zap.NewNop(),
+		Done: tally.New(m, zap.NewNop()).RecordResult, Metrics: m, Panicked: func() {}, Unread: func() {}, Log: zap.NewNop(),
 	}))
 	f.url = server.URL
 	tb.Cleanup(func() { server.Close(); cancel(); <-done; stop() })
--- a/entry/keys/keeper.go
+++ b/entry/keys/keeper.go
@@ -223,7 +223,7 @@
 
 func (k *Keeper) tell(pool string, b *book) {
 	if m := k.cfg.Members(pool); m != nil && b.version != 0 {
-		b.Tell(m.Peers, b.version, b.table.Epoch, b.data)
+		b.SendToAgents(m.Peers, b.version, b.table.Epoch, b.data)
 	}
 }
 
@@ -234,6 +234,6 @@
 	b := k.books[ack.Pool]
 	k.mu.Unlock()
 	if b != nil {
-		b.Ack(ack)
+		b.FillAck(ack)
 	}
 }
--- a/entry/node.go
+++ b/entry/node.go
@@ -52,7 +52,7 @@
 	// planner decides which endpoint serves which version.
 	planner *orders.Planner
 	meter   *meter.Set
-	tally   *tally.Tally
+	tally   *tally.Recorder
 	// live holds the fleet's keys, which are replaced without a restart.
 	live *conf.Live
 	// noted is the digest of the configuration that was last logged.
@@ -185,7 +185,7 @@
 func (n *node) server(conns *kept.Set) *http.Server {
 	front := caller.New(caller.Config{
 		Store: n.store, NewID: n.sched.NewID, Serve: n.sched.Serve, Now: n.now,
-		Ready: n.ready.Load, Leaving: n.leaving.Load, Done: n.tally.Done, Metrics: n.meter.Public(),
+		Ready: n.ready.Load, Leaving: n.leaving.Load, Done: n.tally.RecordResult, Metrics: n.meter.Public(),
 		Panicked: n.panicked, Unread: func() { n.meter.Counter("answers_not_taken").Inc(1) }, Log: n.log,
 	})
 	server := &http.Server{ReadHeaderTimeout: headerTimeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -217,16 +217,16 @@
 	n.feed.Measure(n.meter)
 	n.meter.Process()
 	n.sched = sched.New(ctx, sched.Config{
-		Memory:      int64(n.cfg.RequestMemory) << 20,
+		MemoryLimit: int64(n.cfg.RequestMemory) << 20,
 		Incarnation: n.self.Incarnation, Zone: n.cfg.Zone, Now: n.now, Log: n.log,
-		Pool:    func(name string) *agents.Members { return n.set.Pool(name) },
-		Entries: n.entries,
-		Home:    func(pool string, key []byte) (sched.Home, error) { return n.keeper.Home(pool, key) },
+		Pool:       func(name string) *agents.Members { return n.set.Pool(name) },
+		EntryCount: n.entries,
+		Home:       func(pool string, key []byte) (sched.Home, error) { return n.keeper.Home(pool, key) },
 	})
 	n.set = agents.New(agents.Config{
 		Self: n.self, Keys: n.live.Keys, Heartbeat: n.cfg.Heartbeat.Std(), Beat: n.beat,
 		Dial: n.dial, Roster: n.store.Roster, Pools: n.pools, Digest: n.store.Digest, Choose: n.choose,
-		Handle: n.handle, Up: n.up, Down: n.sched.Down, Now: n.now, Log: n.log,
+		Handle: n.handle, Up: n.up, Down: n.sched.LinkDown, Now: n.now, Log: n.log,
 	})
 	rec := record.Config{
 		Put: n.plat.Put, Get: n.plat.Get, Raw: n.store.Raw, Accept: func(e plat.Event) { n.store.Accept(e) }, Now: n.now,
@@ -255,7 +255,7 @@
 	p.start(func() error { return port.Run(ctx) })
 	operators := admin.New(admin.Config{
 		Listen: n.cfg.Admin.Listen, Token: string(n.cfg.Admin.Token), Metrics: n.meter,
-		Status: n.status, Explain: n.sched.Trail().Explain, Panicked: n.panicked, Log: n.log,
+		Status: n.status, Explain: n.sched.Traces().Explain, Panicked: n.panicked, Log: n.log,
 	})
 	p.start(func() error { return operators.Run(ctx) })
 }
@@ -283,7 +283,7 @@
 }
 
 func (n *node) up(p *agents.Peer) {
-	n.sched.Up(p)
+	n.sched.LinkUp(p)
 	n.keeper.Wake()
 	n.planner.Wake()
 }
--- a/entry/orders/planner.go
+++ b/entry/orders/planner.go
@@ -86,7 +86,7 @@
 	b := p.books[model]
 	p.mu.Unlock()
 	if b != nil {
-		b.Ack(ack)
+		b.FillAck(ack)
 	}
 }
 
@@ -136,7 +136,7 @@
 			p.write(ctx, b, b.assign)
 		}
 		if ms := p.cfg.Members(m.Name); ms != nil && b.version != 0 {
-			b.Tell(ms.Peers, b.version, b.assign.Epoch, b.data)
+			b.SendToAgents(ms.Peers, b.version, b.assign.Epoch, b.data)
 		}
 	}
 }
--- a/entry/peers/peers.go
+++ b/entry/peers/peers.go
@@ -1,5 +1,5 @@
-// Package peers is the entry's link port: other entries fetch the objects in
-// force there when the platform is away.
+// Package peers is the entry's link port, where other entries fetch the objects in
+// force while the platform is away.
 package peers
 
 import (
@@ -17,11 +17,11 @@
 	"lycheepond/core/wire"
 )
 
-// maxLinks bounds the links at one time. Peers fetch at start only; more than
-// this at once is an attack or a restart of everything, and either may wait.
+// maxLinks bounds the concurrent links. Peers fetch only when they start, so more
+// links at once are an attack or a restart of the whole fleet, and both can wait.
 const maxLinks = 64
 
-// Config is what a Port depends on.
+// Config holds the settings of a Port.
 type Config struct {
 	Listen    string
 	Self      wire.Hello
@@ -29,22 +29,23 @@
 	Heartbeat time.Duration
 	Beat      func() wire.Message
 	Store     *store.Store
-	// Accept wraps a fresh connection in TLS, or leaves it as it is.
+	// Accept wraps a new connection in TLS or returns it unchanged.
 	Accept func(net.Conn) net.Conn
 	Log    *zap.Logger
 }
 
 // Port accepts links from other entries and operators.
 type Port struct {
-	cfg  Config
-	room chan struct{}
-	wg   sync.WaitGroup
+	cfg   Config
+	slots chan struct{}
+	wg    sync.WaitGroup
 }
 
-// New returns a Port that does nothing until Run.
-func New(cfg Config) *Port { return &Port{cfg: cfg, room: make(chan struct{}, maxLinks)} }
+// New returns a Port that does nothing before Run is called.
+func New(cfg Config) *Port { return &Port{cfg: cfg, slots: make(chan struct{}, maxLinks)} }
 
-// Run accepts links until ctx ends. Without an address it only waits.
+// Run accepts links until ctx ends. Without an address to listen at it only waits
+// for that.
 func (p *Port) Run(ctx context.Context) error {
 	if p.cfg.Listen == "" {
 		<-ctx.Done()
@@ -57,13 +58,13 @@
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
 	defer p.wg.Wait()
 	for {
-		p.room <- struct{}{}
+		p.slots <- struct{}{}
 		conn, err := ln.Accept()
 		if err != nil {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			<-p.room
+			<-p.slots
 			if errors.Is(err, net.ErrClosed) {
 				return err
 			}
@@ -71,14 +72,14 @@
 		}
 		p.wg.Add(1)
 		go func() {
-			defer func() { <-p.room }()
+			defer func() { <-p.slots }()
 			defer p.wg.Done()
-			p.serve(ctx, conn)
+			p.serveLink(ctx, conn)
 		}()
 	}
 }
 
-func (p *Port) serve(ctx context.Context, conn net.Conn) {
+func (p *Port) serveLink(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	conn = p.cfg.Accept(conn)
 	peer, err := wire.Open(ctx, conn, p.cfg.Self, p.cfg.Keys())
@@ -86,12 +87,12 @@
 		logs.Warn(p.cfg.Log, logs.EventLinkRefused, zap.String("remote", conn.RemoteAddr().String()), zap.Error(err))
 		return
 	}
-	p.answer(ctx, wire.New(conn, peer, wire.Config{Heartbeat: p.cfg.Heartbeat, Idle: p.cfg.Self.Idle(), Beat: p.cfg.Beat}))
+	p.serveFetches(ctx, wire.New(conn, peer, wire.Config{Heartbeat: p.cfg.Heartbeat, Idle: p.cfg.Self.Idle(), Beat: p.cfg.Beat}))
 }
 
-// answer serves the fetches of one link, one at a time.
-func (p *Port) answer(ctx context.Context, link *wire.Link) {
-	asked := make(chan struct{}, 1)
+// serveFetches answers the fetches of one link, one at a time.
+func (p *Port) serveFetches(ctx context.Context, link *wire.Link) {
+	fetches := make(chan struct{}, 1)
 	done := make(chan error, 1)
 	go func() {
 		for {
@@ -99,7 +100,7 @@
 			case <-link.Done():
 				done <- nil
 				return
-			case <-asked:
+			case <-fetches:
 				if err := feed.Answer(ctx, p.cfg.Store, link); err != nil {
 					link.Close()
 				}
@@ -111,7 +112,7 @@
 			return
 		}
 		select {
-		case asked <- struct{}{}:
+		case fetches <- struct{}{}:
 		default:
 		}
 	})
--- a/entry/record/loop.go
+++ b/entry/record/loop.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Loop looks at something now and then, and at once when it is woken.
+// Loop runs a check at intervals, and at once when Wake is called.
 type Loop struct{ wake chan struct{} }
 
-// NewLoop returns a loop that does nothing until Run.
+// NewLoop returns a loop that does nothing before Run is called.
 func NewLoop() *Loop { return &Loop{wake: make(chan struct{}, 1)} }
 
-// Wake has the next look made now, as after a new link.
+// Wake requests the next check now, for example after a new link.
 func (l *Loop) Wake() {
 	select {
 	case l.wake <- struct{}{}:
@@ -19,9 +19,9 @@
 	}
 }
 
-// Run looks every so often until ctx ends.
-func (l *Loop) Run(ctx context.Context, every time.Duration, look func(context.Context)) error {
-	tick := time.NewTicker(every)
+// Run calls check at the given interval and after each Wake until ctx ends.
+func (l *Loop) Run(ctx context.Context, interval time.Duration, check func(context.Context)) error {
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -30,6 +30,6 @@
 		case <-tick.C:
 		case <-l.wake:
 		}
-		look(ctx)
+		check(ctx)
 	}
 }
--- a/entry/record/record.go
+++ b/entry/record/record.go
@@ -1,6 +1,6 @@
-// Package record deals with an object of the platform that entries write and
-// agents follow: conditional writes, which also confirm that the object is
-// still in force, and the news to agents.
+// Package record handles an object of the platform that entries write and agents
+// follow: conditional writes, which also confirm that the object is still in force,
+// and messages to agents about its changes.
 package record
 
 import (
@@ -17,7 +17,7 @@
 // callTimeout bounds one call to the platform.
 const callTimeout = 3 * time.Second
 
-// Config is what a Record depends on. All functions must be set.
+// Config holds the callbacks of a Record. All of them must be set.
 type Config struct {
 	Put    func(ctx context.Context, kind, name string, data []byte, ifVersion int64) (plat.Object, error)
 	Get    func(ctx context.Context, kind, name string) (plat.Object, error)
@@ -26,34 +26,34 @@
 	Now    func() time.Duration
 }
 
-// Record is one object. Ack is safe for concurrent use; the rest belongs to
-// one goroutine.
+// Record handles one object. FillAck is safe for concurrent use; everything else
+// belongs to one goroutine.
 type Record struct {
 	cfg        Config
 	kind, name string
-	// told holds the epoch that was sent over each link.
-	told map[*wire.Link]int64
+	// sentEpochs holds the epoch that was last sent over each link.
+	sentEpochs map[*wire.Link]int64
 
 	mu sync.Mutex
-	// epoch was in force at confirmed, when fresh is set: a conditional write
-	// that began then has succeeded. A read proves nothing, because it may be
-	// answered from the past.
-	epoch     int64
-	confirmed time.Duration
-	fresh     bool
+	// If isConfirmed is set, epoch was in force at confirmedAt, because a
+	// conditional write that began then has succeeded. A read confirms nothing,
+	// because it may return an older state.
+	epoch       int64
+	confirmedAt time.Duration
+	isConfirmed bool
 }
 
-// New returns the record of kind/name.
+// New returns the record of the object kind/name.
 func New(cfg Config, kind, name string) *Record {
-	return &Record{cfg: cfg, kind: kind, name: name, told: make(map[*wire.Link]int64)}
+	return &Record{cfg: cfg, kind: kind, name: name, sentEpochs: make(map[*wire.Link]int64)}
 }
 
-// Read returns the object in force here.
+// Read returns the object that is in force at this entry.
 func (r *Record) Read() (plat.Object, bool) { return r.cfg.Raw(r.kind, r.name) }
 
-// Write puts data with its epoch in force if the object is still at ifVersion.
-// When it fails, what the platform has is read, so that the next try may go
-// better.
+// Write puts data with its epoch in force if the object still has version
+// ifVersion. If that fails, it reads the platform's version of the object, so that
+// the next write can succeed.
 func (r *Record) Write(ctx context.Context, data []byte, epoch, ifVersion int64) error {
 	began := r.cfg.Now()
 	call, cancel := context.WithTimeout(ctx, callTimeout)
@@ -64,7 +64,7 @@
 		return err
 	}
 	r.mu.Lock()
-	r.epoch, r.confirmed, r.fresh = epoch, began, true
+	r.epoch, r.confirmedAt, r.isConfirmed = epoch, began, true
 	r.mu.Unlock()
 	o.Kind, o.Name, o.Data = r.kind, r.name, data
 	r.cfg.Accept(plat.Event{Object: o})
@@ -83,17 +83,17 @@
 	}
 }
 
-// Tell sends the object to every agent that has not heard of its epoch.
+// SendToAgents sends the object to every agent that has not been sent its epoch.
 // Confirmations change nothing for agents and are not sent.
-func (r *Record) Tell(peers []*agents.Peer, version, epoch int64, data []byte) {
-	seen := make(map[*wire.Link]int64, len(peers))
+func (r *Record) SendToAgents(peers []*agents.Peer, version, epoch int64, data []byte) {
+	sent := make(map[*wire.Link]int64, len(peers))
 	var news *wire.News
 	for _, p := range peers {
 		l := p.Link()
 		if l == nil {
 			continue
 		}
-		if r.told[l] != epoch {
+		if r.sentEpochs[l] != epoch {
 			if news == nil {
 				news = &wire.News{Object: r.kind, Name: r.name, Version: version, Data: data}
 			}
@@ -101,18 +101,18 @@
 				continue
 			}
 		}
-		seen[l] = epoch
+		sent[l] = epoch
 	}
-	r.told = seen
+	r.sentEpochs = sent
 }
 
-// Ack fills in what an agent asked about the freshness of the record.
-func (r *Record) Ack(ack *wire.LeaseAck) {
+// FillAck sets the fields of ack that tell an agent how fresh the record is.
+func (r *Record) FillAck(ack *wire.LeaseAck) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.fresh {
+	if !r.isConfirmed {
 		return
 	}
 	ack.Epoch, ack.Fresh = r.epoch, true
-	ack.AgeMS = uint32((r.cfg.Now() - r.confirmed + time.Millisecond - 1) / time.Millisecond)
+	ack.AgeMS = uint32((r.cfg.Now() - r.confirmedAt + time.Millisecond - 1) / time.Millisecond)
 }
--- a/entry/sched/admit.go
+++ b/entry/sched/admit.go
@@ -8,26 +8,28 @@
 	"lycheepond/entry/fault"
 )
 
-// refuse returns why a request can't be taken, or the predicted wait of one
-// that can.
-func (p *pool) refuse(now time.Duration, f *flight) (time.Duration, *fault.Error) {
+// checkAdmission returns the predicted wait of a request that can be admitted, or
+// the reason why it can't.
+func (p *pool) checkAdmission(now time.Duration, f *flight) (time.Duration, *fault.Error) {
 	j := f.job
 	tier := j.Class.Tier
-	view := p.view()
-	view.LowerServed = below(view.Served, tier)
-	if e := p.unreachable(now, f, view.LowerServed); e != nil {
+	view := p.shedView()
+	view.LowerServed = hasLowerTier(view.Served, tier)
+	if e := p.checkReachable(now, f, view.LowerServed); e != nil {
 		return 0, e
 	}
-	v := p.shed.Decide(now, shed.Ask{Tier: tier, Customer: j.Customer, Work: f.est.Work, Target: target(f, now)}, view)
-	if v.Admit || !p.confirmed(tier) {
+	v := p.shed.Decide(now, shed.Ask{Tier: tier, Customer: j.Customer, Work: f.estimate.Work, Target: timeToTarget(f, now)}, view)
+	if v.Admit || !p.levelConfirmed(tier) {
 		return v.Wait, nil
 	}
 	e := fault.New(fault.Overloaded, "the pool "+p.name+" has no room for class "+j.Class.Name+" now ("+v.Why.String()+"): ask again after the time in Retry-After")
 	return 0, e.After(max(v.RetryAfter, time.Millisecond))
 }
 
-// unreachable refuses when no agent of the pool can be offered anything.
-func (p *pool) unreachable(now time.Duration, f *flight, lower bool) *fault.Error {
+// checkReachable returns an error if the request can't be offered to any agent of
+// the pool. A request waits up to noAgentAfter for an agent, or longer while lower
+// tiers are served.
+func (p *pool) checkReachable(now time.Duration, f *flight, lower bool) *fault.Error {
 	m := p.cfg.Pool(p.name)
 	if m == nil || len(m.Peers)+m.Beyond == 0 {
 		return fault.New(fault.NoEndpoint, "no endpoint serves "+p.name+": start one with matching labels").After(noAgentRetry)
@@ -43,18 +45,18 @@
 	return fault.New(fault.NoEndpoint, "no endpoint of "+p.name+" is in reach: ask again").After(noAgentRetry)
 }
 
-// target is the time that is left for the request to start and still keep its
-// target; zero means that nothing is promised.
-func target(f *flight, now time.Duration) time.Duration {
+// timeToTarget returns how long the request may wait before it starts and still
+// meet its target; zero means that its class has no target.
+func timeToTarget(f *flight, now time.Duration) time.Duration {
 	j, t := f.job, f.job.Class.Target
 	left := time.Duration(0)
 	if t.FirstToken > 0 {
 		left = j.Accepted + t.FirstToken.Std() - now
 	}
 	if t.Complete > 0 {
-		whole := j.Accepted + t.Complete.Std() - now - f.est.Work
-		if t.FirstToken == 0 || whole < left {
-			left = whole
+		toComplete := j.Accepted + t.Complete.Std() - now - f.estimate.Work
+		if t.FirstToken == 0 || toComplete < left {
+			left = toComplete
 		}
 	}
 	if left == 0 && t.FirstToken == 0 && t.Complete == 0 {
@@ -63,20 +65,20 @@
 	return max(left, time.Millisecond)
 }
 
-// lowerServed reports whether work of a lower tier than tier is queued or
-// running anywhere in the pool, or may be. A request of a higher tier that is
-// refused then would be shed while lower work is served; without links to
-// every agent the entry can't exclude it, so what is unknown counts as served.
-func (p *pool) lowerServed(tier uint8) bool { return below(p.served(), tier) }
+// lowerServed reports whether requests of a lower tier than tier are, or may be,
+// queued or running anywhere in the pool. If a request of a higher tier were
+// refused then, it would be shed while lower tiers are served. Without links to
+// every agent the entry can't exclude this, so unknown tiers count as served.
+func (p *pool) lowerServed(tier uint8) bool { return hasLowerTier(p.servedTiers(), tier) }
 
-// below reports whether a mask of tiers has one that is lower than tier.
-func below(mask, tier uint8) bool { return mask>>(tier+1) != 0 }
+// hasLowerTier reports whether a mask of tiers has a tier lower than tier.
+func hasLowerTier(mask, tier uint8) bool { return mask>>(tier+1) != 0 }
 
-// confirmed reports whether every agent has said that it takes nothing below
-// tier. An agent that has not heard of the level may start lower work for
-// another entry the moment after this one refused a higher tier, and its load
-// as last heard can't exclude that it has done so already.
-func (p *pool) confirmed(tier uint8) bool {
+// levelConfirmed reports whether every agent has confirmed that it accepts nothing
+// below tier. An agent that has not received the shed level may start a request of
+// a lower tier for another entry right after this one refused a higher tier. Its
+// last reported load can't exclude that this has already happened.
+func (p *pool) levelConfirmed(tier uint8) bool {
 	m := p.cfg.Pool(p.name)
 	if m == nil || tier >= spec.Tiers-1 {
 		return true
@@ -92,9 +94,9 @@
 // allTiers has the bit of every tier set.
 const allTiers = 1<<spec.Tiers - 1
 
-// served returns the tiers of which work is queued or running anywhere in the
-// pool, or may be.
-func (p *pool) served() uint8 {
+// servedTiers returns the mask of tiers of which requests are, or may be, queued or
+// running anywhere in the pool.
+func (p *pool) servedTiers() uint8 {
 	mask := uint8(0)
 	for t := range p.waiting {
 		if p.waiting[t]+p.running[t] > 0 {
@@ -118,9 +120,9 @@
 	return mask
 }
 
-// view gathers what is known of the whole pool.
-func (p *pool) view() shed.View {
-	v := shed.View{Served: p.served(), Peers: p.cfg.Entries()}
+// shedView returns the state of the whole pool for a shed decision.
+func (p *pool) shedView() shed.View {
+	v := shed.View{Served: p.servedTiers(), Peers: p.cfg.EntryCount()}
 	m := p.cfg.Pool(p.name)
 	if m == nil {
 		return v
--- a/entry/sched/books.go
+++ b/entry/sched/books.go
@@ -7,78 +7,80 @@
 	"lycheepond/core/wire"
 )
 
-func (p *pool) grant(now time.Duration, f *flight, agent string) {
-	st := p.live[f]
-	if st == nil || st.granted {
+func (p *pool) recordGrant(now time.Duration, f *flight, agent string) {
+	st := p.requests[f]
+	if st == nil || st.isGranted {
 		return
 	}
-	st.granted, st.agent = true, agent
+	st.isGranted, st.agent = true, agent
 	t := f.job.Class.Tier
 	p.waiting[t]--
 	p.running[t]++
-	p.shed.Started(now, t, f.job.Customer, f.est.Work)
-	st.believed = p.placer.Sent(now, agent, f.trace.prefix)
-	p.show()
+	p.shed.Started(now, t, f.job.Customer, f.estimate.Work)
+	st.expectedCached = p.placer.Sent(now, agent, f.trace.prefix)
+	p.updateFigures()
 }
 
-// ungrant counts a request as waiting again.
-func (p *pool) ungrant(now time.Duration, f *flight) {
-	st := p.live[f]
-	if st == nil || !st.granted {
+// undoGrant counts a granted request as waiting again.
+func (p *pool) undoGrant(now time.Duration, f *flight) {
+	st := p.requests[f]
+	if st == nil || !st.isGranted {
 		return
 	}
-	st.granted = false
+	st.isGranted = false
 	t := f.job.Class.Tier
 	p.running[t]--
 	p.waiting[t]++
-	p.shed.Arrived(now, t, f.job.Customer, f.est.Work)
+	p.shed.Arrived(now, t, f.job.Customer, f.estimate.Work)
 }
 
-// end takes a request out of the books and learns from it.
-func (p *pool) end(now time.Duration, f *flight, res *Result) {
-	st := p.live[f]
+// recordEnd removes a request that has ended from the pool's state and updates the
+// estimates.
+func (p *pool) recordEnd(now time.Duration, f *flight, res *Result) {
+	st := p.requests[f]
 	if st == nil {
 		return
 	}
-	delete(p.live, f)
+	delete(p.requests, f)
 	j, t := f.job, f.job.Class.Tier
 	switch {
-	case st.granted:
+	case st.isGranted:
 		p.running[t]--
-		p.shed.Ended(now, t, res.InTarget(j.Class.Target))
-	case st.out:
+		p.shed.Ended(now, t, res.MetTarget(j.Class.Target))
+	case st.isRefused:
 		p.waiting[t]--
 	default:
 		p.waiting[t]--
-		p.shed.Left(now, t, j.Customer, f.est.Work)
+		p.shed.Left(now, t, j.Customer, f.estimate.Work)
 	}
-	if st.granted && res.Fault == nil {
-		p.learn(now, f, st, &res.Usage)
+	if st.isGranted && res.Fault == nil {
+		p.updateEstimates(now, f, st, &res.Usage)
 	}
-	p.show()
+	p.updateFigures()
 }
 
-// learn corrects the estimates by what a whole answer did cost.
-func (p *pool) learn(now time.Duration, f *flight, st *standing, u *wire.Usage) {
+// updateEstimates corrects the cost and cache estimates by the actual usage of a
+// complete answer.
+func (p *pool) updateEstimates(now time.Duration, f *flight, st *requestState, u *wire.Usage) {
 	j := f.job
 	work := time.Duration(u.TotalMS) * time.Millisecond
 	if work == 0 {
-		work = now - f.granted
+		work = now - f.grantedAt
 	}
 	p.cost.Learn(j.Class.Name, j.Customer, len(j.Prompt), cost.Usage{
 		Prompt: int(u.PromptTokens), Cached: int(u.CachedTokens), Output: int(u.OutputTokens), Max: j.MaxTokens, Work: work,
 	})
 	if j.Model != "" {
-		p.placer.Cached(st.agent, st.believed, int(u.CachedTokens))
+		p.placer.Cached(st.agent, st.expectedCached, int(u.CachedTokens))
 	}
 }
 
-func (p *pool) show() {
+func (p *pool) updateFigures() {
 	queued, running := 0, 0
 	for t := range p.waiting {
 		queued += p.waiting[t]
 		running += p.running[t]
 	}
-	p.queued.Store(int32(queued))
-	p.inflight.Store(int32(running))
+	p.reportedQueued.Store(int32(queued))
+	p.reportedInFlight.Store(int32(running))
 }
--- a/entry/sched/flight.go
+++ b/entry/sched/flight.go
@@ -14,244 +14,248 @@
 )
 
 const (
-	// fullRetry is when to ask again at an entry whose memory is full.
-	fullRetry = time.Second
-	// attachWait is how long an agent that holds a granted request may be away
-	// before the caller hears outcome unknown.
-	attachWait = 10 * time.Second
-	// repeatWait is the same for a request that may be run again elsewhere: as
-	// long as an agent needs to miss its heartbeats, no longer.
-	repeatWait = 2 * time.Second
-	// gapWait is how long the missing pieces of an ended answer may take
-	// before they are asked for again.
-	gapWait = 500 * time.Millisecond
-	// maxAsks is how often missing pieces are asked for.
-	maxAsks = 3
+	// memoryRetryAfter is the Retry-After while the entry's memory is full.
+	memoryRetryAfter = time.Second
+	// attachTimeout is how long an agent that holds a granted request may be away
+	// before the request ends with outcome unknown.
+	attachTimeout = 10 * time.Second
+	// repeatableAttachTimeout is the same for a request that may run again
+	// elsewhere. It is no longer than it takes to miss the agent's heartbeats.
+	repeatableAttachTimeout = 2 * time.Second
+	// gapTimeout is how long the missing pieces of an answer may take before they
+	// are requested again.
+	gapTimeout = 500 * time.Millisecond
+	// maxResumes is how often missing pieces are requested.
+	maxResumes = 3
 )
 
-// waitFor is what a flight's timer stands for.
-type waitFor uint8
+// timerReason is what a flight's timer waits for.
+type timerReason uint8
 
 const (
-	waitNothing waitFor = iota
-	// waitOffer: no agent holds the offer; place it again.
-	waitOffer
-	// waitAttach: the granted agent is away.
-	waitAttach
-	// waitGap: pieces of the answer are missing.
-	waitGap
+	timerNone timerReason = iota
+	// timerOffer: no agent holds the offer; request placement again.
+	timerOffer
+	// timerAttach: the granted agent is away.
+	timerAttach
+	// timerGap: pieces of the answer are missing.
+	timerGap
 )
 
-// flight is one request from admission to its answer. Everything but mail
-// and held is owned by the goroutine in run; est is written by the pool while
-// run waits for its reply.
+// flight is one request from admission to its answer. The goroutine of run owns
+// everything but mailbox and offeredTo. The pool writes estimate while run waits
+// for its reply.
 type flight struct {
 	s    *Sched
 	job  *Job
 	sink *Sink
 	pool *pool
-	// fingerprint identifies the request, zero for one with an idempotency key.
+	// fingerprint identifies the request in quarantines. It is zero for a request
+	// with an idempotency key.
 	fingerprint poison.Fingerprint
-	mail        *mailbox
+	mailbox     *mailbox
 	once        *once.Request
-	ans         answer.Answer
-	est         cost.Estimate
-	// held are the agents that the present ID was offered to.
-	held holders
-	// holder is the agent that the grant was written to.
+	answer      answer.Answer
+	estimate    cost.Estimate
+	// offeredTo holds the agents that have an offer with the current ID.
+	offeredTo peerSet
+	// holder is the agent to which the grant was sent.
 	holder *agents.Peer
-	// headed is set once the head of the present attempt arrived.
-	headed bool
-	status int
-	header []wire.Field
-	// early are pieces that overtook the head, at most maxEarly.
-	early []*event
-	// body holds an answer back until it is whole; full is set once it would
-	// outgrow maxWhole.
-	body []byte
-	full bool
-	// shed is set when an agent sent the last offer back because of a level.
-	shed bool
-	// wait says what the timer stands for and until when it runs.
-	wait  waitFor
-	until time.Duration
-	timer *time.Timer
-	// asks counts the pieces asked for again in this attempt and retries how
+	// hasHead is set once the head of the current attempt's answer has arrived.
+	hasHead bool
+	status  int
+	header  []wire.Field
+	// earlyEvents holds pieces that arrived before the head, at most
+	// maxEarlyPieces.
+	earlyEvents []*event
+	// body buffers an answer until it is complete. isTooLarge is set once it would
+	// exceed maxBufferedAnswer.
+	body       []byte
+	isTooLarge bool
+	// wasShed is set if an agent returned the last offer because of a shed level.
+	wasShed bool
+	// timerReason says what the timer waits for, timerAt when it expires.
+	timerReason timerReason
+	timerAt     time.Duration
+	timer       *time.Timer
+	// resumes counts the requests for missing pieces in this attempt, retries how
 	// often the request was placed again.
-	asks, retries int
-	// homeTries is how often the home of the key was away or could not act.
-	homeTries int
-	reply     chan choice
-	trace     *Trace
-	res       Result
-	// last is when the last piece arrived, granted when the grant was written.
-	last, granted time.Duration
-	done          bool
+	resumes, retries int
+	// homeFailures counts how often the home of the key was away or could not act.
+	homeFailures int
+	poolReply    chan decision
+	trace        *Trace
+	result       Result
+	// lastPieceAt is when the last piece arrived, grantedAt when the grant was
+	// sent.
+	lastPieceAt, grantedAt time.Duration
+	done                   bool
 }
 
 func newFlight(s *Sched, j *Job, sink *Sink) *flight {
 	return &flight{
-		s: s, job: j, sink: sink, pool: s.pool(j.Pool), fingerprint: j.fingerprint(), mail: newMailbox(),
-		once: once.New(j.ID, j.Repeatable), reply: make(chan choice, 1),
-		trace: s.trail.open(j),
+		s: s, job: j, sink: sink, pool: s.pool(j.Pool), fingerprint: j.fingerprint(), mailbox: newMailbox(),
+		once: once.New(j.ID, j.Repeatable), poolReply: make(chan decision, 1),
+		trace: s.traces.newTrace(j),
 	}
 }
 
 func (f *flight) now() time.Duration { return f.s.cfg.Now() }
 
-// run owns the flight until it has ended. Everything that it reacts to comes
-// through the mailbox, timers and the caller's hang-up too: to wait on four
-// channels for each token costs more than the token.
+// run owns the flight until it has ended. All its events, also timers and the
+// caller's hang-up, arrive through the mailbox, because waiting on four channels
+// for each token would cost more than the token itself.
 func (f *flight) run(ctx context.Context) Result {
-	post := func(kind eventKind) func() { return func() { f.mail.put(event{kind: kind}) } }
-	defer context.AfterFunc(ctx, post(eventGone))()
-	f.timer = time.AfterFunc(f.job.Deadline, post(eventWake))
+	post := func(kind eventKind) func() { return func() { f.mailbox.put(event{kind: kind}) } }
+	defer context.AfterFunc(ctx, post(eventCallerGone))()
+	f.timer = time.AfterFunc(f.job.Deadline, post(eventTimer))
 	defer f.timer.Stop()
 	defer time.AfterFunc(f.job.Accepted+f.job.Deadline-f.now(), post(eventDeadline)).Stop()
-	f.place(true)
+	f.requestOffers(true)
 	var spare []event
 	for !f.done {
-		<-f.mail.ready
-		spare = f.drain(spare)
+		<-f.mailbox.ready
+		spare = f.handleEvents(spare)
 	}
-	f.pool.tell(note{op: opEnd, f: f, res: &f.res})
+	f.pool.send(poolMessage{op: opEnd, f: f, res: &f.result})
 	f.trace.close(f)
-	return f.res
+	return f.result
 }
 
-// drain reacts to all that waits and pushes the answer on once.
-func (f *flight) drain(spare []event) []event {
-	events, over := f.mail.take(spare)
-	before := f.ans.Bytes()
+// handleEvents handles all waiting events and flushes the answer once.
+func (f *flight) handleEvents(spare []event) []event {
+	events, overflowed := f.mailbox.take(spare)
+	before := f.answer.Bytes()
 	for i := range events {
 		if f.done {
 			break
 		}
-		f.react(&events[i])
+		f.handleEvent(&events[i])
 		events[i] = event{}
 	}
-	if over && !f.done {
+	if overflowed && !f.done {
 		f.cancel(wire.ReasonTooLong)
 		f.finish(fault.New(fault.SlowCaller, "the answer waits for the caller, which reads too slowly: read faster or ask without streaming"))
 	}
-	if f.sink.Direct && f.ans.Bytes() != before {
+	if f.sink.IsStreaming && f.answer.Bytes() != before {
 		f.sink.Flush()
 	}
 	return events
 }
 
-func (f *flight) react(e *event) {
+func (f *flight) handleEvent(e *event) {
 	switch e.kind {
 	case eventEvict:
-		f.evict()
+		f.handleEviction()
 		return
-	case eventUp:
-		f.linkUp(e.peer)
+	case eventLinkUp:
+		f.handleLinkUp(e.peer)
 		return
-	case eventDown:
-		f.linkDown(e.peer, once.Agent{Name: e.peer.Name(), Incarnation: e.inc})
+	case eventLinkDown:
+		f.handleLinkDown(e.peer, once.Agent{Name: e.peer.Name(), Incarnation: e.incarnation})
 		return
-	case eventWider:
-		f.widen(e.peer)
+	case eventExtraOffer:
+		f.offerExtra(e.peer)
 		return
-	case eventWake:
-		f.wake()
+	case eventTimer:
+		f.handleTimer()
 		return
 	case eventDeadline:
-		f.expire()
+		f.handleDeadline()
 		return
-	case eventGone:
-		f.hangUp()
+	case eventCallerGone:
+		f.handleHangUp()
 		return
 	}
-	a := once.Agent{Name: e.peer.Name(), Incarnation: e.inc}
+	a := once.Agent{Name: e.peer.Name(), Incarnation: e.incarnation}
 	switch m := e.msg.(type) {
 	case *wire.Chunk:
-		if f.from(e.peer) && !f.overtook(e) {
-			f.chunk(m)
+		if f.acceptFrom(e.peer) && !f.deferEarly(e) {
+			f.handleChunk(m)
 		}
 	case *wire.Head:
-		f.head(e.peer, m)
+		f.handleHead(e.peer, m)
 	case *wire.End:
-		if f.from(e.peer) && (!m.Whole || !f.overtook(e)) {
-			f.end(m)
+		if f.acceptFrom(e.peer) && (!m.Whole || !f.deferEarly(e)) {
+			f.handleEnd(m)
 		}
 	case *wire.Claim:
-		f.claim(e.peer, a, m)
+		f.handleClaim(e.peer, a, m)
 	case *wire.Return:
-		f.returned(e.peer, a, m)
+		f.handleReturn(e.peer, a, m)
 	case *wire.Known:
-		f.known(e.peer, a, m)
+		f.handleKnown(e.peer, a, m)
 	}
 }
 
-// sleep sets the flight's only timer.
-func (f *flight) sleep(why waitFor, d time.Duration) {
-	f.wait, f.until = why, f.now()+d
+// setTimer sets the flight's only timer.
+func (f *flight) setTimer(reason timerReason, d time.Duration) {
+	f.timerReason, f.timerAt = reason, f.now()+d
 	f.timer.Reset(d)
 }
 
-func (f *flight) wake() {
-	if f.now() < f.until {
-		// The timer was set anew after it had gone off.
+func (f *flight) handleTimer() {
+	if f.now() < f.timerAt {
+		// The timer was reset after it had expired.
 		return
 	}
-	why := f.wait
-	f.wait = waitNothing
-	switch why {
-	case waitOffer:
-		f.place(false)
-	case waitAttach:
-		f.lose("its agent stayed away")
-	case waitGap:
-		f.ask()
+	reason := f.timerReason
+	f.timerReason = timerNone
+	switch reason {
+	case timerOffer:
+		f.requestOffers(false)
+	case timerAttach:
+		f.abandonHolder("its agent stayed away")
+	case timerGap:
+		f.requestMissing()
 	}
 }
 
-// expire ends the request at its caller's deadline.
-func (f *flight) expire() {
-	f.withdraw()
+// handleDeadline ends the request at its caller's deadline.
+func (f *flight) handleDeadline() {
+	f.withdrawOffers()
 	f.cancel(wire.ReasonDeadline)
 	f.finish(fault.New(fault.Deadline, "the deadline passed: allow more time with Lychee-Deadline, or ask again when the load is lower"))
 }
 
-// evict gives the request up in favour of a higher tier, unless it was granted
-// meanwhile.
-func (f *flight) evict() {
+// handleEviction ends the request to free memory for a higher tier, unless it was
+// granted meanwhile.
+func (f *flight) handleEviction() {
 	if f.once.State() != once.Offered {
 		return
 	}
-	f.step("evicted", "", "memory of the entry")
-	f.finish(fullEntry())
+	f.recordStep("evicted", "", "memory of the entry")
+	f.finish(memoryFull())
 }
 
-func fullEntry() *fault.Error {
-	return fault.New(fault.Overloaded, "this entry holds as many requests as its memory allows: ask again, or start more entries").After(fullRetry)
+func memoryFull() *fault.Error {
+	return fault.New(fault.Overloaded, "this entry holds as many requests as its memory allows: ask again, or start more entries").After(memoryRetryAfter)
 }
 
-// hangUp ends the request after its caller has gone.
-func (f *flight) hangUp() {
-	f.withdraw()
+// handleHangUp ends the request after its caller has gone.
+func (f *flight) handleHangUp() {
+	f.withdrawOffers()
 	f.cancel(wire.ReasonCallerGone)
 	f.finish(fault.New(fault.CallerGone, "the caller hung up"))
 }
 
-// cancel stops the granted attempt at the endpoint, if there is one. What may
-// not be cancelled is left to run to its end: half a filing would be worse, and
-// a retry under its key finds the answer.
+// cancel cancels the granted attempt at the endpoint, if there is one. A request
+// that is not cancellable runs to its end, because half a filing would be worse,
+// and a retry with its key gets the answer.
 func (f *flight) cancel(why wire.Reason) {
 	if f.job.Cancellable && f.holder != nil && f.once.State() == once.Granted {
 		f.holder.Send(&wire.Cancel{ID: f.once.ID(), Reason: why})
 	}
 }
 
-// finish ends the flight with e, and says of its dispatch what is true.
+// finish ends the flight with e, or successfully if e is nil, and records the true
+// outcome of its dispatch.
 func (f *flight) finish(e *fault.Error) {
 	f.done = true
-	f.withdraw()
-	f.res.Outcome = f.once.Outcome()
+	f.withdrawOffers()
+	f.result.Outcome = f.once.Outcome()
 	if e != nil {
-		f.res.Fault = e.With(f.res.Outcome)
+		f.result.Fault = e.With(f.result.Outcome)
 	}
-	f.res.Total = f.now() - f.job.Accepted
+	f.result.Total = f.now() - f.job.Accepted
 }
--- a/entry/sched/held.go
+++ b/entry/sched/held.go
@@ -7,20 +7,20 @@
 	"lycheepond/entry/agents"
 )
 
-// holders is the agents that hold a request's offer. The request's owner
+// peerSet is the set of agents that hold a request's offer. The request's goroutine
 // changes it and the pool reads it.
-type holders struct {
+type peerSet struct {
 	mu    sync.Mutex
 	peers []*agents.Peer
 }
 
-func (h *holders) add(p *agents.Peer) {
+func (h *peerSet) add(p *agents.Peer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.peers = append(h.peers, p)
 }
 
-func (h *holders) remove(p *agents.Peer) {
+func (h *peerSet) remove(p *agents.Peer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if i := slices.Index(h.peers, p); i >= 0 {
@@ -28,20 +28,20 @@
 	}
 }
 
-func (h *holders) has(p *agents.Peer) bool {
+func (h *peerSet) has(p *agents.Peer) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Contains(h.peers, p)
 }
 
-func (h *holders) len() int {
+func (h *peerSet) len() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.peers)
 }
 
-// clear empties the set and returns what was in it.
-func (h *holders) clear() []*agents.Peer {
+// clear empties the set and returns its former members.
+func (h *peerSet) clear() []*agents.Peer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := h.peers
--- a/entry/sched/job.go
+++ b/entry/sched/job.go
@@ -1,11 +1,9 @@
-// Package sched carries one caller's request from admission to its one final
-// answer.
+// Package sched carries a caller's request from admission to its one final answer.
 //
-// The goroutine that serves a caller owns its request: it alone changes the
-// dispatch state, so a grant can't be written twice. Links put what they read
-// into the request's bounded mailbox. What concerns a pool as a whole, which is
-// admission, placement, cost estimates and the retry budget, is owned by one
-// goroutine for each pool.
+// The goroutine that serves a caller owns its request. Only that goroutine changes
+// the dispatch state, so a grant can't be sent twice. Links put the messages that
+// they read into the request's bounded mailbox. Each pool has a goroutine of its
+// own that decides about admission, placement, cost estimates and the retry budget.
 package sched
 
 import (
@@ -18,7 +16,7 @@
 	"lycheepond/entry/fault"
 )
 
-// Job is a request that passed all checks of its form.
+// Job is a request whose form has been checked.
 type Job struct {
 	ID       ident.ID
 	Pool     string
@@ -30,61 +28,62 @@
 	Header   []wire.Field
 	Body     []byte
 	Stream   bool
-	// MaxTokens is the caller's own limit of the output, zero without one.
+	// MaxTokens is the caller's limit of output tokens, zero if there is none.
 	MaxTokens int
-	// Prompt is what Body holds of a prompt; the prefix hashes are made of it.
+	// Prompt is the part of Body that holds the prompt. The prefix hashes are
+	// computed from it.
 	Prompt []byte
-	// Cancellable is set when the request may be cancelled while it runs, once
-	// its caller has gone.
+	// Cancellable is set if the request may be cancelled while it runs, once its
+	// caller has gone.
 	Cancellable bool
-	// Repeatable is set when the caller said that the request may be dispatched
-	// more than once. It implies Cancellable. Every other request is dispatched
-	// at most once, whatever its kind: a doubled status lookup can cost a fee.
+	// Repeatable is set if the caller allowed more than one dispatch of the
+	// request. It implies Cancellable. Every other request is dispatched at most
+	// once, whatever its kind: even a repeated status query can cost a fee.
 	Repeatable bool
-	// Key is the hash of customer and idempotency key, nil without one, and
-	// KeyMade when the key was made, zero if it does not tell.
+	// Key is the hash of customer and idempotency key, nil without a key. KeyMade
+	// is when the key was made, in Unix milliseconds, zero if the key doesn't say.
 	Key     []byte
 	KeyMade int64
-	// Digest tells two requests under one key apart.
+	// Digest distinguishes two requests with the same key.
 	Digest uint64
-	// Accepted is when the request was accepted and Deadline how long after
-	// that the caller gives up.
+	// Accepted is when the request was accepted on the entry's clock, and Deadline
+	// how long after that the caller gives up.
 	Accepted time.Duration
 	Deadline time.Duration
 }
 
-// Sink takes the answer. Its functions are called by the goroutine that serves
+// Sink receives the answer. Its functions are called by the goroutine that serves
 // the request.
 type Sink struct {
 	Head func(status int, header []wire.Field)
 	Data func([]byte)
-	// Flush pushes what Data was given so far towards the caller.
+	// Flush sends what Data was given so far to the caller.
 	Flush func()
-	// Direct is set when Data reaches the caller before the answer has ended,
-	// so that a broken answer can't be taken back.
-	Direct bool
+	// IsStreaming is set if Data reaches the caller before the answer is complete,
+	// so that a broken answer can't be retracted.
+	IsStreaming bool
 }
 
-// Result is how a request ended. Fault is nil exactly for complete answers.
+// Result describes how a request ended. Fault is nil exactly for complete answers.
 type Result struct {
 	Outcome once.Outcome
 	Fault   *fault.Error
 	// Status is the endpoint's HTTP status of a complete answer.
 	Status int
 	Usage  wire.Usage
-	// First and Total are the times from acceptance to the first and the last
-	// byte; First is zero without a byte.
-	First, Total time.Duration
-	// Between is the longest pause between two pieces.
-	Between time.Duration
+	// FirstByte and Total are the times from acceptance to the first and the last
+	// byte of the answer. FirstByte is zero if there was no byte.
+	FirstByte, Total time.Duration
+	// LongestPause is the longest pause between two pieces of the answer.
+	LongestPause time.Duration
 }
 
-// InTarget reports whether a complete answer met its class's target.
-func (r *Result) InTarget(t spec.Target) bool {
+// MetTarget reports whether a complete answer met the target of its class.
+func (r *Result) MetTarget(t spec.Target) bool {
 	if r.Outcome != once.Complete || r.Status >= 500 {
 		return false
 	}
-	return within(r.First, t.FirstToken) && within(r.Between, t.BetweenTokens) && within(r.Total, t.Complete)
+	return isWithin(r.FirstByte, t.FirstToken) && isWithin(r.LongestPause, t.BetweenTokens) && isWithin(r.Total, t.Complete)
 }
 
-func within(d time.Duration, limit spec.Duration) bool { return limit == 0 || d <= limit.Std() }
+func isWithin(d time.Duration, limit spec.Duration) bool { return limit == 0 || d <= limit.Std() }
--- a/entry/sched/level.go
+++ b/entry/sched/level.go
@@ -10,37 +10,38 @@
 	"lycheepond/core/wire"
 )
 
-// tick spreads long waits over more agents and keeps the level in force.
+// tick offers long-waiting requests to more agents and keeps the shed level in
+// force.
 func (p *pool) tick() {
 	now := p.cfg.Now()
-	p.widen(now)
-	p.hearLevels(now)
+	p.offerLongWaits(now)
+	p.readPeerLevels(now)
 	p.sendLevel(now)
 }
 
-// hearLevels takes in the levels that other entries have put in force.
-func (p *pool) hearLevels(now time.Duration) {
+// readPeerLevels applies the shed levels that other entries have put in force.
+func (p *pool) readPeerLevels(now time.Duration) {
 	m := p.cfg.Pool(p.name)
 	if m == nil {
 		return
 	}
 	for _, peer := range m.Peers {
 		if l, ok := peer.Load(); ok && l.Level < p.level {
-			p.shed.Peer(now, l.Level, tickEvery*2)
+			p.shed.Peer(now, l.Level, tickInterval*2)
 		}
 	}
 }
 
 func (p *pool) sendLevel(now time.Duration) {
 	level := p.shed.Level(now)
-	if level == p.level && (level == spec.Tiers-1 || now-p.levelSent < levelRepeat) {
+	if level == p.level && (level == spec.Tiers-1 || now-p.levelSentAt < levelInterval) {
 		return
 	}
 	if level != p.level {
 		logs.Info(p.cfg.Log, logs.EventLevelChanged, zap.String("pool", p.name), zap.Uint8("level", level), zap.Uint8("before", p.level))
 	}
-	p.level, p.levelSent = level, now
-	p.shown.Store(int32(level))
+	p.level, p.levelSentAt = level, now
+	p.reportedLevel.Store(int32(level))
 	m := p.cfg.Pool(p.name)
 	if m == nil {
 		return
--- a/entry/sched/offer.go
+++ b/entry/sched/offer.go
@@ -11,97 +11,98 @@
 	"lycheepond/entry/fault"
 )
 
-// place asks the pool whether and where to offer the request, and does so.
-// first is set on arrival.
-func (f *flight) place(first bool) {
-	op := opAgain
+// requestOffers asks the pool whether and to which agents to offer the request, and
+// sends the offers. first is set for a new request.
+func (f *flight) requestOffers(first bool) {
+	op := opPlace
 	if first {
-		op = opArrive
-	} else if !f.reissue() {
+		op = opAdmit
+	} else if !f.renewID() {
 		return
 	}
 	if f.job.Key != nil && !first {
-		f.placeHome()
+		f.offerToHome()
 		return
 	}
-	f.pool.tell(note{op: op, f: f})
-	c := <-f.reply
+	f.pool.send(poolMessage{op: op, f: f})
+	c := <-f.poolReply
 	if c.fault != nil {
-		f.step("refused", "", c.fault.Error())
+		f.recordStep("refused", "", c.fault.Error())
 		f.finish(c.fault)
 		return
 	}
 	if first {
-		f.step("admitted", "", "predicted wait "+c.wait.Round(time.Millisecond).String())
+		f.recordStep("admitted", "", "predicted wait "+c.wait.Round(time.Millisecond).String())
 	}
 	if f.job.Key != nil {
-		f.placeHome()
+		f.offerToHome()
 		return
 	}
 	for _, p := range c.peers {
-		f.offer(p, 0)
+		f.offerTo(p, 0)
 	}
 	if len(f.once.Offers()) == 0 {
-		f.step("wait", "", "no agent in reach")
-		f.pause()
+		f.recordStep("wait", "", "no agent in reach")
+		f.retryLater()
 	}
 }
 
-// placeHome offers a keyed request to the home of its key and nowhere else.
-func (f *flight) placeHome() {
+// offerToHome offers a request with an idempotency key to the home of its key and
+// to no other agent.
+func (f *flight) offerToHome() {
 	if f.s.cfg.Home == nil {
 		f.finish(fault.New(fault.NoHome, "no agent keeps idempotency keys yet: ask again").After(time.Second))
 		return
 	}
-	// A home without a lease may stay so for as long as the platform is away.
-	// The caller would see its call hang until the deadline, so after a few
-	// tries it hears not-run and when to come back.
-	if f.homeTries < maxHomeTries {
+	// A home without a lease may stay so for as long as the platform is away. The
+	// caller's call would hang until its deadline, so after a few failures it gets
+	// outcome not-run with a Retry-After.
+	if f.homeFailures < maxHomeFailures {
 		home, err := f.s.cfg.Home(f.job.Pool, f.job.Key)
 		if err == nil {
-			f.offer(home.Peer, home.Epoch)
+			f.offerTo(home.Peer, home.Epoch)
 		}
 		if len(f.once.Offers()) > 0 {
 			return
 		}
 	}
-	if f.homeTries++; f.homeTries > maxHomeTries {
+	if f.homeFailures++; f.homeFailures > maxHomeFailures {
 		f.finish(fault.New(fault.NoHome, "the agent that keeps this idempotency key can't be reached or has no lease on it: ask again with the same key").After(homeRetryAfter))
 		return
 	}
-	f.step("wait", "", "home of the key away")
-	f.pause()
+	f.recordStep("wait", "", "home of the key away")
+	f.retryLater()
 }
 
 const (
-	// maxHomeTries bounds how often a home is asked that is away, or says that
-	// it is not the home or has no lease.
-	maxHomeTries   = 8
-	homeRetryAfter = 2 * time.Second
+	// maxHomeFailures bounds how often the offer to a home may fail because it is
+	// away, denies being the home or has no lease.
+	maxHomeFailures = 8
+	homeRetryAfter  = 2 * time.Second
 )
 
-// pause waits a little longer each time before the request is placed again.
-func (f *flight) pause() {
-	f.sleep(waitOffer, retry.Backoff(min(f.retries, 6), random()))
+// retryLater schedules the next placement of the request, with a growing backoff.
+func (f *flight) retryLater() {
+	f.setTimer(timerOffer, retry.Backoff(min(f.retries, 6), random()))
 	f.retries++
 }
 
-// offer sends the description to p.
-func (f *flight) offer(p *agents.Peer, epoch int64) {
+// offerTo sends an offer to p.
+func (f *flight) offerTo(p *agents.Peer, epoch int64) {
 	a := p.Agent()
 	if p.Leaving() || !f.once.Offer(a) {
 		return
 	}
-	if p.Send(f.describe(epoch)) != nil {
+	if p.Send(f.offerMessage(epoch)) != nil {
 		f.once.Drop(a)
 		return
 	}
-	f.wait = waitNothing
-	f.held.add(p)
-	f.step("offered", p.Name(), loadText(p))
+	f.timerReason = timerNone
+	f.offeredTo.add(p)
+	f.recordStep("offered", p.Name(), loadText(p))
 }
 
-// loadText is what the agent's load says, for the record of the decision.
+// loadText returns an agent's load as text for the request's trace.
 func loadText(p *agents.Peer) string {
 	l, ok := p.Load()
 	if !ok {
@@ -110,25 +111,26 @@
 	return strconv.Itoa(int(l.InFlight)) + " of " + strconv.Itoa(int(l.Bound)) + " in flight, " + strconv.Itoa(int(l.Queued)) + " queued"
 }
 
-// widen offers the request to one more agent that the pool proposes.
-func (f *flight) widen(p *agents.Peer) {
+// offerExtra offers the request to one more agent that the pool proposes.
+func (f *flight) offerExtra(p *agents.Peer) {
 	if f.once.State() != once.Offered || f.job.Key != nil {
 		return
 	}
-	if !f.held.has(p) {
-		f.offer(p, 0)
+	if !f.offeredTo.has(p) {
+		f.offerTo(p, 0)
 	}
 }
 
-// describe returns the offer. The hashes of the prompt stay here: the entry
-// places by them, and they would be half of the offer's bytes.
-func (f *flight) describe(epoch int64) *wire.Offer {
+// offerMessage returns the offer. The prefix hashes of the prompt are not in it:
+// only the entry needs them, for placement, and they would be half of the offer's
+// bytes.
+func (f *flight) offerMessage(epoch int64) *wire.Offer {
 	j, t := f.job, f.job.Class.Target
 	waited := f.now() - j.Accepted
 	return &wire.Offer{
 		ID: f.once.ID(), Pool: j.Pool, Customer: j.Customer, Class: j.Class.Name, Tier: j.Class.Tier,
-		Model: j.Model, PromptTokens: uint32(f.est.PromptTokens), OutputTokens: uint32(f.est.OutputTokens),
-		CostMS: millis(f.est.Work), WaitedMS: millis(waited),
+		Model: j.Model, PromptTokens: uint32(f.estimate.PromptTokens), OutputTokens: uint32(f.estimate.OutputTokens),
+		CostMS: millis(f.estimate.Work), WaitedMS: millis(waited),
 		FirstMS: millis(t.FirstToken.Std()), BetweenMS: millis(t.BetweenTokens.Std()),
 		CompleteMS: millis(t.Complete.Std()), DeadlineMS: millis(j.Deadline - waited),
 		Repeatable: j.Repeatable, Cancellable: j.Cancellable, Key: j.Key, KeyMade: j.KeyMade, Digest: j.Digest, Epoch: epoch,
@@ -142,105 +144,106 @@
 	return uint32(min((d+time.Millisecond-1)/time.Millisecond, 1<<32-1))
 }
 
-// claim answers a claim: the first with the grant, every other with a denial.
-func (f *flight) claim(p *agents.Peer, a once.Agent, m *wire.Claim) {
+// handleClaim answers a claim: the first one with the grant, every other with a
+// denial.
+func (f *flight) handleClaim(p *agents.Peer, a once.Agent, m *wire.Claim) {
 	if p.Leaving() && f.once.State() == once.Offered {
 		f.once.Drop(a)
 		p.Send(&wire.Deny{ID: m.ID})
-		f.forget(p)
-		f.bare()
+		f.removeOffer(p)
+		f.placeIfNotOffered()
 		return
 	}
 	switch f.once.Claim(m.ID, a) {
 	case once.Deny:
 		p.Send(&wire.Deny{ID: m.ID})
 	case once.Grant:
-		f.grant(p)
+		f.sendGrant(p)
 	}
 }
 
-func (f *flight) grant(p *agents.Peer) {
+func (f *flight) sendGrant(p *agents.Peer) {
 	j := f.job
 	err := p.Send(&wire.Grant{ID: f.once.ID(), Method: j.Method, Path: j.Path, Header: j.Header, Body: j.Body, Stream: j.Stream})
 	if err != nil {
 		f.once.Unwritten()
-		f.forget(p)
-		f.bare()
+		f.removeOffer(p)
+		f.placeIfNotOffered()
 		return
 	}
-	f.holder, f.granted, f.headed = p, f.now(), false
-	f.s.room.granted(f)
-	f.step("granted", p.Name(), "")
-	f.withdraw()
-	f.pool.tell(note{op: opGrant, f: f, agent: p.Name()})
+	f.holder, f.grantedAt, f.hasHead = p, f.now(), false
+	f.s.memory.markGranted(f)
+	f.recordStep("granted", p.Name(), "")
+	f.withdrawOffers()
+	f.pool.send(poolMessage{op: opGrant, f: f, agent: p.Name()})
 }
 
-// withdraw takes the offers back that nobody needs to claim any more.
-func (f *flight) withdraw() {
-	for _, p := range f.held.clear() {
+// withdrawOffers withdraws the offers that no agent needs to claim any more.
+func (f *flight) withdrawOffers() {
+	for _, p := range f.offeredTo.clear() {
 		if p != f.holder && f.once.Drop(p.Agent()) {
 			p.Send(&wire.Withdraw{ID: f.once.ID()})
 		}
 	}
 }
 
-func (f *flight) forget(p *agents.Peer) { f.held.remove(p) }
+func (f *flight) removeOffer(p *agents.Peer) { f.offeredTo.remove(p) }
 
-// bare places the request again once nobody holds its offer.
-func (f *flight) bare() {
-	if f.done || f.once.State() != once.Offered || len(f.once.Offers()) > 0 || f.wait == waitOffer {
+// placeIfNotOffered schedules another placement if no agent holds an offer.
+func (f *flight) placeIfNotOffered() {
+	if f.done || f.once.State() != once.Offered || len(f.once.Offers()) > 0 || f.timerReason == timerOffer {
 		return
 	}
-	f.pause()
+	f.retryLater()
 }
 
-// returned takes back what an agent gave up.
-func (f *flight) returned(p *agents.Peer, a once.Agent, m *wire.Return) {
+// handleReturn handles the return of an offer or of a grant by an agent.
+func (f *flight) handleReturn(p *agents.Peer, a once.Agent, m *wire.Return) {
 	if m.Reason == wire.ReasonFull {
 		p.MarkFull(f.now())
 	}
 	if !f.once.Return(m.ID, a) {
 		return
 	}
-	f.step("returned", p.Name(), m.Reason.String())
-	f.shed = m.Reason == wire.ReasonShed
-	f.forget(p)
+	f.recordStep("returned", p.Name(), m.Reason.String())
+	f.wasShed = m.Reason == wire.ReasonShed
+	f.removeOffer(p)
 	if m.Reason == wire.ReasonNoLease || m.Reason == wire.ReasonNotHome {
-		f.homeTries++
+		f.homeFailures++
 	}
 	if f.once.State() == once.Returned {
-		f.renew("the granted agent returned it")
+		f.startNextAttempt("the granted agent returned it")
 		return
 	}
-	f.bare()
+	f.placeIfNotOffered()
 }
 
-// renew begins another attempt of a request that may have one.
-func (f *flight) renew(why string) {
+// startNextAttempt starts another attempt of a request, if it may have one.
+func (f *flight) startNextAttempt(why string) {
 	if !f.once.MayRenew() {
 		f.finish(fault.New(fault.UnknownFate, "the answer is lost and the request may have run ("+why+"): find out before asking again"))
 		return
 	}
-	if f.s.poison.suspect(f) {
+	if f.s.poison.isSuspect(f) {
 		f.finish(fault.New(fault.UnknownFate, "the answer is lost ("+why+"), and so were others to requests like it: it may crash endpoints and is not sent again"))
 		return
 	}
-	f.pool.tell(note{op: opRetry, f: f})
-	if c := <-f.reply; c.fault != nil {
+	f.pool.send(poolMessage{op: opRetry, f: f})
+	if c := <-f.poolReply; c.fault != nil {
 		f.finish(c.fault)
 		return
 	}
-	if !f.reissue() {
+	if !f.renewID() {
 		return
 	}
-	f.fresh()
-	f.step("renewed", "", why)
-	f.pause()
+	f.resetAnswer()
+	f.recordStep("renewed", "", why)
+	f.retryLater()
 }
 
-// reissue puts the request under a fresh ID, so that no frame about an earlier
-// offer can be taken for one about the next.
-func (f *flight) reissue() bool {
+// renewID gives the request a new ID, so that no message about an earlier offer can
+// be mistaken for one about the next.
+func (f *flight) renewID() bool {
 	id, ok := nextAttempt(f.once.ID())
 	if !ok {
 		f.finish(fault.New(fault.Overloaded, "every attempt came back: ask again later").After(time.Second))
@@ -251,8 +254,8 @@
 		f.finish(fault.New(fault.UnknownFate, err.Error()))
 		return false
 	}
-	f.s.room.wait(f)
-	f.held.clear()
+	f.s.memory.markWaiting(f)
+	f.offeredTo.clear()
 	f.s.table.put(id, f)
 	return true
 }
--- a/entry/sched/pick.go
+++ b/entry/sched/pick.go
@@ -8,30 +8,30 @@
 	"lycheepond/entry/agents"
 )
 
-// pick returns up to n agents to offer f to that do not hold its offer yet.
-func (p *pool) pick(now time.Duration, f *flight, n int) []*agents.Peer {
+// pickAgents returns up to n agents to offer f to that don't hold its offer yet.
+func (p *pool) pickAgents(now time.Duration, f *flight, n int) []*agents.Peer {
 	m := p.cfg.Pool(p.name)
 	if m == nil || f.job.Key != nil {
 		return nil
 	}
-	p.cand, p.members = p.cand[:0], p.members[:0]
-	held := f.held.len() > 0
+	p.candidates, p.members = p.candidates[:0], p.members[:0]
+	held := f.offeredTo.len() > 0
 	for _, peer := range m.Peers {
-		if peer.Leaving() || held && f.held.has(peer) {
+		if peer.Leaving() || held && f.offeredTo.has(peer) {
 			continue
 		}
 		l, ok := peer.Load()
 		if !ok && !peer.Linked() {
 			continue
 		}
-		p.cand = append(p.cand, describe(now, peer, &l))
+		p.candidates = append(p.candidates, placementAgent(now, peer, &l))
 		p.members = append(p.members, peer)
 	}
-	if len(p.cand) == 0 {
+	if len(p.candidates) == 0 {
 		return nil
 	}
-	req := place.Request{Tier: f.job.Class.Tier, PromptTokens: f.est.PromptTokens, Work: f.est.Work, Prefix: f.trace.prefix}
-	p.picks = p.placer.Pick(now, req, p.cand, n, random(), p.picks[:0])
+	req := place.Request{Tier: f.job.Class.Tier, PromptTokens: f.estimate.PromptTokens, Work: f.estimate.Work, Prefix: f.trace.prefix}
+	p.picks = p.placer.Pick(now, req, p.candidates, n, random(), p.picks[:0])
 	out := make([]*agents.Peer, 0, len(p.picks))
 	for _, i := range p.picks {
 		out = append(out, p.members[i])
@@ -39,7 +39,7 @@
 	return out
 }
 
-func describe(now time.Duration, peer *agents.Peer, l *wire.Load) place.Agent {
+func placementAgent(now time.Duration, peer *agents.Peer, l *wire.Load) place.Agent {
 	return place.Agent{
 		Name: peer.Name(), Zone: peer.Zone(), InFlight: int(l.InFlight), Bound: max(1, int(l.Bound)),
 		Queued: int(l.Queued) + peer.Offered(), QueuedCost: time.Duration(l.QueuedCost) * time.Millisecond,
@@ -47,35 +47,35 @@
 	}
 }
 
-// widen offers requests that wait too long to one more agent each.
-func (p *pool) widen(now time.Duration) {
-	p.wide, p.wideF = p.wide[:0], p.wideF[:0]
-	for f, st := range p.live {
-		if st.granted || f.job.Key != nil {
+// offerLongWaits offers each request that has waited too long to one more agent.
+func (p *pool) offerLongWaits(now time.Duration) {
+	p.longWaits, p.longWaitFlights = p.longWaits[:0], p.longWaitFlights[:0]
+	for f, st := range p.requests {
+		if st.isGranted || f.job.Key != nil {
 			continue
 		}
-		p.wide = append(p.wide, place.Waiting{
-			Tier: f.job.Class.Tier, Offered: st.offered, Due: due(f.job), Agents: f.held.len(),
-			PromptTokens: f.est.PromptTokens, Prefix: f.trace.prefix,
+		p.longWaits = append(p.longWaits, place.Waiting{
+			Tier: f.job.Class.Tier, Offered: st.offeredAt, Due: targetDeadline(f.job), Agents: f.offeredTo.len(),
+			PromptTokens: f.estimate.PromptTokens, Prefix: f.trace.prefix,
 		})
-		p.wideF = append(p.wideF, f)
+		p.longWaitFlights = append(p.longWaitFlights, f)
 	}
-	if len(p.wide) == 0 {
+	if len(p.longWaits) == 0 {
 		return
 	}
-	p.picks = p.placer.Wider(now, p.wide, p.picks[:0])
-	chosen := append([]int(nil), p.picks...)
-	for _, i := range chosen {
-		f := p.wideF[i]
-		for _, peer := range p.pick(now, f, 1) {
-			p.live[f].offered = now
-			f.mail.put(event{peer: peer, kind: eventWider})
+	p.picks = p.placer.Wider(now, p.longWaits, p.picks[:0])
+	picks := append([]int(nil), p.picks...)
+	for _, i := range picks {
+		f := p.longWaitFlights[i]
+		for _, peer := range p.pickAgents(now, f, 1) {
+			p.requests[f].offeredAt = now
+			f.mailbox.put(event{peer: peer, kind: eventExtraOffer})
 		}
 	}
 }
 
-// due is when the request's target is missed, zero if never.
-func due(j *Job) time.Duration {
+// targetDeadline returns when the request's target is missed, zero if it has none.
+func targetDeadline(j *Job) time.Duration {
 	t := j.Class.Target.FirstToken.Std()
 	if t == 0 {
 		t = j.Class.Target.Complete.Std()
--- a/entry/sched/poison.go
+++ b/entry/sched/poison.go
@@ -11,30 +11,31 @@
 	"lycheepond/entry/fault"
 )
 
-// sameCrash is the time within which the runs that an endpoint's crash broke off are
-// reported to have ended.
-const sameCrash = time.Second
+// crashWindow is the time within which all attempts that one crash of an endpoint
+// broke off are reported.
+const crashWindow = time.Second
 
-// quarantine holds back requests that crash endpoints. Agents keep their names when their
-// endpoints restart, so that crashes are counted here.
+// quarantine holds back requests that crash endpoints. Agents keep their names when
+// their endpoints restart, so crashes are counted here.
 type quarantine struct {
 	mu   sync.Mutex
 	book *poison.Book
-	// crashes holds the crashes of each agent's endpoint.
-	crashes map[string]crashes
+	// crashes holds the number of crashes of each agent's endpoint.
+	crashes map[string]crashCount
 }
 
-type crashes struct {
-	n    int
-	last time.Duration
+type crashCount struct {
+	count  int
+	lastAt time.Duration
 }
 
 func newQuarantine() *quarantine {
-	return &quarantine{book: poison.New(), crashes: make(map[string]crashes)}
+	return &quarantine{book: poison.New(), crashes: make(map[string]crashCount)}
 }
 
-// fingerprint returns that of a job, zero for one with an idempotency key: a retry of it
-// asks for the recorded answer and does not run again.
+// fingerprint returns the fingerprint of a job. It is zero for a job with an
+// idempotency key, because a retry of it gets the recorded answer and doesn't run
+// again.
 func (j *Job) fingerprint() poison.Fingerprint {
 	if j.Key != nil {
 		return poison.Fingerprint{}
@@ -42,7 +43,7 @@
 	return poison.NewFingerprint(j.Method, j.Pool, j.Path, j.Customer, j.Body)
 }
 
-// admit returns a fault if the flight's request is in quarantine.
+// admit returns an error if the flight's request is in quarantine.
 func (q *quarantine) admit(f *flight) *fault.Error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -53,15 +54,16 @@
 	return fault.New(fault.Quarantined, "requests like this one crashed endpoints, so it was not run: mend the endpoint, or ask again when one is let through").After(wait)
 }
 
-// suspect reports whether retries of the flight's request are left to its caller.
-func (q *quarantine) suspect(f *flight) bool {
+// isSuspect reports whether the flight's request is suspect, so that retries are
+// left to its caller.
+func (q *quarantine) isSuspect(f *flight) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.book.Suspect(f.now(), f.fingerprint)
 }
 
-// ended records the answer that has ended at the flight's agent.
-func (q *quarantine) ended(f *flight) {
+// recordEnd records the answer that has ended at the flight's agent.
+func (q *quarantine) recordEnd(f *flight) {
 	if f.fingerprint == (poison.Fingerprint{}) {
 		return
 	}
@@ -69,29 +71,29 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	c := q.crashes[agent]
-	switch end := f.ans.End(); {
+	switch end := f.answer.End(); {
 	case end == nil:
 	case end.Whole:
-		q.book.Completed(now, f.fingerprint, start(agent, c.n+1))
+		q.book.Completed(now, f.fingerprint, startName(agent, c.count+1))
 	case end.Reason == wire.ReasonUnreachable:
-		if c.n == 0 || now-c.last > sameCrash {
-			c = crashes{c.n + 1, now}
+		if c.count == 0 || now-c.lastAt > crashWindow {
+			c = crashCount{c.count + 1, now}
 			q.crashes[agent] = c
 		}
-		q.book.RunLost(now, f.fingerprint, start(agent, c.n))
-		q.book.Crashed(now, start(agent, c.n))
+		q.book.RunLost(now, f.fingerprint, startName(agent, c.count))
+		q.book.Crashed(now, startName(agent, c.count))
 	}
 	for _, c := range q.book.Changes() {
 		logs.Quarantine(f.s.cfg.Log, c)
 	}
 }
 
-// notRun records that no endpoint has run the flight's request.
-func (q *quarantine) notRun(f *flight) {
+// recordNotRun records that no endpoint has run the flight's request.
+func (q *quarantine) recordNotRun(f *flight) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.book.NotRun(f.fingerprint)
 }
 
-// start names the n-th start of an agent's endpoint.
-func start(agent string, n int) string { return fmt.Sprint(agent, "#", n) }
+// startName returns a name for the n-th start of an agent's endpoint.
+func startName(agent string, n int) string { return fmt.Sprint(agent, "#", n) }
--- a/entry/sched/pool.go
+++ b/entry/sched/pool.go
@@ -16,114 +16,115 @@
 )
 
 const (
-	// poolRing is how many notes may wait for a pool's owner.
-	poolRing = 4096
-	// firstOffers is how many agents get a request's first offer: two, so that
-	// a stalled agent costs no more than its share of the wait.
+	// maxPoolMessages is how many messages may wait for a pool's goroutine.
+	maxPoolMessages = 4096
+	// firstOffers is how many agents a request is offered to first. With two, a
+	// stalled agent delays it only by its share of the wait.
 	firstOffers = 2
-	// tickEvery is how often a pool looks at waiting requests and its level.
-	tickEvery = 50 * time.Millisecond
-	// levelHold is how long agents keep a level that is not repeated, and
-	// levelRepeat how often it is repeated.
-	levelHold   = 2 * time.Second
-	levelRepeat = levelHold / 4
-	// noAgentAfter is how long the lowest tier waits for an agent in reach.
+	// tickInterval is how often a pool checks waiting requests and its shed level.
+	tickInterval = 50 * time.Millisecond
+	// levelHold is how long agents keep a shed level that is not repeated,
+	// levelInterval how often it is repeated.
+	levelHold     = 2 * time.Second
+	levelInterval = levelHold / 4
+	// noAgentAfter is how long the lowest tier waits for a reachable agent.
 	noAgentAfter = 2 * time.Second
 	// noAgentRetry is the Retry-After while a pool has no agent.
 	noAgentRetry = 2 * time.Second
 )
 
-// op is what a note asks of a pool's owner.
+// op is the kind of a message to a pool's goroutine.
 type op uint8
 
 const (
-	// opArrive, opAgain and opRetry are answered with a choice.
-	opArrive op = iota
-	opAgain
+	// opAdmit, opPlace and opRetry are answered with a decision.
+	opAdmit op = iota
+	opPlace
 	opRetry
 	opGrant
 	opEnd
-	// opForget: an agent was restarted.
-	opForget
+	// opAgentRestarted: an agent was restarted.
+	opAgentRestarted
 )
 
-// note is a message to a pool's owner.
-type note struct {
+// poolMessage is a message to a pool's goroutine.
+type poolMessage struct {
 	op    op
 	f     *flight
 	agent string
 	res   *Result
 }
 
-// choice is the pool's answer: a fault, or the agents to offer to.
-type choice struct {
+// decision is the pool's answer: an error, or the agents to offer the request to.
+type decision struct {
 	fault *fault.Error
 	peers []*agents.Peer
 	// wait is the predicted wait of an admitted request.
 	wait time.Duration
 }
 
-// standing is a request in the pool's books.
-type standing struct {
-	offered time.Duration
-	granted bool
-	// out is set when the request was refused after it had waited.
-	out bool
-	// agent holds the grant and was believed to have so many of the prompt's
+// requestState is the pool's state of a request.
+type requestState struct {
+	// offeredAt is when the request was last offered to an agent.
+	offeredAt time.Duration
+	isGranted bool
+	// isRefused is set if the request was refused after it had waited.
+	isRefused bool
+	// agent holds the grant. It was expected to have expectedCached of the prompt's
 	// tokens in its cache.
-	agent    string
-	believed int
+	agent          string
+	expectedCached int
 }
 
-// pool owns the decisions about one pool. Its fields but name, notes and the
-// figures for operators belong to run.
+// pool makes the decisions about one pool. Its fields belong to the goroutine of
+// run, except name, messages and the atomic figures for operators.
 type pool struct {
-	name   string
-	cfg    Config
-	notes  *ring.Ring[note]
-	shed   *shed.Pool
-	placer *place.Placer
-	cost   *cost.Model
-	budget *retry.Budget
-	// live holds every request from arrival to its end.
-	live map[*flight]*standing
-	// waiting and running count live by tier.
+	name     string
+	cfg      Config
+	messages *ring.Ring[poolMessage]
+	shed     *shed.Pool
+	placer   *place.Placer
+	cost     *cost.Model
+	budget   *retry.Budget
+	// requests holds every request from arrival to its end.
+	requests map[*flight]*requestState
+	// waiting and running count requests by tier.
 	waiting, running [spec.Tiers]int
 	level            uint8
-	levelSent        time.Duration
+	levelSentAt      time.Duration
 
-	// figures for operators.
-	queued, inflight, shown atomic.Int32
+	// Figures for operators.
+	reportedQueued, reportedInFlight, reportedLevel atomic.Int32
 
-	cand    []place.Agent
-	members []*agents.Peer
-	picks   []int
-	wide    []place.Waiting
-	wideF   []*flight
+	candidates      []place.Agent
+	members         []*agents.Peer
+	picks           []int
+	longWaits       []place.Waiting
+	longWaitFlights []*flight
 }
 
 func newPool(name string, cfg Config) *pool {
 	p := &pool{
-		name: name, cfg: cfg, notes: ring.New[note](poolRing), shed: shed.New(shed.Config{}),
+		name: name, cfg: cfg, messages: ring.New[poolMessage](maxPoolMessages), shed: shed.New(shed.Config{}),
 		placer: place.New(place.Config{Zone: cfg.Zone}), cost: cost.New(cost.Config{}),
-		budget: retry.New(retry.Config{}), live: make(map[*flight]*standing), level: spec.Tiers - 1,
+		budget: retry.New(retry.Config{}), requests: make(map[*flight]*requestState), level: spec.Tiers - 1,
 	}
-	p.shown.Store(spec.Tiers - 1)
+	p.reportedLevel.Store(spec.Tiers - 1)
 	return p
 }
 
-// tell gives a note to the owner. Callers wait when it has fallen behind,
-// which holds back the acceptance of more requests.
-func (p *pool) tell(n note) { _ = p.notes.Put(context.Background(), n) }
+// send sends a message to the pool's goroutine. It waits if that has fallen behind,
+// which delays the acceptance of more requests.
+func (p *pool) send(n poolMessage) { _ = p.messages.Put(context.Background(), n) }
 
 func (p *pool) run(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-p.notes.Items():
+		case n := <-p.messages.Items():
 			p.handle(n)
 		case <-tick.C:
 			p.tick()
@@ -131,85 +132,85 @@
 	}
 }
 
-func (p *pool) handle(n note) {
+func (p *pool) handle(n poolMessage) {
 	now := p.cfg.Now()
 	switch n.op {
-	case opArrive:
-		n.f.reply <- p.arrive(now, n.f)
-		// A level that falls because of the request is in force at once.
+	case opAdmit:
+		n.f.poolReply <- p.admit(now, n.f)
+		// A shed level that falls because of this request applies at once.
 		p.sendLevel(now)
-	case opAgain:
-		n.f.reply <- p.again(now, n.f)
+	case opPlace:
+		n.f.poolReply <- p.placeAgain(now, n.f)
 		p.sendLevel(now)
 	case opRetry:
-		n.f.reply <- p.retry(now, n.f)
+		n.f.poolReply <- p.allowRetry(now, n.f)
 	case opGrant:
-		p.grant(now, n.f, n.agent)
+		p.recordGrant(now, n.f, n.agent)
 	case opEnd:
-		p.end(now, n.f, n.res)
-	case opForget:
+		p.recordEnd(now, n.f, n.res)
+	case opAgentRestarted:
 		p.placer.Forget(n.agent)
 	}
 }
 
-// arrive decides about a new request.
-func (p *pool) arrive(now time.Duration, f *flight) choice {
+// admit decides about a new request.
+func (p *pool) admit(now time.Duration, f *flight) decision {
 	j := f.job
 	est := p.cost.Estimate(j.Class.Name, j.Customer, len(j.Prompt), j.MaxTokens)
-	f.est = est
-	wait, e := p.refuse(now, f)
+	f.estimate = est
+	wait, e := p.checkAdmission(now, f)
 	if e != nil {
-		return choice{fault: e}
+		return decision{fault: e}
 	}
 	p.budget.Earn(1)
-	p.live[f] = &standing{offered: now}
+	p.requests[f] = &requestState{offeredAt: now}
 	p.waiting[j.Class.Tier]++
 	p.shed.Arrived(now, j.Class.Tier, j.Customer, est.Work)
-	p.show()
-	return choice{peers: p.pick(now, f, firstOffers), wait: wait}
+	p.updateFigures()
+	return decision{peers: p.pickAgents(now, f, firstOffers), wait: wait}
 }
 
-// again places a request whose offers all came back or were lost. Whether it
-// is still admitted is asked again when a level sent it back, and when it came
-// back more than once.
-func (p *pool) again(now time.Duration, f *flight) choice {
-	peers := p.pick(now, f, firstOffers)
-	if len(peers) == 0 || f.retries > 1 || f.shed {
+// placeAgain places a request whose offers were all returned or lost. It checks
+// admission again if there is no agent, if a shed level caused the return or if the
+// request was retried more than once.
+func (p *pool) placeAgain(now time.Duration, f *flight) decision {
+	peers := p.pickAgents(now, f, firstOffers)
+	if len(peers) == 0 || f.retries > 1 || f.wasShed {
 		if e := p.readmit(now, f); e != nil {
-			return choice{fault: e}
+			return decision{fault: e}
 		}
 	}
-	if st := p.live[f]; st != nil {
-		st.offered = now
+	if st := p.requests[f]; st != nil {
+		st.offeredAt = now
 	}
-	return choice{peers: peers}
+	return decision{peers: peers}
 }
 
-// readmit decides about a request that is in the books. Its own work must not
-// count among what it waits for.
+// readmit checks admission again for a request in the pool's state. The request's
+// own work must not count as work ahead of it.
 func (p *pool) readmit(now time.Duration, f *flight) *fault.Error {
-	st := p.live[f]
-	if st == nil || st.granted {
-		_, e := p.refuse(now, f)
+	st := p.requests[f]
+	if st == nil || st.isGranted {
+		_, e := p.checkAdmission(now, f)
 		return e
 	}
 	j := f.job
-	p.shed.Left(now, j.Class.Tier, j.Customer, f.est.Work)
-	_, e := p.refuse(now, f)
+	p.shed.Left(now, j.Class.Tier, j.Customer, f.estimate.Work)
+	_, e := p.checkAdmission(now, f)
 	if e != nil {
-		st.out = true
+		st.isRefused = true
 		return e
 	}
-	p.shed.Arrived(now, j.Class.Tier, j.Customer, f.est.Work)
+	p.shed.Arrived(now, j.Class.Tier, j.Customer, f.estimate.Work)
 	return nil
 }
 
-// retry decides about another attempt after a grant.
-func (p *pool) retry(now time.Duration, f *flight) choice {
-	p.ungrant(now, f)
+// allowRetry decides about another attempt after a grant.
+func (p *pool) allowRetry(now time.Duration, f *flight) decision {
+	p.undoGrant(now, f)
 	if p.budget.Spend() || p.lowerServed(f.job.Class.Tier) {
-		return choice{}
+		return decision{}
 	}
 	e := fault.New(fault.Overloaded, "too many requests have to be placed again at present: ask again later")
-	return choice{fault: e.After(time.Second)}
+	return decision{fault: e.After(time.Second)}
 }
--- a/entry/sched/pool_test.go
+++ b/entry/sched/pool_test.go
@@ -15,9 +15,9 @@
 	"lycheepond/entry/agents"
 )
 
-// linked returns the members of a pool of n agents that an entry is linked to,
-// each with the load that it reported.
-func linked(tb testing.TB, n int, load wire.Load) *agents.Members {
+// linkedMembers returns the members of a pool of n agents that an entry is linked
+// to, each with the given reported load.
+func linkedMembers(tb testing.TB, n int, load wire.Load) *agents.Members {
 	tb.Helper()
 	m := new(agents.Members)
 	for i := range n {
@@ -33,15 +33,15 @@
 
 func testPool(m *agents.Members) *pool {
 	return newPool("p", Config{
-		Zone: "z0", Now: func() time.Duration { return time.Second }, Entries: func() int { return 1 },
+		Zone: "z0", Now: func() time.Duration { return time.Second }, EntryCount: func() int { return 1 },
 		Pool: func(string) *agents.Members { return m }, Log: zap.NewNop(),
 	})
 }
 
-// A higher tier may be refused only if it is certain that nothing lower is
-// served. What another entry has queued is seen through the agents' loads; an
-// agent without a link might serve anything.
-func TestLowerServed(t *testing.T) {
+// A higher tier may be refused only if certainly nothing of a lower tier is served.
+// The queues of other entries show in the agents' loads, and an agent without a
+// link might serve anything.
+func TestLowerTierServed(t *testing.T) {
 	low := uint8(1 << (spec.Tiers - 1))
 	for _, c := range []struct {
 		name   string
@@ -59,7 +59,7 @@
 		{"lowest tier", wire.Load{Running: low}, 1, spec.Tiers - 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := *linked(t, 2, c.load)
+			m := *linkedMembers(t, 2, c.load)
 			m.Beyond = c.beyond
 			if got := testPool(&m).lowerServed(c.tier); got != c.want {
 				t.Errorf("got %t", got)
@@ -68,43 +68,43 @@
 	}
 }
 
-// An entry that has granted work of a lower tier a moment ago has not yet
-// heard of it from the agent.
-func TestOwnLowerWorkCounts(t *testing.T) {
-	p := testPool(linked(t, 1, wire.Load{}))
+// An entry has just granted a request of a lower tier, and the agent's load doesn't
+// show it yet.
+func TestOwnLowerTierRequestsCount(t *testing.T) {
+	p := testPool(linkedMembers(t, 1, wire.Load{}))
 	p.running[spec.Tiers-1] = 1
 	if !p.lowerServed(0) {
-		t.Error("own running work of the lowest tier was overlooked")
+		t.Error("the entry's own running request of the lowest tier does not count")
 	}
 }
 
-// BenchmarkPlace chooses agents for a request among as many as an entry links
-// to at the target's size.
-func BenchmarkPlace(b *testing.B) {
-	p := testPool(linked(b, 115, wire.Load{Bound: 16, InFlight: 9, Queued: 3, QueuedCost: 500}))
+// BenchmarkPickAgents picks agents for a request among as many as an entry links to
+// in a fleet of the target size.
+func BenchmarkPickAgents(b *testing.B) {
+	p := testPool(linkedMembers(b, 115, wire.Load{Bound: 16, InFlight: 9, Queued: 3, QueuedCost: 500}))
 	f := &flight{job: &Job{Class: spec.Class{Tier: 1}}, trace: &Trace{prefix: place.Fingerprint(make([]byte, 4096))}}
 	b.ReportAllocs()
 	for b.Loop() {
-		p.pick(time.Second, f, firstOffers)
+		p.pickAgents(time.Second, f, firstOffers)
 	}
 }
 
-// The pool is full and nothing of a lower tier is known to run, but one agent
-// has not yet said that it takes none. Another entry's lower work may start
-// there this very moment; a caller of a higher tier that is refused now would
-// have been shed for it.
-func TestUnconfirmedLevelRefusesNothingHigher(t *testing.T) {
-	m := linked(t, 2, wire.Load{Level: 1})
+// The pool is full and no request of a lower tier is known to run, but one agent
+// has not yet confirmed that it accepts none. Another entry's request of a lower
+// tier may start there at this moment. If a request of a higher tier were refused
+// now, it would be shed while the lower one is served.
+func TestUnconfirmedLevelRefusesNoHigherTier(t *testing.T) {
+	m := linkedMembers(t, 2, wire.Load{Level: 1})
 	p := testPool(m)
 	for tier, want := range []bool{false, true, true, true} {
-		if got := p.confirmed(uint8(tier)); got != want {
+		if got := p.levelConfirmed(uint8(tier)); got != want {
 			t.Errorf("tier %d: confirmed %t", tier, got)
 		}
 	}
-	m.Peers = append(m.Peers, linked(t, 1, wire.Load{Level: spec.Tiers - 1}).Peers...)
+	m.Peers = append(m.Peers, linkedMembers(t, 1, wire.Load{Level: spec.Tiers - 1}).Peers...)
 	for tier, want := range []bool{false, false, false, true} {
-		if got := p.confirmed(uint8(tier)); got != want {
-			t.Errorf("tier %d with an agent that has not heard: confirmed %t", tier, got)
+		if got := p.levelConfirmed(uint8(tier)); got != want {
+			t.Errorf("tier %d with an agent that has not received the level: confirmed %t", tier, got)
 		}
 	}
 }
--- a/entry/sched/relay.go
+++ b/entry/sched/relay.go
@@ -10,98 +10,100 @@
 	"lycheepond/entry/fault"
 )
 
-// maxEarly bounds the pieces that may overtake the head of an answer.
-const maxEarly = 64
+// maxEarlyPieces bounds the pieces of an answer kept until its head arrives.
+const maxEarlyPieces = 64
 
-// maxWhole bounds an answer that is kept until its end.
-const maxWhole = 16 << 20
+// maxBufferedAnswer bounds the bytes of an answer that is buffered until it is
+// complete.
+const maxBufferedAnswer = 16 << 20
 
-// from reports whether an answer's frame belongs to the present attempt, and
-// notes that the holder is back.
-func (f *flight) from(p *agents.Peer) bool {
+// acceptFrom reports whether a message about the answer belongs to the current
+// attempt, and records that the holder is back.
+func (f *flight) acceptFrom(p *agents.Peer) bool {
 	if p != f.holder || f.once.State() != once.Granted {
 		return false
 	}
-	if f.wait == waitAttach {
-		f.wait = waitNothing
+	if f.timerReason == timerAttach {
+		f.timerReason = timerNone
 	}
 	f.once.Begin()
 	return true
 }
 
-func (f *flight) head(p *agents.Peer, m *wire.Head) {
-	if !f.from(p) || f.headed {
+func (f *flight) handleHead(p *agents.Peer, m *wire.Head) {
+	if !f.acceptFrom(p) || f.hasHead {
 		return
 	}
-	f.headed, f.status, f.header = true, int(m.Status), m.Header
-	early := f.early
-	f.early = nil
-	for _, e := range early {
+	f.hasHead, f.status, f.header = true, int(m.Status), m.Header
+	events := f.earlyEvents
+	f.earlyEvents = nil
+	for _, e := range events {
 		if !f.done {
-			f.react(e)
+			f.handleEvent(e)
 		}
 	}
 }
 
-// overtook keeps a piece of an answer whose head is not here yet, and reports
-// whether it did. Without the head the status of the answer is unknown, so
-// nothing of it can be passed on. What does not fit is asked for again.
-func (f *flight) overtook(e *event) bool {
-	if f.headed {
+// deferEarly keeps a piece of an answer whose head has not arrived, and reports
+// whether the head is missing. Without the head the status of the answer is
+// unknown, so no part of it can be passed on. Pieces beyond maxEarlyPieces are
+// requested again.
+func (f *flight) deferEarly(e *event) bool {
+	if f.hasHead {
 		return false
 	}
-	if len(f.early) < maxEarly {
+	if len(f.earlyEvents) < maxEarlyPieces {
 		c := *e
-		f.early = append(f.early, &c)
+		f.earlyEvents = append(f.earlyEvents, &c)
 	}
-	f.gap()
+	f.startGapTimer()
 	return true
 }
 
-func (f *flight) chunk(m *wire.Chunk) {
-	switch f.ans.Push(m.Seq, m.Data, f.pass) {
+func (f *flight) handleChunk(m *wire.Chunk) {
+	switch f.answer.Push(m.Seq, m.Data, f.handleData) {
 	case answer.Whole:
-		f.whole()
+		f.finishComplete()
 	case answer.Gap:
-		f.gap()
+		f.startGapTimer()
 	case answer.Broken:
-		f.broken()
+		f.handleBroken()
 	}
-	if f.full {
+	if f.isTooLarge {
 		f.cancel(wire.ReasonTooLong)
 		f.once.Fail()
 		f.finish(fault.New(fault.TooLarge, "the answer is larger than is kept for an answer that is not streamed: ask with stream true, or for less"))
 	}
 }
 
-// pass takes the next bytes of the answer in order.
-func (f *flight) pass(data []byte) {
+// handleData handles the next bytes of the answer in order.
+func (f *flight) handleData(data []byte) {
 	now := f.now()
-	if f.res.First == 0 {
-		f.res.First = now - f.job.Accepted
-	} else if f.last > 0 {
-		f.res.Between = max(f.res.Between, now-f.last)
-	}
-	f.last = now
-	if !f.sink.Direct || f.status >= 300 {
-		f.keep(data)
+	if f.result.FirstByte == 0 {
+		f.result.FirstByte = now - f.job.Accepted
+	} else if f.lastPieceAt > 0 {
+		f.result.LongestPause = max(f.result.LongestPause, now-f.lastPieceAt)
+	}
+	f.lastPieceAt = now
+	if !f.sink.IsStreaming || f.status >= 300 {
+		f.bufferData(data)
 		return
 	}
-	f.give()
+	f.sendHead()
 	f.sink.Data(data)
 }
 
-// keep holds the bytes back until the answer is whole.
-func (f *flight) keep(data []byte) {
-	if len(f.body)+len(data) > maxWhole {
-		f.full = true
+// bufferData keeps bytes until the answer is complete.
+func (f *flight) bufferData(data []byte) {
+	if len(f.body)+len(data) > maxBufferedAnswer {
+		f.isTooLarge = true
 		return
 	}
 	f.body = append(f.body, data...)
 }
 
-// give passes the head on; from here the answer can't be taken back.
-func (f *flight) give() {
+// sendHead sends the head to the caller. After that the answer can't be retracted.
+func (f *flight) sendHead() {
 	if f.once.Given() {
 		return
 	}
@@ -109,126 +111,127 @@
 	f.sink.Head(f.status, f.header)
 }
 
-func (f *flight) end(m *wire.End) {
-	switch f.ans.Finish(m) {
+func (f *flight) handleEnd(m *wire.End) {
+	switch f.answer.Finish(m) {
 	case answer.Whole:
-		f.whole()
+		f.finishComplete()
 	case answer.Gap:
-		f.gap()
+		f.startGapTimer()
 	case answer.Broken:
-		f.broken()
+		f.handleBroken()
 	}
 }
 
-// whole ends the request with its complete answer.
-func (f *flight) whole() {
+// finishComplete ends the request with its complete answer.
+func (f *flight) finishComplete() {
 	f.once.End()
-	f.s.poison.ended(f)
-	f.give()
+	f.s.poison.recordEnd(f)
+	f.sendHead()
 	if len(f.body) > 0 {
 		f.sink.Data(f.body)
 	}
-	f.res.Usage, f.res.Status = f.ans.End().Usage, f.status
+	f.result.Usage, f.result.Status = f.answer.End().Usage, f.status
 	f.finish(nil)
-	f.step("complete", f.holder.Name(), "")
+	f.recordStep("complete", f.holder.Name(), "")
 }
 
-// broken gives up on the present attempt's answer.
-func (f *flight) broken() {
+// handleBroken gives up the current attempt's answer.
+func (f *flight) handleBroken() {
 	why := "its answer was damaged"
-	if e := f.ans.End(); e != nil && !e.Whole {
+	if e := f.answer.End(); e != nil && !e.Whole {
 		why = "it ended with " + e.Reason.String()
 	}
-	f.s.poison.ended(f)
+	f.s.poison.recordEnd(f)
 	f.once.Fail()
-	f.renew(why)
+	f.startNextAttempt(why)
 }
 
-func (f *flight) gap() {
-	if f.wait == waitNothing {
-		f.sleep(waitGap, gapWait)
+func (f *flight) startGapTimer() {
+	if f.timerReason == timerNone {
+		f.setTimer(timerGap, gapTimeout)
 	}
 }
 
-// ask has the holder send the answer again from the first missing piece on.
-func (f *flight) ask() {
+// requestMissing asks the holder to send the answer again from the first missing
+// piece.
+func (f *flight) requestMissing() {
 	if f.once.State() != once.Granted {
 		return
 	}
-	if f.asks++; f.asks > maxAsks {
-		f.lose("pieces of its answer are missing")
+	if f.resumes++; f.resumes > maxResumes {
+		f.abandonHolder("pieces of its answer are missing")
 		return
 	}
-	f.attach()
+	f.sendAttach()
 }
 
-func (f *flight) attach() {
-	f.ans.Resume()
+func (f *flight) sendAttach() {
+	f.answer.Resume()
 	f.holder.Send(&wire.Attach{
-		ID: f.once.ID(), Next: f.ans.Next(), Stream: f.job.Stream, Agent: f.once.Holder().Incarnation,
+		ID: f.once.ID(), Next: f.answer.Next(), Stream: f.job.Stream, Agent: f.once.Holder().Incarnation,
 	})
-	f.sleep(waitAttach, f.patience())
+	f.setTimer(timerAttach, f.holderTimeout())
 }
 
-// patience is how long a lost holder is waited for.
-func (f *flight) patience() time.Duration {
+// holderTimeout returns how long to wait for a holder that is away.
+func (f *flight) holderTimeout() time.Duration {
 	if f.job.Repeatable && !f.once.Given() {
-		return repeatWait
+		return repeatableAttachTimeout
 	}
-	return attachWait
+	return attachTimeout
 }
 
-func (f *flight) linkUp(p *agents.Peer) {
+func (f *flight) handleLinkUp(p *agents.Peer) {
 	if p != f.holder || f.once.State() != once.Granted {
 		return
 	}
-	f.step("attach", p.Name(), "")
-	f.attach()
+	f.recordStep("attach", p.Name(), "")
+	f.sendAttach()
 }
 
-func (f *flight) linkDown(p *agents.Peer, a once.Agent) {
+func (f *flight) handleLinkDown(p *agents.Peer, a once.Agent) {
 	switch f.once.State() {
 	case once.Offered:
 		if f.once.Drop(a) {
-			f.step("link-lost", p.Name(), "offer dropped")
-			f.forget(p)
-			f.bare()
+			f.recordStep("link-lost", p.Name(), "offer dropped")
+			f.removeOffer(p)
+			f.placeIfNotOffered()
 		}
 	case once.Granted:
-		if p == f.holder && f.wait != waitAttach {
-			f.step("link-lost", p.Name(), "grant in doubt")
-			f.sleep(waitAttach, f.patience())
+		if p == f.holder && f.timerReason != timerAttach {
+			f.recordStep("link-lost", p.Name(), "grant in doubt")
+			f.setTimer(timerAttach, f.holderTimeout())
 		}
 	}
 }
 
-// lose gives up on the holder.
-func (f *flight) lose(why string) {
-	f.step("lost", f.holder.Name(), why)
+// abandonHolder gives up the holder.
+func (f *flight) abandonHolder(why string) {
+	f.recordStep("lost", f.holder.Name(), why)
 	f.cancel(wire.ReasonDeadline)
 	f.once.Fail()
-	f.renew(why)
+	f.startNextAttempt(why)
 }
 
-// fresh forgets the answer of an attempt that came to nothing.
-func (f *flight) fresh() {
-	f.ans = answer.Answer{}
-	f.headed, f.status, f.header, f.early, f.body = false, 0, nil, nil, f.body[:0]
-	f.holder, f.asks, f.last = nil, 0, 0
-	f.res.First, f.res.Between = 0, 0
-	f.held.clear()
+// resetAnswer discards the answer of a failed attempt.
+func (f *flight) resetAnswer() {
+	f.answer = answer.Answer{}
+	f.hasHead, f.status, f.header, f.earlyEvents, f.body = false, 0, nil, nil, f.body[:0]
+	f.holder, f.resumes, f.lastPieceAt = nil, 0, 0
+	f.result.FirstByte, f.result.LongestPause = 0, 0
+	f.offeredTo.clear()
 }
 
-// known takes a home agent's word about an idempotency key.
-func (f *flight) known(p *agents.Peer, a once.Agent, m *wire.Known) {
+// handleKnown handles the reply of a key's home that the key is already known.
+func (f *flight) handleKnown(p *agents.Peer, a once.Agent, m *wire.Known) {
 	if m.ID != f.once.ID() || f.once.State() != once.Offered {
 		return
 	}
-	f.step("known", p.Name(), "")
+	f.recordStep("known", p.Name(), "")
 	switch m.State {
 	case wire.KeyJoined:
 		if f.once.Join(m.ID, a) {
-			f.forget(p)
+			f.removeOffer(p)
 			f.holder = p
 		}
 	case wire.KeyMismatch:
--- a/entry/sched/room_test.go
+++ b/entry/sched/room_test.go
@@ -8,62 +8,62 @@
 	"lycheepond/core/wire"
 )
 
-func held(r *room, tier uint8, body int) (*flight, bool) {
-	f := &flight{job: &Job{Class: spec.Class{Tier: tier}, Body: make([]byte, body)}, mail: newMailbox()}
-	ok := r.enter(f)
+func acquire(r *memoryLimit, tier uint8, body int) (*flight, bool) {
+	f := &flight{job: &Job{Class: spec.Class{Tier: tier}, Body: make([]byte, body)}, mailbox: newMailbox()}
+	ok := r.acquire(f)
 	if ok {
-		r.wait(f)
+		r.markWaiting(f)
 	}
 	return f, ok
 }
 
-func evicted(f *flight) bool {
-	events, _ := f.mail.take(nil)
+func isEvicted(f *flight) bool {
+	events, _ := f.mailbox.take(nil)
 	return len(events) == 1 && events[0].kind == eventEvict
 }
 
-// A burst of large prompts fills the entry's memory. What waits of the lowest
-// tier is refused so that a higher tier gets in; without the bound the process
-// would end and all callers would lose their answers.
-func TestFullEntryEvictsFromTheBottom(t *testing.T) {
+// A burst of large prompts fills the entry's memory. Waiting requests of the lowest
+// tier are evicted to admit a higher tier. Without the bound the process would end
+// and all callers would lose their answers.
+func TestFullMemoryEvictsLowestTierFirst(t *testing.T) {
 	const body = 1 << 20
-	r := newRoom(4 * (body + perRequest))
-	low, _ := held(r, 3, body)
-	mid, _ := held(r, 2, body)
-	top, _ := held(r, 0, body)
-	running, _ := held(r, 3, body)
-	r.granted(running)
-	if _, ok := held(r, 3, body); ok {
-		t.Fatal("the lowest tier got in although nothing lower waits")
+	r := newMemoryLimit(4 * (body + requestOverhead))
+	low, _ := acquire(r, 3, body)
+	mid, _ := acquire(r, 2, body)
+	top, _ := acquire(r, 0, body)
+	running, _ := acquire(r, 3, body)
+	r.markGranted(running)
+	if _, ok := acquire(r, 3, body); ok {
+		t.Fatal("the lowest tier was admitted although nothing lower waits")
 	}
-	if _, ok := held(r, 1, body); !ok || !evicted(low) {
+	if _, ok := acquire(r, 1, body); !ok || !isEvicted(low) {
 		t.Fatal("the lowest tier was not evicted first")
 	}
-	if _, ok := held(r, 1, body); !ok || !evicted(mid) {
+	if _, ok := acquire(r, 1, body); !ok || !isEvicted(mid) {
 		t.Fatal("the next tier was not evicted next")
 	}
-	if _, ok := held(r, 1, body); ok || evicted(top) || evicted(running) {
-		t.Fatal("higher or running work was evicted")
+	if _, ok := acquire(r, 1, body); ok || isEvicted(top) || isEvicted(running) {
+		t.Fatal("a higher or running request was evicted")
 	}
 	for _, f := range []*flight{low, mid, running} {
-		r.leave(f)
+		r.release(f)
 	}
-	if _, ok := held(r, 3, body); !ok {
-		t.Fatal("no room after others have left")
+	if _, ok := acquire(r, 3, body); !ok {
+		t.Fatal("no memory after others have been released")
 	}
 }
 
-// A request is granted while its eviction is on the way. It runs: a caller must
-// not hear not-run of it.
+// A request is granted while its eviction is in progress. It runs, so its caller
+// must not get outcome not-run.
 func TestGrantedRequestIsNotEvicted(t *testing.T) {
-	p := testPool(linked(t, 1, wire.Load{}))
-	s := &Sched{cfg: p.cfg, room: newRoom(0), trail: newTrail(), pools: map[string]*pool{"p": p}, table: newTable()}
+	p := testPool(linkedMembers(t, 1, wire.Load{}))
+	s := &Sched{cfg: p.cfg, memory: newMemoryLimit(0), traces: newTraceLog(), pools: map[string]*pool{"p": p}, table: newTable()}
 	f := newFlight(s, &Job{ID: s.NewID(), Pool: "p", Deadline: time.Minute}, &Sink{})
 	a := p.cfg.Pool("p").Peers[0].Agent()
 	f.once.Offer(a)
 	f.once.Claim(f.once.ID(), a)
-	f.evict()
+	f.handleEviction()
 	if f.done {
-		t.Fatal("a granted request was given up as not run")
+		t.Fatal("a granted request ended as not run")
 	}
 }
--- a/entry/sched/sched.go
+++ b/entry/sched/sched.go
@@ -16,25 +16,27 @@
 	"lycheepond/entry/agents"
 )
 
-// attempts is how many IDs a request has: the last two bytes count its
-// attempts, so that the endpoint's record leads back to the request.
-const attempts = 1 << 16
+// maxAttempts is how many IDs each request has. The last two bytes of an ID count
+// the attempts, so that the endpoint's record leads back to the request.
+const maxAttempts = 1 << 16
 
-// Config is what a Sched depends on. All functions must be set.
+// Config holds the settings and callbacks of a Sched. All functions must be set
+// unless stated otherwise.
 type Config struct {
 	Incarnation uint64
 	Zone        string
 	Now         func() time.Duration
 	// Pool returns the agents of a pool, nil if there is no such pool.
 	Pool func(name string) *agents.Members
-	// Entries returns how many entries share the pools.
-	Entries func() int
-	// Home finds the agent that keeps a key; it may be nil when no pool takes
-	// keyed requests.
+	// EntryCount returns how many entries share the pools.
+	EntryCount func() int
+	// Home finds the agent that keeps a key. It may be nil if no pool takes
+	// requests with a key.
 	Home func(pool string, key []byte) (Home, error)
-	// Memory bounds the requests held at once, in bytes; zero sets no bound.
-	Memory int64
-	Log    *zap.Logger
+	// MemoryLimit bounds the memory of all requests held at once, in bytes; zero
+	// means no bound.
+	MemoryLimit int64
+	Log         *zap.Logger
 }
 
 // Home is the agent that keeps the record of an idempotency key.
@@ -43,59 +45,61 @@
 	Epoch int64
 }
 
-// Sched serves requests.
+// Sched serves requests. It is safe for concurrent use.
 type Sched struct {
-	cfg   Config
-	table *table
-	last  atomic.Uint64
-	trail *Trail
-	room  *room
+	cfg       Config
+	table     *table
+	idCounter atomic.Uint64
+	traces    *TraceLog
+	memory    *memoryLimit
 	// poison holds back requests that crash endpoints.
 	poison  *quarantine
 	running atomic.Int64
 
-	// owners counts the goroutines of pools.
-	owners sync.WaitGroup
+	// poolOwners counts the goroutines of pools.
+	poolOwners sync.WaitGroup
 
 	mu    sync.Mutex
 	pools map[string]*pool
-	// seen holds the last incarnation of each agent.
-	seen map[string]uint64
-	ctx  context.Context
+	// incarnations holds the last incarnation of each agent.
+	incarnations map[string]uint64
+	ctx          context.Context
 }
 
 // New returns a Sched that serves until ctx ends.
 func New(ctx context.Context, cfg Config) *Sched {
 	return &Sched{
-		cfg: cfg, table: newTable(), trail: newTrail(), room: newRoom(cfg.Memory), poison: newQuarantine(),
-		pools: make(map[string]*pool), seen: make(map[string]uint64), ctx: ctx,
+		cfg: cfg, table: newTable(), traces: newTraceLog(), memory: newMemoryLimit(cfg.MemoryLimit), poison: newQuarantine(),
+		pools: make(map[string]*pool), incarnations: make(map[string]uint64), ctx: ctx,
 	}
 }
 
-// Trail returns the record of recent decisions.
-func (s *Sched) Trail() *Trail { return s.trail }
+// Traces returns the log of recent traces.
+func (s *Sched) Traces() *TraceLog { return s.traces }
 
-// Wait returns when the owners of all pools have ended, after the context given
-// to New. No request may be served any more then.
-func (s *Sched) Wait() { s.owners.Wait() }
+// Wait returns when the goroutines of all pools have ended, after the context given
+// to New has. No request may be served after that.
+func (s *Sched) Wait() { s.poolOwners.Wait() }
 
 // Running returns how many requests are being served.
 func (s *Sched) Running() int { return int(s.running.Load()) }
 
-// Figures returns what the entry itself knows of a pool, without its agents.
+// Figures returns what the entry itself knows about a pool, without the agents'
+// reports.
 func (s *Sched) Figures(name string) report.Pool {
 	p := s.pool(name)
 	return report.Pool{
-		Pool: name, InFlight: int(p.inflight.Load()), Queued: int(p.queued.Load()), Level: int(p.shown.Load()),
+		Pool: name, InFlight: int(p.reportedInFlight.Load()), Queued: int(p.reportedQueued.Load()), Level: int(p.reportedLevel.Load()),
 	}
 }
 
 // NewID returns the ID of a new request.
 func (s *Sched) NewID() ident.ID {
-	return ident.Make(s.cfg.Incarnation, s.last.Add(1)*attempts)
+	return ident.Make(s.cfg.Incarnation, s.idCounter.Add(1)*maxAttempts)
 }
 
-// nextAttempt returns the ID that follows id, false when all are used.
+// nextAttempt returns the ID that follows id, or false if all IDs of the request
+// are used.
 func nextAttempt(id ident.ID) (ident.ID, bool) {
 	const low, high = ident.Size - 1, ident.Size - 2
 	if id[low]++; id[low] == 0 {
@@ -110,9 +114,9 @@
 	return id
 }
 
-// Handle takes a message of an agent. It never waits.
+// Handle passes a message from an agent to its request. It never blocks.
 func (s *Sched) Handle(p *agents.Peer, m wire.Message) {
-	id, ok := subject(m)
+	id, ok := requestID(m)
 	if !ok {
 		return
 	}
@@ -123,40 +127,41 @@
 		}
 		return
 	}
-	f.mail.put(event{peer: p, inc: p.Agent().Incarnation, msg: m})
+	f.mailbox.put(event{peer: p, incarnation: p.Agent().Incarnation, msg: m})
 }
 
-// Up tells every request that an agent is linked again.
-func (s *Sched) Up(p *agents.Peer) {
-	s.tell(p, eventUp)
-	s.forget(p)
+// LinkUp notifies every request that an agent is linked again.
+func (s *Sched) LinkUp(p *agents.Peer) {
+	s.notifyAll(p, eventLinkUp)
+	s.forgetRestarted(p)
 }
 
-// forget drops what is known of the caches of a restarted agent.
-func (s *Sched) forget(p *agents.Peer) {
+// forgetRestarted drops the cache estimates of an agent that was restarted.
+func (s *Sched) forgetRestarted(p *agents.Peer) {
 	a := p.Agent()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old, known := s.seen[a.Name]
-	s.seen[a.Name] = a.Incarnation
+	old, known := s.incarnations[a.Name]
+	s.incarnations[a.Name] = a.Incarnation
 	if !known || old == a.Incarnation {
 		return
 	}
 	for _, pool := range s.pools {
-		// A full ring costs some prefix reuse, to wait would cost the link.
-		_ = pool.notes.Offer(note{op: opForget, agent: a.Name})
+		// If the ring is full, some prefix reuse is lost; waiting would block the
+		// link.
+		_ = pool.messages.Offer(poolMessage{op: opAgentRestarted, agent: a.Name})
 	}
 }
 
-// Down tells every request that the link to an agent ended.
-func (s *Sched) Down(p *agents.Peer) { s.tell(p, eventDown) }
+// LinkDown notifies every request that the link to an agent has ended.
+func (s *Sched) LinkDown(p *agents.Peer) { s.notifyAll(p, eventLinkDown) }
 
-func (s *Sched) tell(p *agents.Peer, kind eventKind) {
-	e := event{peer: p, inc: p.Agent().Incarnation, kind: kind}
-	s.table.each(func(f *flight) { f.mail.put(e) })
+func (s *Sched) notifyAll(p *agents.Peer, kind eventKind) {
+	e := event{peer: p, incarnation: p.Agent().Incarnation, kind: kind}
+	s.table.forEach(func(f *flight) { f.mailbox.put(e) })
 }
 
-// pool returns the owner of a pool, started on first use.
+// pool returns a pool and starts its goroutine on first use.
 func (s *Sched) pool(name string) *pool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,44 +169,44 @@
 	if !ok {
 		p = newPool(name, s.cfg)
 		s.pools[name] = p
-		s.owners.Add(1)
+		s.poolOwners.Add(1)
 		go func() {
-			defer s.owners.Done()
+			defer s.poolOwners.Done()
 			p.run(s.ctx)
 		}()
 	}
 	return p
 }
 
-// Serve carries j to its end and returns how it ended. ctx ends when the
-// caller hangs up.
+// Serve carries j to its end and returns the result. ctx must end when the caller
+// hangs up.
 func (s *Sched) Serve(ctx context.Context, j *Job, sink *Sink) Result {
 	s.running.Add(1)
 	defer s.running.Add(-1)
 	f := newFlight(s, j, sink)
 	if e := s.poison.admit(f); e != nil {
 		f.finish(e)
-		return f.res
+		return f.result
 	}
-	if !s.room.enter(f) {
-		f.finish(fullEntry())
-		return f.res
+	if !s.memory.acquire(f) {
+		f.finish(memoryFull())
+		return f.result
 	}
-	defer s.room.leave(f)
-	s.room.wait(f)
+	defer s.memory.release(f)
+	s.memory.markWaiting(f)
 	s.table.put(f.once.ID(), f)
 	res := f.run(ctx)
 	s.table.drop(f.once.ID())
 	if res.Outcome == once.NotRun {
-		s.poison.notRun(f)
+		s.poison.recordNotRun(f)
 	}
 	return res
 }
 
 func random() uint64 { return rand.Uint64() }
 
-// subject returns the request that a message is about.
-func subject(m wire.Message) (ident.ID, bool) {
+// requestID returns the ID of the request that a message is about.
+func requestID(m wire.Message) (ident.ID, bool) {
 	switch m := m.(type) {
 	case *wire.Chunk:
 		return m.ID, true
--- a/entry/sched/table.go
+++ b/entry/sched/table.go
@@ -6,38 +6,40 @@
 	"lycheepond/core/ident"
 )
 
-const shards = 64
+const tableStripes = 64
 
-// table finds the request that an ID belongs to.
+// table finds the request that an ID belongs to. It is divided into stripes to
+// reduce lock contention.
 type table struct {
-	shard [shards]struct {
+	stripes [tableStripes]struct {
 		mu sync.RWMutex
-		// flights holds the present attempt of each request only, so that
-		// frames of an earlier attempt find nothing.
+		// flights holds only the current attempt of each request, so that messages
+		// about an earlier attempt find nothing.
 		flights map[ident.ID]*flight
 	}
 }
 
 func newTable() *table {
 	t := new(table)
-	for i := range t.shard {
-		t.shard[i].flights = make(map[ident.ID]*flight)
+	for i := range t.stripes {
+		t.stripes[i].flights = make(map[ident.ID]*flight)
 	}
 	return t
 }
 
-// at picks the shard by the counter's digits above the attempt number.
-func at(id ident.ID) int { return int(id[ident.Size-3]) % shards }
+// stripeOf selects the stripe by the lowest byte of the request counter above the
+// attempt number.
+func stripeOf(id ident.ID) int { return int(id[ident.Size-3]) % tableStripes }
 
 func (t *table) put(id ident.ID, f *flight) {
-	s := &t.shard[at(id)]
+	s := &t.stripes[stripeOf(id)]
 	s.mu.Lock()
 	s.flights[id] = f
 	s.mu.Unlock()
 }
 
 func (t *table) get(id ident.ID) *flight {
-	s := &t.shard[at(id)]
+	s := &t.stripes[stripeOf(id)]
 	s.mu.RLock()
 	f := s.flights[id]
 	s.mu.RUnlock()
@@ -45,15 +47,15 @@
 }
 
 func (t *table) drop(id ident.ID) {
-	s := &t.shard[at(id)]
+	s := &t.stripes[stripeOf(id)]
 	s.mu.Lock()
 	delete(s.flights, id)
 	s.mu.Unlock()
 }
 
-func (t *table) each(do func(*flight)) {
-	for i := range t.shard {
-		s := &t.shard[i]
+func (t *table) forEach(do func(*flight)) {
+	for i := range t.stripes {
+		s := &t.stripes[i]
 		s.mu.RLock()
 		for _, f := range s.flights {
 			do(f)
--- a/entry/sched/trail.go
+++ b/entry/sched/trail.go
@@ -9,35 +9,35 @@
 	"lycheepond/core/report"
 )
 
-// trailSize is how many requests can be explained.
-const trailSize = 4096
+// maxTraces is how many recent requests can be explained.
+const maxTraces = 4096
 
-// maxSteps bounds the record of one request.
+// maxSteps bounds the steps in the trace of one request.
 const maxSteps = 64
 
-// Trace is the record of the decisions about one request.
+// Trace records the decisions about one request.
 type Trace struct {
 	mu     sync.Mutex
 	view   report.Request
-	begin  time.Duration
+	start  time.Duration
 	prefix []uint64
 }
 
-// Trail is a bounded record of recent decisions. It is safe for concurrent use.
-type Trail struct {
+// TraceLog holds the traces of recent requests. It is safe for concurrent use.
+type TraceLog struct {
 	mu sync.Mutex
-	// order holds the IDs in byID from the oldest at next on.
+	// order holds the IDs in byID, with the oldest at next.
 	order []ident.ID
 	next  int
 	byID  map[ident.ID]*Trace
 }
 
-func newTrail() *Trail {
-	return &Trail{order: make([]ident.ID, trailSize), byID: make(map[ident.ID]*Trace)}
+func newTraceLog() *TraceLog {
+	return &TraceLog{order: make([]ident.ID, maxTraces), byID: make(map[ident.ID]*Trace)}
 }
 
-func (t *Trail) open(j *Job) *Trace {
-	tr := &Trace{begin: j.Accepted, view: report.Request{
+func (t *TraceLog) newTrace(j *Job) *Trace {
+	tr := &Trace{start: j.Accepted, view: report.Request{
 		ID: j.ID.String(), Pool: j.Pool, Class: j.Class.Name, Tier: j.Class.Tier, Customer: j.Customer,
 	}}
 	if j.Model != "" {
@@ -47,13 +47,13 @@
 	defer t.mu.Unlock()
 	delete(t.byID, t.order[t.next])
 	t.order[t.next] = j.ID
-	t.next = (t.next + 1) % trailSize
+	t.next = (t.next + 1) % maxTraces
 	t.byID[j.ID] = tr
 	return tr
 }
 
-// Explain returns the record of a request by the ID of any of its attempts.
-func (t *Trail) Explain(id ident.ID) (report.Request, bool) {
+// Explain returns the trace of a request by the ID of any of its attempts.
+func (t *TraceLog) Explain(id ident.ID) (report.Request, bool) {
 	t.mu.Lock()
 	tr := t.byID[rootOf(id)]
 	t.mu.Unlock()
@@ -67,21 +67,21 @@
 	return v, true
 }
 
-// step records a decision.
-func (f *flight) step(what, agent, why string) {
+// recordStep records a decision.
+func (f *flight) recordStep(what, agent, why string) {
 	t := f.trace
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.view.Steps) < maxSteps {
-		t.view.Steps = append(t.view.Steps, report.Step{AtMS: (f.now() - t.begin).Milliseconds(), What: what, Agent: agent, Why: why})
+		t.view.Steps = append(t.view.Steps, report.Step{AtMS: (f.now() - t.start).Milliseconds(), What: what, Agent: agent, Why: why})
 	}
 }
 
 func (t *Trace) close(f *flight) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.view.Outcome = f.res.Outcome.String()
-	if f.res.Fault != nil {
-		t.view.Fault = string(f.res.Fault.Kind())
+	t.view.Outcome = f.result.Outcome.String()
+	if f.result.Fault != nil {
+		t.view.Fault = string(f.result.Fault.Kind())
 	}
 }
--- a/entry/tally/tally.go
+++ b/entry/tally/tally.go
@@ -1,4 +1,5 @@
-// Package tally counts what callers received.
+// Package tally records in the metrics how requests ended and what callers
+// received.
 package tally
 
 import (
@@ -16,76 +17,77 @@
 
 // Names of the metrics.
 const (
-	nameFirst   = "entry_first_byte_ms"
-	nameTotal   = "entry_answer_ms"
-	nameBetween = "entry_longest_pause_ms"
-	nameGoodput = "entry_goodput"
-	nameOffered = "entry_requests"
-	nameOutcome = "entry_outcomes"
-	nameCached  = "entry_prompt_tokens_cached"
-	namePrompt  = "entry_prompt_tokens"
-	nameOutput  = "entry_output_tokens"
+	nameFirstByte    = "entry_first_byte_ms"
+	nameTotal        = "entry_answer_ms"
+	nameLongestPause = "entry_longest_pause_ms"
+	nameGoodput      = "entry_goodput"
+	nameRequests     = "entry_requests"
+	nameOutcome      = "entry_outcomes"
+	nameCachedTokens = "entry_prompt_tokens_cached"
+	namePromptTokens = "entry_prompt_tokens"
+	nameOutputTokens = "entry_output_tokens"
 )
 
-// Tally counts by class, customer, tier and outcome. It is safe for concurrent
-// use.
-type Tally struct {
-	meter *meter.Set
-	log   *zap.Logger
-	total *meter.Top
-	first *meter.Top
-	// byTier holds the counters of each tier.
-	byTier [spec.Tiers]tier
-	// byOutcome holds a counter for each outcome.
-	byOutcome              [3]metrics.Counter
-	prompt, cached, output metrics.Counter
+// Recorder counts requests and records their times by class, customer, tier and
+// outcome. It is safe for concurrent use.
+type Recorder struct {
+	metrics             *meter.Set
+	log                 *zap.Logger
+	totalByCustomer     *meter.Top
+	firstByteByCustomer *meter.Top
+	// tiers holds the counters of each tier.
+	tiers [spec.Tiers]tierCounters
+	// outcomes holds a counter for each outcome.
+	outcomes                                 [3]metrics.Counter
+	promptTokens, cachedTokens, outputTokens metrics.Counter
 }
 
-type tier struct{ offered, goodput metrics.Counter }
+type tierCounters struct{ requests, goodput metrics.Counter }
 
-// New returns a Tally that counts into m.
-func New(m *meter.Set, log *zap.Logger) *Tally {
-	t := &Tally{
-		meter: m, log: log, total: m.Top(nameTotal), first: m.Top(nameFirst),
-		prompt: m.Counter(namePrompt), cached: m.Counter(nameCached), output: m.Counter(nameOutput),
+// New returns a Recorder that counts into m.
+func New(m *meter.Set, log *zap.Logger) *Recorder {
+	t := &Recorder{
+		metrics: m, log: log, totalByCustomer: m.Top(nameTotal), firstByteByCustomer: m.Top(nameFirstByte),
+		promptTokens: m.Counter(namePromptTokens), cachedTokens: m.Counter(nameCachedTokens), outputTokens: m.Counter(nameOutputTokens),
 	}
-	for i := range t.byTier {
-		t.byTier[i] = tier{m.Counter(nameOffered, meter.Tier(uint8(i))), m.Counter(nameGoodput, meter.Tier(uint8(i)))}
+	for i := range t.tiers {
+		t.tiers[i] = tierCounters{m.Counter(nameRequests, meter.Tier(uint8(i))), m.Counter(nameGoodput, meter.Tier(uint8(i)))}
 	}
 	for _, o := range []once.Outcome{once.NotRun, once.Unknown, once.Complete} {
-		t.byOutcome[o] = m.Counter(nameOutcome, meter.Outcome(o.String()))
+		t.outcomes[o] = m.Counter(nameOutcome, meter.Outcome(o.String()))
 	}
 	return t
 }
 
-// Done counts one request that has ended.
-func (t *Tally) Done(j *sched.Job, res *sched.Result) {
-	t.byOutcome[res.Outcome].Inc(1)
+// RecordResult counts one request that has ended. j may be nil, or have no class,
+// if the request was refused before these were known; then only its outcome counts.
+func (t *Recorder) RecordResult(j *sched.Job, res *sched.Result) {
+	t.outcomes[res.Outcome].Inc(1)
 	if j == nil || j.Class.Name == "" {
 		return
 	}
-	n := &t.byTier[min(int(j.Class.Tier), spec.Tiers-1)]
-	n.offered.Inc(1)
+	n := &t.tiers[min(int(j.Class.Tier), spec.Tiers-1)]
+	n.requests.Inc(1)
 	if res.Fault != nil {
-		t.fault(j, res)
+		t.logFault(j, res)
 		return
 	}
-	if res.InTarget(j.Class.Target) {
+	if res.MetTarget(j.Class.Target) {
 		n.goodput.Inc(1)
 	}
-	t.prompt.Inc(int64(res.Usage.PromptTokens))
-	t.cached.Inc(int64(res.Usage.CachedTokens))
-	t.output.Inc(int64(res.Usage.OutputTokens))
+	t.promptTokens.Inc(int64(res.Usage.PromptTokens))
+	t.cachedTokens.Inc(int64(res.Usage.CachedTokens))
+	t.outputTokens.Inc(int64(res.Usage.OutputTokens))
 	class := meter.Class(j.Class.Name)
-	meter.Milliseconds(t.meter.Histogram(nameFirst, class), res.First)
-	meter.Milliseconds(t.meter.Histogram(nameTotal, class), res.Total)
-	meter.Milliseconds(t.meter.Histogram(nameBetween, class), res.Between)
-	t.first.Observe(j.Customer, int64(res.First/time.Millisecond))
-	t.total.Observe(j.Customer, int64(res.Total/time.Millisecond))
+	meter.Milliseconds(t.metrics.Histogram(nameFirstByte, class), res.FirstByte)
+	meter.Milliseconds(t.metrics.Histogram(nameTotal, class), res.Total)
+	meter.Milliseconds(t.metrics.Histogram(nameLongestPause, class), res.LongestPause)
+	t.firstByteByCustomer.Observe(j.Customer, int64(res.FirstByte/time.Millisecond))
+	t.totalByCustomer.Observe(j.Customer, int64(res.Total/time.Millisecond))
 }
 
-// fault logs a request that ended without its answer.
-func (t *Tally) fault(j *sched.Job, res *sched.Result) {
+// logFault logs a request that ended without its answer.
+func (t *Recorder) logFault(j *sched.Job, res *sched.Result) {
 	event := logs.EventRequestRefused
 	if res.Outcome == once.Unknown {
 		event = logs.EventRequestUnknown
