--- a/entry/agents/dial.go
+++ b/entry/agents/dial.go
@@ -15,35 +15,36 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// maxRedial bounds the pause between two dials, so that a healed link is
-	// back well within the time that a doubtful request is waited for.
-	maxRedial = time.Second
-	// goneLinger is how long an agent without a line in the instance list is
-	// still dialled. The list lags, and a granted request may wait there.
-	goneLinger = 15 * time.Second
+	// maxRedialPause bounds the pause between two dials, so that a link comes back
+	// well before a request in doubt is given up.
+	maxRedialPause = time.Second
+	// goneRetention is how long an agent that is no longer in the instance list is
+	// still dialled. The list may be out of date, and the agent may still hold a
+	// granted request.
+	goneRetention = 15 * time.Second
 )
 
-// errName reports an address behind which another agent answers.
-var errName = errors.New("agents: another process answers at the address of the instance list: correct the list's link address or the agent's name setting")
+// errWrongAgent reports that another agent answers at an address.
+var errWrongAgent = errors.New("agents: another process answers at the address of the instance list: correct the list's link address or the agent's name setting")
 
-// keep holds the link to p until ctx ends.
-func (s *Set) keep(ctx context.Context, p *Peer) {
-	tries := 0
+// keepLink keeps a link to p until ctx ends or p has been gone for goneRetention.
+func (s *Set) keepLink(ctx context.Context, p *Peer) {
+	failures := 0
 	for ctx.Err() == nil {
 		began := s.now()
-		err := s.session(ctx, p)
+		err := s.runLink(ctx, p)
 		if ctx.Err() != nil {
 			return
 		}
 		if s.now()-began > time.Second {
-			tries = 0
+			failures = 0
 		}
-		if p.gone.Load() && s.now()-time.Duration(p.lost.Load()) > goneLinger {
+		if p.isGone.Load() && s.now()-time.Duration(p.linkLostAt.Load()) > goneRetention {
 			return
 		}
-		s.complain(p, tries, err)
-		pause := min(retry.Backoff(tries, s.random()), maxRedial)
-		tries++
+		s.logFailure(p, failures, err)
+		pause := min(retry.Backoff(failures, s.random()), maxRedialPause)
+		failures++
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
@@ -51,17 +52,17 @@
 	}
 }
 
-// complain logs the first failure of a series and then every 32nd, so that a
-// lost agent does not fill the log.
-func (s *Set) complain(p *Peer, tries int, err error) {
-	if tries%32 != 0 {
+// logFailure logs the first failure of a series and then every 32nd, so that a lost
+// agent doesn't fill the log.
+func (s *Set) logFailure(p *Peer, failures int, err error) {
+	if failures%32 != 0 {
 		return
 	}
 	logs.Warn(s.log, logs.EventLinkLost, zap.String("agent", p.name), zap.Error(err))
 }
 
-// session is one link from dial to end.
-func (s *Set) session(ctx context.Context, p *Peer) error {
+// runLink dials p and runs the link until it ends.
+func (s *Set) runLink(ctx context.Context, p *Peer) error {
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, err := s.cfg.Dial(dialCtx, p.Instance().Link)
@@ -75,37 +76,37 @@
 	}
 	if hello.Role != wire.RoleAgent || hello.Name != p.name {
 		conn.Close()
-		return fmt.Errorf("%w: want agent %q, got %q", errName, p.name, hello.Name)
+		return fmt.Errorf("%w: want agent %q, got %q", errWrongAgent, p.name, hello.Name)
 	}
 	link := wire.New(conn, hello, wire.Config{Heartbeat: s.cfg.Heartbeat, Idle: s.cfg.Self.Idle(), Beat: s.cfg.Beat})
-	// The link counts only from the agent's first word on, which is its load.
-	// Before that a leaving agent would look as good as any other, and a
-	// request given to it would be cut off by its end.
-	heard := false
+	// The link is up only after the agent's first message, which holds its load.
+	// Before that a leaving agent would look like any other, and a request granted
+	// to it would be cut off when it ends.
+	isUp := false
 	err = link.Run(ctx, func(m wire.Message) {
-		if !heard {
-			heard = true
-			s.up(p, link, m)
+		if !isUp {
+			isUp = true
+			s.linkUp(p, link, m)
 		} else {
-			p.hear(m)
+			p.recordLoad(m)
 		}
 		s.cfg.Handle(p, m)
 	})
-	if heard {
-		s.down(p, link)
+	if isUp {
+		s.linkDown(p, link)
 	}
 	return err
 }
 
-// up puts a link into use whose agent has sent its first message.
-func (s *Set) up(p *Peer, link *wire.Link, first wire.Message) {
+// linkUp puts a link into use after the agent's first message.
+func (s *Set) linkUp(p *Peer, link *wire.Link, first wire.Message) {
 	p.Connect(link, first)
 	logs.Info(s.log, logs.EventLinkUp, zap.String("agent", p.name))
-	s.cfg.Up(p)
+	s.cfg.LinkUp(p)
 }
 
-func (s *Set) down(p *Peer, link *wire.Link) {
-	s.past.add(link.Counts())
+func (s *Set) linkDown(p *Peer, link *wire.Link) {
+	s.endedLinks.add(link.Counts())
 	p.Disconnect(s.now())
-	s.cfg.Down(p)
+	s.cfg.LinkDown(p)
 }
--- a/entry/agents/peer.go
+++ b/entry/agents/peer.go
@@ -1,4 +1,5 @@
-// Package agents keeps the entry's links to the agents beside the endpoints.
+// Package agents maintains an entry's links to the agents, which run beside the
+// endpoints.
 package agents
 
 import (
@@ -10,58 +11,59 @@
 	"lycheepond/core/wire"
 )
 
-// fullHold is how long an agent that returned an offer for want of room is
-// passed over. Its next Load tells more; without the hold the same offer would
-// bounce between entry and agent until then.
-const fullHold = 200 * time.Millisecond
+// fullPeriod is how long an agent that returned an offer because it was full is not
+// offered anything. Without it the same offer would go back and forth until the
+// agent's next Load shows its state.
+const fullPeriod = 200 * time.Millisecond
 
-// Peer is one agent that the entry links to. It is safe for concurrent use.
+// Peer is an agent that the entry links to. It is safe for concurrent use.
 type Peer struct {
 	name string
-	// inst is the last line of the instance list about the agent.
-	inst atomic.Pointer[plat.Instance]
+	// instance is the agent's last known entry in the instance list.
+	instance atomic.Pointer[plat.Instance]
 	// link is nil while there is no link.
 	link atomic.Pointer[wire.Link]
-	// load is the last load heard over the present link, nil without one.
+	// load is the last load received over the current link, nil without one.
 	load atomic.Pointer[wire.Load]
-	// inc is the incarnation behind the present or the last link.
-	inc atomic.Uint64
-	// gone is set while the instance list does not name the agent.
-	gone atomic.Bool
-	// full is until when the agent counts as full, in nanoseconds since start.
-	full atomic.Int64
-	// offered counts offers made since the last load; the agent has not
-	// counted them yet.
-	offered atomic.Int32
-	// lost is when the last link ended, in nanoseconds since start.
-	lost atomic.Int64
-	// serves is what the endpoint was last said to serve, nil if unknown.
-	serves atomic.Pointer[served]
-	stop   func()
+	// incarnation is that of the agent on the current or the last link.
+	incarnation atomic.Uint64
+	// isGone is set while the instance list doesn't name the agent.
+	isGone atomic.Bool
+	// fullUntil is until when the agent counts as full, in nanoseconds on the
+	// entry's clock.
+	fullUntil atomic.Int64
+	// uncountedOffers counts the offers sent since the last load, which doesn't
+	// include them yet.
+	uncountedOffers atomic.Int32
+	// linkLostAt is when the last link ended, in nanoseconds on the entry's clock.
+	linkLostAt atomic.Int64
+	// servedModel is what the endpoint serves as last reported, nil if unknown.
+	servedModel atomic.Pointer[modelVersion]
+	stop        func()
 }
 
-// served is a version of a model.
-type served struct{ model, version string }
+// modelVersion is a version of a model.
+type modelVersion struct{ model, version string }
 
-// NewPeer returns an agent without a link.
+// NewPeer returns a Peer without a link.
 func NewPeer(inst *plat.Instance) *Peer {
 	p := &Peer{name: inst.Name}
-	p.inst.Store(inst)
+	p.instance.Store(inst)
 	return p
 }
 
-// Connect puts a link into use; first is the first message that came over it.
+// Connect puts a link into use. first is the first message received over it.
 func (p *Peer) Connect(link *wire.Link, first wire.Message) {
-	p.inc.Store(link.Peer().Incarnation)
-	p.serves.Store(nil)
-	p.offered.Store(0)
-	p.hear(first)
+	p.incarnation.Store(link.Peer().Incarnation)
+	p.servedModel.Store(nil)
+	p.uncountedOffers.Store(0)
+	p.recordLoad(first)
 	p.link.Store(link)
 }
 
-// Disconnect notes that the link has ended.
+// Disconnect records that the link ended at now.
 func (p *Peer) Disconnect(now time.Duration) {
-	p.lost.Store(int64(now))
+	p.linkLostAt.Store(int64(now))
 	p.link.Store(nil)
 	p.load.Store(nil)
 }
@@ -69,22 +71,24 @@
 // Name returns the name of the agent's instance.
 func (p *Peer) Name() string { return p.name }
 
-// Instance returns what the instance list last said of the agent.
-func (p *Peer) Instance() plat.Instance { return *p.inst.Load() }
+// Instance returns the agent's last known entry in the instance list.
+func (p *Peer) Instance() plat.Instance { return *p.instance.Load() }
 
 // Zone returns the agent's availability zone.
-func (p *Peer) Zone() string { return p.inst.Load().Zone }
+func (p *Peer) Zone() string { return p.instance.Load().Zone }
 
-// Linked reports whether there is a link now.
-func (p *Peer) Linked() bool { return p.link.Load() != nil }
+// IsLinked reports whether there is a link now.
+func (p *Peer) IsLinked() bool { return p.link.Load() != nil }
 
-// Link returns the present link, or nil.
+// Link returns the current link, or nil.
 func (p *Peer) Link() *wire.Link { return p.link.Load() }
 
-// Agent returns the incarnation behind the present or the last link.
-func (p *Peer) Agent() once.Agent { return once.Agent{Name: p.name, Incarnation: p.inc.Load()} }
+// Agent returns the name and incarnation of the agent on the current or the last
+// link.
+func (p *Peer) Agent() once.Agent { return once.Agent{Name: p.name, Incarnation: p.incarnation.Load()} }
 
-// Load returns the last load heard over the present link.
+// Load returns the last load received over the current link, and false if there is
+// none.
 func (p *Peer) Load() (wire.Load, bool) {
 	l := p.load.Load()
 	if l == nil {
@@ -93,53 +97,55 @@
 	return *l, true
 }
 
-// Leaving reports whether the agent or the instance list, whichever spoke
-// first, says that it takes no new work.
-func (p *Peer) Leaving() bool {
-	if p.gone.Load() || p.inst.Load().State == plat.StateLeaving {
+// IsLeaving reports whether the agent accepts no new requests, according to its
+// load or to the instance list, whichever says so first.
+func (p *Peer) IsLeaving() bool {
+	if p.isGone.Load() || p.instance.Load().State == plat.StateLeaving {
 		return true
 	}
 	l := p.load.Load()
 	return l != nil && l.Leaving
 }
 
-// Full reports whether the agent returned an offer for want of room lately.
-func (p *Peer) Full(now time.Duration) bool { return p.full.Load() > int64(now) }
+// IsFull reports whether the agent recently returned an offer because it was full.
+func (p *Peer) IsFull(now time.Duration) bool { return p.fullUntil.Load() > int64(now) }
 
-// MarkFull notes such a return.
-func (p *Peer) MarkFull(now time.Duration) { p.full.Store(int64(now + fullHold)) }
+// MarkFull records such a return.
+func (p *Peer) MarkFull(now time.Duration) { p.fullUntil.Store(int64(now + fullPeriod)) }
 
-// Offered returns how many offers the agent's last load does not count yet.
-func (p *Peer) Offered() int { return int(p.offered.Load()) }
+// UncountedOffers returns how many offers the agent's last load doesn't include
+// yet.
+func (p *Peer) UncountedOffers() int { return int(p.uncountedOffers.Load()) }
 
-// Serves returns the model and version that the endpoint serves, both empty
-// while the agent has not told.
-func (p *Peer) Serves() (model, version string) {
-	if s := p.serves.Load(); s != nil {
+// ServedModel returns the model and version that the endpoint serves. Both are
+// empty until the agent has reported them.
+func (p *Peer) ServedModel() (model, version string) {
+	if s := p.servedModel.Load(); s != nil {
 		return s.model, s.version
 	}
 	return "", ""
 }
 
-// Send queues m for the agent. An error means that nothing was queued.
+// Send queues m for the agent. After an error nothing was queued.
 func (p *Peer) Send(m wire.Message) error {
 	l := p.link.Load()
 	if l == nil {
 		return wire.ErrClosed
 	}
 	if m.Kind() == wire.KindOffer {
-		p.offered.Add(1)
+		p.uncountedOffers.Add(1)
 	}
 	return l.Send(m)
 }
 
-// hear takes the load out of the messages that carry one.
-func (p *Peer) hear(m wire.Message) {
+// recordLoad records the load from messages that hold one, and the served model
+// from heartbeats.
+func (p *Peer) recordLoad(m wire.Message) {
 	switch m := m.(type) {
 	case *wire.Beat:
 		p.setLoad(&m.Load)
 		if m.Version != "" {
-			p.serves.Store(&served{m.Model, m.Version})
+			p.servedModel.Store(&modelVersion{m.Model, m.Version})
 		}
 	case *wire.Claim:
 		p.setLoad(&m.Load)
@@ -152,5 +158,5 @@
 
 func (p *Peer) setLoad(l *wire.Load) {
 	p.load.Store(l)
-	p.offered.Store(0)
+	p.uncountedOffers.Store(0)
 }
--- a/entry/agents/set.go
+++ b/entry/agents/set.go
@@ -21,7 +21,7 @@
 	Selector map[string]string
 }
 
-// Config is what a Set depends on. All functions must be set.
+// Config holds the settings and callbacks of a Set. All functions must be set.
 type Config struct {
 	Self      wire.Hello
 	Keys      func() wire.Keys
@@ -29,57 +29,60 @@
 	Beat      func() wire.Message
 	// Dial opens a connection to a link address.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
-	// Roster returns the instance list, Pools what is to be served.
+	// Roster returns the instance list, Pools the pools to serve.
 	Roster func() plat.Roster
 	Pools  func() []Pool
-	// Digest tells when Pools may have changed.
+	// Digest changes whenever Pools may have changed.
 	Digest func() uint64
-	// Choose returns the names of the agents of one pool, given as pool, that
-	// this entry links to.
-	Choose func(pool []plat.Instance, all plat.Roster) []string
-	// Handle takes each message of an agent, Up and Down the ends of a link.
-	// They are called from the link's reader and must not wait.
-	Handle   func(*Peer, wire.Message)
-	Up, Down func(*Peer)
-	Now      func() time.Duration
-	Log      *zap.Logger
+	// ChooseAgents returns the names of the agents of one pool, given as pool, to
+	// which this entry links.
+	ChooseAgents func(pool []plat.Instance, all plat.Roster) []string
+	// Handle is called for each message of an agent, LinkUp and LinkDown when a
+	// link begins and ends. They are called by the link's reader and must not
+	// block.
+	Handle           func(*Peer, wire.Message)
+	LinkUp, LinkDown func(*Peer)
+	Now              func() time.Duration
+	Log              *zap.Logger
 }
 
-// Set is all agents that an entry knows. It is safe for concurrent use.
+// Set holds the agents that an entry knows and maintains the links to them. It is
+// safe for concurrent use.
 type Set struct {
 	cfg Config
 	log *zap.Logger
 	// view is replaced as a whole by refresh.
 	view atomic.Pointer[view]
-	// roster is the version of the instance list and config the digest of the
-	// configuration that view was made from.
-	roster int64
-	config uint64
-	past   counts
-	wg     sync.WaitGroup
-	// wanted names agents to link to whether chosen or not.
-	mu     sync.Mutex
-	wanted map[string]bool
-	asked  chan struct{}
+	// rosterVersion is the version of the instance list and configDigest the digest
+	// of the configuration from which view was computed.
+	rosterVersion int64
+	configDigest  uint64
+	endedLinks    trafficCounts
+	wg            sync.WaitGroup
+	// requested holds the agents that RequestLink named. refreshNow holds a value
+	// while a new one awaits a refresh.
+	mu         sync.Mutex
+	requested  map[string]bool
+	refreshNow chan struct{}
 }
 
-// view is what the instance list and the pools come to.
+// view is the state computed from the instance list and the pools.
 type view struct {
 	peers map[string]*Peer
 	pools map[string]*Members
 }
 
-// Members is the agents of a pool at one moment.
+// Members holds the agents of a pool at one moment.
 type Members struct {
 	// Peers are the agents that the entry links to.
 	Peers []*Peer
-	// Beyond counts the live agents of the pool outside of Peers.
-	Beyond int
+	// UnlinkedLive counts the live agents of the pool that are not in Peers.
+	UnlinkedLive int
 }
 
 // New returns a Set without links.
 func New(cfg Config) *Set {
-	s := &Set{cfg: cfg, log: cfg.Log, wanted: make(map[string]bool), asked: make(chan struct{}, 1)}
+	s := &Set{cfg: cfg, log: cfg.Log, requested: make(map[string]bool), refreshNow: make(chan struct{}, 1)}
 	s.view.Store(&view{peers: map[string]*Peer{}, pools: map[string]*Members{}})
 	return s
 }
@@ -88,7 +91,7 @@
 
 func (s *Set) random() uint64 { return rand.Uint64() }
 
-// Pool returns the agents of a pool; it is nil for an unknown pool.
+// Pool returns the agents of a pool, nil if the pool is unknown.
 func (s *Set) Pool(name string) *Members { return s.view.Load().pools[name] }
 
 // Pools returns the names of all pools.
@@ -107,8 +110,8 @@
 	return p, ok
 }
 
-// Run keeps the links in step with the instance list until ctx ends. changed
-// tells that the list or the pools changed.
+// Run keeps the links up to date with the instance list until ctx ends. changed
+// must receive a value when the list or the pools change.
 func (s *Set) Run(ctx context.Context, changed <-chan struct{}) error {
 	s.refresh(ctx)
 	for {
@@ -117,84 +120,84 @@
 			s.wg.Wait()
 			return ctx.Err()
 		case <-changed:
-			// Confirmations of the keys' tables report a change every few
-			// seconds; to choose among 12,000 agents each time would not fit
-			// the budget of processor time.
-			if s.cfg.Roster().Version != s.roster || s.cfg.Digest() != s.config {
+			// Confirmations of the home tables signal a change every few seconds.
+			// Choosing among 12,000 agents each time would exceed the budget of
+			// processor time.
+			if s.cfg.Roster().Version != s.rosterVersion || s.cfg.Digest() != s.configDigest {
 				s.refresh(ctx)
 			}
-		case <-s.asked:
+		case <-s.refreshNow:
 			s.refresh(ctx)
 		}
 	}
 }
 
-// Want links to an agent outside of the chosen part, as the home of a key may
-// be.
-func (s *Set) Want(name string) {
+// RequestLink links to an agent that was not chosen, for example because it is the
+// home of a key.
+func (s *Set) RequestLink(name string) {
 	s.mu.Lock()
-	known := s.wanted[name]
-	s.wanted[name] = true
+	known := s.requested[name]
+	s.requested[name] = true
 	s.mu.Unlock()
 	if known {
 		return
 	}
 	select {
-	case s.asked <- struct{}{}:
+	case s.refreshNow <- struct{}{}:
 	default:
 	}
 }
 
-func (s *Set) wants(name string) bool {
+func (s *Set) isRequested(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.wanted[name]
+	return s.requested[name]
 }
 
-// refresh is called by Run only.
+// refresh recomputes view. Only Run calls it.
 func (s *Set) refresh(ctx context.Context) {
 	old := s.view.Load()
-	s.config = s.cfg.Digest()
+	s.configDigest = s.cfg.Digest()
 	roster := s.cfg.Roster()
-	s.roster = roster.Version
+	s.rosterVersion = roster.Version
 	pools := s.cfg.Pools()
 	next := &view{peers: make(map[string]*Peer), pools: make(map[string]*Members)}
 	for _, pool := range pools {
 		all := endpoints(pool, roster)
 		chosen := make(map[string]bool)
-		for _, name := range s.cfg.Choose(all, roster) {
+		for _, name := range s.cfg.ChooseAgents(all, roster) {
 			chosen[name] = true
 		}
 		m := new(Members)
 		for i := range all {
-			if !chosen[all[i].Name] && !s.wants(all[i].Name) {
+			if !chosen[all[i].Name] && !s.isRequested(all[i].Name) {
 				if all[i].State == plat.StateLive {
-					m.Beyond++
+					m.UnlinkedLive++
 				}
 				continue
 			}
 			p, ok := next.peers[all[i].Name]
 			if !ok {
-				p = s.take(ctx, old, &all[i])
+				p = s.updatePeer(ctx, old, &all[i])
 				next.peers[p.name] = p
 			}
 			m.Peers = append(m.Peers, p)
 		}
 		next.pools[pool.Name] = m
 	}
-	s.linger(old, next)
+	s.keepGone(old, next)
 	s.view.Store(next)
 }
 
-// linger keeps agents that dropped out of the instance list for as long as
-// they may hold granted requests.
-func (s *Set) linger(old, next *view) {
+// keepGone keeps agents that are no longer in the instance list for as long as they
+// may hold granted requests, and stops the others.
+func (s *Set) keepGone(old, next *view) {
 	for name, p := range old.peers {
 		if _, ok := next.peers[name]; ok {
 			continue
 		}
-		if p.Linked() || s.now()-time.Duration(p.lost.Load()) < goneLinger {
-			p.gone.Store(true)
+		if p.IsLinked() || s.now()-time.Duration(p.linkLostAt.Load()) < goneRetention {
+			p.isGone.Store(true)
 			next.peers[name] = p
 			continue
 		}
@@ -202,34 +205,35 @@
 	}
 }
 
-// take returns the peer for inst, with a goroutine that keeps its link.
-func (s *Set) take(ctx context.Context, old *view, inst *plat.Instance) *Peer {
+// updatePeer returns the peer for an instance and starts its link goroutine if
+// needed.
+func (s *Set) updatePeer(ctx context.Context, old *view, inst *plat.Instance) *Peer {
 	if p, ok := old.peers[inst.Name]; ok {
 		moved := p.Instance().Link != inst.Link
-		p.inst.Store(inst)
-		wasGone := p.gone.Swap(false)
-		if !moved && (!wasGone || p.Linked()) {
+		p.instance.Store(inst)
+		wasGone := p.isGone.Swap(false)
+		if !moved && (!wasGone || p.IsLinked()) {
 			return p
 		}
 		p.stop()
-		s.start(ctx, p)
+		s.startLink(ctx, p)
 		return p
 	}
 	p := NewPeer(inst)
-	s.start(ctx, p)
+	s.startLink(ctx, p)
 	return p
 }
 
-// start runs the keeper of p. stop ends it and waits, so that a peer never has
-// two links.
-func (s *Set) start(ctx context.Context, p *Peer) {
+// startLink starts the goroutine that keeps the link to p. p.stop ends it and
+// waits, so that a peer never has two links.
+func (s *Set) startLink(ctx context.Context, p *Peer) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
 		defer close(done)
-		s.keep(ctx, p)
+		s.keepLink(ctx, p)
 	}()
 	p.stop = func() {
 		cancel()
@@ -247,13 +251,13 @@
 	return out
 }
 
-// counts sums the traffic of links that have ended.
-type counts struct {
+// trafficCounts sums the traffic of links.
+type trafficCounts struct {
 	mu  sync.Mutex
 	sum wire.Counts
 }
 
-func (c *counts) add(n wire.Counts) {
+func (c *trafficCounts) add(n wire.Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sum.ControlIn += n.ControlIn
@@ -264,10 +268,10 @@
 
 // Counts returns the traffic of all links since start.
 func (s *Set) Counts() wire.Counts {
-	var total counts
-	s.past.mu.Lock()
-	total.sum = s.past.sum
-	s.past.mu.Unlock()
+	var total trafficCounts
+	s.endedLinks.mu.Lock()
+	total.sum = s.endedLinks.sum
+	s.endedLinks.mu.Unlock()
 	for _, p := range s.view.Load().peers {
 		if l := p.Link(); l != nil {
 			total.add(l.Counts())
--- a/entry/answer/answer.go
+++ b/entry/answer/answer.go
@@ -1,5 +1,5 @@
-// Package answer puts the pieces of one answer together, in order, and tells a
-// whole answer from a broken one.
+// Package answer assembles the pieces of one answer in order and checks whether it
+// is complete.
 package answer
 
 import (
@@ -8,85 +8,85 @@
 	"lycheepond/core/wire"
 )
 
-// Verdict tells how an answer stands.
+// Verdict is the state of an answer.
 type Verdict uint8
 
-// The verdicts on an answer.
+// The possible verdicts.
 const (
-	// Open: more pieces are to come.
-	Open Verdict = iota
-	// Gap: pieces are missing; ask for the answer again from Next on.
+	// Incomplete: more pieces are to come.
+	Incomplete Verdict = iota
+	// Gap: pieces are missing; request the answer again from Next on.
 	Gap
-	// Whole: every piece arrived and the sums agree.
-	Whole
-	// Broken: the answer is truncated or damaged and stays so.
+	// Complete: every piece has arrived and the checksums match.
+	Complete
+	// Broken: the answer is truncated or damaged for good.
 	Broken
 )
 
-// maxHeld is how many pieces that came too early are kept. Links are ordered,
-// so only frames that overtook each other across a broken link wait here.
-const maxHeld = 256
+// maxEarlyPieces is how many early pieces are kept. Links preserve the order, so
+// only messages that overtook each other across a broken link are early.
+const maxEarlyPieces = 256
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Answer is the state of one answer. It is owned by one goroutine.
+// Answer is the state of one answer. It must be used by one goroutine only.
 type Answer struct {
-	// next is the number of the first piece that has not been passed on.
+	// next is the number of the first piece that has not been emitted.
 	next  uint32
 	bytes uint64
 	// crc covers exactly the pieces before next.
 	crc uint32
-	// held are pieces after next; nil until the first one.
-	held map[uint32][]byte
-	end  *wire.End
+	// early holds pieces after next. It is nil until the first one.
+	early map[uint32][]byte
+	end   *wire.End
 }
 
 // Next returns the number of the first missing piece.
 func (a *Answer) Next() uint32 { return a.next }
 
-// Bytes returns how many bytes were passed on.
+// Bytes returns how many bytes have been emitted.
 func (a *Answer) Bytes() uint64 { return a.bytes }
 
-// Push takes a piece and passes on what is in order now. Pieces that were
-// passed on before are dropped.
-func (a *Answer) Push(seq uint32, data []byte, pass func([]byte)) Verdict {
+// Push adds a piece and emits the pieces that are in order now. Pieces that have
+// already been emitted are dropped.
+func (a *Answer) Push(seq uint32, data []byte, emit func([]byte)) Verdict {
 	switch {
 	case seq < a.next:
 		return a.verdict()
 	case seq > a.next:
-		return a.hold(seq, data)
+		return a.keepEarly(seq, data)
 	}
-	a.take(data, pass)
-	for len(a.held) > 0 {
-		data, ok := a.held[a.next]
+	a.accept(data, emit)
+	for len(a.early) > 0 {
+		data, ok := a.early[a.next]
 		if !ok {
 			break
 		}
-		delete(a.held, a.next)
-		a.take(data, pass)
+		delete(a.early, a.next)
+		a.accept(data, emit)
 	}
 	return a.verdict()
 }
 
-func (a *Answer) take(data []byte, pass func([]byte)) {
+func (a *Answer) accept(data []byte, emit func([]byte)) {
 	a.next++
 	a.bytes += uint64(len(data))
 	a.crc = crc32.Update(a.crc, castagnoli, data)
-	pass(data)
+	emit(data)
 }
 
-func (a *Answer) hold(seq uint32, data []byte) Verdict {
-	if len(a.held) >= maxHeld {
+func (a *Answer) keepEarly(seq uint32, data []byte) Verdict {
+	if len(a.early) >= maxEarlyPieces {
 		return Gap
 	}
-	if a.held == nil {
-		a.held = make(map[uint32][]byte)
+	if a.early == nil {
+		a.early = make(map[uint32][]byte)
 	}
-	a.held[seq] = data
+	a.early[seq] = data
 	return a.verdict()
 }
 
-// Finish takes the end of the answer. Pieces may still be missing then.
+// Finish records the end of the answer. Pieces may still be missing then.
 func (a *Answer) Finish(e *wire.End) Verdict {
 	if a.end == nil || !a.end.Whole {
 		a.end = e
@@ -94,21 +94,21 @@
 	return a.verdict()
 }
 
-// Resume forgets an end that came before its pieces; the agent is asked for
-// the rest and will end the answer again.
+// Resume discards the end and the early pieces. The agent is asked for the rest and
+// will end the answer again.
 func (a *Answer) Resume() {
 	a.end = nil
-	clear(a.held)
+	clear(a.early)
 }
 
-// End returns the end of the answer, nil while it has not arrived.
+// End returns the end of the answer, nil if it has not arrived.
 func (a *Answer) End() *wire.End { return a.end }
 
 func (a *Answer) verdict() Verdict {
 	e := a.end
 	switch {
 	case e == nil:
-		return Open
+		return Incomplete
 	case !e.Whole:
 		return Broken
 	case a.next < e.Chunks:
@@ -116,5 +116,5 @@
 	case a.next > e.Chunks, a.bytes != e.Bytes, a.crc != e.CRC:
 		return Broken
 	}
-	return Whole
+	return Complete
 }
--- a/entry/answer/answer_test.go
+++ b/entry/answer/answer_test.go
@@ -19,9 +19,9 @@
 	return e
 }
 
-// Pieces arrive twice, late and in any order, around a link that broke and
-// healed. A user would notice a garbled or shortened answer.
-func TestAnyOrderIsWhole(t *testing.T) {
+// Pieces arrive twice, late and in any order because a link broke and was restored.
+// The assembled answer must be whole and unchanged.
+func TestPiecesInAnyOrderAreAssembled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		parts := rapid.SliceOfN(rapid.SliceOf(rapid.Byte()), 1, 20).Draw(t, "parts")
 		order := rapid.Permutation(seqs(len(parts))).Draw(t, "order")
@@ -37,10 +37,10 @@
 			}
 			v = a.Push(uint32(n), parts[n], pass)
 		}
-		if v != Whole {
+		if v != Complete {
 			v = a.Finish(endOf(parts))
 		}
-		if v != Whole || !bytes.Equal(got.Bytes(), bytes.Join(parts, nil)) {
+		if v != Complete || !bytes.Equal(got.Bytes(), bytes.Join(parts, nil)) {
 			t.Fatalf("verdict %d, %d of %d bytes", v, got.Len(), len(bytes.Join(parts, nil)))
 		}
 	})
@@ -54,9 +54,9 @@
 	return out
 }
 
-// The endpoint's connection breaks and the agent sends fewer or other bytes
-// than the sums say. A user would take a part for the whole.
-func TestDamageIsNoticed(t *testing.T) {
+// The endpoint's connection breaks, and the agent sends fewer or other bytes than
+// the end says. A user would take the part for the whole answer.
+func TestDamageIsDetected(t *testing.T) {
 	parts := [][]byte{[]byte("one"), []byte("two")}
 	drop := func([]byte) {}
 	t.Run("missing", func(t *testing.T) {
--- a/entry/caller/accept.go
+++ b/entry/caller/accept.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	// maxDeadline bounds what a caller may ask for.
+	// maxDeadline bounds the deadline that a caller may request.
 	maxDeadline = time.Hour
-	// maxKey is the longest idempotency key in bytes.
-	maxKey = 255
+	// maxKeyBytes is the longest idempotency key in bytes.
+	maxKeyBytes = 255
 )
 
-// accept checks what all requests have in common and returns the job as far as
-// it is known then.
+// accept checks what all requests have in common and returns the job with the
+// fields known so far. The job is not nil, also with an error.
 func (s *Server) accept(r *http.Request) (*sched.Job, *fault.Error) {
 	j := &sched.Job{ID: s.cfg.NewID(), Accepted: s.cfg.Now(), Method: r.Method}
 	if s.cfg.Leaving() {
@@ -41,10 +41,10 @@
 		return j, fault.New(fault.BadKey, "missing or unknown key: send a valid key as Authorization: Bearer KEY")
 	}
 	j.Customer = customer.Name
-	if e := s.class(r, j, customer, key); e != nil {
+	if e := s.readClass(r, j, customer, key); e != nil {
 		return j, e
 	}
-	if e := deadline(r, j); e != nil {
+	if e := readDeadline(r, j); e != nil {
 		return j, e
 	}
 	return j, nil
@@ -59,7 +59,7 @@
 	return h[len(prefix):]
 }
 
-func (s *Server) class(r *http.Request, j *sched.Job, c spec.Customer, k spec.Key) *fault.Error {
+func (s *Server) readClass(r *http.Request, j *sched.Job, c spec.Customer, k spec.Key) *fault.Error {
 	name := r.Header.Get(headerClass)
 	if name == "" {
 		name = k.Class
@@ -75,7 +75,7 @@
 	return nil
 }
 
-func deadline(r *http.Request, j *sched.Job) *fault.Error {
+func readDeadline(r *http.Request, j *sched.Job) *fault.Error {
 	j.Deadline = j.Class.Deadline.Std()
 	if j.Deadline <= 0 {
 		j.Deadline = spec.DefaultDeadline
@@ -92,36 +92,36 @@
 	return nil
 }
 
-// marks reads the marks that forbid or allow a second run. safe tells whether
-// the request may be cancelled and repeated as far as its kind goes.
-func marks(r *http.Request, j *sched.Job, safe bool) *fault.Error {
-	mark, e := flag(r, headerNonIdempotent)
+// readIdempotency reads the headers that forbid or allow a second run. safe is set
+// if a request of this kind may be cancelled and repeated.
+func readIdempotency(r *http.Request, j *sched.Job, safe bool) *fault.Error {
+	nonIdempotent, e := readFlag(r, headerNonIdempotent)
 	if e != nil {
 		return e
 	}
-	redo, e := flag(r, headerRepeatable)
+	repeatable, e := readFlag(r, headerRepeatable)
 	if e != nil {
 		return e
 	}
-	if mark && redo {
+	if nonIdempotent && repeatable {
 		return fault.New(fault.BadRequest, "both "+headerNonIdempotent+" and "+headerRepeatable+" are set: send one of them")
 	}
-	j.Cancellable, j.Repeatable = safe && !mark, safe && redo
+	j.Cancellable, j.Repeatable = safe && !nonIdempotent, safe && repeatable
 	keys := r.Header.Values(headerKey)
 	if len(keys) == 0 {
 		return nil
 	}
 	key := keys[0]
-	if len(keys) > 1 || key == "" || len(key) > maxKey {
+	if len(keys) > 1 || key == "" || len(key) > maxKeyBytes {
 		return fault.New(fault.BadRequest, "bad "+headerKey+": send one key of 1 to 255 bytes, such as a UUIDv7")
 	}
 	sum := sha256.Sum256([]byte(j.Customer + "\x00" + key))
-	j.Key, j.KeyMade, j.Cancellable, j.Repeatable = sum[:], madeAt(key), false, false
+	j.Key, j.KeyMade, j.Cancellable, j.Repeatable = sum[:], keyMadeMS(key), false, false
 	return nil
 }
 
-// flag reads a header that is true, false or absent.
-func flag(r *http.Request, name string) (bool, *fault.Error) {
+// readFlag reads a header that is true, false or absent.
+func readFlag(r *http.Request, name string) (bool, *fault.Error) {
 	switch h := strings.ToLower(r.Header.Get(name)); h {
 	case "", "false", "0":
 		return false, nil
@@ -132,9 +132,9 @@
 	}
 }
 
-// madeAt returns when a UUIDv7 was made in Unix milliseconds, zero for any
+// keyMadeMS returns when a UUIDv7 was made, in Unix milliseconds, and zero for any
 // other key.
-func madeAt(key string) int64 {
+func keyMadeMS(key string) int64 {
 	if len(key) != 36 || key[8] != '-' || key[13] != '-' || key[14] != '7' {
 		return 0
 	}
@@ -145,7 +145,7 @@
 	return int64(binary.BigEndian.Uint64(b[:]))
 }
 
-// digest tells two requests under one key apart.
+// digest returns a hash that distinguishes two requests with the same key.
 func digest(j *sched.Job) uint64 {
 	h := sha256.New()
 	io.WriteString(h, j.Method+" "+j.Pool+" "+j.Path+"\x00")
@@ -153,32 +153,33 @@
 	return binary.BigEndian.Uint64(h.Sum(nil))
 }
 
-// patient reads a body in pieces, each of which may take callerPatience: the size of
-// a body says nothing of whether the caller still sends, but one that has stopped
-// would hold its request's goroutine for good.
-type patient struct {
+// bodyReader reads a body and sets a new read deadline of callerTimeout for each
+// maxPieceBytes. The size of a body doesn't show whether the caller is still
+// sending, but a caller that has stopped would block its request's goroutine for
+// good.
+type bodyReader struct {
 	body io.Reader
 	rc   *http.ResponseController
-	// left is what may still come under the deadline in force.
-	left int
+	// remaining is how many bytes may still arrive under the current deadline.
+	remaining int
 }
 
 // Read implements io.Reader.
-func (p *patient) Read(b []byte) (int, error) {
-	if p.left <= 0 {
-		p.left = pieceSize
-		p.rc.SetReadDeadline(time.Now().Add(callerPatience))
+func (p *bodyReader) Read(b []byte) (int, error) {
+	if p.remaining <= 0 {
+		p.remaining = maxPieceBytes
+		p.rc.SetReadDeadline(time.Now().Add(callerTimeout))
 	}
 	n, err := p.body.Read(b)
-	p.left -= n
+	p.remaining -= n
 	return n, err
 }
 
-// body reads the whole body of a request.
-func body(w http.ResponseWriter, r *http.Request) ([]byte, *fault.Error) {
+// readBody reads the whole body of a request, at most maxBodyBytes.
+func readBody(w http.ResponseWriter, r *http.Request) ([]byte, *fault.Error) {
 	rc := http.NewResponseController(w)
 	defer rc.SetReadDeadline(time.Time{})
-	data, err := io.ReadAll(&patient{body: http.MaxBytesReader(logs.Bare(w), r.Body, maxBody), rc: rc})
+	data, err := io.ReadAll(&bodyReader{body: http.MaxBytesReader(logs.Bare(w), r.Body, maxBodyBytes), rc: rc})
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -189,18 +190,18 @@
 	return data, nil
 }
 
-// dropped are headers that concern the system itself only, beside those of one
-// connection.
-var dropped = map[string]bool{
+// droppedHeaders are headers that concern only this system. They are not forwarded,
+// like those of a single connection.
+var droppedHeaders = map[string]bool{
 	"Authorization": true, "Proxy-Authorization": true, "Host": true, "X-Request-Id": true, "Expect": true, "Accept-Encoding": true,
 	headerClass: true, headerNonIdempotent: true, headerRepeatable: true, headerDeadline: true, headerID: true, headerOutcome: true,
 }
 
-// fields returns the headers to pass on.
-func fields(h http.Header) []wire.Field {
+// forwardedHeaders returns the headers to pass on.
+func forwardedHeaders(h http.Header) []wire.Field {
 	out := make([]wire.Field, 0, len(h))
 	for name, values := range heads.Forward(h) {
-		if dropped[name] {
+		if droppedHeaders[name] {
 			continue
 		}
 		for _, v := range values {
@@ -210,7 +211,7 @@
 	return out
 }
 
-// quote shortens what a caller sent for use in a message.
+// quote shortens and quotes text from a caller for use in a message.
 func quote(s string) string {
 	const limit = 64
 	if len(s) > limit {
--- a/entry/caller/accept_test.go
+++ b/entry/caller/accept_test.go
@@ -11,11 +11,11 @@
 	"lycheepond/entry/fault"
 )
 
-// A caller sends something that can't be served. It must hear what is wrong
-// and what to do, with the outcome not-run, and the entry must go on.
-func TestBadRequestsNameTheRemedy(t *testing.T) {
-	a := newStub(t, "a", serveWhole("fine"))
-	f := newFront(t, frontOptions{}, a)
+// A caller sends a request that can't be served. The answer must say what is wrong
+// and what to do, with outcome not-run, and the entry must continue to serve.
+func TestBadRequestsExplainTheRemedy(t *testing.T) {
+	a := newStub(t, "a", answerAll("fine"))
+	f := newTestEntry(t, entryOptions{}, a)
 	ok := completion(false)
 	for _, c := range []struct {
 		name, path, body string
@@ -38,13 +38,13 @@
 		{"negative deadline", "/v1/completions", ok, []string{headerDeadline, "-1s"}, 400, fault.BadRequest},
 		{"bad mark", "/v1/completions", ok, []string{headerNonIdempotent, "maybe"}, 400, fault.BadRequest},
 		{"both marks", "/v1/completions", ok, []string{headerNonIdempotent, "true", headerRepeatable, "true"}, 400, fault.BadRequest},
-		{"long key", "/services/app/x", "", []string{headerKey, strings.Repeat("k", maxKey+1)}, 400, fault.BadRequest},
-		{"too large", "/services/app/x", strings.Repeat("x", maxBody+1), nil, 413, fault.TooLarge},
+		{"long key", "/services/app/x", "", []string{headerKey, strings.Repeat("k", maxKeyBytes+1)}, 400, fault.BadRequest},
+		{"too large", "/services/app/x", strings.Repeat("x", maxBodyBytes+1), nil, 413, fault.TooLarge},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			res := f.post(t, c.path, c.body, c.header...)
 			var got faultJSON
-			if err := json.Unmarshal([]byte(text(t, res)), &got); err != nil {
+			if err := json.Unmarshal([]byte(readText(t, res)), &got); err != nil {
 				t.Fatal(err)
 			}
 			if res.StatusCode != c.status || got.Error.Type != c.kind || got.Error.Outcome != "not-run" ||
@@ -56,8 +56,8 @@
 	expect(t, f.post(t, "/v1/completions", ok), http.StatusOK, "complete", "fine")
 }
 
-// The time in a UUIDv7 decides whether a key may be older than a lost record.
-// Read wrongly, an old key would count as new and run again.
+// The time in a UUIDv7 decides whether a key may be older than a lost record. If it
+// were read wrongly, an old key would count as new and the request would run again.
 func TestKeyMadeAt(t *testing.T) {
 	for key, want := range map[string]int64{
 		"01a238da-9213-7abc-8def-0123456789ab": 0x01a238da9213,
@@ -66,18 +66,18 @@
 		"zza238da-9213-7abc-8def-0123456789ab": 0,
 		"":                                     0,
 	} {
-		if got := madeAt(key); got != want {
+		if got := keyMadeMS(key); got != want {
 			t.Errorf("%q: %d, want %d", key, got, want)
 		}
 	}
 }
 
-// A customer sends far more than its limit. It hears when to come back, and
-// one that keeps to the rate is never refused.
+// A customer that sends far more than its limit gets a Retry-After, and one that
+// keeps to the rate is never refused.
 func TestLimits(t *testing.T) {
 	l := newLimits()
 	lim := spec.Limits{RequestsPerSecond: 2, Concurrent: 3}
-	at := func(now time.Duration) (func(), *fault.Error) { return l.enter("league", lim, now) }
+	at := func(now time.Duration) (func(), *fault.Error) { return l.acquire("league", lim, now) }
 	for i := range 2 {
 		if _, e := at(0); e != nil {
 			t.Fatalf("request %d of the burst: %v", i, e)
@@ -92,24 +92,25 @@
 		t.Fatalf("after Retry-After: %v", e)
 	}
 	if _, e := at(time.Minute); e == nil {
-		t.Fatal("a fourth request at once was let in")
+		t.Fatal("a fourth concurrent request was admitted")
 	}
 	leave()
 	if _, e := at(2 * time.Minute); e != nil {
-		t.Errorf("after one has left: %v", e)
+		t.Errorf("after one has ended: %v", e)
 	}
-	if _, e := l.enter("other", spec.Limits{}, 0); e != nil || len(l.known) != 1 {
-		t.Errorf("a customer without limits: %v, %d known", e, len(l.known))
+	if _, e := l.acquire("other", spec.Limits{}, 0); e != nil || len(l.customers) != 1 {
+		t.Errorf("a customer without limits: %v, %d known", e, len(l.customers))
 	}
 }
 
-// The rest of a body that is too large is still to come on its connection, which is
-// closed. The caller is told, so that it sends nothing more there.
-func TestTooLargeEndsTheConnection(t *testing.T) {
-	f := newFront(t, frontOptions{}, newStub(t, "a", serveWhole("x")))
-	res := f.post(t, "/services/app/x", strings.Repeat("x", maxBody+1))
+// The rest of a body that is too large is still on its way when the request is
+// refused, so the connection is closed. The caller must be told, so that it sends
+// nothing more there.
+func TestTooLargeBodyClosesTheConnection(t *testing.T) {
+	f := newTestEntry(t, entryOptions{}, newStub(t, "a", answerAll("x")))
+	res := f.post(t, "/services/app/x", strings.Repeat("x", maxBodyBytes+1))
 	if !res.Close || res.StatusCode != http.StatusRequestEntityTooLarge {
-		t.Errorf("status %d, last answer %v", res.StatusCode, res.Close)
+		t.Errorf("status %d, connection closed %v", res.StatusCode, res.Close)
 	}
 	res.Body.Close()
 }
--- a/entry/caller/limits.go
+++ b/entry/caller/limits.go
@@ -8,57 +8,60 @@
 	"lycheepond/entry/fault"
 )
 
-// burstSeconds is how many seconds of its rate a customer may use at once.
+// burstSeconds is how many seconds' worth of requests a customer may send at once.
 const burstSeconds = 1.0
 
-// limits enforces customers' own limits at this entry. Customers without
-// limits leave nothing here, so it stays small.
+// limits enforces the customers' limits at this entry. It holds no state for
+// customers without limits, so it stays small.
 type limits struct {
-	mu    sync.Mutex
-	known map[string]*usage
+	mu        sync.Mutex
+	customers map[string]*usage
 }
 
 type usage struct {
-	// tokens may be spent on requests; filled is when they were last added to.
-	tokens float64
-	filled time.Duration
-	// running never exceeds the customer's Concurrent limit.
+	// tokens is the number of tokens in the customer's bucket; each request takes
+	// one. refilledAt is when tokens were last added.
+	tokens     float64
+	refilledAt time.Duration
+	// running counts the customer's requests that are being served. It never
+	// exceeds the Concurrent limit.
 	running int
 }
 
-func newLimits() *limits { return &limits{known: make(map[string]*usage)} }
+func newLimits() *limits { return &limits{customers: make(map[string]*usage)} }
 
-func nothing() {}
+func noRelease() {}
 
-// enter admits a request of a customer and returns what to call at its end.
-func (l *limits) enter(customer string, lim spec.Limits, now time.Duration) (func(), *fault.Error) {
+// acquire admits a request of a customer and returns the function to call when the
+// request has ended.
+func (l *limits) acquire(customer string, lim spec.Limits, now time.Duration) (func(), *fault.Error) {
 	if lim.RequestsPerSecond <= 0 && lim.Concurrent <= 0 {
-		return nothing, nil
+		return noRelease, nil
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	u := l.known[customer]
+	u := l.customers[customer]
 	if u == nil {
-		u = &usage{tokens: max(1, lim.RequestsPerSecond*burstSeconds), filled: now}
-		l.known[customer] = u
+		u = &usage{tokens: max(1, lim.RequestsPerSecond*burstSeconds), refilledAt: now}
+		l.customers[customer] = u
 	}
 	if lim.Concurrent > 0 && u.running >= lim.Concurrent {
 		return nil, fault.New(fault.CustomerLimit, "the customer's limit of concurrent requests is reached: wait for one to end, or ask the operator for a higher limit").After(time.Second)
 	}
-	if wait := u.spend(lim.RequestsPerSecond, now); wait > 0 {
+	if wait := u.takeToken(lim.RequestsPerSecond, now); wait > 0 {
 		return nil, fault.New(fault.CustomerLimit, "the customer's limit of requests per second is reached: send slower, or ask the operator for a higher limit").After(wait)
 	}
 	u.running++
-	return func() { l.leave(u) }, nil
+	return func() { l.release(u) }, nil
 }
 
-// spend takes a token, or returns how long until there is one.
-func (u *usage) spend(rate float64, now time.Duration) time.Duration {
+// takeToken takes a token and returns zero, or returns how long until there is one.
+func (u *usage) takeToken(rate float64, now time.Duration) time.Duration {
 	if rate <= 0 {
 		return 0
 	}
-	u.tokens = min(u.tokens+rate*(now-u.filled).Seconds(), max(1, rate*burstSeconds))
-	u.filled = now
+	u.tokens = min(u.tokens+rate*(now-u.refilledAt).Seconds(), max(1, rate*burstSeconds))
+	u.refilledAt = now
 	if u.tokens >= 1 {
 		u.tokens--
 		return 0
@@ -66,7 +69,7 @@
 	return time.Duration((1 - u.tokens) / rate * float64(time.Second))
 }
 
-func (l *limits) leave(u *usage) {
+func (l *limits) release(u *usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	u.running--
--- a/entry/caller/model.go
+++ b/entry/caller/model.go
@@ -11,9 +11,9 @@
 	"lycheepond/entry/sched"
 )
 
-// prompt is the part of a model request that the entry reads; the rest passes
-// unread.
-type prompt struct {
+// modelRequest is the part of a model request that the entry reads. The rest is
+// passed on unread.
+type modelRequest struct {
 	Model     string          `json:"model"`
 	Prompt    json.RawMessage `json:"prompt"`
 	Messages  json.RawMessage `json:"messages"`
@@ -21,8 +21,8 @@
 	Stream    bool            `json:"stream"`
 }
 
-// model serves /v1/completions and /v1/chat/completions.
-func (s *Server) model(w http.ResponseWriter, r *http.Request) {
+// handleModel serves /v1/completions and /v1/chat/completions.
+func (s *Server) handleModel(w http.ResponseWriter, r *http.Request) {
 	j, e := s.accept(r)
 	if e == nil {
 		e = s.readModel(w, r, j)
@@ -35,11 +35,11 @@
 }
 
 func (s *Server) readModel(w http.ResponseWriter, r *http.Request, j *sched.Job) *fault.Error {
-	data, e := body(w, r)
+	data, e := readBody(w, r)
 	if e != nil {
 		return e
 	}
-	var p prompt
+	var p modelRequest
 	if err := json.Unmarshal(data, &p); err != nil {
 		return fault.New(fault.BadRequest, "the body is no JSON object of a completions request ("+err.Error()+"): send model and prompt or messages")
 	}
@@ -57,8 +57,8 @@
 		return fault.New(fault.UnknownModel, "unknown model "+quote(p.Model)+": GET /v1/models lists the models")
 	}
 	j.Pool, j.Model, j.Path, j.Body, j.Prompt = p.Model, p.Model, r.URL.Path, data, text
-	j.MaxTokens, j.Stream, j.Header = p.MaxTokens, p.Stream, fields(r.Header)
-	if e := marks(r, j, true); e != nil {
+	j.MaxTokens, j.Stream, j.Header = p.MaxTokens, p.Stream, forwardedHeaders(r.Header)
+	if e := readIdempotency(r, j, true); e != nil {
 		return e
 	}
 	if j.Key != nil {
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// models lists the models.
-func (s *Server) models(w http.ResponseWriter, r *http.Request) {
+// listModels serves the list of models.
+func (s *Server) listModels(w http.ResponseWriter, r *http.Request) {
 	j, e := s.accept(r)
 	if e != nil {
 		s.refuse(w, j.ID, j, e)
@@ -92,8 +92,8 @@
 	json.NewEncoder(w).Encode(list)
 }
 
-// service serves /services/NAME/...
-func (s *Server) service(w http.ResponseWriter, r *http.Request) {
+// handleService serves /services/NAME/...
+func (s *Server) handleService(w http.ResponseWriter, r *http.Request) {
 	j, e := s.accept(r)
 	if e == nil {
 		e = s.readService(w, r, j)
@@ -105,7 +105,7 @@
 	s.serve(w, r, j)
 }
 
-// idempotentMethods are those of a service that lists none.
+// idempotentMethods are the idempotent methods of a service that lists none.
 var idempotentMethods = []string{http.MethodGet, http.MethodHead, http.MethodOptions}
 
 func (s *Server) readService(w http.ResponseWriter, r *http.Request, j *sched.Job) *fault.Error {
@@ -114,7 +114,7 @@
 	if !ok {
 		return fault.New(fault.UnknownName, "unknown service "+quote(name)+": name one that the operator has defined")
 	}
-	data, e := body(w, r)
+	data, e := readBody(w, r)
 	if e != nil {
 		return e
 	}
@@ -125,8 +125,8 @@
 	if r.URL.RawQuery != "" {
 		path += "?" + r.URL.RawQuery
 	}
-	j.Pool, j.Path, j.Body, j.Header = name, path, data, fields(r.Header)
-	if e := marks(r, j, repeatable(svc, r.Method)); e != nil {
+	j.Pool, j.Path, j.Body, j.Header = name, path, data, forwardedHeaders(r.Header)
+	if e := readIdempotency(r, j, isIdempotent(svc, r.Method)); e != nil {
 		return e
 	}
 	if j.Key != nil {
@@ -135,7 +135,7 @@
 	return nil
 }
 
-func repeatable(svc spec.Service, method string) bool {
+func isIdempotent(svc spec.Service, method string) bool {
 	if len(svc.Idempotent) == 0 {
 		return slices.Contains(idempotentMethods, method)
 	}
--- a/entry/caller/path_test.go
+++ b/entry/caller/path_test.go
@@ -15,7 +15,7 @@
 
 func stringBody(s string) io.Reader { return strings.NewReader(s) }
 
-func text(tb testing.TB, res *http.Response) string {
+func readText(tb testing.TB, res *http.Response) string {
 	tb.Helper()
 	defer res.Body.Close()
 	b, err := io.ReadAll(res.Body)
@@ -27,28 +27,28 @@
 
 func expect(tb testing.TB, res *http.Response, status int, outcome, body string) {
 	tb.Helper()
-	got := text(tb, res)
-	told := res.Header.Get(headerOutcome)
-	if told == "" {
-		told = res.Trailer.Get(headerOutcome)
+	got := readText(tb, res)
+	gotOutcome := res.Header.Get(headerOutcome)
+	if gotOutcome == "" {
+		gotOutcome = res.Trailer.Get(headerOutcome)
 	}
-	if res.StatusCode != status || told != outcome || !strings.Contains(got, body) {
-		tb.Errorf("status %d outcome %q body %q, want %d %q %q", res.StatusCode, told, got, status, outcome, body)
+	if res.StatusCode != status || gotOutcome != outcome || !strings.Contains(got, body) {
+		tb.Errorf("status %d outcome %q body %q, want %d %q %q", res.StatusCode, gotOutcome, got, status, outcome, body)
 	}
 }
 
-func TestWholeAndStreamed(t *testing.T) {
-	f := newFront(t, frontOptions{}, newStub(t, "a", serveWhole("data: one\n\n", "data: [DONE]\n\n")))
+func TestBufferedAndStreamedAnswers(t *testing.T) {
+	f := newTestEntry(t, entryOptions{}, newStub(t, "a", answerAll("data: one\n\n", "data: [DONE]\n\n")))
 	expect(t, f.post(t, "/v1/completions", completion(false)), 200, "complete", "one")
 	expect(t, f.post(t, "/v1/completions", completion(true)), 200, "complete", "[DONE]")
 	expect(t, f.post(t, "/services/app/x", "swap"), 200, "complete", "one")
 }
 
-// Two agents have room at the same moment and both claim the request. If both
-// were granted, the caller's swap would be confirmed twice.
+// Two agents have free slots at the same moment and both claim the request. If both
+// got a grant, the caller's swap would be confirmed twice.
 func TestOneGrantForTwoClaims(t *testing.T) {
-	a, b := newStub(t, "a", serveWhole("x")), newStub(t, "b", serveWhole("x"))
-	f := newFront(t, frontOptions{}, a, b)
+	a, b := newStub(t, "a", answerAll("x")), newStub(t, "b", answerAll("x"))
+	f := newTestEntry(t, entryOptions{}, a, b)
 	const n = 50
 	for range n {
 		expect(t, f.post(t, "/services/app/swap", "x"), 200, "complete", "x")
@@ -58,8 +58,8 @@
 	}
 }
 
-// The granted agent finds its endpoint's port closed and gives the request
-// back. It has not run, so it is offered again, under another ID.
+// The granted agent finds its endpoint's port closed and returns the request. It
+// has not run, so it is offered again, with a new ID.
 func TestReturnedGrantIsOfferedAgain(t *testing.T) {
 	var grants atomic.Int32
 	a := newStub(t, "a", func(_ *stub, l *wire.Link, m wire.Message) {
@@ -74,12 +74,12 @@
 			sendAnswer(l, m.ID, "done")
 		}
 	})
-	f := newFront(t, frontOptions{}, a)
+	f := newTestEntry(t, entryOptions{}, a)
 	expect(t, f.post(t, "/services/app/swap", "x"), 200, "complete", "done")
 	seen := map[string]bool{}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, m := range a.got {
+	for _, m := range a.received {
 		if g, ok := m.(*wire.Grant); ok {
 			if seen[g.ID.String()] {
 				t.Errorf("ID %s was granted twice", g.ID)
@@ -89,9 +89,9 @@
 	}
 }
 
-// The link breaks after the grant of a swap confirmation and the agent that
-// comes back does not know the request. Nobody can tell whether it ran: the
-// caller must hear unknown, and it must not be granted again.
+// The link breaks after the grant of a swap confirmation, and the agent doesn't
+// know the request when it reconnects. Whether it ran can't be known, so the caller
+// must get outcome unknown and no second grant may be sent.
 func TestLostGrantOfServiceCallIsUnknown(t *testing.T) {
 	a := newStub(t, "a", func(s *stub, l *wire.Link, m wire.Message) {
 		switch m := m.(type) {
@@ -103,16 +103,16 @@
 			l.Send(&wire.End{ID: m.ID, Reason: wire.ReasonForgotten, Load: idle})
 		}
 	})
-	f := newFront(t, frontOptions{}, a)
+	f := newTestEntry(t, entryOptions{}, a)
 	expect(t, f.post(t, "/services/app/swap", "x"), 502, "unknown", "unknown_outcome")
 	if n := a.count(wire.KindGrant); n != 1 {
 		t.Errorf("%d grants", n)
 	}
 }
 
-// The same happens to a model completion of which the caller has nothing yet
-// and which it allowed to be run again: it gets a whole answer. Without its
-// word the completion is not dispatched twice either.
+// The same happens to a model completion that the caller allowed to repeat and of
+// which it has received nothing. It must get a whole answer. Without that
+// permission a completion is not dispatched twice either.
 func TestLostGrantOfCompletionIsRepeated(t *testing.T) {
 	var grants atomic.Int32
 	a := newStub(t, "a", func(s *stub, l *wire.Link, m wire.Message) {
@@ -129,7 +129,7 @@
 			l.Send(&wire.End{ID: m.ID, Reason: wire.ReasonForgotten, Load: idle})
 		}
 	})
-	f := newFront(t, frontOptions{}, a)
+	f := newTestEntry(t, entryOptions{}, a)
 	expect(t, f.post(t, "/v1/completions", completion(false), headerRepeatable, "true"), 200, "complete", "again")
 	grants.Store(0)
 	expect(t, f.post(t, "/v1/completions", completion(false)), 502, "unknown", "")
@@ -138,8 +138,8 @@
 	}
 }
 
-// The link breaks in the middle of an answer and heals. The agent sends the
-// rest from where it is asked to; the caller notices nothing.
+// The link breaks in the middle of an answer and is restored. The agent sends the
+// rest from the requested piece on, and the caller notices nothing.
 func TestAttachContinuesTheAnswer(t *testing.T) {
 	a := newStub(t, "a", func(s *stub, l *wire.Link, m wire.Message) {
 		switch m := m.(type) {
@@ -153,16 +153,16 @@
 			sendAnswer(l, m.ID, "one ", "two ", "three")
 		}
 	})
-	f := newFront(t, frontOptions{}, a)
+	f := newTestEntry(t, entryOptions{}, a)
 	res := f.post(t, "/v1/completions", completion(true))
-	if got := text(t, res); got != "one two three" || res.Trailer.Get(headerOutcome) != "complete" {
+	if got := readText(t, res); got != "one two three" || res.Trailer.Get(headerOutcome) != "complete" {
 		t.Errorf("got %q, outcome %q", got, res.Trailer.Get(headerOutcome))
 	}
 }
 
-// Frames overtake each other: the end and a piece come before the head, and a
-// piece comes twice. The caller must get the whole answer, in order.
-func TestFramesThatOvertakeTheHead(t *testing.T) {
+// Messages arrive out of order: the end and a piece before the head, and a piece
+// twice. The caller must get the whole answer in order.
+func TestMessagesThatArriveBeforeTheHead(t *testing.T) {
 	a := newStub(t, "a", func(_ *stub, l *wire.Link, m wire.Message) {
 		switch m := m.(type) {
 		case *wire.Offer:
@@ -175,13 +175,13 @@
 			l.Send(&wire.Chunk{ID: m.ID, Seq: 0, Data: []byte("one ")})
 		}
 	})
-	f := newFront(t, frontOptions{}, a)
+	f := newTestEntry(t, entryOptions{}, a)
 	expect(t, f.post(t, "/v1/completions", completion(true)), 200, "complete", "one two")
 	expect(t, f.post(t, "/v1/completions", completion(false)), 200, "complete", "one two")
 }
 
-// The endpoint's answer is cut short after the caller has seen a part of it.
-// Without the error event the caller would take the part for the whole.
+// The endpoint's answer is cut short after the caller has received a part of it.
+// Without the error event the caller would take the part for the whole answer.
 func TestTruncatedStreamEndsWithError(t *testing.T) {
 	a := newStub(t, "a", func(_ *stub, l *wire.Link, m wire.Message) {
 		switch m := m.(type) {
@@ -193,16 +193,16 @@
 			l.Send(&wire.End{ID: m.ID, Chunks: 1, Bytes: 12, Reason: wire.ReasonBroken, Load: idle})
 		}
 	})
-	f := newFront(t, frontOptions{}, a)
+	f := newTestEntry(t, entryOptions{}, a)
 	expect(t, f.post(t, "/v1/completions", completion(true)), 200, "unknown", "event: error\ndata: {\"error\":{\"type\":\"unknown_outcome\"")
 }
 
-// An agent says that it is leaving before the instance list does. A request
-// that it is offered or granted after that would be cut off by its end.
+// An agent reports that it is leaving before the instance list does. A request
+// offered or granted to it after that would be cut off when it ends.
 func TestLeavingAgentGetsNothing(t *testing.T) {
-	a, b := newStub(t, "a", serveWhole("from a")), newStub(t, "b", serveWhole("from b"))
+	a, b := newStub(t, "a", answerAll("from a")), newStub(t, "b", answerAll("from b"))
 	a.load.Leaving = true
-	f := newFront(t, frontOptions{}, a, b)
+	f := newTestEntry(t, entryOptions{}, a, b)
 	for range 10 {
 		expect(t, f.post(t, "/v1/completions", completion(false)), 200, "complete", "from b")
 	}
@@ -211,9 +211,9 @@
 	}
 }
 
-// A keyed request goes to the home of its key, which already ran it for an
-// entry that died. The answer of that run follows, breaks off, and the caller
-// must not be told that nothing ran.
+// A request with a key is offered to the home of its key, which has already run it
+// for an entry that died. The answer of that run is relayed and breaks off. The
+// caller must not get outcome not-run.
 func TestJoinedAnswerThatBreaksIsUnknown(t *testing.T) {
 	a := newStub(t, "a", func(_ *stub, l *wire.Link, m wire.Message) {
 		if o, ok := m.(*wire.Offer); ok {
@@ -222,22 +222,22 @@
 			l.Send(&wire.End{ID: o.ID, Reason: wire.ReasonBroken})
 		}
 	})
-	f := newFront(t, frontOptions{home: homeAt("a")}, a)
+	f := newTestEntry(t, entryOptions{home: homeAt("a")}, a)
 	expect(t, f.post(t, "/services/app/swap", "x", headerKey, "k1"), 502, "unknown", "unknown_outcome")
 	if n := a.count(wire.KindGrant); n != 0 {
 		t.Errorf("%d grants", n)
 	}
 }
 
-// The home of a key has no lease, so it may not act. The caller must hear
-// not-run with a time to ask again.
+// The home of a key has no lease, so it may not act. The caller must get outcome
+// not-run with a Retry-After.
 func TestHomeWithoutLeaseRefuses(t *testing.T) {
 	a := newStub(t, "a", func(_ *stub, l *wire.Link, m wire.Message) {
 		if o, ok := m.(*wire.Offer); ok {
 			l.Send(&wire.Return{ID: o.ID, Reason: wire.ReasonNoLease, Load: idle})
 		}
 	})
-	f := newFront(t, frontOptions{home: homeAt("a")}, a)
+	f := newTestEntry(t, entryOptions{home: homeAt("a")}, a)
 	res := f.post(t, "/services/app/swap", "x", headerKey, "k1")
 	if res.Header.Get(headerRetry) == "" {
 		t.Error("no Retry-After")
@@ -245,18 +245,19 @@
 	expect(t, res, 503, "not-run", "no_home")
 }
 
-func homeAt(name string) func(*front, []byte) (sched.Home, error) {
-	return func(f *front, _ []byte) (sched.Home, error) {
+func homeAt(name string) func(*testEntry, []byte) (sched.Home, error) {
+	return func(f *testEntry, _ []byte) (sched.Home, error) {
 		p, ok := f.set.Peer(name)
-		if !ok || !p.Linked() {
+		if !ok || !p.IsLinked() {
 			return sched.Home{}, io.ErrNoProgress
 		}
 		return sched.Home{Peer: p, Epoch: 1}, nil
 	}
 }
 
-// A queue full of work sends a top request back while an agent of the pool
-// still runs work of the lowest tier. It must wait and not be refused.
+// An agent with a full queue returns a request of the top tier while an agent of
+// the pool still runs one of the lowest tier. The request must wait and not be
+// refused.
 func TestTopTierWaitsWhileLowerIsServed(t *testing.T) {
 	var offers atomic.Int32
 	busy := idle
@@ -273,6 +274,6 @@
 			sendAnswer(l, m.ID, "late but served")
 		}
 	})
-	f := newFront(t, frontOptions{}, a)
+	f := newTestEntry(t, entryOptions{}, a)
 	expect(t, f.post(t, "/v1/completions", completion(false)), 200, once.Complete.String(), "late but served")
 }
--- a/entry/caller/poison_test.go
+++ b/entry/caller/poison_test.go
@@ -7,7 +7,8 @@
 	"lycheepond/core/wire"
 )
 
-// Guards against dispatching a request for ever that crashes each endpoint which runs it.
+// A request that crashes each endpoint that runs it must not be dispatched for
+// ever.
 func TestRequestThatCrashesEndpoints(t *testing.T) {
 	crash := func(_ *stub, l *wire.Link, m wire.Message) {
 		switch m := m.(type) {
@@ -17,9 +18,9 @@
 			l.Send(&wire.End{ID: m.ID, Reason: wire.ReasonUnreachable, Load: idle})
 		}
 	}
-	// The agents report to have a crashed endpoint each time, which counts once a second.
+	// Each agent reports a crashed endpoint each time, which counts once a second.
 	stubs := []*stub{newStub(t, "a", crash), newStub(t, "b", crash), newStub(t, "c", crash), newStub(t, "d", crash)}
-	f := newFront(t, frontOptions{}, stubs...)
+	f := newTestEntry(t, entryOptions{}, stubs...)
 	grants := func() int {
 		n := 0
 		for _, s := range stubs {
--- a/entry/caller/reply.go
+++ b/entry/caller/reply.go
@@ -17,29 +17,30 @@
 )
 
 const (
-	// callerPatience is how long one write to a caller may take. A caller that
-	// stops reading would hold its request's goroutine for good.
-	callerPatience = 30 * time.Second
-	// pieceSize is the most that one write holds, and what a caller has to send in
-	// the same time: over the thinnest of lines, 1 KB a second, it takes about as
-	// long as callerPatience.
-	pieceSize = 32 << 10
-	// deadlineEvery spares a system call for most flushes.
-	deadlineEvery = time.Second
+	// callerTimeout is how long one write to a caller may take. A caller that stops
+	// reading would otherwise block its request's goroutine for good.
+	callerTimeout = 30 * time.Second
+	// maxPieceBytes is the largest single write, and how much a caller must send
+	// within callerTimeout. Over a slow connection of 1 KB a second it takes about
+	// that long.
+	maxPieceBytes = 32 << 10
+	// deadlineInterval is the shortest time between two updates of the write
+	// deadline. It saves a system call for most flushes.
+	deadlineInterval = time.Second
 )
 
-// reply writes one answer. It is owned by the goroutine that serves the caller.
+// reply writes one answer. The goroutine that serves the caller owns it.
 type reply struct {
 	server *Server
 	w      http.ResponseWriter
 	rc     *http.ResponseController
 	job    *sched.Job
-	// limit is when the write deadline was last moved.
-	limit time.Time
-	// began is when the status line was written, zero before. unread is set once
-	// the caller was found not to read.
-	began  time.Time
-	unread bool
+	// deadlineSetAt is when the write deadline was last set.
+	deadlineSetAt time.Time
+	// startedAt is when the status line was written, zero before that. isUnread is
+	// set once a write has timed out because the caller doesn't read.
+	startedAt time.Time
+	isUnread  bool
 }
 
 func newReply(w http.ResponseWriter, j *sched.Job, s *Server) *reply {
@@ -47,14 +48,14 @@
 }
 
 func (r *reply) sink() *sched.Sink {
-	return &sched.Sink{Head: r.head, Data: r.data, Flush: r.flush, IsStreaming: r.job.Stream}
+	return &sched.Sink{Head: r.writeHead, Data: r.writeData, Flush: r.flush, IsStreaming: r.job.Stream}
 }
 
-func (r *reply) head(status int, header []wire.Field) {
+func (r *reply) writeHead(status int, header []wire.Field) {
 	h := r.w.Header()
 	for _, f := range header {
 		name := http.CanonicalHeaderKey(f.Name)
-		if !dropped[name] && !heads.PerHop(name) {
+		if !droppedHeaders[name] && !heads.PerHop(name) {
 			h.Add(name, f.Value)
 		}
 	}
@@ -62,59 +63,59 @@
 	if r.job.Stream && status < http.StatusMultipleChoices {
 		h.Set("Trailer", headerOutcome)
 	} else {
-		// An answer that is not streamed is passed on only when it is whole.
+		// An answer that is not streamed is sent only when it is complete.
 		h.Set(headerOutcome, "complete")
 	}
-	r.began = time.Now()
-	r.server.last(r.w)
-	r.extend()
+	r.startedAt = time.Now()
+	r.server.closeIfLeaving(r.w)
+	r.extendDeadline()
 	r.w.WriteHeader(status)
 }
 
-// data writes a part of the answer. What is more than the server's buffer goes
-// out at once, so the deadline of an earlier write must not stand by then; and a
-// large answer is written in pieces, as its size says nothing of whether the
-// caller reads.
-func (r *reply) data(b []byte) {
-	for piece := range slices.Chunk(b, pieceSize) {
-		r.extend()
+// writeData writes a part of the answer. The server sends what exceeds its buffer
+// at once, so the deadline of an earlier write must be extended first. A large
+// answer is written in pieces, because its size doesn't show whether the caller is
+// reading.
+func (r *reply) writeData(b []byte) {
+	for piece := range slices.Chunk(b, maxPieceBytes) {
+		r.extendDeadline()
 		if _, err := r.w.Write(piece); err != nil {
-			r.failed(err)
+			r.checkError(err)
 			return
 		}
 	}
 }
 
 func (r *reply) flush() {
-	r.extend()
-	r.failed(r.rc.Flush())
+	r.extendDeadline()
+	r.checkError(r.rc.Flush())
 }
 
-// failed takes in the error of a write. Callers that hang up end their request by
-// themselves; one that does not read is given up by this entry.
-func (r *reply) failed(err error) {
-	if !r.unread && errors.Is(err, os.ErrDeadlineExceeded) {
-		r.unread = true
-		r.server.unread(r)
+// checkError handles the error of a write. A caller that hangs up ends its request
+// itself; the answer to one that doesn't read is abandoned here.
+func (r *reply) checkError(err error) {
+	if !r.isUnread && errors.Is(err, os.ErrDeadlineExceeded) {
+		r.isUnread = true
+		r.server.reportUnread(r)
 	}
 }
 
-func (r *reply) extend() {
-	if now := time.Now(); now.Sub(r.limit) > deadlineEvery {
-		r.limit = now
-		r.rc.SetWriteDeadline(now.Add(callerPatience))
+func (r *reply) extendDeadline() {
+	if now := time.Now(); now.Sub(r.deadlineSetAt) > deadlineInterval {
+		r.deadlineSetAt = now
+		r.rc.SetWriteDeadline(now.Add(callerTimeout))
 	}
 }
 
-// close writes what the answer's end demands.
+// close writes the end of the answer: the error, if there is one, and the outcome.
 func (r *reply) close(res *sched.Result) {
-	// The server writes what it holds back after the handler's return, and takes
-	// the deadline away itself then.
-	r.limit = time.Time{}
-	r.extend()
+	// The server writes its buffer after the handler has returned, and then removes
+	// the deadline itself.
+	r.deadlineSetAt = time.Time{}
+	r.extendDeadline()
 	switch {
-	case r.began.IsZero() && res.Fault != nil:
-		r.server.last(r.w)
+	case r.startedAt.IsZero() && res.Fault != nil:
+		r.server.closeIfLeaving(r.w)
 		writeFault(r.w, r.job.ID, res.Fault)
 	case res.Fault != nil:
 		r.w.Write([]byte("event: error\ndata: "))
--- a/entry/caller/slow_test.go
+++ b/entry/caller/slow_test.go
@@ -21,7 +21,7 @@
 	"lycheepond/entry/sched"
 )
 
-// pipeListener accepts what is sent to it.
+// pipeListener accepts the connections that are sent to conns.
 type pipeListener struct {
 	conns chan net.Conn
 	ctx   context.Context
@@ -47,18 +47,19 @@
 
 func (l *pipeListener) Addr() net.Addr { return new(net.TCPAddr) }
 
-// server writes the answer of a test's request.
-type server func(ctx context.Context, s *sched.Sink) sched.Result
+// answerFunc writes the answer to a test's request.
+type answerFunc func(ctx context.Context, s *sched.Sink) sched.Result
 
-// onClock asks an entry over a connection on which time is the test's: it sends one
-// request whose answer serve writes, and read has the connection from then on.
-func onClock(t *testing.T, log zapcore.Core, body string, serve server, read func(c net.Conn)) {
+// runExchange runs one exchange with an entry on the test's fake clock. It sends
+// one request with body, whose answer serve writes, and then passes the connection
+// to client.
+func runExchange(t *testing.T, log zapcore.Core, body string, serve answerFunc, client func(c net.Conn)) {
 	t.Helper()
-	overLine(t, log, body, func(c net.Conn) net.Conn { return c }, serve, read)
+	runExchangeOver(t, log, body, func(c net.Conn) net.Conn { return c }, serve, client)
 }
 
-// overLine is onClock with a line of its own to the entry.
-func overLine(t *testing.T, log zapcore.Core, body string, line func(net.Conn) net.Conn, serve server, read func(c net.Conn)) {
+// runExchangeOver is runExchange with a connection to the entry that wrap returns.
+func runExchangeOver(t *testing.T, log zapcore.Core, body string, wrap func(net.Conn) net.Conn, serve answerFunc, client func(c net.Conn)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		st := store.New()
@@ -68,39 +69,40 @@
 		server := &http.Server{Handler: New(Config{
 			Store: st, NewID: func() ident.ID { return ident.Make(1, 1) }, Now: func() time.Duration { return time.Since(start) },
 			Serve: func(ctx context.Context, _ *sched.Job, s *sched.Sink) sched.Result { return serve(ctx, s) },
-			Ready: yes, Leaving: no, Done: func(*sched.Job, *sched.Result) {}, Metrics: http.NotFoundHandler(), Panicked: func() {}, Unread: func() {}, Log: zap.New(log),
+			Ready: yes, Leaving: no, OnResult: func(*sched.Job, *sched.Result) {}, Metrics: http.NotFoundHandler(), OnPanic: func() {}, OnUnread: func() {}, Log: zap.New(log),
 		})}
 		ln := newPipeListener()
 		ended := make(chan error, 1)
 		go func() { ended <- server.Serve(ln) }()
 		near, far := net.Pipe()
-		ln.conns <- line(far)
+		ln.conns <- wrap(far)
 		req, err := http.NewRequest(http.MethodPost, "http://entry/v1/completions", strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
 		req.Header.Set("Authorization", "Bearer "+stubKey)
-		// What is refused before its end need not be sent to its end.
+		// A request that is refused early need not be sent to its end.
 		sent := make(chan error, 1)
 		go func() { sent <- req.Write(near) }()
-		read(near)
+		client(near)
 		near.Close()
 		<-sent
 		server.Close()
 		<-ended
-		// A connection with the rest of a refused request lingers for half a second.
+		// The server keeps a connection with the rest of a refused request open for
+		// half a second.
 		time.Sleep(time.Second)
 	})
 }
 
-// answerOf reads an answer to its end.
-func answerOf(t *testing.T, r io.Reader) string {
+// readAnswer reads an answer to its end.
+func readAnswer(t *testing.T, r io.Reader) string {
 	t.Helper()
-	_, body := answerAndHead(t, r)
+	_, body := readResponse(t, r)
 	return body
 }
 
-func answerAndHead(t *testing.T, r io.Reader) (*http.Response, string) {
+func readResponse(t *testing.T, r io.Reader) (*http.Response, string) {
 	t.Helper()
 	res, err := http.ReadResponse(bufio.NewReader(r), nil)
 	if err != nil {
@@ -118,13 +120,12 @@
 	return []wire.Field{{Name: "Content-Type", Value: "text/event-stream"}}
 }
 
-// A model thinks for longer than a caller may take to read, and then sends much
-// at once, more than the server's buffer holds. The caller reads all the time and
-// gets the whole answer. With the deadline set only by flushes, the one of the
-// first event still stood when the second was written: "the answer broke off
-// after 11 bytes: unexpected EOF", 11 of 16403.
-func TestStreamOutlastsAPause(t *testing.T) {
-	const pause = callerPatience + 10*time.Second
+// A model computes for longer than callerTimeout and then sends more at once than
+// the server's buffer holds. The caller reads all the time and must get the whole
+// answer. When only flushes set the deadline, that of the first event still applied
+// to the second write, and the caller got 11 of 16403 bytes.
+func TestStreamContinuesAfterALongPause(t *testing.T) {
+	const pause = callerTimeout + 10*time.Second
 	big := "data: " + strings.Repeat("x", 16<<10) + "\n\n"
 	serve := func(_ context.Context, s *sched.Sink) sched.Result {
 		s.Head(http.StatusOK, okHead())
@@ -135,22 +136,22 @@
 		s.Flush()
 		return sched.Result{Outcome: once.Complete, Status: http.StatusOK}
 	}
-	onClock(t, zapcore.NewNopCore(), completion(true), serve, func(c net.Conn) {
-		if got := answerOf(t, c); got != "data: one\n\n"+big {
+	runExchange(t, zapcore.NewNopCore(), completion(true), serve, func(c net.Conn) {
+		if got := readAnswer(t, c); got != "data: one\n\n"+big {
 			t.Errorf("%d bytes, want %d", len(got), len(big)+len("data: one\n\n"))
 		}
 	})
 }
 
-// A caller on a thin line reads a large answer steadily, without ever stopping,
-// for longer than one write may take. It gets the whole answer. Written at once
-// under one deadline it ended with its caller still reading: "the answer broke
-// off after 1399916 bytes: unexpected EOF", of 4194304.
-func TestSteadyReaderGetsAll(t *testing.T) {
+// A caller on a slow connection reads a large answer steadily for longer than one
+// write may take. It must get the whole answer. When the answer was written at once
+// under one deadline, it broke off after 1399916 of 4194304 bytes while the caller
+// was still reading.
+func TestSlowSteadyReaderGetsWholeAnswer(t *testing.T) {
 	const (
 		size = 4 << 20
-		// perSecond takes three times callerPatience for the whole answer.
-		perSecond = size / (3 * int(callerPatience/time.Second))
+		// bytesPerSecond takes three times callerTimeout for the whole answer.
+		bytesPerSecond = size / (3 * int(callerTimeout/time.Second))
 	)
 	body := strings.Repeat("x", size)
 	serve := func(_ context.Context, s *sched.Sink) sched.Result {
@@ -158,61 +159,61 @@
 		s.Data([]byte(body))
 		return sched.Result{Outcome: once.Complete, Status: http.StatusOK}
 	}
-	onClock(t, zapcore.NewNopCore(), completion(false), serve, func(c net.Conn) {
-		if got := answerOf(t, &thinLine{c, perSecond}); got != body {
+	runExchange(t, zapcore.NewNopCore(), completion(false), serve, func(c net.Conn) {
+		if got := readAnswer(t, &slowReader{c, bytesPerSecond}); got != body {
 			t.Errorf("%d bytes, want %d", len(got), size)
 		}
 	})
 }
 
-// thinLine lets perSecond bytes through.
-type thinLine struct {
+// slowReader reads at bytesPerSecond.
+type slowReader struct {
 	io.Reader
-	perSecond int
+	bytesPerSecond int
 }
 
-// Read takes as long as the bytes need.
-func (l *thinLine) Read(p []byte) (int, error) {
-	n, err := l.Reader.Read(p[:min(len(p), l.perSecond/10)])
-	time.Sleep(time.Duration(n) * time.Second / time.Duration(l.perSecond))
+// Read takes as long as the bytes need at that rate.
+func (l *slowReader) Read(p []byte) (int, error) {
+	n, err := l.Reader.Read(p[:min(len(p), l.bytesPerSecond/10)])
+	time.Sleep(time.Duration(n) * time.Second / time.Duration(l.bytesPerSecond))
 	return n, err
 }
 
-// A caller asks and then reads nothing. The short answer fits the server's
-// buffer, which is written after the answer's end. The connection ends within
-// the time of one write all the same: nobody waits for such a caller for good.
-// With the deadline taken away at the answer's end "the connection still waited
-// after 1m0s", and a planned stop would have waited with it.
-func TestUnreadAnswerEnds(t *testing.T) {
+// A caller sends a request and then reads nothing. The short answer fits the
+// server's buffer, which is written after the handler has returned. The connection
+// must still end within the time of one write. When the deadline was removed at the
+// end of the answer, the connection was still waiting after 1m0s, and a planned
+// stop would have waited with it.
+func TestUnreadAnswerEndsConnection(t *testing.T) {
 	serve := func(_ context.Context, s *sched.Sink) sched.Result {
 		s.Head(http.StatusOK, nil)
 		s.Data([]byte("one"))
 		return sched.Result{Outcome: once.Complete, Status: http.StatusOK}
 	}
-	onClock(t, zapcore.NewNopCore(), completion(false), serve, func(c net.Conn) {
-		time.Sleep(2 * callerPatience)
+	runExchange(t, zapcore.NewNopCore(), completion(false), serve, func(c net.Conn) {
+		time.Sleep(2 * callerTimeout)
 		if n, err := io.ReadFull(c, make([]byte, 1)); n != 0 {
-			t.Errorf("the connection still waited after %v: read %d bytes, %v", 2*callerPatience, n, err)
+			t.Errorf("the connection still waited after %v: read %d bytes, %v", 2*callerTimeout, n, err)
 		}
 	})
 }
 
-// thinConn is a connection that thinLine reads.
-type thinConn struct {
+// slowConn is a connection that is read at the rate of reader.
+type slowConn struct {
 	net.Conn
-	line thinLine
+	reader slowReader
 }
 
 // Read implements io.Reader.
-func (c *thinConn) Read(p []byte) (int, error) { return c.line.Read(p) }
+func (c *slowConn) Read(p []byte) (int, error) { return c.reader.Read(p) }
 
-// A caller on a thin line sends a large request steadily, for longer than one piece
-// may take. It is served. With one deadline for the whole body it was refused while
-// it sent: "the body could not be read to its end".
-func TestSteadySenderIsServed(t *testing.T) {
+// A caller on a slow connection sends a large request steadily, for longer than one
+// piece may take. It must be served. When one deadline applied to the whole body,
+// the request was refused while it was still being sent.
+func TestSlowSteadySenderIsServed(t *testing.T) {
 	const (
-		size      = 2 << 20
-		perSecond = size / (3 * int(callerPatience/time.Second))
+		size           = 2 << 20
+		bytesPerSecond = size / (3 * int(callerTimeout/time.Second))
 	)
 	body := completion(false)
 	body = body[:len(body)-1] + `,"user":"` + strings.Repeat("x", size) + `"}`
@@ -221,9 +222,9 @@
 		s.Data([]byte("one"))
 		return sched.Result{Outcome: once.Complete, Status: http.StatusOK}
 	}
-	thin := func(c net.Conn) net.Conn { return &thinConn{c, thinLine{c, perSecond}} }
-	overLine(t, zapcore.NewNopCore(), body, thin, serve, func(c net.Conn) {
-		if got := answerOf(t, c); got != "one" {
+	slow := func(c net.Conn) net.Conn { return &slowConn{c, slowReader{c, bytesPerSecond}} }
+	runExchangeOver(t, zapcore.NewNopCore(), body, slow, serve, func(c net.Conn) {
+		if got := readAnswer(t, c); got != "one" {
 			t.Errorf("answer %q", got)
 		}
 	})
--- a/entry/caller/stub_test.go
+++ b/entry/caller/stub_test.go
@@ -27,7 +27,7 @@
 
 const stubPool = "roster"
 
-// stub is an agent whose behaviour a test decides.
+// stub is an agent whose behaviour the test defines.
 type stub struct {
 	name string
 	ln   net.Listener
@@ -35,9 +35,9 @@
 	handle func(l *wire.Link, m wire.Message)
 	load   wire.Load
 
-	mu   sync.Mutex
-	link *wire.Link
-	got  []wire.Message
+	mu       sync.Mutex
+	link     *wire.Link
+	received []wire.Message
 }
 
 var idle = wire.Load{Bound: 8, Level: spec.Tiers - 1}
@@ -52,7 +52,7 @@
 	s.handle = func(l *wire.Link, m wire.Message) {
 		if m.Kind() != wire.KindBeat {
 			s.mu.Lock()
-			s.got = append(s.got, m)
+			s.received = append(s.received, m)
 			s.mu.Unlock()
 		}
 		handle(s, l, m)
@@ -90,19 +90,19 @@
 	l.Run(ctx, func(m wire.Message) { s.handle(l, m) })
 }
 
-// cut breaks the link to the entry.
+// cut closes the link to the entry.
 func (s *stub) cut() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.link.Close()
 }
 
-// count returns how many messages of a kind came.
+// count returns how many messages of a kind were received.
 func (s *stub) count(k wire.Kind) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, m := range s.got {
+	for _, m := range s.received {
 		if m.Kind() == k {
 			n++
 		}
@@ -112,8 +112,8 @@
 
 func stubKeys() wire.Keys { return wire.OneKey([]byte("key")) }
 
-// serveWhole claims every offer and answers every grant with parts.
-func serveWhole(parts ...string) func(*stub, *wire.Link, wire.Message) {
+// answerAll claims every offer and answers every grant with parts.
+func answerAll(parts ...string) func(*stub, *wire.Link, wire.Message) {
 	return func(_ *stub, l *wire.Link, m wire.Message) {
 		switch m := m.(type) {
 		case *wire.Offer:
@@ -141,25 +141,25 @@
 	return end
 }
 
-// front is an entry's caller side over stubs.
-type front struct {
+// testEntry is the caller side of an entry with stubs as its agents.
+type testEntry struct {
 	url   string
 	sched *sched.Sched
 	set   *agents.Set
 }
 
-type frontOptions struct {
-	home func(*front, []byte) (sched.Home, error)
+type entryOptions struct {
+	home func(*testEntry, []byte) (sched.Home, error)
 }
 
-func newFront(tb testing.TB, opt frontOptions, stubs ...*stub) *front {
+func newTestEntry(tb testing.TB, opt entryOptions, stubs ...*stub) *testEntry {
 	tb.Helper()
 	st := store.New()
 	seed(tb, st, stubs)
 	ctx, cancel := context.WithCancel(context.Background())
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
-	f := new(front)
+	f := new(testEntry)
 	f.sched = sched.New(ctx, sched.Config{
 		Incarnation: 42, Zone: "z", Now: now, Log: zap.NewNop(), EntryCount: func() int { return 1 },
 		Pool: func(name string) *agents.Members { return f.set.Pool(name) },
@@ -173,14 +173,14 @@
 		},
 		Digest: st.Digest,
 		Pools:  func() []agents.Pool { return []agents.Pool{{Name: stubPool}, {Name: "app"}} },
-		Choose: func(pool []plat.Instance, _ plat.Roster) []string {
+		ChooseAgents: func(pool []plat.Instance, _ plat.Roster) []string {
 			var out []string
 			for _, i := range pool {
 				out = append(out, i.Name)
 			}
 			return out
 		},
-		Handle: f.sched.Handle, Up: f.sched.LinkUp, Down: f.sched.LinkDown,
+		Handle: f.sched.Handle, LinkUp: f.sched.LinkUp, LinkDown: f.sched.LinkDown,
 	})
 	changed, stop := st.Subscribe()
 	done := make(chan error, 1)
@@ -189,7 +189,7 @@
 	yes, no := func() bool { return true }, func() bool { return false }
 	server := httptest.NewServer(New(Config{
 		Store: st, NewID: f.sched.NewID, Serve: f.sched.Serve, Now: now, Ready: yes, Leaving: no,
-		Done: tally.New(m, zap.NewNop()).RecordResult, Metrics: m, Panicked: func() {}, Unread: func() {}, Log: zap.NewNop(),
+		OnResult: tally.New(m, zap.NewNop()).RecordResult, Metrics: m, OnPanic: func() {}, OnUnread: func() {}, Log: zap.NewNop(),
 	}))
 	f.url = server.URL
 	tb.Cleanup(func() { server.Close(); cancel(); <-done; stop() })
@@ -197,17 +197,17 @@
 	return f
 }
 
-// awaitPools returns once the entry has taken in the instance list. On a busy
-// machine a test's first request would else come before the goroutine that does
-// it has run, and be told that no endpoint serves the pool.
-func (f *front) awaitPools(tb testing.TB, agents int) {
+// awaitPools waits until the entry has processed the instance list. On a busy
+// machine a test's first request could otherwise arrive before that and be refused
+// because no endpoint serves the pool.
+func (f *testEntry) awaitPools(tb testing.TB, agents int) {
 	tb.Helper()
 	for end := time.Now().Add(time.Minute); agents > 0; time.Sleep(time.Millisecond) {
-		if m := f.set.Pool(stubPool); m != nil && len(m.Peers)+m.Beyond > 0 {
+		if m := f.set.Pool(stubPool); m != nil && len(m.Peers)+m.UnlinkedLive > 0 {
 			return
 		}
 		if time.Now().After(end) {
-			tb.Fatal("the instance list was never taken in")
+			tb.Fatal("the instance list was not processed")
 		}
 	}
 }
@@ -248,7 +248,7 @@
 	keyHash = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b"
 )
 
-func (f *front) post(tb testing.TB, path, body string, header ...string) *http.Response {
+func (f *testEntry) post(tb testing.TB, path, body string, header ...string) *http.Response {
 	tb.Helper()
 	req, err := http.NewRequest(http.MethodPost, f.url+path, stringBody(body))
 	if err != nil {
--- a/entry/caller/told_test.go
+++ b/entry/caller/told_test.go
@@ -18,31 +18,32 @@
 	"lycheepond/entry/sched"
 )
 
-// lines counts an event in a log.
-func lines(seen *observer.ObservedLogs, e logs.Event) int {
+// countEvents counts the entries of an event in a log.
+func countEvents(seen *observer.ObservedLogs, e logs.Event) int {
 	return seen.FilterMessage(string(e)).Len()
 }
 
-// A fault of the program ends a request's handler. Its caller hears that the
-// outcome is unknown, and the operator where the fault is. Left to the standard
-// server the caller saw its connection cut ("no answer: unexpected EOF") and the
-// log had "0 lines about the panic".
-func TestPanicIsAnsweredAndTold(t *testing.T) {
+// A programming error ends a request's handler. The caller must get outcome
+// unknown, and the log must show where the error is. When it was left to net/http,
+// the connection was cut without an answer (unexpected EOF) and the log had 0 lines
+// about the panic.
+func TestPanicIsAnsweredAndLogged(t *testing.T) {
 	core, seen := observer.New(zap.InfoLevel)
 	serve := func(context.Context, *sched.Sink) sched.Result { panic("a fault") }
-	onClock(t, core, completion(false), serve, func(c net.Conn) {
-		res, body := answerAndHead(t, c)
+	runExchange(t, core, completion(false), serve, func(c net.Conn) {
+		res, body := readResponse(t, c)
 		if res == nil || res.StatusCode != http.StatusBadGateway || res.Header.Get(headerOutcome) != once.Unknown.String() {
 			t.Errorf("answer %+v %q", res, body)
 		}
 	})
-	if n := lines(seen, logs.EventHandlerPanicked); n != 1 {
+	if n := countEvents(seen, logs.EventHandlerPanicked); n != 1 {
 		t.Errorf("%d lines about the panic", n)
 	}
 }
 
-// The same in the middle of an answer: the caller must not take it for whole.
-func TestPanicInAnAnswerCutsIt(t *testing.T) {
+// The handler panics in the middle of an answer. The caller must not take the
+// answer for complete.
+func TestPanicDuringAnAnswerTruncatesIt(t *testing.T) {
 	core, seen := observer.New(zap.InfoLevel)
 	serve := func(_ context.Context, s *sched.Sink) sched.Result {
 		s.Head(http.StatusOK, okHead())
@@ -50,21 +51,21 @@
 		s.Flush()
 		panic("a fault")
 	}
-	onClock(t, core, completion(true), serve, func(c net.Conn) {
+	runExchange(t, core, completion(true), serve, func(c net.Conn) {
 		got, err := io.ReadAll(c)
 		if strings.HasSuffix(string(got), "0\r\n\r\n") {
 			t.Errorf("the answer looks whole: %q, %v", got, err)
 		}
 	})
-	if n := lines(seen, logs.EventHandlerPanicked); n != 1 {
+	if n := countEvents(seen, logs.EventHandlerPanicked); n != 1 {
 		t.Errorf("%d lines about the panic", n)
 	}
 }
 
-// A caller stops reading and its answer is given up. The log tells that apart
-// from a caller that hung up: without a line of its own there were "0 lines about
-// the answer", and the request's last line said caller_gone.
-func TestUnreadAnswerIsTold(t *testing.T) {
+// A caller stops reading and its answer is abandoned. The log must distinguish this
+// from a caller that hung up. When it did not, there were 0 lines about the answer,
+// and the request's last line said caller_gone.
+func TestUnreadAnswerIsLogged(t *testing.T) {
 	core, seen := observer.New(zap.InfoLevel)
 	serve := func(ctx context.Context, s *sched.Sink) sched.Result {
 		s.Head(http.StatusOK, okHead())
@@ -74,14 +75,15 @@
 		}
 		return sched.Result{Outcome: once.Unknown}
 	}
-	onClock(t, core, completion(true), serve, func(net.Conn) { time.Sleep(2 * callerPatience) })
-	if n := lines(seen, logs.EventAnswerNotTaken); n != 1 {
+	runExchange(t, core, completion(true), serve, func(net.Conn) { time.Sleep(2 * callerTimeout) })
+	if n := countEvents(seen, logs.EventAnswerNotTaken); n != 1 {
 		t.Errorf("%d lines about the answer", n)
 	}
 }
 
-// A caller hangs up in the middle of its answer. That is no answer given up.
-func TestHangUpIsNoUnreadAnswer(t *testing.T) {
+// A caller hangs up in the middle of its answer. That must not count as an unread
+// answer.
+func TestHangUpIsNotAnUnreadAnswer(t *testing.T) {
 	core, seen := observer.New(zap.InfoLevel)
 	serve := func(ctx context.Context, s *sched.Sink) sched.Result {
 		s.Head(http.StatusOK, okHead())
@@ -92,14 +94,14 @@
 		s.Flush()
 		return sched.Result{Outcome: once.Unknown}
 	}
-	onClock(t, core, completion(true), serve, func(c net.Conn) {
+	runExchange(t, core, completion(true), serve, func(c net.Conn) {
 		if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
 			t.Error(err)
 		}
 		c.Close()
 		synctest.Wait()
 	})
-	if n := lines(seen, logs.EventAnswerNotTaken); n != 0 {
+	if n := countEvents(seen, logs.EventAnswerNotTaken); n != 0 {
 		t.Errorf("%d lines about the answer", n)
 	}
 }
--- a/entry/keys/owner.go
+++ b/entry/keys/owner.go
@@ -34,7 +34,7 @@
 		k.cfg.Want(o.Name)
 		return sched.Home{}, ErrNoHome
 	}
-	if !p.Linked() || p.Agent() != (once.Agent{Name: o.Name, Incarnation: o.Incarnation}) {
+	if !p.IsLinked() || p.Agent() != (once.Agent{Name: o.Name, Incarnation: o.Incarnation}) {
 		k.Wake()
 		return sched.Home{}, ErrNoHome
 	}
@@ -51,10 +51,10 @@
 	linked := make(map[string]bool)
 	missing := 0
 	for _, p := range m.Peers {
-		if p.Leaving() {
+		if p.IsLeaving() {
 			continue
 		}
-		if !p.Linked() {
+		if !p.IsLinked() {
 			missing++
 			continue
 		}
@@ -95,7 +95,7 @@
 // takes no new work, so its keys go to others at once.
 func (k *Keeper) present(b *book, o spec.HomeOwner, state string, now time.Duration, isolated bool) bool {
 	if p, ok := k.cfg.Peer(o.Name); ok {
-		if p.Linked() && p.Leaving() {
+		if p.IsLinked() && p.IsLeaving() {
 			return false
 		}
 	} else if state == plat.StateLive {
--- a/entry/node.go
+++ b/entry/node.go
@@ -185,8 +185,8 @@
 func (n *node) server(conns *kept.Set) *http.Server {
 	front := caller.New(caller.Config{
 		Store: n.store, NewID: n.sched.NewID, Serve: n.sched.Serve, Now: n.now,
-		Ready: n.ready.Load, Leaving: n.leaving.Load, Done: n.tally.RecordResult, Metrics: n.meter.Public(),
-		Panicked: n.panicked, Unread: func() { n.meter.Counter("answers_not_taken").Inc(1) }, Log: n.log,
+		Ready: n.ready.Load, Leaving: n.leaving.Load, OnResult: n.tally.RecordResult, Metrics: n.meter.Public(),
+		OnPanic: n.panicked, OnUnread: func() { n.meter.Counter("answers_not_taken").Inc(1) }, Log: n.log,
 	})
 	server := &http.Server{ReadHeaderTimeout: headerTimeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !conns.Admit(r) {
@@ -225,14 +225,14 @@
 	})
 	n.set = agents.New(agents.Config{
 		Self: n.self, Keys: n.live.Keys, Heartbeat: n.cfg.Heartbeat.Std(), Beat: n.beat,
-		Dial: n.dial, Roster: n.store.Roster, Pools: n.pools, Digest: n.store.Digest, Choose: n.choose,
-		Handle: n.handle, Up: n.up, Down: n.sched.LinkDown, Now: n.now, Log: n.log,
+		Dial: n.dial, Roster: n.store.Roster, Pools: n.pools, Digest: n.store.Digest, ChooseAgents: n.choose,
+		Handle: n.handle, LinkUp: n.up, LinkDown: n.sched.LinkDown, Now: n.now, Log: n.log,
 	})
 	rec := record.Config{
 		Put: n.plat.Put, Get: n.plat.Get, Raw: n.store.Raw, Accept: func(e plat.Event) { n.store.Accept(e) }, Now: n.now,
 	}
 	n.keeper = keys.New(keys.Config{
-		Record: rec, Pools: n.set.Pools, Members: n.set.Pool, Peer: n.set.Peer, Want: n.set.Want, Roster: n.store.Roster,
+		Record: rec, Pools: n.set.Pools, Members: n.set.Pool, Peer: n.set.Peer, Want: n.set.RequestLink, Roster: n.store.Roster,
 		Now: n.now, Wall: func() int64 { return time.Now().UnixMilli() }, Random: mathrand.Float64, Log: n.log,
 	})
 	n.measure()
--- a/entry/orders/planner.go
+++ b/entry/orders/planner.go
@@ -204,8 +204,8 @@
 			continue
 		}
 		for _, peer := range ms.Peers {
-			model, version := peer.Serves()
-			if !peer.Linked() || version == "" {
+			model, version := peer.ServedModel()
+			if !peer.IsLinked() || version == "" {
 				// What an endpoint serves is not known yet, so nothing is
 				// ordered: the order might take it from its present work.
 				continue
@@ -214,7 +214,7 @@
 			if e == nil {
 				e = &roles.Endpoint{
 					Name: peer.Name(), Zone: peer.Zone(), Model: model, Version: version,
-					Leaving: peer.Leaving(), Labels: peer.Instance().Labels,
+					Leaving: peer.IsLeaving(), Labels: peer.Instance().Labels,
 				}
 				known[e.Name] = e
 			}
--- a/entry/orders/planner_test.go
+++ b/entry/orders/planner_test.go
@@ -98,7 +98,7 @@
 		w.plan(planEvery)
 		loading := 0
 		for _, p := range peers {
-			_, v := p.Serves()
+			_, v := p.ServedModel()
 			if l, ok := w.assign().Endpoints[p.Name()]; ok && l.Version != v {
 				loading++
 			}
@@ -113,7 +113,7 @@
 		}
 	}
 	for _, p := range peers {
-		if _, v := p.Serves(); v != "v2" {
+		if _, v := p.ServedModel(); v != "v2" {
 			t.Errorf("%s serves %s in the end", p.Name(), v)
 		}
 	}
--- a/entry/sched/admit.go
+++ b/entry/sched/admit.go
@@ -31,11 +31,11 @@
 // tiers are served.
 func (p *pool) checkReachable(now time.Duration, f *flight, lower bool) *fault.Error {
 	m := p.cfg.Pool(p.name)
-	if m == nil || len(m.Peers)+m.Beyond == 0 {
+	if m == nil || len(m.Peers)+m.UnlinkedLive == 0 {
 		return fault.New(fault.NoEndpoint, "no endpoint serves "+p.name+": start one with matching labels").After(noAgentRetry)
 	}
 	for _, peer := range m.Peers {
-		if peer.Linked() && !peer.Leaving() {
+		if peer.IsLinked() && !peer.IsLeaving() {
 			return nil
 		}
 	}
@@ -84,7 +84,7 @@
 		return true
 	}
 	for _, peer := range m.Peers {
-		if l, _ := peer.Load(); l.Level > tier && !peer.Leaving() {
+		if l, _ := peer.Load(); l.Level > tier && !peer.IsLeaving() {
 			return false
 		}
 	}
@@ -107,12 +107,12 @@
 	if m == nil {
 		return mask
 	}
-	if m.Beyond > 0 {
+	if m.UnlinkedLive > 0 {
 		return allTiers
 	}
 	for _, peer := range m.Peers {
 		l, ok := peer.Load()
-		if !ok && !peer.Leaving() {
+		if !ok && !peer.IsLeaving() {
 			return allTiers
 		}
 		mask |= l.Running | l.Waiting
@@ -129,11 +129,11 @@
 	}
 	for _, peer := range m.Peers {
 		l, ok := peer.Load()
-		if !ok || peer.Leaving() {
+		if !ok || peer.IsLeaving() {
 			continue
 		}
 		v.Places += int(l.Bound)
-		v.Free += max(0, int(l.Bound)-int(l.InFlight)-int(l.Queued)-peer.Offered())
+		v.Free += max(0, int(l.Bound)-int(l.InFlight)-int(l.Queued)-peer.UncountedOffers())
 	}
 	return v
 }
--- a/entry/sched/offer.go
+++ b/entry/sched/offer.go
@@ -90,7 +90,7 @@
 // offerTo sends an offer to p.
 func (f *flight) offerTo(p *agents.Peer, epoch int64) {
 	a := p.Agent()
-	if p.Leaving() || !f.once.Offer(a) {
+	if p.IsLeaving() || !f.once.Offer(a) {
 		return
 	}
 	if p.Send(f.offerMessage(epoch)) != nil {
@@ -147,7 +147,7 @@
 // handleClaim answers a claim: the first one with the grant, every other with a
 // denial.
 func (f *flight) handleClaim(p *agents.Peer, a once.Agent, m *wire.Claim) {
-	if p.Leaving() && f.once.State() == once.Offered {
+	if p.IsLeaving() && f.once.State() == once.Offered {
 		f.once.Drop(a)
 		p.Send(&wire.Deny{ID: m.ID})
 		f.removeOffer(p)
--- a/entry/sched/pick.go
+++ b/entry/sched/pick.go
@@ -17,11 +17,11 @@
 	p.candidates, p.members = p.candidates[:0], p.members[:0]
 	held := f.offeredTo.len() > 0
 	for _, peer := range m.Peers {
-		if peer.Leaving() || held && f.offeredTo.has(peer) {
+		if peer.IsLeaving() || held && f.offeredTo.has(peer) {
 			continue
 		}
 		l, ok := peer.Load()
-		if !ok && !peer.Linked() {
+		if !ok && !peer.IsLinked() {
 			continue
 		}
 		p.candidates = append(p.candidates, placementAgent(now, peer, &l))
@@ -42,8 +42,8 @@
 func placementAgent(now time.Duration, peer *agents.Peer, l *wire.Load) place.Agent {
 	return place.Agent{
 		Name: peer.Name(), Zone: peer.Zone(), InFlight: int(l.InFlight), Bound: max(1, int(l.Bound)),
-		Queued: int(l.Queued) + peer.Offered(), QueuedCost: time.Duration(l.QueuedCost) * time.Millisecond,
-		Slow: l.Slow, Full: peer.Full(now),
+		Queued: int(l.Queued) + peer.UncountedOffers(), QueuedCost: time.Duration(l.QueuedCost) * time.Millisecond,
+		Slow: l.Slow, Full: peer.IsFull(now),
 	}
 }
 
--- a/entry/sched/pool_test.go
+++ b/entry/sched/pool_test.go
@@ -60,7 +60,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := *linkedMembers(t, 2, c.load)
-			m.Beyond = c.beyond
+			m.UnlinkedLive = c.beyond
 			if got := testPool(&m).lowerServed(c.tier); got != c.want {
 				t.Errorf("got %t", got)
 			}
--- a/entry/sched/relay.go
+++ b/entry/sched/relay.go
@@ -62,7 +62,7 @@
 
 func (f *flight) handleChunk(m *wire.Chunk) {
 	switch f.answer.Push(m.Seq, m.Data, f.handleData) {
-	case answer.Whole:
+	case answer.Complete:
 		f.finishComplete()
 	case answer.Gap:
 		f.startGapTimer()
@@ -113,7 +113,7 @@
 
 func (f *flight) handleEnd(m *wire.End) {
 	switch f.answer.Finish(m) {
-	case answer.Whole:
+	case answer.Complete:
 		f.finishComplete()
 	case answer.Gap:
 		f.startGapTimer()
--- a/entry/status.go
+++ b/entry/status.go
@@ -22,12 +22,12 @@
 	if m == nil {
 		return ps
 	}
-	ps.Beyond = m.Beyond
+	ps.Beyond = m.UnlinkedLive
 	for _, p := range m.Peers {
 		l, _ := p.Load()
-		_, version := p.Serves()
+		_, version := p.ServedModel()
 		ps.Agents = append(ps.Agents, report.Agent{
-			Name: p.Name(), Zone: p.Zone(), Linked: p.Linked(), Leaving: p.Leaving(),
+			Name: p.Name(), Zone: p.Zone(), Linked: p.IsLinked(), Leaving: p.IsLeaving(),
 			InFlight: int(l.InFlight), Bound: int(l.Bound), Queued: int(l.Queued), Level: int(l.Level), Slow: l.Slow,
 			Version: version,
 		})
