--- a/entry/admin/admin.go
+++ b/entry/admin/admin.go
@@ -1,4 +1,5 @@
-// Package admin is the entry's side towards operators.
+// Package admin serves the entry's operators over HTTP: its status, its metrics and
+// explanations of its decisions.
 package admin
 
 import (
@@ -16,29 +17,30 @@
 	"lycheepond/core/report"
 )
 
-// Config is what a Server depends on.
+// Config holds the settings and callbacks of a Server.
 type Config struct {
 	Listen string
-	// Token is demanded of operators; empty demands none.
+	// Token is the token that operators must send; if empty, none is required.
 	Token   string
 	Metrics http.Handler
 	Status  func() report.Entry
 	Explain func(ident.ID) (report.Request, bool)
-	// Panicked counts handlers that panicked.
-	Panicked func()
-	Log      *zap.Logger
+	// OnPanic counts handlers that panicked.
+	OnPanic func()
+	Log     *zap.Logger
 }
 
-// Server answers operators.
+// Server serves operators.
 type Server struct {
 	cfg   Config
 	token *bearer.Token
 }
 
-// New returns a Server that does nothing until Run.
+// New returns a Server that does nothing before Run is called.
 func New(cfg Config) *Server { return &Server{cfg: cfg, token: bearer.New(cfg.Token)} }
 
-// Run serves operators until ctx ends. Without an address it only waits.
+// Run serves operators until ctx ends. Without an address to listen at it only
+// waits for that.
 func (s *Server) Run(ctx context.Context) error {
 	if s.cfg.Listen == "" {
 		<-ctx.Done()
@@ -49,7 +51,7 @@
 		return err
 	}
 	server := &http.Server{
-		Handler: logs.Guard(s.cfg.Log, s.cfg.Panicked, nil, s.Handler()), ReadHeaderTimeout: 10 * time.Second, ErrorLog: logs.Server(s.cfg.Log),
+		Handler: logs.Guard(s.cfg.Log, s.cfg.OnPanic, nil, s.Handler()), ReadHeaderTimeout: 10 * time.Second, ErrorLog: logs.Server(s.cfg.Log),
 	}
 	defer context.AfterFunc(ctx, func() { server.Close() })()
 	err = server.Serve(ln)
@@ -59,7 +61,7 @@
 	return err
 }
 
-// Handler returns the paths for operators behind the check of the token.
+// Handler returns the handler of all paths for operators, which requires the token.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", s.status)
@@ -67,37 +69,37 @@
 	mux.Handle("GET /metrics", s.cfg.Metrics)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !s.token.Allows(r) {
-			refuse(w, http.StatusUnauthorized, "missing or wrong operator token: send the entry's admin.token as Authorization: Bearer TOKEN")
+			writeError(w, http.StatusUnauthorized, "missing or wrong operator token: send the entry's admin.token as Authorization: Bearer TOKEN")
 			return
 		}
 		mux.ServeHTTP(w, r)
 	})
 }
 
-func (s *Server) status(w http.ResponseWriter, _ *http.Request) { write(w, s.cfg.Status()) }
+func (s *Server) status(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.cfg.Status()) }
 
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
 	id, err := ident.Parse(r.PathValue("id"))
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	e, ok := s.cfg.Explain(id)
 	if !ok {
-		refuse(w, http.StatusNotFound, "this entry has no record of the request: ask the entry that answered it, soon enough")
+		writeError(w, http.StatusNotFound, "this entry has no record of the request: ask the entry that answered it, soon enough")
 		return
 	}
-	write(w, e)
+	writeJSON(w, e)
 }
 
-func write(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	e.Encode(v)
 }
 
-func refuse(w http.ResponseWriter, status int, message string) {
+func writeError(w http.ResponseWriter, status int, message string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(struct {
--- a/entry/caller/accept.go
+++ b/entry/caller/accept.go
@@ -31,10 +31,10 @@
 func (s *Server) accept(r *http.Request) (*sched.Job, *fault.Error) {
 	j := &sched.Job{ID: s.cfg.NewID(), Accepted: s.cfg.Now(), Method: r.Method}
 	if s.cfg.Leaving() {
-		return j, fault.New(fault.Leaving, "this entry is stopping: ask again, the balancer will choose another").After(time.Second)
+		return j, fault.New(fault.Leaving, "this entry is stopping: ask again, the balancer will choose another").WithRetryAfter(time.Second)
 	}
 	if !s.cfg.Ready() {
-		return j, fault.New(fault.Leaving, "this entry has no configuration yet: ask again").After(time.Second)
+		return j, fault.New(fault.Leaving, "this entry has no configuration yet: ask again").WithRetryAfter(time.Second)
 	}
 	customer, key, ok := s.cfg.Store.CustomerByKey(bearer(r))
 	if !ok {
@@ -69,7 +69,7 @@
 		return fault.New(fault.UnknownClass, "unknown class "+quote(name)+": name a class in "+headerClass+" that the operator has defined")
 	}
 	if len(c.Classes) > 0 && !slices.Contains(c.Classes, name) {
-		return fault.New(fault.Forbidden, "this customer may not use class "+quote(name)+": use one of "+strings.Join(c.Classes, ", "))
+		return fault.New(fault.ClassNotAllowed, "this customer may not use class "+quote(name)+": use one of "+strings.Join(c.Classes, ", "))
 	}
 	j.Class = class
 	return nil
--- a/entry/caller/accept_test.go
+++ b/entry/caller/accept_test.go
@@ -29,7 +29,7 @@
 		{"prompt for chat", "/v1/chat/completions", ok, nil, 400, fault.BadRequest},
 		{"negative limit", "/v1/completions", `{"model":"roster","prompt":"x","max_tokens":-1}`, nil, 400, fault.BadRequest},
 		{"unknown model", "/v1/completions", `{"model":"slate","prompt":"x"}`, nil, 404, fault.UnknownModel},
-		{"unknown service", "/services/docket/x", "", nil, 404, fault.UnknownName},
+		{"unknown service", "/services/docket/x", "", nil, 404, fault.UnknownService},
 		{"unknown path", "/v2/completions", ok, nil, 404, fault.NotFound},
 		{"unknown class", "/v1/completions", ok, []string{headerClass, "urgent"}, 400, fault.UnknownClass},
 		{"unknown key", "/v1/completions", ok, []string{"Authorization", "Bearer guess"}, 401, fault.BadKey},
--- a/entry/caller/limits.go
+++ b/entry/caller/limits.go
@@ -46,10 +46,10 @@
 		l.customers[customer] = u
 	}
 	if lim.Concurrent > 0 && u.running >= lim.Concurrent {
-		return nil, fault.New(fault.CustomerLimit, "the customer's limit of concurrent requests is reached: wait for one to end, or ask the operator for a higher limit").After(time.Second)
+		return nil, fault.New(fault.CustomerLimit, "the customer's limit of concurrent requests is reached: wait for one to end, or ask the operator for a higher limit").WithRetryAfter(time.Second)
 	}
 	if wait := u.takeToken(lim.RequestsPerSecond, now); wait > 0 {
-		return nil, fault.New(fault.CustomerLimit, "the customer's limit of requests per second is reached: send slower, or ask the operator for a higher limit").After(wait)
+		return nil, fault.New(fault.CustomerLimit, "the customer's limit of requests per second is reached: send slower, or ask the operator for a higher limit").WithRetryAfter(wait)
 	}
 	u.running++
 	return func() { l.release(u) }, nil
--- a/entry/caller/model.go
+++ b/entry/caller/model.go
@@ -112,7 +112,7 @@
 	name := r.PathValue("name")
 	svc, ok := s.cfg.Store.Service(name)
 	if !ok {
-		return fault.New(fault.UnknownName, "unknown service "+quote(name)+": name one that the operator has defined")
+		return fault.New(fault.UnknownService, "unknown service "+quote(name)+": name one that the operator has defined")
 	}
 	data, e := readBody(w, r)
 	if e != nil {
--- a/entry/caller/server.go
+++ b/entry/caller/server.go
@@ -94,7 +94,7 @@
 
 // answerPanic answers a request whose handler panicked before its answer began.
 func (s *Server) answerPanic(w http.ResponseWriter, _ *http.Request) {
-	s.refuse(w, s.cfg.NewID(), nil, fault.New(fault.UnknownFate, "a fault of the entry ended the request, which may have run: look up its effect, and report the entry's log").With(once.Unknown))
+	s.refuse(w, s.cfg.NewID(), nil, fault.New(fault.UnknownOutcome, "a fault of the entry ended the request, which may have run: look up its effect, and report the entry's log").WithOutcome(once.Unknown))
 }
 
 func (s *Server) healthz(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("ok\n")) }
--- a/entry/fault/docs_test.go
+++ b/entry/fault/docs_test.go
@@ -7,6 +7,8 @@
 	"testing"
 )
 
+// Callers look up the type of an error in docs/OPERATIONS.md. A kind that is
+// missing there has no explanation.
 func TestEveryKindIsDocumented(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "OPERATIONS.md"))
 	if err != nil {
--- a/entry/fault/fault.go
+++ b/entry/fault/fault.go
@@ -1,4 +1,4 @@
-// Package fault holds the errors that callers see.
+// Package fault defines the errors that callers receive.
 package fault
 
 import (
@@ -8,65 +8,65 @@
 	"lycheepond/core/once"
 )
 
-// Kind names a fault towards callers; it is the type field of the JSON body.
+// Kind identifies a fault to callers. It is the type field of the JSON body.
 type Kind string
 
 // The kinds of faults.
 const (
-	BadRequest    Kind = "bad_request"
-	BadKey        Kind = "bad_key"
-	Forbidden     Kind = "class_not_allowed"
-	UnknownClass  Kind = "unknown_class"
-	NotFound      Kind = "not_found"
-	UnknownModel  Kind = "unknown_model"
-	UnknownName   Kind = "unknown_service"
-	TooLarge      Kind = "too_large"
-	CustomerLimit Kind = "customer_limit"
-	KeyMismatch   Kind = "key_mismatch"
-	Overloaded    Kind = "overloaded"
-	NoEndpoint    Kind = "no_endpoint"
-	NoHome        Kind = "no_home"
-	Leaving       Kind = "leaving"
-	Deadline      Kind = "deadline"
-	UnknownFate   Kind = "unknown_outcome"
-	SlowCaller    Kind = "slow_caller"
-	CallerGone    Kind = "caller_gone"
-	Quarantined   Kind = "quarantined"
+	BadRequest      Kind = "bad_request"
+	BadKey          Kind = "bad_key"
+	ClassNotAllowed Kind = "class_not_allowed"
+	UnknownClass    Kind = "unknown_class"
+	NotFound        Kind = "not_found"
+	UnknownModel    Kind = "unknown_model"
+	UnknownService  Kind = "unknown_service"
+	TooLarge        Kind = "too_large"
+	CustomerLimit   Kind = "customer_limit"
+	KeyMismatch     Kind = "key_mismatch"
+	Overloaded      Kind = "overloaded"
+	NoEndpoint      Kind = "no_endpoint"
+	NoHome          Kind = "no_home"
+	Leaving         Kind = "leaving"
+	Deadline        Kind = "deadline"
+	UnknownOutcome  Kind = "unknown_outcome"
+	SlowCaller      Kind = "slow_caller"
+	CallerGone      Kind = "caller_gone"
+	Quarantined     Kind = "quarantined"
 )
 
 var statuses = map[Kind]int{
-	BadRequest: http.StatusBadRequest, BadKey: http.StatusUnauthorized, Forbidden: http.StatusForbidden,
+	BadRequest: http.StatusBadRequest, BadKey: http.StatusUnauthorized, ClassNotAllowed: http.StatusForbidden,
 	UnknownClass: http.StatusBadRequest, NotFound: http.StatusNotFound, UnknownModel: http.StatusNotFound,
-	UnknownName: http.StatusNotFound, TooLarge: http.StatusRequestEntityTooLarge,
+	UnknownService: http.StatusNotFound, TooLarge: http.StatusRequestEntityTooLarge,
 	CustomerLimit: http.StatusTooManyRequests, KeyMismatch: http.StatusConflict,
 	Overloaded: http.StatusServiceUnavailable, NoEndpoint: http.StatusServiceUnavailable,
 	NoHome: http.StatusServiceUnavailable, Leaving: http.StatusServiceUnavailable,
 	Quarantined: http.StatusServiceUnavailable,
-	Deadline:    http.StatusGatewayTimeout, UnknownFate: http.StatusBadGateway,
+	Deadline:    http.StatusGatewayTimeout, UnknownOutcome: http.StatusBadGateway,
 	SlowCaller: http.StatusBadGateway, CallerGone: http.StatusBadGateway,
 }
 
-// Error is a fault that a caller is told of.
+// Error is a fault that is reported to a caller. It is immutable.
 type Error struct {
 	kind    Kind
 	message string
 	outcome once.Outcome
-	// retryAfter is zero where asking again does not help.
+	// retryAfter is zero if a retry doesn't help.
 	retryAfter time.Duration
 }
 
 // New returns a fault of a request that was not run.
 func New(kind Kind, message string) *Error { return &Error{kind: kind, message: message} }
 
-// With returns a copy with another outcome.
-func (e *Error) With(o once.Outcome) *Error {
+// WithOutcome returns a copy with another outcome.
+func (e *Error) WithOutcome(o once.Outcome) *Error {
 	c := *e
 	c.outcome = o
 	return &c
 }
 
-// After returns a copy that tells when to ask again.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy that says after which time a retry may help.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.retryAfter = d
 	return &c
@@ -78,7 +78,7 @@
 // Outcome returns whether the request was run.
 func (e *Error) Outcome() once.Outcome { return e.outcome }
 
-// RetryAfter returns when to ask again, zero where that does not help.
+// RetryAfter returns after which time a retry may help, zero if it doesn't.
 func (e *Error) RetryAfter() time.Duration { return e.retryAfter }
 
 // Status returns the HTTP status of the fault.
@@ -89,5 +89,5 @@
 	return http.StatusInternalServerError
 }
 
-// Error returns the message with its remedy.
+// Error returns the message, which includes the remedy.
 func (e *Error) Error() string { return e.message }
--- a/entry/keys/keeper.go
+++ b/entry/keys/keeper.go
@@ -1,6 +1,6 @@
-// Package keys keeps the tables in the platform that say which agent holds the
-// records of which idempotency keys, and tells agents how fresh the entry's
-// knowledge of them is.
+// Package keys maintains the home tables in the platform, which say which agent
+// keeps the records of which idempotency keys, and tells agents how fresh the
+// entry's knowledge of these tables is.
 package keys
 
 import (
@@ -22,117 +22,122 @@
 )
 
 const (
-	// DefaultTouch is how often a table is confirmed. Each confirmation costs
-	// a write and goes to every watch, so it is as rare as leaves an agent
-	// half of the default lease; one that fails is repeated at once.
-	DefaultTouch = 8 * time.Second
-	// lookEvery is how often owners are checked.
-	lookEvery = 250 * time.Millisecond
-	// settle is how long the first table waits for all agents to be linked.
-	// A table made earlier would give every key to the first agent.
-	settle = 3 * time.Second
-	// goneAfter is how long an owner that the instance list does not call live
-	// must be without a link, and lostAfter the same for one that it does.
-	goneAfter = 3 * time.Second
-	lostAfter = 30 * time.Second
-	// maxTries is how often a table is written in one go while others are
-	// faster.
-	maxTries = 2
-	// conflictPause spreads entries that raced one another in vain. It doubles
-	// with each time in a row, up to 1<<maxDoubled: after a restart of everything
-	// hundreds of entries would else write as fast as the platform refuses them.
-	conflictPause = 300 * time.Millisecond
-	maxDoubled    = 3
+	// DefaultConfirmInterval is how often a table is confirmed. Each confirmation
+	// costs a write and is sent to every watch, so the interval is as long as
+	// possible while it leaves an agent half of the default lease. A failed
+	// confirmation is repeated at once.
+	DefaultConfirmInterval = 8 * time.Second
+	// checkInterval is how often owners are checked.
+	checkInterval = 250 * time.Millisecond
+	// settleTime is how long the first table waits until all agents are linked. An
+	// earlier table would assign every key to the first agent.
+	settleTime = 3 * time.Second
+	// goneTimeout is how long an owner that the instance list doesn't call live
+	// must be without a link before it loses its slots. lostTimeout is the same for
+	// an owner that the list calls live.
+	goneTimeout = 3 * time.Second
+	lostTimeout = 30 * time.Second
+	// maxWriteAttempts is how often a table is written in one check while other
+	// entries write it first.
+	maxWriteAttempts = 2
+	// conflictPause spreads the writes of entries whose writes have conflicted. It
+	// doubles with each conflict in a row, up to 1<<maxPauseDoublings times.
+	// Otherwise, after a restart of the whole fleet, hundreds of entries would
+	// write as fast as the platform refuses them.
+	conflictPause     = 300 * time.Millisecond
+	maxPauseDoublings = 3
 )
 
-// Config is what a Keeper depends on. All functions must be set.
+// Config holds the settings and callbacks of a Keeper. All functions must be set.
 type Config struct {
 	Record  record.Config
 	Pools   func() []string
 	Members func(pool string) *agents.Members
 	Peer    func(name string) (*agents.Peer, bool)
-	// Want asks for a link to an owner outside of the entry's own choice.
-	Want   func(name string)
-	Roster func() plat.Roster
-	Now    func() time.Duration
-	// Wall is the time in Unix milliseconds.
+	// RequestLink requests a link to an owner that the entry did not choose to link
+	// to.
+	RequestLink func(name string)
+	Roster      func() plat.Roster
+	Now         func() time.Duration
+	// Wall returns the time in Unix milliseconds.
 	Wall func() int64
 	// Random returns a number in [0,1).
 	Random func() float64
-	// Touch is how often a table is confirmed; zero means DefaultTouch.
-	Touch time.Duration
-	Log   *zap.Logger
+	// ConfirmInterval is how often a table is confirmed; zero means
+	// DefaultConfirmInterval.
+	ConfirmInterval time.Duration
+	Log             *zap.Logger
 }
 
-// Keeper is safe for concurrent use.
+// Keeper maintains the home table of each pool. It is safe for concurrent use.
 type Keeper struct {
 	cfg Config
 	mu  sync.Mutex
-	// books holds what is known of each pool's table.
-	books map[string]*book
-	loop  *record.Loop
+	// tables holds the state of each pool's table.
+	tables map[string]*poolTable
+	loop   *record.Loop
 }
 
-// book is what the keeper knows of one pool's table. Run alone changes it, but
-// table is read under Keeper.mu by others.
-type book struct {
+// poolTable is the state of one pool's table. Only Run changes it, but others read
+// table under Keeper.mu.
+type poolTable struct {
 	*record.Record
 	table   spec.Homes
 	version int64
 	data    []byte
-	// next is when to confirm again.
-	next time.Duration
-	// failed counts the looks in a row in which others were faster.
-	failed int
-	// began is when the pool was first looked at.
-	began time.Duration
-	// absent holds since when an owner has no link.
-	absent map[spec.HomeOwner]time.Duration
+	// confirmAt is when to confirm the table again.
+	confirmAt time.Duration
+	// conflicts counts the checks in a row in which other entries wrote first.
+	conflicts int
+	// firstSeenAt is when the pool was first checked.
+	firstSeenAt time.Duration
+	// absentSince holds when each owner without a link lost it.
+	absentSince map[spec.HomeOwner]time.Duration
 }
 
-// New returns a Keeper that does nothing until Run.
+// New returns a Keeper that does nothing before Run is called.
 func New(cfg Config) *Keeper {
-	if cfg.Touch <= 0 {
-		cfg.Touch = DefaultTouch
+	if cfg.ConfirmInterval <= 0 {
+		cfg.ConfirmInterval = DefaultConfirmInterval
 	}
-	return &Keeper{cfg: cfg, books: make(map[string]*book), loop: record.NewLoop()}
+	return &Keeper{cfg: cfg, tables: make(map[string]*poolTable), loop: record.NewLoop()}
 }
 
-// Wake has the tables looked at now, as after a new link.
+// Wake requests a check of the tables now, for example after a new link.
 func (k *Keeper) Wake() { k.loop.Wake() }
 
-// Run keeps the tables until ctx ends.
-func (k *Keeper) Run(ctx context.Context) error { return k.loop.Run(ctx, lookEvery, k.look) }
+// Run maintains the tables until ctx ends.
+func (k *Keeper) Run(ctx context.Context) error { return k.loop.Run(ctx, checkInterval, k.checkTables) }
 
-func (k *Keeper) look(ctx context.Context) {
+func (k *Keeper) checkTables(ctx context.Context) {
 	for _, pool := range k.cfg.Pools() {
-		b := k.book(pool)
-		k.read(pool, b)
-		k.tell(pool, b)
-		k.step(ctx, pool, b)
+		b := k.tableOf(pool)
+		k.readTable(pool, b)
+		k.sendTable(pool, b)
+		k.updateTable(ctx, pool, b)
 	}
 }
 
-func (k *Keeper) book(pool string) *book {
+func (k *Keeper) tableOf(pool string) *poolTable {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	b := k.books[pool]
+	b := k.tables[pool]
 	if b == nil {
-		b = &book{
-			Record: record.New(k.cfg.Record, spec.KindHomes, pool), began: k.cfg.Now(),
-			absent: make(map[spec.HomeOwner]time.Duration),
+		b = &poolTable{
+			Record: record.New(k.cfg.Record, spec.KindHomes, pool), firstSeenAt: k.cfg.Now(),
+			absentSince: make(map[spec.HomeOwner]time.Duration),
 		}
-		k.books[pool] = b
+		k.tables[pool] = b
 	}
 	return b
 }
 
-// read takes the table in force into b.
-func (k *Keeper) read(pool string, b *book) {
+// readTable reads the table in force into b.
+func (k *Keeper) readTable(pool string, b *poolTable) {
 	o, ok := b.Read()
 	if !ok {
-		// A deleted table is written again as it was: a new one would let keys
-		// run that the old one forbids.
+		// Write a deleted table again unchanged. A new one would allow keys to run
+		// that the old one forbids.
 		b.version = 0
 		return
 	}
@@ -151,87 +156,89 @@
 	k.mu.Unlock()
 }
 
-// step repairs or confirms the table if that is due. When another entry was
-// faster it tries again at once with the table that the other one wrote. With
-// dozens of entries a table changes several times a second, and one that paused
-// first would always come too late: its agents' leases would run out and keyed
-// calls be refused although the platform is well.
-func (k *Keeper) step(ctx context.Context, pool string, b *book) {
-	for range maxTries {
-		if !k.try(ctx, pool, b) {
+// updateTable changes or confirms the table if that is due. If another entry has
+// written first, it retries at once with that entry's table. With dozens of entries
+// a table changes several times a second. An entry that paused first would always
+// be too late, so its agents' leases would expire and requests with a key would be
+// refused although the platform is available.
+func (k *Keeper) updateTable(ctx context.Context, pool string, b *poolTable) {
+	for range maxWriteAttempts {
+		if !k.tryUpdate(ctx, pool, b) {
 			return
 		}
 	}
-	b.next = k.cfg.Now() + b.pause(k.cfg.Random())
+	b.confirmAt = k.cfg.Now() + b.conflictBackoff(k.cfg.Random())
 }
 
-// pause returns how long to wait after tries in vain.
-func (b *book) pause(random float64) time.Duration {
-	d := conflictPause << min(b.failed, maxDoubled)
-	b.failed++
+// conflictBackoff returns how long to pause after attempts that failed with a
+// conflict, and counts them.
+func (b *poolTable) conflictBackoff(random float64) time.Duration {
+	d := conflictPause << min(b.conflicts, maxPauseDoublings)
+	b.conflicts++
 	return time.Duration(float64(d) * (0.5 + random))
 }
 
-// try is one try of step. It reports whether another entry was faster and its
-// table is known.
-func (k *Keeper) try(ctx context.Context, pool string, b *book) bool {
+// tryUpdate makes one attempt of updateTable. It reports whether another entry has
+// written first and its table is now known.
+func (k *Keeper) tryUpdate(ctx context.Context, pool string, b *poolTable) bool {
 	now := k.cfg.Now()
-	live, ready := k.live(pool, b, now)
+	live, ready := k.liveOwners(pool, b, now)
 	if !ready {
 		return false
 	}
 	next, changed := homes.Takeover(b.table, live, k.cfg.Wall())
-	if len(next.Slots) == 0 || (!changed && now < b.next) {
+	if len(next.Slots) == 0 || (!changed && now < b.confirmAt) {
 		return false
 	}
 	next.Touched = k.cfg.Wall()
-	return k.write(ctx, pool, b, next)
+	return k.writeTable(ctx, pool, b, next)
 }
 
-// write puts a table in force under the condition that b holds the present
-// one. It reports whether b now holds a newer table of another entry.
-func (k *Keeper) write(ctx context.Context, pool string, b *book, t spec.Homes) bool {
+// writeTable puts a table in force if b holds the current one. It reports whether b
+// now holds a newer table of another entry.
+func (k *Keeper) writeTable(ctx context.Context, pool string, b *poolTable, t spec.Homes) bool {
 	data, err := json.Marshal(t)
 	if err != nil {
 		return false
 	}
-	began, due, version := k.cfg.Now(), b.next, b.version
+	began, due, version := k.cfg.Now(), b.confirmAt, b.version
 	if err := b.Write(ctx, data, t.Epoch, version); err != nil {
 		var conflict *plat.ConflictError
 		if !errors.As(err, &conflict) {
-			// No answer, as in an outage, is no sign of rivals.
-			b.next = began + time.Duration(float64(conflictPause)*(0.5+k.cfg.Random()))
+			// No answer, as in an outage, doesn't mean that other entries are
+			// writing.
+			b.confirmAt = began + time.Duration(float64(conflictPause)*(0.5+k.cfg.Random()))
 			return false
 		}
-		k.read(pool, b)
-		k.tell(pool, b)
+		k.readTable(pool, b)
+		k.sendTable(pool, b)
 		if b.version <= version {
-			// The platform answered from the past. To ask again at once would
-			// hear the same.
-			b.next = began + b.pause(k.cfg.Random())
+			// The platform returned an older state, and an immediate read would
+			// return it again.
+			b.confirmAt = began + b.conflictBackoff(k.cfg.Random())
 			return false
 		}
-		b.next = min(due, began)
+		b.confirmAt = min(due, began)
 		return true
 	}
-	b.failed = 0
-	b.next = began + time.Duration(float64(k.cfg.Touch)*(0.75+k.cfg.Random()/2))
-	k.read(pool, b)
-	k.tell(pool, b)
+	b.conflicts = 0
+	b.confirmAt = began + time.Duration(float64(k.cfg.ConfirmInterval)*(0.75+k.cfg.Random()/2))
+	k.readTable(pool, b)
+	k.sendTable(pool, b)
 	return false
 }
 
-func (k *Keeper) tell(pool string, b *book) {
+func (k *Keeper) sendTable(pool string, b *poolTable) {
 	if m := k.cfg.Members(pool); m != nil && b.version != 0 {
 		b.SendToAgents(m.Peers, b.version, b.table.Epoch, b.data)
 	}
 }
 
-// Ack fills in the answer to an agent that asks how fresh the entry's
-// knowledge of a pool's table is.
-func (k *Keeper) Ack(ack *wire.LeaseAck) {
+// FillAck fills in the answer to an agent that asks how fresh the entry's knowledge
+// of a pool's table is.
+func (k *Keeper) FillAck(ack *wire.LeaseAck) {
 	k.mu.Lock()
-	b := k.books[ack.Pool]
+	b := k.tables[ack.Pool]
 	k.mu.Unlock()
 	if b != nil {
 		b.FillAck(ack)
--- a/entry/keys/owner.go
+++ b/entry/keys/owner.go
@@ -15,10 +15,10 @@
 // ErrNoHome reports that the agent that keeps a key can't be reached.
 var ErrNoHome = errors.New("keys: the agent that keeps this idempotency key can't be reached: ask again with the same key")
 
-// Home returns the agent that keeps the record of a hashed key.
+// Home returns the agent that keeps the record of a hashed key, or ErrNoHome.
 func (k *Keeper) Home(pool string, key []byte) (sched.Home, error) {
 	k.mu.Lock()
-	b := k.books[pool]
+	b := k.tables[pool]
 	if b == nil {
 		k.mu.Unlock()
 		return sched.Home{}, ErrNoHome
@@ -31,7 +31,7 @@
 	}
 	p, ok := k.cfg.Peer(o.Name)
 	if !ok {
-		k.cfg.Want(o.Name)
+		k.cfg.RequestLink(o.Name)
 		return sched.Home{}, ErrNoHome
 	}
 	if !p.IsLinked() || p.Agent() != (once.Agent{Name: o.Name, Incarnation: o.Incarnation}) {
@@ -41,9 +41,9 @@
 	return sched.Home{Peer: p, Epoch: table.Epoch}, nil
 }
 
-// live returns the agents that may own slots. ready is false while too little
+// liveOwners returns the agents that may own slots. ready is false while too little
 // is known to change the table.
-func (k *Keeper) live(pool string, b *book, now time.Duration) (out []spec.HomeOwner, ready bool) {
+func (k *Keeper) liveOwners(pool string, b *poolTable, now time.Duration) (out []spec.HomeOwner, ready bool) {
 	m := k.cfg.Members(pool)
 	if m == nil {
 		return nil, false
@@ -59,31 +59,31 @@
 			continue
 		}
 		linked[p.Name()] = true
-		out = append(out, owner(p))
+		out = append(out, ownerOf(p))
 	}
-	if len(out) == 0 || (b.version == 0 && missing > 0 && now-b.began < settle) {
+	if len(out) == 0 || (b.version == 0 && missing > 0 && now-b.firstSeenAt < settleTime) {
 		return nil, false
 	}
-	isolated := missing > len(out)
-	states := states(k.cfg.Roster())
+	isIsolated := missing > len(out)
+	states := instanceStates(k.cfg.Roster())
 	for _, o := range b.table.Owners {
 		if linked[o.Name] {
-			delete(b.absent, o)
+			delete(b.absentSince, o)
 			continue
 		}
-		if k.present(b, o, states[o.Name], now, isolated) {
+		if k.isPresent(b, o, states[o.Name], now, isIsolated) {
 			out = append(out, o)
 		}
 	}
 	return out, true
 }
 
-func owner(p *agents.Peer) spec.HomeOwner {
+func ownerOf(p *agents.Peer) spec.HomeOwner {
 	a := p.Agent()
 	return spec.HomeOwner{Name: a.Name, Incarnation: a.Incarnation}
 }
 
-func states(r plat.Roster) map[string]string {
+func instanceStates(r plat.Roster) map[string]string {
 	out := make(map[string]string, len(r.Instances))
 	for _, i := range r.Instances {
 		out[i.Name] = i.State
@@ -91,24 +91,24 @@
 	return out
 }
 
-// present reports whether an owner without a link still counts. A leaving one
-// takes no new work, so its keys go to others at once.
-func (k *Keeper) present(b *book, o spec.HomeOwner, state string, now time.Duration, isolated bool) bool {
+// isPresent reports whether an owner without a link still counts. A leaving owner
+// accepts no new requests, so its keys go to others at once.
+func (k *Keeper) isPresent(b *poolTable, o spec.HomeOwner, state string, now time.Duration, isIsolated bool) bool {
 	if p, ok := k.cfg.Peer(o.Name); ok {
 		if p.IsLinked() && p.IsLeaving() {
 			return false
 		}
 	} else if state == plat.StateLive {
-		// Another entry may be linked to it; ask for a link before judging.
-		k.cfg.Want(o.Name)
+		// Another entry may be linked to it, so request a link before deciding.
+		k.cfg.RequestLink(o.Name)
 	}
-	since, ok := b.absent[o]
+	since, ok := b.absentSince[o]
 	if !ok {
-		b.absent[o] = now
+		b.absentSince[o] = now
 		return true
 	}
 	if state != plat.StateLive {
-		return now-since < goneAfter
+		return now-since < goneTimeout
 	}
-	return isolated || now-since < lostAfter
+	return isIsolated || now-since < lostTimeout
 }
--- a/entry/keys/relay.go
+++ b/entry/keys/relay.go
@@ -6,10 +6,10 @@
 	"lycheepond/entry/agents"
 )
 
-// Relay carries the messages of a handover from one agent to the other and
-// reports whether m was one. What cannot be carried now is dropped: the sender
-// tries again, perhaps through another entry.
-func (k *Keeper) Relay(p *agents.Peer, m wire.Message) bool {
+// RelayHandover passes the messages of a handover from one agent to the other and
+// reports whether m is one. A message that can't be passed on now is dropped. The
+// sender sends it again, perhaps through another entry.
+func (k *Keeper) RelayHandover(p *agents.Peer, m wire.Message) bool {
 	var from, to wire.Party
 	switch m := m.(type) {
 	case *wire.Handover:
@@ -19,18 +19,19 @@
 	default:
 		return false
 	}
-	// An agent speaks for itself only; otherwise one that was restarted could
-	// give the word of its former self, which may still wake.
+	// An agent may speak only for its own incarnation. Otherwise a restarted agent
+	// could answer for its former process, which may still resume.
 	if p.Agent() != (once.Agent{Name: from.Name, Incarnation: from.Incarnation}) {
 		return true
 	}
 	target, ok := k.cfg.Peer(to.Name)
 	if !ok {
-		k.cfg.Want(to.Name)
+		k.cfg.RequestLink(to.Name)
 		return true
 	}
 	if target.Agent() == (once.Agent{Name: to.Name, Incarnation: to.Incarnation}) {
-		// An error means that the link has ended; the part will come again.
+		// An error means that the link has ended. The sender will send this part
+		// again.
 		_ = target.Send(m)
 	}
 	return true
--- a/entry/keys/relay_test.go
+++ b/entry/keys/relay_test.go
@@ -6,11 +6,11 @@
 	"lycheepond/core/wire"
 )
 
-// A handover passes an entry. It must reach only the very process that it is
-// for, and come only from the one that it speaks for: an agent that was
-// restarted knows nothing of what its former self still does.
-func TestRelayOnlyBetweenTheNamedProcesses(t *testing.T) {
-	w := newWorld(t)
+// An entry relays the messages of a handover. They must reach only the process that
+// they name, and come only from the process that they speak for, because a
+// restarted agent doesn't know what its former process still does.
+func TestHandoverIsRelayedOnlyBetweenNamedProcesses(t *testing.T) {
+	w := newFixture(t)
 	a, b := w.agent("a", 1), w.agent("b", 2)
 	for _, tc := range []struct {
 		name     string
@@ -24,15 +24,15 @@
 		{"as named", wire.Party{Name: "a", Incarnation: 1}, wire.Party{Name: "b", Incarnation: 2}, true},
 	} {
 		for _, m := range []wire.Message{&wire.Handover{From: tc.from, To: tc.to}, &wire.HandAck{From: tc.from, To: tc.to}} {
-			if !w.k.Relay(a, m) {
-				t.Errorf("%s: %s is not taken for a handover", tc.name, m.Kind())
+			if !w.keeper.RelayHandover(a, m) {
+				t.Errorf("%s: %s is not recognized as a handover", tc.name, m.Kind())
 			}
 		}
 		if got := !b.Link().Idle(); got != tc.want {
 			t.Errorf("%s: passed on %v", tc.name, got)
 		}
 	}
-	if w.k.Relay(a, new(wire.Beat)) {
-		t.Error("a heartbeat was taken for a handover")
+	if w.keeper.RelayHandover(a, new(wire.Beat)) {
+		t.Error("a heartbeat was recognized as a handover")
 	}
 }
--- a/entry/main.go
+++ b/entry/main.go
@@ -1,4 +1,4 @@
-// Command entry accepts callers' requests and carries each to its one final
+// Command entry accepts callers' requests and carries each of them to its one final
 // answer.
 package main
 
@@ -10,7 +10,7 @@
 	"lycheepond/core/conf"
 )
 
-// release is set by the linker.
+// release is the version of the program, set by the linker.
 var release = "dev"
 
 func main() {
--- a/entry/measure.go
+++ b/entry/measure.go
@@ -5,8 +5,8 @@
 	"lycheepond/core/wire"
 )
 
-// measure adds the entry's own state to its metrics.
-func (n *node) measure() {
+// registerMetrics adds the entry's own state to its metrics.
+func (n *node) registerMetrics() {
 	n.feed.Measure(n.meter)
 	n.meter.Process()
 	n.meter.GaugeFunc("entry_running", func() int64 { return int64(n.sched.Running()) })
@@ -17,14 +17,14 @@
 		"entry_data_in_bytes":     func(c wire.Counts) uint64 { return c.DataIn },
 		"entry_data_out_bytes":    func(c wire.Counts) uint64 { return c.DataOut },
 	} {
-		n.meter.GaugeFunc(name, func() int64 { return int64(count(n.set.Counts())) })
+		n.meter.GaugeFunc(name, func() int64 { return int64(count(n.agents.Counts())) })
 	}
 }
 
-// lowestLevel returns the strictest shed level of all pools.
+// lowestLevel returns the lowest, and so strictest, shed level of all pools.
 func (n *node) lowestLevel() int64 {
 	level := spec.Tiers - 1
-	for _, p := range n.set.Pools() {
+	for _, p := range n.agents.Pools() {
 		level = min(level, n.sched.Figures(p).Level)
 	}
 	return int64(level)
--- a/entry/node.go
+++ b/entry/node.go
@@ -37,28 +37,28 @@
 // node is one running entry.
 type node struct {
 	cfg *conf.Entry
-	// certs are the certificates of links, nil if links are plain.
-	certs *certs.Source
-	log   *zap.Logger
-	start time.Time
-	self  wire.Hello
-	store *store.Store
-	plat  *plat.Client
-	feed  *feed.Feed
-	set   *agents.Set
-	sched *sched.Sched
-	// keeper keeps the tables of idempotency keys.
+	// certs holds the certificates of links, nil if links are not encrypted.
+	certs  *certs.Source
+	log    *zap.Logger
+	start  time.Time
+	self   wire.Hello
+	store  *store.Store
+	plat   *plat.Client
+	feed   *feed.Feed
+	agents *agents.Set
+	sched  *sched.Sched
+	// keeper maintains the home tables of idempotency keys.
 	keeper *keys.Keeper
 	// planner decides which endpoint serves which version.
 	planner *orders.Planner
 	meter   *meter.Set
 	tally   *tally.Recorder
-	// live holds the fleet's keys, which are replaced without a restart.
-	live *conf.Live
-	// noted is the digest of the configuration that was last logged.
-	noted   atomic.Uint64
-	leaving atomic.Bool
-	ready   atomic.Bool
+	// fleetKeys holds the fleet's keys, which are replaced without a restart.
+	fleetKeys *conf.Live
+	// loggedDigest is the digest of the configuration that was last logged.
+	loggedDigest atomic.Uint64
+	leaving      atomic.Bool
+	ready        atomic.Bool
 }
 
 func newNode(cfg *conf.Entry, path string) *node {
@@ -67,16 +67,16 @@
 		log:  logs.New(cfg.Log.Level, cfg.Name),
 		plat: plat.New(plat.Config{Base: cfg.Platform.Address, Token: string(cfg.Platform.Token)}),
 	}
-	n.live = conf.NewLive(path, cfg.Keys(), conf.EntryKeys)
+	n.fleetKeys = conf.NewLive(path, cfg.Keys(), conf.EntryKeys)
 	n.self = wire.Hello{
-		Role: wire.RoleEntry, Name: cfg.Name, Zone: cfg.Zone, Incarnation: incarnation(),
+		Role: wire.RoleEntry, Name: cfg.Name, Zone: cfg.Zone, Incarnation: newIncarnation(),
 		IdleMS: uint32(cfg.IdleHeartbeat.Std().Milliseconds()),
 	}
 	n.tally = tally.New(n.meter, n.log)
 	return n
 }
 
-func incarnation() uint64 {
+func newIncarnation() uint64 {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		return mathrand.Uint64()
@@ -86,12 +86,12 @@
 
 func (n *node) now() time.Duration { return time.Since(n.start) }
 
-// beat is what an idle link carries.
-func (n *node) beat() wire.Message {
+// heartbeat returns the message that an idle link carries.
+func (n *node) heartbeat() wire.Message {
 	return &wire.Beat{Leaving: n.leaving.Load(), Config: n.store.Version()}
 }
 
-// run serves until ctx ends, then stops in order.
+// run serves until ctx ends, then stops the parts in order.
 func (n *node) run(ctx context.Context) error {
 	work, end := context.WithCancel(context.Background())
 	logs.Info(n.log, logs.EventStarting)
@@ -102,7 +102,7 @@
 	}
 	n.build(work)
 	p := newParts()
-	n.begin(work, p)
+	n.startParts(work, p)
 	err = n.serve(ctx, p)
 	end()
 	p.wait()
@@ -110,7 +110,7 @@
 	return err
 }
 
-// serve answers callers until ctx or a part ends.
+// serve serves callers until ctx or a part ends.
 func (n *node) serve(ctx context.Context, p *parts) error {
 	conns := kept.New(kept.Config{Bound: func() time.Duration { return idleTimeout }, Metrics: n.meter, Log: n.log})
 	ln, err := conns.Listen(n.cfg.Listen)
@@ -126,30 +126,30 @@
 		p.running--
 		return err
 	}
-	server := n.server(conns)
+	server := n.newServer(conns)
 	defer server.Close()
 	n.ready.Store(true)
 	p.start(func() error { return server.Serve(ln) })
 	n.announce(ln.Addr().String())
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
 			conns.Sweep()
 		case <-ctx.Done():
-			n.stop(conns)
+			n.drain(conns)
 			return nil
 		case err := <-p.ended:
-			// What was read is answered all the same.
+			// Requests that were read are still answered.
 			p.running--
-			n.stop(conns)
+			n.drain(conns)
 			return err
 		}
 	}
 }
 
-// announce tells whoever started the process where it listens.
+// announce prints the listening address for whoever started the process.
 func (n *node) announce(addr string) {
 	logs.Info(n.log, logs.EventReady, zap.String("listen", addr))
 	line, _ := json.Marshal(struct {
@@ -159,10 +159,11 @@
 	os.Stdout.Write(append(line, '\n'))
 }
 
-// stop refuses new requests, waits for those that were read and ends. The listener
-// stays open for a moment, so that callers the balancer still sends hear a
-// truthful refusal in place of a refused connection.
-func (n *node) stop(conns *kept.Set) {
+// drain refuses new requests, waits for those that were read, at most for the
+// grace, and ends. The listener stays open for a moment, so that callers that the
+// load balancer still sends here get an accurate refusal instead of a refused
+// connection.
+func (n *node) drain(conns *kept.Set) {
 	n.leaving.Store(true)
 	logs.Info(n.log, logs.EventLeaving, zap.Int("running", n.sched.Running()))
 	grace, cancel := context.WithTimeout(context.Background(), n.cfg.Grace.Std())
@@ -179,14 +180,15 @@
 	logs.Info(n.log, logs.EventStopped)
 }
 
-// balancerNotice is how long a balancer may take to see that /readyz changed.
+// balancerNotice is how long a load balancer may take to notice that /readyz
+// changed.
 const balancerNotice = 2 * time.Second
 
-func (n *node) server(conns *kept.Set) *http.Server {
+func (n *node) newServer(conns *kept.Set) *http.Server {
 	front := caller.New(caller.Config{
 		Store: n.store, NewID: n.sched.NewID, Serve: n.sched.Serve, Now: n.now,
 		Ready: n.ready.Load, Leaving: n.leaving.Load, OnResult: n.tally.RecordResult, Metrics: n.meter.Public(),
-		OnPanic: n.panicked, OnUnread: func() { n.meter.Counter("answers_not_taken").Inc(1) }, Log: n.log,
+		OnPanic: n.countPanic, OnUnread: func() { n.meter.Counter("answers_not_taken").Inc(1) }, Log: n.log,
 	})
 	server := &http.Server{ReadHeaderTimeout: headerTimeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !conns.Admit(r) {
@@ -198,91 +200,91 @@
 	return server
 }
 
-// panicked counts a handler that panicked.
-func (n *node) panicked() { n.meter.Counter("handlers_panicked").Inc(1) }
+// countPanic counts a handler that panicked.
+func (n *node) countPanic() { n.meter.Counter("handlers_panicked").Inc(1) }
 
 const (
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// sweepEvery is how often connections that are idle for too long are looked
-	// for: idleTimeout need not be kept to the second.
-	sweepEvery = time.Second
+	// sweepInterval is how often connections that have been idle for too long are
+	// looked for. idleTimeout need not be exact to the second.
+	sweepInterval = time.Second
 )
 
-// build makes the parts; begin starts them.
+// build creates the parts; startParts starts them.
 func (n *node) build(ctx context.Context) {
 	n.feed = feed.New(feed.Config{
-		Platform: n.plat, Store: n.store, Peers: n.peerFetches(), Random: mathrand.Float64, Note: n.noteFeed,
+		Platform: n.plat, Store: n.store, Peers: n.peerFetches(), Random: mathrand.Float64, Note: n.logFeedNote,
 	})
 	n.feed.Measure(n.meter)
 	n.meter.Process()
 	n.sched = sched.New(ctx, sched.Config{
 		MemoryLimit: int64(n.cfg.RequestMemory) << 20,
 		Incarnation: n.self.Incarnation, Zone: n.cfg.Zone, Now: n.now, Log: n.log,
-		Pool:       func(name string) *agents.Members { return n.set.Pool(name) },
-		EntryCount: n.entries,
+		Pool:       func(name string) *agents.Members { return n.agents.Pool(name) },
+		EntryCount: n.entryCount,
 		Home:       func(pool string, key []byte) (sched.Home, error) { return n.keeper.Home(pool, key) },
 	})
-	n.set = agents.New(agents.Config{
-		Self: n.self, Keys: n.live.Keys, Heartbeat: n.cfg.Heartbeat.Std(), Beat: n.beat,
-		Dial: n.dial, Roster: n.store.Roster, Pools: n.pools, Digest: n.store.Digest, ChooseAgents: n.choose,
-		Handle: n.handle, LinkUp: n.up, LinkDown: n.sched.LinkDown, Now: n.now, Log: n.log,
+	n.agents = agents.New(agents.Config{
+		Self: n.self, Keys: n.fleetKeys.Keys, Heartbeat: n.cfg.Heartbeat.Std(), Beat: n.heartbeat,
+		Dial: n.dial, Roster: n.store.Roster, Pools: n.pools, Digest: n.store.Digest, ChooseAgents: n.chooseAgents,
+		Handle: n.handle, LinkUp: n.linkUp, LinkDown: n.sched.LinkDown, Now: n.now, Log: n.log,
 	})
 	rec := record.Config{
 		Put: n.plat.Put, Get: n.plat.Get, Raw: n.store.Raw, Accept: func(e plat.Event) { n.store.Accept(e) }, Now: n.now,
 	}
 	n.keeper = keys.New(keys.Config{
-		Record: rec, Pools: n.set.Pools, Members: n.set.Pool, Peer: n.set.Peer, Want: n.set.RequestLink, Roster: n.store.Roster,
+		Record: rec, Pools: n.agents.Pools, Members: n.agents.Pool, Peer: n.agents.Peer, RequestLink: n.agents.RequestLink, Roster: n.store.Roster,
 		Now: n.now, Wall: func() int64 { return time.Now().UnixMilli() }, Random: mathrand.Float64, Log: n.log,
 	})
-	n.measure()
+	n.registerMetrics()
 	n.planner = orders.New(orders.Config{
-		Record: rec, Models: n.store.Models, Members: n.set.Pool, Now: n.now, Random: mathrand.Float64, Log: n.log,
+		Record: rec, Models: n.store.Models, Members: n.agents.Pool, Now: n.now, Random: mathrand.Float64, Log: n.log,
 	})
 }
 
-func (n *node) begin(ctx context.Context, p *parts) {
+func (n *node) startParts(ctx context.Context, p *parts) {
 	changed, _ := n.store.Subscribe()
 	p.start(func() error { return n.feed.Run(ctx) })
-	p.start(func() error { return n.set.Run(ctx, changed) })
-	p.start(func() error { return n.live.Follow(ctx, n.live.Logged(n.log)) })
+	p.start(func() error { return n.agents.Run(ctx, changed) })
+	p.start(func() error { return n.fleetKeys.Follow(ctx, n.fleetKeys.Logged(n.log)) })
 	p.start(func() error { return n.keeper.Run(ctx) })
 	p.start(func() error { return n.planner.Run(ctx) })
 	port := peers.New(peers.Config{
-		Listen: n.cfg.Link, Self: n.self, Keys: n.live.Keys, Heartbeat: n.cfg.Heartbeat.Std(),
-		Beat: n.beat, Store: n.store, Accept: n.certs.Accept, Log: n.log,
+		Listen: n.cfg.Link, Self: n.self, Keys: n.fleetKeys.Keys, Heartbeat: n.cfg.Heartbeat.Std(),
+		Beat: n.heartbeat, Store: n.store, Accept: n.certs.Accept, Log: n.log,
 	})
 	p.start(func() error { return port.Run(ctx) })
 	operators := admin.New(admin.Config{
 		Listen: n.cfg.Admin.Listen, Token: string(n.cfg.Admin.Token), Metrics: n.meter,
-		Status: n.status, Explain: n.sched.Traces().Explain, Panicked: n.panicked, Log: n.log,
+		Status: n.status, Explain: n.sched.Traces().Explain, OnPanic: n.countPanic, Log: n.log,
 	})
 	p.start(func() error { return operators.Run(ctx) })
 }
 
-// handle takes a message of an agent; it is called by the link's reader.
+// handle handles a message from an agent. The link's reader calls it.
 func (n *node) handle(p *agents.Peer, m wire.Message) {
 	if ask, ok := m.(*wire.LeaseAsk); ok {
-		n.ack(p, ask)
+		n.answerLeaseAsk(p, ask)
 		return
 	}
-	if !n.keeper.Relay(p, m) {
+	if !n.keeper.RelayHandover(p, m) {
 		n.sched.Handle(p, m)
 	}
 }
 
-// ack tells an agent how fresh the entry's knowledge of a record is.
-func (n *node) ack(p *agents.Peer, ask *wire.LeaseAsk) {
+// answerLeaseAsk tells an agent how fresh the entry's knowledge of a record is.
+func (n *node) answerLeaseAsk(p *agents.Peer, ask *wire.LeaseAsk) {
 	ack := &wire.LeaseAck{Seq: ask.Seq, Pool: ask.Pool}
 	if model, ok := strings.CutPrefix(ask.Pool, wire.AssignPrefix); ok {
-		n.planner.Ack(model, ack)
+		n.planner.FillAck(model, ack)
 	} else {
-		n.keeper.Ack(ack)
+		n.keeper.FillAck(ack)
 	}
 	p.Send(ack)
 }
 
-func (n *node) up(p *agents.Peer) {
+func (n *node) linkUp(p *agents.Peer) {
 	n.sched.LinkUp(p)
 	n.keeper.Wake()
 	n.planner.Wake()
--- a/entry/orders/planner.go
+++ b/entry/orders/planner.go
@@ -1,5 +1,6 @@
-// Package orders keeps the assignments in the platform: which endpoint is to
-// serve which version of a model. Agents give the orders that follow.
+// Package orders maintains the assignments in the platform, which say which
+// endpoint is to serve which version of a model. Agents follow them by giving
+// orders to their endpoints.
 package orders
 
 import (
@@ -19,19 +20,19 @@
 )
 
 const (
-	// planEvery is how often assignments are looked at.
-	planEvery = time.Second
-	// touchEvery is how often an assignment is confirmed while an endpoint has
-	// yet to follow it. Agents give an order only on a fresh confirmation.
-	touchEvery = 1500 * time.Millisecond
-	// conflictPause spreads entries that raced one another.
+	// planInterval is how often assignments are planned.
+	planInterval = time.Second
+	// confirmInterval is how often an assignment is confirmed while an endpoint has
+	// yet to follow it. Agents give an order only after a recent confirmation.
+	confirmInterval = 1500 * time.Millisecond
+	// conflictPause spreads the writes of entries whose writes have conflicted.
 	conflictPause = 500 * time.Millisecond
-	// loads is how many endpoints may load weights at the same time, because
-	// the weight store is rate limited.
-	loads = 2
+	// maxConcurrentLoads is how many endpoints may load weights at the same time,
+	// because the weight store is rate limited.
+	maxConcurrentLoads = 2
 )
 
-// Config is what a Planner depends on. All functions must be set.
+// Config holds the callbacks of a Planner. All functions must be set.
 type Config struct {
 	Record  record.Config
 	Models  func() []spec.Model
@@ -42,67 +43,69 @@
 	Log    *zap.Logger
 }
 
-// Planner is safe for concurrent use.
+// Planner plans the assignments of all models. It is safe for concurrent use.
 type Planner struct {
 	cfg  Config
 	loop *record.Loop
-	// ordered is when a present line of an assignment was first seen here.
-	ordered map[line]time.Duration
+	// orderedAt holds when each current assignment of an endpoint was first seen at
+	// this entry.
+	orderedAt map[assignmentKey]time.Duration
 
-	mu    sync.Mutex
-	books map[string]*book
+	mu          sync.Mutex
+	assignments map[string]*assignment
 }
 
-// line is one line of an assignment.
-type line struct{ model, endpoint, version string }
+// assignmentKey identifies the assignment of one endpoint.
+type assignmentKey struct{ model, endpoint, version string }
 
-// book is one model's assignment. Run alone uses it, but for its Record's Ack.
-type book struct {
+// assignment is the state of one model's assignment. Only Run uses it, except for
+// the FillAck of its Record.
+type assignment struct {
 	*record.Record
 	assign  spec.Assign
 	version int64
 	data    []byte
-	// next is when to confirm again.
-	next time.Duration
+	// confirmAt is when to confirm the assignment again.
+	confirmAt time.Duration
 }
 
-// New returns a Planner that does nothing until Run.
+// New returns a Planner that does nothing before Run is called.
 func New(cfg Config) *Planner {
 	return &Planner{
-		cfg: cfg, loop: record.NewLoop(), ordered: make(map[line]time.Duration), books: make(map[string]*book),
+		cfg: cfg, loop: record.NewLoop(), orderedAt: make(map[assignmentKey]time.Duration), assignments: make(map[string]*assignment),
 	}
 }
 
-// Wake has the assignments looked at now, as after a new link.
+// Wake requests planning now, for example after a new link.
 func (p *Planner) Wake() { p.loop.Wake() }
 
 // Run plans until ctx ends.
-func (p *Planner) Run(ctx context.Context) error { return p.loop.Run(ctx, planEvery, p.plan) }
+func (p *Planner) Run(ctx context.Context) error { return p.loop.Run(ctx, planInterval, p.plan) }
 
-// Ack fills in the answer to an agent that asks how fresh the entry's
-// knowledge of a model's assignment is.
-func (p *Planner) Ack(model string, ack *wire.LeaseAck) {
+// FillAck fills in the answer to an agent that asks how fresh the entry's knowledge
+// of a model's assignment is.
+func (p *Planner) FillAck(model string, ack *wire.LeaseAck) {
 	p.mu.Lock()
-	b := p.books[model]
+	b := p.assignments[model]
 	p.mu.Unlock()
 	if b != nil {
 		b.FillAck(ack)
 	}
 }
 
-func (p *Planner) book(model string) *book {
+func (p *Planner) assignmentOf(model string) *assignment {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b := p.books[model]
+	b := p.assignments[model]
 	if b == nil {
-		b = &book{Record: record.New(p.cfg.Record, spec.KindAssign, model)}
-		p.books[model] = b
+		b = &assignment{Record: record.New(p.cfg.Record, spec.KindAssign, model)}
+		p.assignments[model] = b
 	}
 	return b
 }
 
-// read takes the assignment in force into b.
-func (b *book) read() {
+// refresh reads the assignment in force into b.
+func (b *assignment) refresh() {
 	o, ok := b.Read()
 	if !ok {
 		b.version = 0
@@ -117,23 +120,23 @@
 	}
 }
 
-// plan looks at all models at once, because one endpoint may serve any of
-// several.
+// plan plans for all models together, because an endpoint may be able to serve any
+// of several.
 func (p *Planner) plan(ctx context.Context) {
 	now := p.cfg.Now()
 	models := p.cfg.Models()
-	state := p.state(now, models)
+	state := p.planState(now, models)
 	moves := make(map[string][]roles.Move)
 	for _, m := range roles.Plan(now, state) {
 		moves[m.Model] = append(moves[m.Model], m)
 	}
 	for _, m := range models {
-		b := p.book(m.Name)
+		b := p.assignmentOf(m.Name)
 		switch {
 		case len(moves[m.Name]) > 0:
-			p.move(ctx, m.Name, b, moves[m.Name])
-		case b.version != 0 && now >= b.next && behind(m.Name, b, state.Endpoints):
-			p.write(ctx, b, b.assign)
+			p.applyMoves(ctx, m.Name, b, moves[m.Name])
+		case b.version != 0 && now >= b.confirmAt && isPending(m.Name, b, state.Endpoints):
+			p.writeAssign(ctx, b, b.assign)
 		}
 		if ms := p.cfg.Members(m.Name); ms != nil && b.version != 0 {
 			b.SendToAgents(ms.Peers, b.version, b.assign.Epoch, b.data)
@@ -141,8 +144,8 @@
 	}
 }
 
-// move writes new lines into an assignment.
-func (p *Planner) move(ctx context.Context, model string, b *book, moves []roles.Move) {
+// applyMoves writes the versions of moves into an assignment.
+func (p *Planner) applyMoves(ctx context.Context, model string, b *assignment, moves []roles.Move) {
 	next := spec.Assign{Epoch: b.assign.Epoch + 1, Endpoints: make(map[string]spec.Assignment)}
 	for name, l := range b.assign.Endpoints {
 		next.Endpoints[name] = l
@@ -156,33 +159,33 @@
 		changed = true
 		next.Endpoints[m.Endpoint] = spec.Assignment{Version: m.Version, Adapter: old.Adapter, Role: old.Role}
 	}
-	if !changed || p.cfg.Now() < b.next && b.version == 0 {
+	if !changed || p.cfg.Now() < b.confirmAt && b.version == 0 {
 		return
 	}
-	if p.write(ctx, b, next) {
+	if p.writeAssign(ctx, b, next) {
 		logs.Info(p.cfg.Log, logs.EventOrderGiven, zap.String("model", model), zap.Int64("epoch", next.Epoch), zap.Int("moves", len(moves)))
 	}
 }
 
-func (p *Planner) write(ctx context.Context, b *book, a spec.Assign) bool {
+func (p *Planner) writeAssign(ctx context.Context, b *assignment, a spec.Assign) bool {
 	data, err := json.Marshal(a)
 	if err != nil {
 		return false
 	}
 	began := p.cfg.Now()
 	if err := b.Write(ctx, data, a.Epoch, b.version); err != nil {
-		b.next = began + time.Duration(float64(conflictPause)*(0.5+p.cfg.Random()))
-		b.read()
+		b.confirmAt = began + time.Duration(float64(conflictPause)*(0.5+p.cfg.Random()))
+		b.refresh()
 		return false
 	}
-	b.next = began + time.Duration(float64(touchEvery)*(0.75+p.cfg.Random()/2))
-	b.read()
+	b.confirmAt = began + time.Duration(float64(confirmInterval)*(0.75+p.cfg.Random()/2))
+	b.refresh()
 	return true
 }
 
-// behind reports whether an endpoint has yet to follow the assignment.
-func behind(model string, b *book, eps []roles.Endpoint) bool {
-	for _, e := range eps {
+// isPending reports whether an endpoint has yet to follow the assignment.
+func isPending(model string, b *assignment, endpoints []roles.Endpoint) bool {
+	for _, e := range endpoints {
 		if l, ok := b.assign.Endpoints[e.Name]; ok && e.WantModel == model && e.Version != l.Version {
 			return true
 		}
@@ -190,14 +193,14 @@
 	return false
 }
 
-// state gathers what the plan rests on.
-func (p *Planner) state(now time.Duration, models []spec.Model) roles.State {
-	s := roles.State{Loads: loads}
+// planState collects the input of a plan.
+func (p *Planner) planState(now time.Duration, models []spec.Model) roles.State {
+	s := roles.State{Loads: maxConcurrentLoads}
 	known := make(map[string]*roles.Endpoint)
-	ordered := make(map[line]time.Duration)
+	orderedAt := make(map[assignmentKey]time.Duration)
 	for _, m := range models {
-		b := p.book(m.Name)
-		b.read()
+		b := p.assignmentOf(m.Name)
+		b.refresh()
 		s.Wants = append(s.Wants, roles.Want{Model: m.Name, Version: m.Version, Endpoints: m.Endpoints})
 		ms := p.cfg.Members(m.Name)
 		if ms == nil {
@@ -206,8 +209,8 @@
 		for _, peer := range ms.Peers {
 			model, version := peer.ServedModel()
 			if !peer.IsLinked() || version == "" {
-				// What an endpoint serves is not known yet, so nothing is
-				// ordered: the order might take it from its present work.
+				// It is not known yet what the endpoint serves, so it gets no
+				// order, which might take it from useful work.
 				continue
 			}
 			e := known[peer.Name()]
@@ -218,29 +221,29 @@
 				}
 				known[e.Name] = e
 			}
-			p.wanted(now, m.Name, b, e, ordered)
+			p.recordOrder(now, m.Name, b, e, orderedAt)
 		}
 	}
 	for _, e := range known {
 		s.Endpoints = append(s.Endpoints, *e)
 	}
-	p.ordered = ordered
+	p.orderedAt = orderedAt
 	sortEndpoints(s.Endpoints)
 	return s
 }
 
-// wanted fills in what an endpoint was last ordered to serve.
-func (p *Planner) wanted(now time.Duration, model string, b *book, e *roles.Endpoint, ordered map[line]time.Duration) {
+// recordOrder fills in what an endpoint was last ordered to serve.
+func (p *Planner) recordOrder(now time.Duration, model string, b *assignment, e *roles.Endpoint, orderedAt map[assignmentKey]time.Duration) {
 	l, ok := b.assign.Endpoints[e.Name]
 	if !ok {
 		return
 	}
-	key := line{model, e.Name, l.Version}
-	at, seen := p.ordered[key]
+	key := assignmentKey{model, e.Name, l.Version}
+	at, seen := p.orderedAt[key]
 	if !seen {
 		at = now
 	}
-	ordered[key] = at
+	orderedAt[key] = at
 	if e.WantModel == "" || at >= e.Ordered {
 		e.WantModel, e.WantVersion, e.Ordered = model, l.Version, at
 	}
--- a/entry/orders/planner_test.go
+++ b/entry/orders/planner_test.go
@@ -19,27 +19,27 @@
 
 const model = "drafting"
 
-// world is a platform and agents around a Planner, with a clock of its own.
-type world struct {
-	t       *testing.T
-	now     time.Duration
-	store   *store.Store
-	object  plat.Object
-	writes  int
-	members agents.Members
-	want    string
-	p       *Planner
+// fixture is a Planner with a simulated platform, agents and clock.
+type fixture struct {
+	t           *testing.T
+	now         time.Duration
+	store       *store.Store
+	object      plat.Object
+	writes      int
+	members     agents.Members
+	wantVersion string
+	planner     *Planner
 }
 
-func newWorld(t *testing.T, want string) *world {
-	w := &world{t: t, store: store.New(), want: want}
-	w.p = New(Config{
+func newFixture(t *testing.T, wantVersion string) *fixture {
+	w := &fixture{t: t, store: store.New(), wantVersion: wantVersion}
+	w.planner = New(Config{
 		Record: record.Config{
 			Put: w.put, Get: func(context.Context, string, string) (plat.Object, error) { return w.object, nil },
 			Raw: w.store.Raw, Accept: func(e plat.Event) { w.store.Accept(e) }, Now: func() time.Duration { return w.now },
 		},
 		Models: func() []spec.Model {
-			return []spec.Model{{Name: model, Version: w.want, Endpoints: map[string]string{"model": model}}}
+			return []spec.Model{{Name: model, Version: w.wantVersion, Endpoints: map[string]string{"model": model}}}
 		},
 		Members: func(string) *agents.Members { return &w.members },
 		Now:     func() time.Duration { return w.now }, Random: func() float64 { return 0.5 }, Log: zap.NewNop(),
@@ -47,7 +47,7 @@
 	return w
 }
 
-func (w *world) put(_ context.Context, kind, name string, data []byte, ifVersion int64) (plat.Object, error) {
+func (w *fixture) put(_ context.Context, kind, name string, data []byte, ifVersion int64) (plat.Object, error) {
 	if ifVersion != w.object.Version {
 		return plat.Object{}, plat.NewConflict(kind, name, w.object.Version)
 	}
@@ -56,27 +56,28 @@
 	return w.object, nil
 }
 
-// agent adds an agent whose endpoint serves version; empty has not told.
-func (w *world) agent(name, version string) *agents.Peer {
+// agent adds an agent whose endpoint serves version. If version is empty, the agent
+// has not reported it.
+func (w *fixture) agent(name, version string) *agents.Peer {
 	inst := plat.Instance{Name: name, State: plat.StateLive, Labels: map[string]string{"model": model}}
 	p := agents.NewPeer(&inst)
-	w.serves(p, version)
+	w.connect(p, version)
 	w.members.Peers = append(w.members.Peers, p)
 	return p
 }
 
-func (w *world) serves(p *agents.Peer, version string) {
+func (w *fixture) connect(p *agents.Peer, version string) {
 	near, far := net.Pipe()
 	w.t.Cleanup(func() { near.Close(); far.Close() })
 	p.Connect(wire.New(near, wire.Hello{Name: p.Name(), Incarnation: 1}, wire.Config{}), &wire.Beat{Model: model, Version: version})
 }
 
-func (w *world) plan(d time.Duration) {
+func (w *fixture) plan(d time.Duration) {
 	w.now += d
-	w.p.plan(context.Background())
+	w.planner.plan(context.Background())
 }
 
-func (w *world) assign() spec.Assign {
+func (w *fixture) assign() spec.Assign {
 	w.t.Helper()
 	var a spec.Assign
 	if w.object.Version == 0 {
@@ -88,14 +89,14 @@
 	return a
 }
 
-// The nightly change sets a new version while all endpoints are at work. If
-// all of them loaded it at once nobody would be served, and the weight store
-// would refuse most of them.
-func TestNewVersionGoesRoundInSteps(t *testing.T) {
-	w := newWorld(t, "v2")
+// An operator sets a new version at night while all endpoints are serving. If all
+// of them loaded it at once, no request would be served, and the weight store would
+// refuse most of them.
+func TestNewVersionIsLoadedInSteps(t *testing.T) {
+	w := newFixture(t, "v2")
 	peers := []*agents.Peer{w.agent("a", "v1"), w.agent("b", "v1"), w.agent("c", "v1"), w.agent("d", "v1")}
 	for range 200 {
-		w.plan(planEvery)
+		w.plan(planInterval)
 		loading := 0
 		for _, p := range peers {
 			_, v := p.ServedModel()
@@ -103,12 +104,12 @@
 				loading++
 			}
 		}
-		if loading > loads {
+		if loading > maxConcurrentLoads {
 			t.Fatalf("%d endpoints load at once", loading)
 		}
 		for _, p := range peers {
 			if l, ok := w.assign().Endpoints[p.Name()]; ok {
-				w.serves(p, l.Version)
+				w.connect(p, l.Version)
 			}
 		}
 	}
@@ -120,31 +121,31 @@
 	writes := w.writes
 	w.plan(time.Minute)
 	if w.writes != writes {
-		t.Error("an assignment that all follow is still written")
+		t.Error("an assignment that all endpoints follow is still written")
 	}
 }
 
-// An agent gives an order only while it knows that the assignment is in force.
-// Until its endpoint follows, the entry keeps confirming it.
+// An agent gives an order only while it knows that the assignment is in force. The
+// entry must confirm it until the endpoint follows.
 func TestAssignmentIsConfirmedUntilFollowed(t *testing.T) {
-	w := newWorld(t, "v2")
+	w := newFixture(t, "v2")
 	w.agent("a", "v1")
-	w.plan(planEvery)
+	w.plan(planInterval)
 	first := w.assign()
-	w.plan(2 * touchEvery)
+	w.plan(2 * confirmInterval)
 	ack := wire.LeaseAck{Pool: wire.AssignPrefix + model}
-	w.p.Ack(model, &ack)
+	w.planner.FillAck(model, &ack)
 	if !ack.Fresh || ack.AgeMS != 0 || ack.Epoch != first.Epoch {
 		t.Errorf("ack %+v", ack)
 	}
 }
 
-// A link to an agent is new and what its endpoint serves has not been told
-// yet. An order now might take the endpoint from work that it does well.
+// A link to an agent is new, and the agent has not reported yet what its endpoint
+// serves. An order now might take the endpoint from useful work.
 func TestUnknownEndpointIsLeftAlone(t *testing.T) {
-	w := newWorld(t, "v2")
+	w := newFixture(t, "v2")
 	w.agent("a", "")
-	w.plan(planEvery)
+	w.plan(planInterval)
 	if w.object.Version != 0 {
 		t.Errorf("assigned %+v", w.assign())
 	}
--- a/entry/orders/sort.go
+++ b/entry/orders/sort.go
@@ -7,8 +7,8 @@
 	"lycheepond/core/roles"
 )
 
-// sortEndpoints gives every entry the same order, so that entries which see
-// the same state make the same plan.
-func sortEndpoints(eps []roles.Endpoint) {
-	slices.SortFunc(eps, func(a, b roles.Endpoint) int { return strings.Compare(a.Name, b.Name) })
+// sortEndpoints sorts endpoints by name, so that entries with the same state make
+// the same plan.
+func sortEndpoints(endpoints []roles.Endpoint) {
+	slices.SortFunc(endpoints, func(a, b roles.Endpoint) int { return strings.Compare(a.Name, b.Name) })
 }
--- a/entry/sched/admit.go
+++ b/entry/sched/admit.go
@@ -23,7 +23,7 @@
 		return v.Wait, nil
 	}
 	e := fault.New(fault.Overloaded, "the pool "+p.name+" has no room for class "+j.Class.Name+" now ("+v.Why.String()+"): ask again after the time in Retry-After")
-	return 0, e.After(max(v.RetryAfter, time.Millisecond))
+	return 0, e.WithRetryAfter(max(v.RetryAfter, time.Millisecond))
 }
 
 // checkReachable returns an error if the request can't be offered to any agent of
@@ -32,7 +32,7 @@
 func (p *pool) checkReachable(now time.Duration, f *flight, lower bool) *fault.Error {
 	m := p.cfg.Pool(p.name)
 	if m == nil || len(m.Peers)+m.UnlinkedLive == 0 {
-		return fault.New(fault.NoEndpoint, "no endpoint serves "+p.name+": start one with matching labels").After(noAgentRetry)
+		return fault.New(fault.NoEndpoint, "no endpoint serves "+p.name+": start one with matching labels").WithRetryAfter(noAgentRetry)
 	}
 	for _, peer := range m.Peers {
 		if peer.IsLinked() && !peer.IsLeaving() {
@@ -42,7 +42,7 @@
 	if lower || now-f.job.Accepted < noAgentAfter {
 		return nil
 	}
-	return fault.New(fault.NoEndpoint, "no endpoint of "+p.name+" is in reach: ask again").After(noAgentRetry)
+	return fault.New(fault.NoEndpoint, "no endpoint of "+p.name+" is in reach: ask again").WithRetryAfter(noAgentRetry)
 }
 
 // timeToTarget returns how long the request may wait before it starts and still
--- a/entry/sched/flight.go
+++ b/entry/sched/flight.go
@@ -229,7 +229,7 @@
 }
 
 func memoryFull() *fault.Error {
-	return fault.New(fault.Overloaded, "this entry holds as many requests as its memory allows: ask again, or start more entries").After(memoryRetryAfter)
+	return fault.New(fault.Overloaded, "this entry holds as many requests as its memory allows: ask again, or start more entries").WithRetryAfter(memoryRetryAfter)
 }
 
 // handleHangUp ends the request after its caller has gone.
@@ -255,7 +255,7 @@
 	f.withdrawOffers()
 	f.result.Outcome = f.once.Outcome()
 	if e != nil {
-		f.result.Fault = e.With(f.result.Outcome)
+		f.result.Fault = e.WithOutcome(f.result.Outcome)
 	}
 	f.result.Total = f.now() - f.job.Accepted
 }
--- a/entry/sched/offer.go
+++ b/entry/sched/offer.go
@@ -51,7 +51,7 @@
 // to no other agent.
 func (f *flight) offerToHome() {
 	if f.s.cfg.Home == nil {
-		f.finish(fault.New(fault.NoHome, "no agent keeps idempotency keys yet: ask again").After(time.Second))
+		f.finish(fault.New(fault.NoHome, "no agent keeps idempotency keys yet: ask again").WithRetryAfter(time.Second))
 		return
 	}
 	// A home without a lease may stay so for as long as the platform is away. The
@@ -67,7 +67,7 @@
 		}
 	}
 	if f.homeFailures++; f.homeFailures > maxHomeFailures {
-		f.finish(fault.New(fault.NoHome, "the agent that keeps this idempotency key can't be reached or has no lease on it: ask again with the same key").After(homeRetryAfter))
+		f.finish(fault.New(fault.NoHome, "the agent that keeps this idempotency key can't be reached or has no lease on it: ask again with the same key").WithRetryAfter(homeRetryAfter))
 		return
 	}
 	f.recordStep("wait", "", "home of the key away")
@@ -221,11 +221,11 @@
 // startNextAttempt starts another attempt of a request, if it may have one.
 func (f *flight) startNextAttempt(why string) {
 	if !f.once.MayRenew() {
-		f.finish(fault.New(fault.UnknownFate, "the answer is lost and the request may have run ("+why+"): find out before asking again"))
+		f.finish(fault.New(fault.UnknownOutcome, "the answer is lost and the request may have run ("+why+"): find out before asking again"))
 		return
 	}
 	if f.s.poison.isSuspect(f) {
-		f.finish(fault.New(fault.UnknownFate, "the answer is lost ("+why+"), and so were others to requests like it: it may crash endpoints and is not sent again"))
+		f.finish(fault.New(fault.UnknownOutcome, "the answer is lost ("+why+"), and so were others to requests like it: it may crash endpoints and is not sent again"))
 		return
 	}
 	f.pool.send(poolMessage{op: opRetry, f: f})
@@ -246,12 +246,12 @@
 func (f *flight) renewID() bool {
 	id, ok := nextAttempt(f.once.ID())
 	if !ok {
-		f.finish(fault.New(fault.Overloaded, "every attempt came back: ask again later").After(time.Second))
+		f.finish(fault.New(fault.Overloaded, "every attempt came back: ask again later").WithRetryAfter(time.Second))
 		return false
 	}
 	f.s.table.drop(f.once.ID())
 	if err := f.once.Renew(id); err != nil {
-		f.finish(fault.New(fault.UnknownFate, err.Error()))
+		f.finish(fault.New(fault.UnknownOutcome, err.Error()))
 		return false
 	}
 	f.s.memory.markWaiting(f)
--- a/entry/sched/poison.go
+++ b/entry/sched/poison.go
@@ -51,7 +51,7 @@
 	if wait == 0 {
 		return nil
 	}
-	return fault.New(fault.Quarantined, "requests like this one crashed endpoints, so it was not run: mend the endpoint, or ask again when one is let through").After(wait)
+	return fault.New(fault.Quarantined, "requests like this one crashed endpoints, so it was not run: mend the endpoint, or ask again when one is let through").WithRetryAfter(wait)
 }
 
 // isSuspect reports whether the flight's request is suspect, so that retries are
--- a/entry/sched/pool.go
+++ b/entry/sched/pool.go
@@ -212,5 +212,5 @@
 		return decision{}
 	}
 	e := fault.New(fault.Overloaded, "too many requests have to be placed again at present: ask again later")
-	return decision{fault: e.After(time.Second)}
+	return decision{fault: e.WithRetryAfter(time.Second)}
 }
--- a/entry/sched/relay.go
+++ b/entry/sched/relay.go
@@ -238,9 +238,9 @@
 		f.finish(fault.New(fault.KeyMismatch, "this idempotency key was used with another request: use a new key for each request"))
 	case wire.KeyForgotAnswer:
 		f.once.Taint()
-		f.finish(fault.New(fault.UnknownFate, "a request with this idempotency key has run to its end and its answer is no longer kept: look up its effect"))
+		f.finish(fault.New(fault.UnknownOutcome, "a request with this idempotency key has run to its end and its answer is no longer kept: look up its effect"))
 	default:
 		f.once.Taint()
-		f.finish(fault.New(fault.UnknownFate, "a request with this idempotency key may have run and its record is lost: look up its effect before using a new key"))
+		f.finish(fault.New(fault.UnknownOutcome, "a request with this idempotency key may have run and its record is lost: look up its effect before using a new key"))
 	}
 }
--- a/entry/status.go
+++ b/entry/status.go
@@ -2,12 +2,12 @@
 
 import "lycheepond/core/report"
 
-// status is what operators read at /status.
+// status returns the report that operators read at /status.
 func (n *node) status() report.Entry {
 	s := report.Entry{
 		Name: n.cfg.Name, Zone: n.cfg.Zone, Ready: n.ready.Load(), Leaving: n.leaving.Load(),
 		Running: n.sched.Running(), Config: n.store.Version(), Digest: n.store.Digest(),
-		Away: n.feed.Away(), AgeMS: n.feed.AgeMS(), Rejected: n.store.Rejected(), Pools: []report.Pool{}, Traffic: n.set.Counts(),
+		Away: n.feed.Away(), AgeMS: n.feed.AgeMS(), Rejected: n.store.Rejected(), Pools: []report.Pool{}, Traffic: n.agents.Counts(),
 	}
 	for _, p := range n.pools() {
 		s.Pools = append(s.Pools, n.poolStatus(p.Name))
@@ -18,7 +18,7 @@
 func (n *node) poolStatus(name string) report.Pool {
 	ps := n.sched.Figures(name)
 	ps.Agents = []report.Agent{}
-	m := n.set.Pool(name)
+	m := n.agents.Pool(name)
 	if m == nil {
 		return ps
 	}
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -15,7 +15,7 @@
 	"lycheepond/core/spec"
 )
 
-// emptyPlatform has no object and no change.
+// emptyPlatform starts a platform without objects or changes and returns its URL.
 func emptyPlatform(t *testing.T) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -29,7 +29,7 @@
 	return s.URL
 }
 
-// freePort returns an address that nobody listens on.
+// freePort returns an address at which no process listens.
 func freePort(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,35 +40,36 @@
 	return ln.Addr().String()
 }
 
-// half is a kept connection on which the beginning of a second request was sent.
-type half struct {
+// halfRequest is a kept connection on which the beginning of a second request was
+// sent.
+type halfRequest struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func newHalf(t *testing.T, addr string) *half {
+func newHalfRequest(t *testing.T, addr string) *halfRequest {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	h := &half{Conn: c, r: bufio.NewReader(c)}
+	h := &halfRequest{Conn: c, r: bufio.NewReader(c)}
 	h.send(t, "GET /healthz HTTP/1.1\r\nHost: entry\r\n\r\n")
-	h.answered(t)
+	h.readAnswer(t)
 	h.send(t, "GET /healthz HTTP/1.1\r\n")
 	return h
 }
 
-func (h *half) send(t *testing.T, text string) {
+func (h *halfRequest) send(t *testing.T, text string) {
 	t.Helper()
 	if _, err := io.WriteString(h, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// answered reads an answer and returns whether it is the connection's last.
-func (h *half) answered(t *testing.T) (last bool) {
+// readAnswer reads an answer and reports whether it is the connection's last.
+func (h *halfRequest) readAnswer(t *testing.T) (last bool) {
 	t.Helper()
 	h.SetReadDeadline(time.Now().Add(10 * time.Second))
 	res, err := http.ReadResponse(h.r, nil)
@@ -81,8 +82,8 @@
 	return res.Close
 }
 
-// deaf returns once nobody listens on addr.
-func deaf(t *testing.T, addr string) {
+// awaitClosed returns once no process listens at addr.
+func awaitClosed(t *testing.T, addr string) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", addr)
@@ -94,13 +95,13 @@
 	t.Fatal("the entry still listens")
 }
 
-// An entry stops, as planned or because one of its duties failed, while the head
-// of a request is on its way on a kept connection. The request is answered before
-// the entry ends. The standard server calls such a connection idle until it has the
-// whole head and closed it, and a failed duty closed all connections at once: "no
-// answer: unexpected EOF".
-func TestStopAnswersWhatHasBegun(t *testing.T) {
-	failure := errors.New("a duty failed")
+// An entry stops, as planned or because one of its parts failed, while the head of
+// a request is still arriving on a kept connection. The request must be answered
+// before the entry ends. net/http counts such a connection as idle until it has
+// read the whole head, and used to close it, and a failed part closed all
+// connections at once. The caller got no answer (unexpected EOF).
+func TestStopAnswersRequestsInProgress(t *testing.T) {
+	failure := errors.New("a part failed")
 	for _, tc := range []struct {
 		name string
 		// begin begins the stop.
@@ -108,7 +109,7 @@
 		want  error
 	}{
 		{"planned", func(stop context.CancelFunc, _ chan<- error) { stop() }, nil},
-		{"failed duty", func(_ context.CancelFunc, fail chan<- error) { fail <- failure }, failure},
+		{"failed part", func(_ context.CancelFunc, fail chan<- error) { fail <- failure }, failure},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			cfg := &conf.Entry{Listen: freePort(t), RequestMemory: 1, Grace: spec.Duration(4 * time.Second)}
@@ -133,11 +134,11 @@
 			for !n.ready.Load() {
 				time.Sleep(time.Millisecond)
 			}
-			h := newHalf(t, cfg.Listen)
+			h := newHalfRequest(t, cfg.Listen)
 			tc.begin(stop, fail)
-			deaf(t, cfg.Listen)
+			awaitClosed(t, cfg.Listen)
 			h.send(t, "Host: entry\r\n\r\n")
-			if !h.answered(t) {
+			if !h.readAnswer(t) {
 				t.Error("the caller was not told that the connection ends")
 			}
 			if err := <-served; !errors.Is(err, tc.want) {
--- a/entry/view.go
+++ b/entry/view.go
@@ -14,7 +14,7 @@
 	"lycheepond/entry/agents"
 )
 
-// pools returns what the configuration in force wants served.
+// pools returns the pools of the configuration in force.
 func (n *node) pools() []agents.Pool {
 	var out []agents.Pool
 	for _, m := range n.store.Models() {
@@ -26,8 +26,8 @@
 	return out
 }
 
-// choose returns the agents of a pool that this entry links to.
-func (n *node) choose(pool []plat.Instance, all plat.Roster) []string {
+// chooseAgents returns the agents of a pool to which this entry links.
+func (n *node) chooseAgents(pool []plat.Instance, all plat.Roster) []string {
 	self := subset.Node{Name: n.cfg.Name, Zone: n.cfg.Zone}
 	entries := []subset.Node{self}
 	for _, i := range all.Instances {
@@ -42,8 +42,8 @@
 	return subset.Agents(self, entries, nodes, subset.Config{})
 }
 
-// entries returns how many entries share the pools, this one included.
-func (n *node) entries() int {
+// entryCount returns how many entries share the pools, including this one.
+func (n *node) entryCount() int {
 	count, self := 0, false
 	for _, i := range n.store.Roster().Instances {
 		if i.Role == plat.RoleEntry && i.State == plat.StateLive {
@@ -67,17 +67,18 @@
 func (n *node) peerFetches() []feed.Fetch {
 	var out []feed.Fetch
 	for _, addr := range n.cfg.Peers {
-		out = append(out, feed.Dial(addr, n.dial, n.hello, n.live.Keys))
+		out = append(out, feed.Dial(addr, n.dial, n.hello, n.fleetKeys.Keys))
 	}
 	return out
 }
 
-// noteFeed logs what happens to the configuration.
-func (n *node) noteFeed(note feed.Note) {
+// logFeedNote logs changes of the configuration and of the feed's state.
+func (n *node) logFeedNote(note feed.Note) {
 	switch note.Kind {
 	case feed.NoteChanged:
-		// Confirmations of homes and assignments change no configuration.
-		if d := n.store.Digest(); n.noted.Swap(d) == d {
+		// Confirmations of home tables and assignments don't change the
+		// configuration.
+		if d := n.store.Digest(); n.loggedDigest.Swap(d) == d {
 			return
 		}
 		logs.Info(n.log, logs.EventConfigChanged, zap.Int("changed", note.Changed), zap.Int64("version", note.Version))
