--- a/entry/agents/peer.go
+++ b/entry/agents/peer.go
@@ -19,7 +19,7 @@
 // Peer is an agent that the entry links to. It is safe for concurrent use.
 type Peer struct {
 	name string
-	// instance is the agent's last known entry in the instance list.
+	// instance is the agent as the instance list last named it.
 	instance atomic.Pointer[plat.Instance]
 	// link is nil while there is no link.
 	link atomic.Pointer[wire.Link]
@@ -71,7 +71,7 @@
 // Name returns the name of the agent's instance.
 func (p *Peer) Name() string { return p.name }
 
-// Instance returns the agent's last known entry in the instance list.
+// Instance returns the agent as the instance list last named it.
 func (p *Peer) Instance() plat.Instance { return *p.instance.Load() }
 
 // Zone returns the agent's availability zone.
--- a/entry/agents/set.go
+++ b/entry/agents/set.go
@@ -209,10 +209,10 @@
 // needed.
 func (s *Set) updatePeer(ctx context.Context, old *view, inst *plat.Instance) *Peer {
 	if p, ok := old.peers[inst.Name]; ok {
-		moved := p.Instance().Link != inst.Link
+		hasMoved := p.Instance().Link != inst.Link
 		p.instance.Store(inst)
 		wasGone := p.isGone.Swap(false)
-		if !moved && (!wasGone || p.IsLinked()) {
+		if !hasMoved && (!wasGone || p.IsLinked()) {
 			return p
 		}
 		p.stop()
--- a/entry/caller/accept.go
+++ b/entry/caller/accept.go
@@ -27,7 +27,7 @@
 )
 
 // accept checks what all requests have in common and returns the job with the
-// fields known so far. The job is not nil, also with an error.
+// fields known so far. The job is non-nil even if there is an error.
 func (s *Server) accept(r *http.Request) (*sched.Job, *fault.Error) {
 	j := &sched.Job{ID: s.cfg.NewID(), Accepted: s.cfg.Now(), Method: r.Method}
 	if s.cfg.Leaving() {
--- a/entry/caller/accept_test.go
+++ b/entry/caller/accept_test.go
@@ -76,26 +76,26 @@
 // keeps to the rate is never refused.
 func TestLimits(t *testing.T) {
 	l := newLimits()
-	lim := spec.Limits{RequestsPerSecond: 2, Concurrent: 3}
-	at := func(now time.Duration) (func(), *fault.Error) { return l.acquire("league", lim, now) }
+	limit := spec.Limits{RequestsPerSecond: 2, Concurrent: 3}
+	acquireAt := func(now time.Duration) (func(), *fault.Error) { return l.acquire("league", limit, now) }
 	for i := range 2 {
-		if _, e := at(0); e != nil {
+		if _, e := acquireAt(0); e != nil {
 			t.Fatalf("request %d of the burst: %v", i, e)
 		}
 	}
-	_, e := at(0)
+	_, e := acquireAt(0)
 	if e == nil || e.Status() != http.StatusTooManyRequests || e.RetryAfter() != 500*time.Millisecond {
 		t.Fatalf("third request: %v", e)
 	}
-	leave, e := at(500 * time.Millisecond)
+	release, e := acquireAt(500 * time.Millisecond)
 	if e != nil {
 		t.Fatalf("after Retry-After: %v", e)
 	}
-	if _, e := at(time.Minute); e == nil {
+	if _, e := acquireAt(time.Minute); e == nil {
 		t.Fatal("a fourth concurrent request was admitted")
 	}
-	leave()
-	if _, e := at(2 * time.Minute); e != nil {
+	release()
+	if _, e := acquireAt(2 * time.Minute); e != nil {
 		t.Errorf("after one has ended: %v", e)
 	}
 	if _, e := l.acquire("other", spec.Limits{}, 0); e != nil || len(l.customers) != 1 {
--- a/entry/caller/limits.go
+++ b/entry/caller/limits.go
@@ -18,6 +18,7 @@
 	customers map[string]*usage
 }
 
+// usage is the state of one customer with limits.
 type usage struct {
 	// tokens is the number of tokens in the customer's bucket; each request takes
 	// one. refilledAt is when tokens were last added.
@@ -34,21 +35,21 @@
 
 // acquire admits a request of a customer and returns the function to call when the
 // request has ended.
-func (l *limits) acquire(customer string, lim spec.Limits, now time.Duration) (func(), *fault.Error) {
-	if lim.RequestsPerSecond <= 0 && lim.Concurrent <= 0 {
+func (l *limits) acquire(customer string, limit spec.Limits, now time.Duration) (func(), *fault.Error) {
+	if limit.RequestsPerSecond <= 0 && limit.Concurrent <= 0 {
 		return noRelease, nil
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	u := l.customers[customer]
 	if u == nil {
-		u = &usage{tokens: max(1, lim.RequestsPerSecond*burstSeconds), refilledAt: now}
+		u = &usage{tokens: max(1, limit.RequestsPerSecond*burstSeconds), refilledAt: now}
 		l.customers[customer] = u
 	}
-	if lim.Concurrent > 0 && u.running >= lim.Concurrent {
+	if limit.Concurrent > 0 && u.running >= limit.Concurrent {
 		return nil, fault.New(fault.CustomerLimit, "the customer's limit of concurrent requests is reached: wait for one to end, or ask the operator for a higher limit").WithRetryAfter(time.Second)
 	}
-	if wait := u.takeToken(lim.RequestsPerSecond, now); wait > 0 {
+	if wait := u.takeToken(limit.RequestsPerSecond, now); wait > 0 {
 		return nil, fault.New(fault.CustomerLimit, "the customer's limit of requests per second is reached: send slower, or ask the operator for a higher limit").WithRetryAfter(wait)
 	}
 	u.running++
--- a/entry/caller/reply.go
+++ b/entry/caller/reply.go
@@ -127,6 +127,7 @@
 	}
 }
 
+// faultJSON is the body of an answer that reports a fault.
 type faultJSON struct {
 	Error struct {
 		Type         fault.Kind `json:"type"`
--- a/entry/caller/told_test.go
+++ b/entry/caller/told_test.go
@@ -18,7 +18,7 @@
 	"lycheepond/entry/sched"
 )
 
-// countEvents counts the entries of an event in a log.
+// countEvents returns how often an event is in a log.
 func countEvents(seen *observer.ObservedLogs, e logs.Event) int {
 	return seen.FilterMessage(string(e)).Len()
 }
--- a/entry/follow/calls.go
+++ b/entry/follow/calls.go
@@ -192,8 +192,8 @@
 
 // handleFailure handles a failed call. A check that timed out counts too, because
 // that makes removals safer: the platform then counts as away from early on in a
-// silence rather than only near its end. A single lost check is followed by an
-// answer soon, which ends an outage too short to put removals in doubt.
+// silence rather than only near its end. If just one check is lost, the answer to
+// the next one ends the outage before it is long enough to put removals in doubt.
 func (f *Follower[T]) handleFailure(ctx context.Context, a answer[T]) {
 	switch {
 	case errors.Is(a.err, ErrHistory):
--- a/entry/follow/follow.go
+++ b/entry/follow/follow.go
@@ -94,7 +94,7 @@
 	Log    *zap.Logger
 }
 
-// Follower follows one list. Its fields belong to the goroutine of Run.
+// Follower follows one list.
 type Follower[T any] struct {
 	cfg Config[T]
 	// failures counts the failed calls since the last success, whose call was sent
--- a/entry/follow/follow_test.go
+++ b/entry/follow/follow_test.go
@@ -56,18 +56,18 @@
 func (s *platform) watch(ctx context.Context, since int64, wait time.Duration) ([]Change[int], int64, error) {
 	end := time.Now().Add(wait)
 	s.mu.Lock()
-	deaf := s.isDeaf
+	isDeaf := s.isDeaf
 	s.mu.Unlock()
 	for {
 		s.mu.Lock()
-		revision, gone, fail := s.revision, s.historyDropped, s.isAway
+		revision, historyDropped, isAway := s.revision, s.historyDropped, s.isAway
 		s.mu.Unlock()
 		switch {
-		case fail:
+		case isAway:
 			return nil, 0, errors.New("away")
-		case gone && !deaf:
+		case historyDropped && !isDeaf:
 			return nil, 0, ErrHistory
-		case revision > since && !deaf:
+		case revision > since && !isDeaf:
 			return []Change[int]{{Name: "x", Revision: revision}}, revision, nil
 		case time.Now().After(end):
 			return nil, since, nil
--- a/entry/follow/look_test.go
+++ b/entry/follow/look_test.go
@@ -160,7 +160,7 @@
 
 // The first call for the list is never answered. If the entry waited for its
 // timeout, it would know nothing for as long as a long list may take.
-func TestSecondFirstReadIsSentBesideAnUnansweredOne(t *testing.T) {
+func TestUnansweredFirstReadIsRepeated(t *testing.T) {
 	s := &platform{revision: 1}
 	var reads atomic.Int32
 	began := time.Now()
@@ -255,7 +255,7 @@
 	got := f.differences([]Change[int]{{Name: "a", Revision: 1}, {Name: "b", Revision: 7}, {Name: "d", Revision: 8}, {Name: "unreadable", Removed: true, Revision: 6}}, 9)
 	want := map[string]Change[int]{"b": {Name: "b", Revision: 7}, "d": {Name: "d", Revision: 8}, "c": {Name: "c", Removed: true, Revision: 9}}
 	if len(got) != len(want) {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v", got)
 	}
 	for _, c := range got {
 		if want[c.Name] != c {
--- a/entry/follow/quarantine.go
+++ b/entry/follow/quarantine.go
@@ -42,8 +42,8 @@
 	List            func(ctx context.Context) (map[string]QuarantineObject, error)
 	// Restore restores a quarantine that began before this entry was started.
 	Restore func(f poison.Fingerprint, age, left time.Duration, quarantines int)
-	// Wall returns the time of day. The clocks of entries may differ by far less
-	// than a minute.
+	// Wall returns the time of day. The entries' clocks agree closely enough to
+	// compare periods of minutes.
 	Wall   func() time.Time
 	Random func() float64
 	Log    *zap.Logger
@@ -64,9 +64,8 @@
 	return &Quarantines{cfg: cfg, changes: make(chan poison.Change, maxQueuedWrites), writtenUntilMS: make(map[string]int64)}
 }
 
-// Store queues a change to be stored, if an attempt that this entry dispatched
-// caused it. It does not block; when maxQueuedWrites changes are queued, further
-// ones are dropped.
+// Store queues a change to be stored, if this entry has lost an attempt of the
+// request. It does not block; changes beyond maxQueuedWrites are dropped.
 func (q *Quarantines) Note(c poison.Change) {
 	if !c.Local {
 		return
--- a/entry/follow/register.go
+++ b/entry/follow/register.go
@@ -64,7 +64,7 @@
 			last, cancel := context.WithTimeout(context.WithoutCancel(ctx), removeTimeout)
 			defer cancel()
 			if err := r.Remove(last, r.Name); err != nil {
-				logs.Warn(r.Log, logs.EventFailed, zap.String("what", "taking this entry off the list; the others will"), zap.Error(err))
+				logs.Warn(r.Log, logs.EventFailed, zap.String("what", "removing this entry from the list; the other entries will do so"), zap.Error(err))
 			}
 			return ctx.Err()
 		case <-r.missing:
--- a/entry/keys/relay_test.go
+++ b/entry/keys/relay_test.go
@@ -10,21 +10,21 @@
 // they name, and come only from the process that they speak for, because a
 // restarted agent doesn't know what its former process still does.
 func TestHandoverIsRelayedOnlyBetweenNamedProcesses(t *testing.T) {
-	w := newFixture(t)
-	a, b := w.agent("a", 1), w.agent("b", 2)
+	f := newFixture(t)
+	a, b := f.agent("a", 1), f.agent("b", 2)
 	for _, tc := range []struct {
 		name     string
 		from, to wire.Party
 		want     bool
 	}{
 		{"other sender", wire.Party{Name: "b", Incarnation: 2}, wire.Party{Name: "b", Incarnation: 2}, false},
-		{"former self", wire.Party{Name: "a", Incarnation: 7}, wire.Party{Name: "b", Incarnation: 2}, false},
+		{"former incarnation", wire.Party{Name: "a", Incarnation: 7}, wire.Party{Name: "b", Incarnation: 2}, false},
 		{"restarted receiver", wire.Party{Name: "a", Incarnation: 1}, wire.Party{Name: "b", Incarnation: 1}, false},
 		{"unknown receiver", wire.Party{Name: "a", Incarnation: 1}, wire.Party{Name: "c", Incarnation: 1}, false},
 		{"as named", wire.Party{Name: "a", Incarnation: 1}, wire.Party{Name: "b", Incarnation: 2}, true},
 	} {
 		for _, m := range []wire.Message{&wire.Handover{From: tc.from, To: tc.to}, &wire.HandAck{From: tc.from, To: tc.to}} {
-			if !w.keeper.RelayHandover(a, m) {
+			if !f.keeper.RelayHandover(a, m) {
 				t.Errorf("%s: %s is not recognized as a handover", tc.name, m.Kind())
 			}
 		}
@@ -32,7 +32,7 @@
 			t.Errorf("%s: passed on %v", tc.name, got)
 		}
 	}
-	if w.keeper.RelayHandover(a, new(wire.Beat)) {
+	if f.keeper.RelayHandover(a, new(wire.Beat)) {
 		t.Error("a heartbeat was recognized as a handover")
 	}
 }
--- a/entry/mesh/dial.go
+++ b/entry/mesh/dial.go
@@ -68,18 +68,18 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	known := 1
-	var heard []relay.Entry
+	var reachable []relay.Entry
 	for name, p := range m.peers {
 		if !p.isKnown() {
 			continue
 		}
 		known++
 		if p.isReachable {
-			heard = append(heard, p.entry(name))
+			reachable = append(reachable, p.entry(name))
 		}
 	}
 	m.known = known
-	m.plan = relay.New(m.self(), known, heard, func(e relay.Entry) bool { return !m.peers[e.Name].isMute(m.maxIntervalLocked()) })
+	m.plan = relay.New(m.self(), known, reachable, func(e relay.Entry) bool { return !m.peers[e.Name].isMute(m.maxIntervalLocked()) })
 }
 
 func (m *Mesh) self() relay.Entry {
--- a/entry/mesh/mesh.go
+++ b/entry/mesh/mesh.go
@@ -56,7 +56,7 @@
 	// Freshness returns the evidence of how current the versions in force are, for
 	// the next tally, and for how many milliseconds this entry has run. If nil, no
 	// evidence is sent.
-	Fresh func() (told []wire.Fresh, clock uint64)
+	Fresh func() (evidence []wire.Fresh, clock uint64)
 	// Extend adds the fields to a tally that peers of older versions cannot read:
 	// what has changed since the last call, and if again is set also the state that
 	// a new peer needs. It may be nil.
@@ -76,7 +76,7 @@
 	// sends over a link. It returns a function that handles the peer's messages and
 	// one that ends the service. Both are called by the goroutine of the link. If
 	// nil, such messages are ignored.
-	Serve func(ctx context.Context, zone string, reply func(m wire.Message) error) (take func(m wire.Message), end func())
+	Serve func(ctx context.Context, zone string, reply func(m wire.Message) error) (handle func(m wire.Message), end func())
 	// OnPlaceAck handles a peer's answer to a placement message of this entry.
 	// OnLinkClosed is called when the link over which such messages were sent has
 	// ended. Both may be nil.
--- a/entry/mesh/mesh_test.go
+++ b/entry/mesh/mesh_test.go
@@ -155,8 +155,8 @@
 	}
 	for _, e := range all {
 		await(t, "all entries to be reachable", func() bool {
-			heard, known := e.mesh.Reach()
-			return heard == 4 && known == 4
+			reachable, known := e.mesh.Reach()
+			return reachable == 4 && known == 4
 		})
 		for i := range all {
 			if all[i] != e {
@@ -230,8 +230,8 @@
 	await(t, "the peer", func() bool { return a.hasTotal("b", 5) })
 	b.stop()
 	await(t, "the loss", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.lost["b"] })
-	if heard, known := a.mesh.Reach(); heard != 1 || known != 2 {
-		t.Errorf("%d of %d entries reachable, want 1 of 2: the lost one may still admit requests", heard, known)
+	if reachable, known := a.mesh.Reach(); reachable != 1 || known != 2 {
+		t.Errorf("%d of %d entries reachable, want 1 of 2: the lost one may still admit requests", reachable, known)
 	}
 	again := start(t, "b", a.addr)
 	again.use(3)
@@ -245,8 +245,8 @@
 	a := start(t, "a")
 	t.Cleanup(cancel)
 	a.mesh.List(ctx, []wire.EntryAddr{{Name: "a", Addr: a.addr}, {Name: "x", Addr: "127.0.0.1:1"}, {Name: "y", Addr: "127.0.0.1:2"}})
-	if heard, known := a.mesh.Reach(); heard != 1 || known != 3 {
-		t.Errorf("%d of %d, want 1 of 3", heard, known)
+	if reachable, known := a.mesh.Reach(); reachable != 1 || known != 3 {
+		t.Errorf("%d of %d, want 1 of 3", reachable, known)
 	}
 	a.mesh.List(ctx, []wire.EntryAddr{{Name: "a", Addr: a.addr}})
 	if _, known := a.mesh.Reach(); known != 1 {
--- a/entry/mesh/relay_test.go
+++ b/entry/mesh/relay_test.go
@@ -86,8 +86,8 @@
 	all := startSettledFleet(t, 3, 4, 5)
 	awaitNextTotals(t, all)
 	for _, e := range all {
-		if heard, known := e.mesh.Reach(); heard != 12 || known != 12 {
-			t.Errorf("%s reaches %d of %d entries", e.name(), heard, known)
+		if reachable, known := e.mesh.Reach(); reachable != 12 || known != 12 {
+			t.Errorf("%s reaches %d of %d entries", e.name(), reachable, known)
 		}
 	}
 }
@@ -120,20 +120,20 @@
 	})
 	t.Logf("all totals have spread again after %v", time.Since(began))
 	awaitAll(t, "the loss of the hub", rest, func(e *entry) bool {
-		heard, known := e.mesh.Reach()
-		return heard == 11 && known == 12
+		reachable, known := e.mesh.Reach()
+		return reachable == 11 && known == 12
 	})
 }
 
 // receiver returns a mesh without links and the list of tallies that it passes on
 // to its callback.
 func receiver() (*Mesh, *[]Heard) {
-	var heard []Heard
+	var tallies []Heard
 	m := New(Config{
 		Self: wire.Hello{Name: "me", Zone: "z"}, Log: zap.NewNop(),
-		Heard: func(h Heard) { heard = append(heard, h) }, Lost: func(string) {},
+		Heard: func(h Heard) { tallies = append(tallies, h) }, Lost: func(string) {},
 	})
-	return m, &heard
+	return m, &tallies
 }
 
 func (m *Mesh) lackedNow() []string {
@@ -146,7 +146,7 @@
 // count again. A lost one must be requested, otherwise its content stays unknown
 // for ever.
 func TestLostAndDuplicateTallies(t *testing.T) {
-	m, heard := receiver()
+	m, tallies := receiver()
 	from := origin{"other", "z2", 7}
 	receive := func(seq uint64, whole bool) {
 		m.handleTally(from, relay.Between, &wire.Tally{Seq: seq, Whole: whole}, nil)
@@ -155,8 +155,8 @@
 	receive(4, false)
 	receive(4, false)
 	receive(3, true)
-	if len(*heard) != 2 || !(*heard)[0].Anew || (*heard)[1].Anew {
-		t.Fatalf("accepted %+v, want tally 3 of a new process and tally 4", *heard)
+	if len(*tallies) != 2 || !(*tallies)[0].Anew || (*tallies)[1].Anew {
+		t.Fatalf("accepted %+v, want tally 3 of a new process and tally 4", *tallies)
 	}
 	if l := m.lackedNow(); len(l) != 0 {
 		t.Errorf("lacks %v though nothing is missing", l)
@@ -183,12 +183,12 @@
 // process arrives by way of a hub. If it were attributed to the new process, its
 // totals would count as new usage.
 func TestTallyOfAnEndedProcess(t *testing.T) {
-	m, heard := receiver()
+	m, tallies := receiver()
 	m.handleTally(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 3, Whole: true}, nil)
 	m.handleTally(origin{"other", "z2", 8}, relay.Direct, &wire.Tally{Seq: 1, Whole: true}, nil)
 	m.handleTally(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 4}, nil)
-	if len(*heard) != 2 || !(*heard)[1].Anew {
-		t.Errorf("accepted %+v, want one tally of each process", *heard)
+	if len(*tallies) != 2 || !(*tallies)[1].Anew {
+		t.Errorf("accepted %+v, want one tally of each process", *tallies)
 	}
 }
 
@@ -216,10 +216,10 @@
 // know. The change alone is useless, and unless a full tally is requested the entry
 // stays unknown.
 func TestFullTallyOfAnUnknownEntryIsRequested(t *testing.T) {
-	m, heard := receiver()
+	m, tallies := receiver()
 	m.handleTally(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 5, Lacks: []string{"me"}}, nil)
-	if len(*heard) != 0 {
-		t.Errorf("accepted %+v of a process that it does not know", *heard)
+	if len(*tallies) != 0 {
+		t.Errorf("accepted %+v of a process that it does not know", *tallies)
 	}
 	if l := m.lackedNow(); len(l) != 1 || l[0] != "other" {
 		t.Errorf("lacks %v, want the unknown entry", l)
--- a/entry/mesh/stopped_test.go
+++ b/entry/mesh/stopped_test.go
@@ -37,8 +37,8 @@
 			time.Sleep(2 * silenceLimit)
 			m.expireSilentPeers()
 		}
-		if heard, _ := m.Reach(); heard != 2 || lost > 0 {
-			t.Errorf("%d entries reachable after a pause, %d losses", heard, lost)
+		if reachable, _ := m.Reach(); reachable != 2 || lost > 0 {
+			t.Errorf("%d entries reachable after a pause, %d losses", reachable, lost)
 		}
 	})
 }
@@ -46,21 +46,21 @@
 // A dead peer must count as gone also in a process that is paused again and again.
 // If it counted for ever, its requests would keep others away from the endpoints.
 func TestDeadPeerIsDetectedBetweenPauses(t *testing.T) {
-	for _, stop := range []time.Duration{0, silenceLimit / 2, silenceLimit, 2 * silenceLimit} {
+	for _, pause := range []time.Duration{0, silenceLimit / 2, silenceLimit, 2 * silenceLimit} {
 		synctest.Test(t, func(t *testing.T) {
 			m, _ := receiver()
 			m.handleTally(origin{"other", "z", 7}, relay.Direct, &wire.Tally{Seq: 1, Whole: true}, nil)
-			began, ran := time.Now(), time.Duration(0)
-			for heard := 2; heard == 2 && ran < 2*silenceLimit; heard, _ = m.Reach() {
-				time.Sleep(stop)
+			began, running := time.Now(), time.Duration(0)
+			for reachable := 2; reachable == 2 && running < 2*silenceLimit; reachable, _ = m.Reach() {
+				time.Sleep(pause)
 				m.expireSilentPeers()
 				m.runSilenceChecks(minTallyInterval)
-				ran += minTallyInterval
+				running += minTallyInterval
 			}
-			if heard, _ := m.Reach(); heard == 2 {
-				t.Errorf("with pauses of %v still reachable after running for %v", stop, ran)
+			if reachable, _ := m.Reach(); reachable == 2 {
+				t.Errorf("with pauses of %v still reachable after running for %v", pause, running)
 			}
-			t.Logf("with pauses of %v lost after %v, running for %v of it", stop, time.Since(began), ran)
+			t.Logf("with pauses of %v lost after %v, running for %v of it", pause, time.Since(began), running)
 		})
 	}
 }
@@ -76,17 +76,17 @@
 		m.peers["other"].listed = true
 		m.runSilenceChecks(silenceLimit / 2)
 		time.Sleep(2 * knownPeriod)
-		if off := m.Silent(knownPeriod); len(off) > 0 {
-			t.Errorf("%v reported before silent peers were looked for", off)
+		if silent := m.Silent(knownPeriod); len(silent) > 0 {
+			t.Errorf("%v reported before silent peers were looked for", silent)
 		}
 		m.expireSilentPeers()
 		m.runSilenceChecks(knownPeriod - silenceLimit)
-		if off := m.Silent(knownPeriod); len(off) > 0 {
-			t.Errorf("%v reported %v after the pause", off, knownPeriod-silenceLimit)
+		if silent := m.Silent(knownPeriod); len(silent) > 0 {
+			t.Errorf("%v reported %v after the pause", silent, knownPeriod-silenceLimit)
 		}
 		m.runSilenceChecks(2 * silenceLimit)
-		if off := m.Silent(knownPeriod); len(off) != 1 {
-			t.Errorf("%v reported %v after the pause, want the silent peer", off, knownPeriod+silenceLimit)
+		if silent := m.Silent(knownPeriod); len(silent) != 1 {
+			t.Errorf("%v reported %v after the pause, want the silent peer", silent, knownPeriod+silenceLimit)
 		}
 	})
 }
--- a/entry/mesh/version.go
+++ b/entry/mesh/version.go
@@ -141,10 +141,10 @@
 // with mu held.
 func (m *Mesh) snapshotWait(name string, p *peer, config, roster int64) time.Duration {
 	to := p.entry(name)
-	own, ahead := turnOrder(name, m.cfg.Self.Name), 0
+	ownOrder, ahead := turnOrder(name, m.cfg.Self.Name), 0
 	for other, o := range m.peers {
-		has := o.isReachable && o.config >= config && o.roster >= roster
-		if other != name && has && m.plan.Tells(o.entry(other), to) && turnOrder(name, other) < own {
+		isCurrent := o.isReachable && o.config >= config && o.roster >= roster
+		if other != name && isCurrent && m.plan.Tells(o.entry(other), to) && turnOrder(name, other) < ownOrder {
 			ahead++
 		}
 	}
@@ -152,10 +152,10 @@
 	if isExtraLink && (p.config == 0 || p.roster == 0) {
 		// The peer serves no requests before it has both, and may not know its hub
 		// yet.
-		return startDelay + time.Duration(own%startSlots)*startSlotTime
+		return startDelay + time.Duration(ownOrder%startSlots)*startSlotTime
 	}
 	if isExtraLink {
-		ahead += extraLinkTurns + int(own%extraLinkTurnSpread)
+		ahead += extraLinkTurns + int(ownOrder%extraLinkTurnSpread)
 	}
 	wait := time.Duration(ahead) * m.turnDuration()
 	if p.config != 0 {
--- a/entry/mesh/version_test.go
+++ b/entry/mesh/version_test.go
@@ -39,7 +39,7 @@
 	entry := func(i int) relay.Entry {
 		return relay.Entry{Name: fmt.Sprintf("e%02d", i), Zone: fmt.Sprint("z", i%4)}
 	}
-	early, first, soon := 0, 0, 0
+	sendAtOnce, startAtOnce, startWithinSecond := 0, 0, 0
 	for i := range 20 {
 		if i == 19 {
 			continue
@@ -54,20 +54,20 @@
 		stale := m.peer(entry(19).Name)
 		stale.config, stale.roster = 3, 3
 		if m.snapshotWait(entry(19).Name, stale, 7, 7) < m.turnDuration() {
-			early++
+			sendAtOnce++
 		}
 		stale.config, stale.roster = 0, 0
 		switch wait := m.snapshotWait(entry(19).Name, stale, 7, 7); {
 		case wait < startDelay:
-			first++
+			startAtOnce++
 		case wait < time.Second:
-			soon++
+			startWithinSecond++
 		}
 	}
-	if early != 1 {
-		t.Errorf("%d entries send at once to one with a stale revision, want one", early)
+	if sendAtOnce != 1 {
+		t.Errorf("%d entries send at once to one with a stale revision, want one", sendAtOnce)
 	}
-	if first != 1 || soon == 0 || soon > 6 {
-		t.Errorf("%d entries send to one that has just started at once and %d within a second, want one and a few", first, soon)
+	if startAtOnce != 1 || startWithinSecond == 0 || startWithinSecond > 6 {
+		t.Errorf("%d entries send to one that has just started at once and %d within a second, want one and a few", startAtOnce, startWithinSecond)
 	}
 }
--- a/entry/node.go
+++ b/entry/node.go
@@ -230,16 +230,16 @@
 		Dial: n.dial, Roster: n.store.Roster, Pools: n.pools, Digest: n.store.Digest, ChooseAgents: n.chooseAgents,
 		Handle: n.handle, LinkUp: n.linkUp, LinkDown: n.sched.LinkDown, Now: n.now, Log: n.log,
 	})
-	rec := record.Config{
+	recordConfig := record.Config{
 		Put: n.plat.Put, Get: n.plat.Get, Raw: n.store.Raw, Accept: func(e plat.Event) { n.store.Accept(e) }, Now: n.now,
 	}
 	n.keeper = keys.New(keys.Config{
-		Record: rec, Pools: n.agents.Pools, Members: n.agents.Pool, Peer: n.agents.Peer, RequestLink: n.agents.RequestLink, Roster: n.store.Roster,
+		Record: recordConfig, Pools: n.agents.Pools, Members: n.agents.Pool, Peer: n.agents.Peer, RequestLink: n.agents.RequestLink, Roster: n.store.Roster,
 		Now: n.now, Wall: func() int64 { return time.Now().UnixMilli() }, Random: mathrand.Float64, Log: n.log,
 	})
 	n.registerMetrics()
 	n.planner = orders.New(orders.Config{
-		Record: rec, Models: n.store.Models, Members: n.agents.Pool, Now: n.now, Random: mathrand.Float64, Log: n.log,
+		Record: recordConfig, Models: n.store.Models, Members: n.agents.Pool, Now: n.now, Random: mathrand.Float64, Log: n.log,
 	})
 }
 
--- a/entry/orders/planner.go
+++ b/entry/orders/planner.go
@@ -138,8 +138,8 @@
 		case b.version != 0 && now >= b.confirmAt && isPending(m.Name, b, state.Endpoints):
 			p.writeAssign(ctx, b, b.assign)
 		}
-		if ms := p.cfg.Members(m.Name); ms != nil && b.version != 0 {
-			b.SendToAgents(ms.Peers, b.version, b.assign.Epoch, b.data)
+		if members := p.cfg.Members(m.Name); members != nil && b.version != 0 {
+			b.SendToAgents(members.Peers, b.version, b.assign.Epoch, b.data)
 		}
 	}
 }
@@ -152,8 +152,8 @@
 	}
 	changed := false
 	for _, m := range moves {
-		old, had := next.Endpoints[m.Endpoint]
-		if had && old.Version == m.Version {
+		old, wasAssigned := next.Endpoints[m.Endpoint]
+		if wasAssigned && old.Version == m.Version {
 			continue
 		}
 		changed = true
@@ -202,11 +202,11 @@
 		b := p.assignmentOf(m.Name)
 		b.refresh()
 		s.Wants = append(s.Wants, roles.Want{Model: m.Name, Version: m.Version, Endpoints: m.Endpoints})
-		ms := p.cfg.Members(m.Name)
-		if ms == nil {
+		members := p.cfg.Members(m.Name)
+		if members == nil {
 			continue
 		}
-		for _, peer := range ms.Peers {
+		for _, peer := range members.Peers {
 			model, version := peer.ServedModel()
 			if !peer.IsLinked() || version == "" {
 				// It is not known yet what the endpoint serves, so it gets no
--- a/entry/sched/flight.go
+++ b/entry/sched/flight.go
@@ -242,9 +242,9 @@
 // cancel cancels the granted attempt at the endpoint, if there is one. A request
 // that is not cancellable runs to its end, because half a filing would be worse,
 // and a retry with its key gets the answer.
-func (f *flight) cancel(why wire.Reason) {
+func (f *flight) cancel(reason wire.Reason) {
 	if f.job.Cancellable && f.holder != nil && f.once.State() == once.Granted {
-		f.holder.Send(&wire.Cancel{ID: f.once.ID(), Reason: why})
+		f.holder.Send(&wire.Cancel{ID: f.once.ID(), Reason: reason})
 	}
 }
 
--- a/entry/sched/offer.go
+++ b/entry/sched/offer.go
@@ -219,13 +219,13 @@
 }
 
 // startNextAttempt starts another attempt of a request, if it may have one.
-func (f *flight) startNextAttempt(why string) {
+func (f *flight) startNextAttempt(reason string) {
 	if !f.once.MayRenew() {
-		f.finish(fault.New(fault.UnknownOutcome, "the answer is lost and the request may have run ("+why+"): find out before asking again"))
+		f.finish(fault.New(fault.UnknownOutcome, "the answer is lost and the request may have run ("+reason+"): find out before asking again"))
 		return
 	}
 	if f.s.poison.isSuspect(f) {
-		f.finish(fault.New(fault.UnknownOutcome, "the answer is lost ("+why+"), and so were others to requests like it: it may crash endpoints and is not sent again"))
+		f.finish(fault.New(fault.UnknownOutcome, "the answer is lost ("+reason+"), and so were others to requests like it: it may crash endpoints and is not sent again"))
 		return
 	}
 	f.pool.send(poolMessage{op: opRetry, f: f})
@@ -237,7 +237,7 @@
 		return
 	}
 	f.resetAnswer()
-	f.recordStep("renewed", "", why)
+	f.recordStep("renewed", "", reason)
 	f.retryLater()
 }
 
--- a/entry/sched/pick.go
+++ b/entry/sched/pick.go
@@ -15,9 +15,9 @@
 		return nil
 	}
 	p.candidates, p.members = p.candidates[:0], p.members[:0]
-	held := f.offeredTo.len() > 0
+	hasOffers := f.offeredTo.len() > 0
 	for _, peer := range m.Peers {
-		if peer.IsLeaving() || held && f.offeredTo.has(peer) {
+		if peer.IsLeaving() || hasOffers && f.offeredTo.has(peer) {
 			continue
 		}
 		l, ok := peer.Load()
--- a/entry/sched/poison.go
+++ b/entry/sched/poison.go
@@ -24,6 +24,7 @@
 	crashes map[string]crashCount
 }
 
+// crashCount counts the crashes of one endpoint.
 type crashCount struct {
 	count  int
 	lastAt time.Duration
--- a/entry/sched/pool.go
+++ b/entry/sched/pool.go
@@ -172,7 +172,7 @@
 
 // placeAgain places a request whose offers were all returned or lost. It checks
 // admission again if there is no agent, if a shed level caused the return or if the
-// request was retried more than once.
+// request was already placed again before.
 func (p *pool) placeAgain(now time.Duration, f *flight) decision {
 	peers := p.pickAgents(now, f, firstOffers)
 	if len(peers) == 0 || f.retries > 1 || f.wasShed {
--- a/entry/sched/relay.go
+++ b/entry/sched/relay.go
@@ -137,13 +137,13 @@
 
 // handleBroken gives up the current attempt's answer.
 func (f *flight) handleBroken() {
-	why := "its answer was damaged"
+	reason := "its answer was damaged"
 	if e := f.answer.End(); e != nil && !e.Whole {
-		why = "it ended with " + e.Reason.String()
+		reason = "it ended with " + e.Reason.String()
 	}
 	f.s.poison.recordEnd(f)
 	f.once.Fail()
-	f.startNextAttempt(why)
+	f.startNextAttempt(reason)
 }
 
 func (f *flight) startGapTimer() {
@@ -206,11 +206,11 @@
 }
 
 // abandonHolder gives up the holder.
-func (f *flight) abandonHolder(why string) {
-	f.recordStep("lost", f.holder.Name(), why)
+func (f *flight) abandonHolder(reason string) {
+	f.recordStep("lost", f.holder.Name(), reason)
 	f.cancel(wire.ReasonDeadline)
 	f.once.Fail()
-	f.startNextAttempt(why)
+	f.startNextAttempt(reason)
 }
 
 // resetAnswer discards the answer of a failed attempt.
--- a/entry/sched/room_test.go
+++ b/entry/sched/room_test.go
@@ -29,7 +29,7 @@
 	const body = 1 << 20
 	r := newMemoryLimit(4 * (body + requestOverhead))
 	low, _ := acquire(r, 3, body)
-	mid, _ := acquire(r, 2, body)
+	middle, _ := acquire(r, 2, body)
 	top, _ := acquire(r, 0, body)
 	running, _ := acquire(r, 3, body)
 	r.markGranted(running)
@@ -39,13 +39,13 @@
 	if _, ok := acquire(r, 1, body); !ok || !isEvicted(low) {
 		t.Fatal("the lowest tier was not evicted first")
 	}
-	if _, ok := acquire(r, 1, body); !ok || !isEvicted(mid) {
+	if _, ok := acquire(r, 1, body); !ok || !isEvicted(middle) {
 		t.Fatal("the next tier was not evicted next")
 	}
 	if _, ok := acquire(r, 1, body); ok || isEvicted(top) || isEvicted(running) {
 		t.Fatal("a higher or running request was evicted")
 	}
-	for _, f := range []*flight{low, mid, running} {
+	for _, f := range []*flight{low, middle, running} {
 		r.release(f)
 	}
 	if _, ok := acquire(r, 3, body); !ok {
--- a/entry/status.go
+++ b/entry/status.go
@@ -16,21 +16,21 @@
 }
 
 func (n *node) poolStatus(name string) report.Pool {
-	ps := n.sched.Figures(name)
-	ps.Agents = []report.Agent{}
+	status := n.sched.Figures(name)
+	status.Agents = []report.Agent{}
 	m := n.agents.Pool(name)
 	if m == nil {
-		return ps
+		return status
 	}
-	ps.Beyond = m.UnlinkedLive
+	status.Beyond = m.UnlinkedLive
 	for _, p := range m.Peers {
 		l, _ := p.Load()
 		_, version := p.ServedModel()
-		ps.Agents = append(ps.Agents, report.Agent{
+		status.Agents = append(status.Agents, report.Agent{
 			Name: p.Name(), Zone: p.Zone(), Linked: p.IsLinked(), Leaving: p.IsLeaving(),
 			InFlight: int(l.InFlight), Bound: int(l.Bound), Queued: int(l.Queued), Level: int(l.Level), Slow: l.Slow,
 			Version: version,
 		})
 	}
-	return ps
+	return status
 }
--- a/entry/tally/tally.go
+++ b/entry/tally/tally.go
@@ -42,6 +42,7 @@
 	promptTokens, cachedTokens, outputTokens metrics.Counter
 }
 
+// tierCounters counts the requests of a tier and those that met their target.
 type tierCounters struct{ requests, goodput metrics.Counter }
 
 // New returns a Recorder that counts into m.
