--- a/entry/caller/accept.go
+++ b/entry/caller/accept.go
@@ -29,7 +29,7 @@
 // accept checks what all requests have in common and returns the job with the
 // fields known so far. The job is non-nil even if there is an error.
 func (s *Server) accept(r *http.Request) (*sched.Job, *fault.Error) {
-	j := &sched.Job{ID: s.cfg.NewID(), Accepted: s.cfg.Now(), Method: r.Method}
+	j := &sched.Job{ID: s.cfg.NewID(), AcceptedAt: s.cfg.Now(), Method: r.Method}
 	if s.cfg.Leaving() {
 		return j, fault.New(fault.Leaving, "this entry is stopping: ask again, the balancer will choose another").WithRetryAfter(time.Second)
 	}
@@ -116,7 +116,7 @@
 		return fault.New(fault.BadRequest, "bad "+headerKey+": send one key of 1 to 255 bytes, such as a UUIDv7")
 	}
 	sum := sha256.Sum256([]byte(j.Customer + "\x00" + key))
-	j.Key, j.KeyMade, j.Cancellable, j.Repeatable = sum[:], keyMadeMS(key), false, false
+	j.Key, j.KeyMadeMS, j.Cancellable, j.Repeatable = sum[:], keyMadeMS(key), false, false
 	return nil
 }
 
--- a/entry/sched/admit.go
+++ b/entry/sched/admit.go
@@ -39,7 +39,7 @@
 			return nil
 		}
 	}
-	if lower || now-f.job.Accepted < noAgentAfter {
+	if lower || now-f.job.AcceptedAt < noAgentAfter {
 		return nil
 	}
 	return fault.New(fault.NoEndpoint, "no endpoint of "+p.name+" is in reach: ask again").WithRetryAfter(noAgentRetry)
@@ -51,10 +51,10 @@
 	j, t := f.job, f.job.Class.Target
 	left := time.Duration(0)
 	if t.FirstToken > 0 {
-		left = j.Accepted + t.FirstToken.Std() - now
+		left = j.AcceptedAt + t.FirstToken.Std() - now
 	}
 	if t.Complete > 0 {
-		toComplete := j.Accepted + t.Complete.Std() - now - f.estimate.Work
+		toComplete := j.AcceptedAt + t.Complete.Std() - now - f.estimate.Work
 		if t.FirstToken == 0 || toComplete < left {
 			left = toComplete
 		}
--- a/entry/sched/flight.go
+++ b/entry/sched/flight.go
@@ -110,7 +110,7 @@
 	defer context.AfterFunc(ctx, post(eventCallerGone))()
 	f.timer = time.AfterFunc(f.job.Deadline, post(eventTimer))
 	defer f.timer.Stop()
-	defer time.AfterFunc(f.job.Accepted+f.job.Deadline-f.now(), post(eventDeadline)).Stop()
+	defer time.AfterFunc(f.job.AcceptedAt+f.job.Deadline-f.now(), post(eventDeadline)).Stop()
 	f.requestOffers(true)
 	var spare []event
 	for !f.done {
@@ -257,5 +257,5 @@
 	if e != nil {
 		f.result.Fault = e.WithOutcome(f.result.Outcome)
 	}
-	f.result.Total = f.now() - f.job.Accepted
+	f.result.Total = f.now() - f.job.AcceptedAt
 }
--- a/entry/sched/job.go
+++ b/entry/sched/job.go
@@ -40,16 +40,16 @@
 	// request. It implies Cancellable. Every other request is dispatched at most
 	// once, whatever its kind: even a repeated status query can cost a fee.
 	Repeatable bool
-	// Key is the hash of customer and idempotency key, nil without a key. KeyMade
+	// Key is the hash of customer and idempotency key, nil without a key. KeyMadeMS
 	// is when the key was made, in Unix milliseconds, zero if the key doesn't say.
-	Key     []byte
-	KeyMade int64
+	Key       []byte
+	KeyMadeMS int64
 	// Digest distinguishes two requests with the same key.
 	Digest uint64
-	// Accepted is when the request was accepted on the entry's clock, and Deadline
+	// AcceptedAt is when the request was accepted on the entry's clock, and Deadline
 	// how long after that the caller gives up.
-	Accepted time.Duration
-	Deadline time.Duration
+	AcceptedAt time.Duration
+	Deadline   time.Duration
 }
 
 // Sink receives the answer. Its functions are called by the goroutine that serves
--- a/entry/sched/offer.go
+++ b/entry/sched/offer.go
@@ -126,14 +126,14 @@
 // bytes.
 func (f *flight) offerMessage(epoch int64) *wire.Offer {
 	j, t := f.job, f.job.Class.Target
-	waited := f.now() - j.Accepted
+	waited := f.now() - j.AcceptedAt
 	return &wire.Offer{
 		ID: f.once.ID(), Pool: j.Pool, Customer: j.Customer, Class: j.Class.Name, Tier: j.Class.Tier,
 		Model: j.Model, PromptTokens: uint32(f.estimate.PromptTokens), OutputTokens: uint32(f.estimate.OutputTokens),
 		CostMS: millis(f.estimate.Work), WaitedMS: millis(waited),
 		FirstMS: millis(t.FirstToken.Std()), BetweenMS: millis(t.BetweenTokens.Std()),
 		CompleteMS: millis(t.Complete.Std()), DeadlineMS: millis(j.Deadline - waited),
-		Repeatable: j.Repeatable, Cancellable: j.Cancellable, Key: j.Key, KeyMade: j.KeyMade, Digest: j.Digest, Epoch: epoch,
+		Repeatable: j.Repeatable, Cancellable: j.Cancellable, Key: j.Key, KeyMade: j.KeyMadeMS, Digest: j.Digest, Epoch: epoch,
 	}
 }
 
--- a/entry/sched/pick.go
+++ b/entry/sched/pick.go
@@ -83,5 +83,5 @@
 	if t == 0 {
 		return 0
 	}
-	return j.Accepted + t
+	return j.AcceptedAt + t
 }
--- a/entry/sched/relay.go
+++ b/entry/sched/relay.go
@@ -80,7 +80,7 @@
 func (f *flight) handleData(data []byte) {
 	now := f.now()
 	if f.result.FirstByte == 0 {
-		f.result.FirstByte = now - f.job.Accepted
+		f.result.FirstByte = now - f.job.AcceptedAt
 	} else if f.lastPieceAt > 0 {
 		f.result.LongestPause = max(f.result.LongestPause, now-f.lastPieceAt)
 	}
--- a/entry/sched/trail.go
+++ b/entry/sched/trail.go
@@ -37,7 +37,7 @@
 }
 
 func (t *TraceLog) newTrace(j *Job) *Trace {
-	tr := &Trace{start: j.Accepted, view: report.Request{
+	tr := &Trace{start: j.AcceptedAt, view: report.Request{
 		ID: j.ID.String(), Pool: j.Pool, Class: j.Class.Name, Tier: j.Class.Tier, Customer: j.Customer,
 	}}
 	if j.Model != "" {
