--- a/entry/orders/planner_test.go
+++ b/entry/orders/planner_test.go
@@ -19,133 +19,134 @@
 
 const model = "drafting"
 
-// world is a platform and agents around a Planner, with a clock of its own.
-type world struct {
-	t       *testing.T
-	now     time.Duration
-	store   *store.Store
-	object  plat.Object
-	writes  int
-	members agents.Members
-	want    string
-	p       *Planner
+// fixture is a Planner with a simulated platform, agents and clock.
+type fixture struct {
+	t           *testing.T
+	now         time.Duration
+	store       *store.Store
+	object      plat.Object
+	writes      int
+	members     agents.Members
+	wantVersion string
+	planner     *Planner
 }
 
-func newWorld(t *testing.T, want string) *world {
-	w := &world{t: t, store: store.New(), want: want}
-	w.p = New(Config{
+func newFixture(t *testing.T, wantVersion string) *fixture {
+	f := &fixture{t: t, store: store.New(), wantVersion: wantVersion}
+	f.planner = New(Config{
 		Record: record.Config{
-			Put: w.put, Get: func(context.Context, string, string) (plat.Object, error) { return w.object, nil },
-			Raw: w.store.Raw, Accept: func(e plat.Event) { w.store.Accept(e) }, Now: func() time.Duration { return w.now },
+			Put: f.put, Get: func(context.Context, string, string) (plat.Object, error) { return f.object, nil },
+			Raw: f.store.Raw, Accept: func(e plat.Event) { f.store.Accept(e) }, Now: func() time.Duration { return f.now },
 		},
 		Models: func() []spec.Model {
-			return []spec.Model{{Name: model, Version: w.want, Endpoints: map[string]string{"model": model}}}
+			return []spec.Model{{Name: model, Version: f.wantVersion, Endpoints: map[string]string{"model": model}}}
 		},
-		Members: func(string) *agents.Members { return &w.members },
-		Now:     func() time.Duration { return w.now }, Random: func() float64 { return 0.5 }, Log: zap.NewNop(),
+		Members: func(string) *agents.Members { return &f.members },
+		Now:     func() time.Duration { return f.now }, Random: func() float64 { return 0.5 }, Log: zap.NewNop(),
 	})
-	return w
+	return f
 }
 
-func (w *world) put(_ context.Context, kind, name string, data []byte, ifVersion int64) (plat.Object, error) {
-	if ifVersion != w.object.Version {
-		return plat.Object{}, plat.NewConflict(kind, name, w.object.Version)
+func (f *fixture) put(_ context.Context, kind, name string, data []byte, ifVersion int64) (plat.Object, error) {
+	if ifVersion != f.object.Version {
+		return plat.Object{}, plat.NewConflict(kind, name, f.object.Version)
 	}
-	w.writes++
-	w.object = plat.Object{Kind: kind, Name: name, Version: w.object.Version + 1, Data: data}
-	return w.object, nil
+	f.writes++
+	f.object = plat.Object{Kind: kind, Name: name, Version: f.object.Version + 1, Data: data}
+	return f.object, nil
 }
 
-// agent adds an agent whose endpoint serves version; empty has not told.
-func (w *world) agent(name, version string) *agents.Peer {
+// agent adds an agent whose endpoint serves version. If version is empty, the agent
+// has not reported it.
+func (f *fixture) agent(name, version string) *agents.Peer {
 	inst := plat.Instance{Name: name, State: plat.StateLive, Labels: map[string]string{"model": model}}
 	p := agents.NewPeer(&inst)
-	w.serves(p, version)
-	w.members.Peers = append(w.members.Peers, p)
+	f.connect(p, version)
+	f.members.Peers = append(f.members.Peers, p)
 	return p
 }
 
-func (w *world) serves(p *agents.Peer, version string) {
+func (f *fixture) connect(p *agents.Peer, version string) {
 	near, far := net.Pipe()
-	w.t.Cleanup(func() { near.Close(); far.Close() })
+	f.t.Cleanup(func() { near.Close(); far.Close() })
 	p.Connect(wire.New(near, wire.Hello{Name: p.Name(), Incarnation: 1}, wire.Config{}), &wire.Heartbeat{Model: model, Version: version})
 }
 
-func (w *world) plan(d time.Duration) {
-	w.now += d
-	w.p.plan(context.Background())
+func (f *fixture) plan(d time.Duration) {
+	f.now += d
+	f.planner.plan(context.Background())
 }
 
-func (w *world) assign() spec.Assign {
-	w.t.Helper()
+func (f *fixture) assign() spec.Assign {
+	f.t.Helper()
 	var a spec.Assign
-	if w.object.Version == 0 {
+	if f.object.Version == 0 {
 		return a
 	}
-	if err := json.Unmarshal(w.object.Data, &a); err != nil {
-		w.t.Fatal(err)
+	if err := json.Unmarshal(f.object.Data, &a); err != nil {
+		f.t.Fatal(err)
 	}
 	return a
 }
 
-// The nightly change sets a new version while all endpoints are at work. If
-// all of them loaded it at once nobody would be served, and the weight store
-// would refuse most of them.
-func TestNewVersionGoesRoundInSteps(t *testing.T) {
-	w := newWorld(t, "v2")
-	peers := []*agents.Peer{w.agent("a", "v1"), w.agent("b", "v1"), w.agent("c", "v1"), w.agent("d", "v1")}
+// An operator sets a new version at night while all endpoints are serving. If all
+// of them loaded it at once, no request would be served, and the weight store would
+// refuse most of them.
+func TestNewVersionIsLoadedInSteps(t *testing.T) {
+	f := newFixture(t, "v2")
+	peers := []*agents.Peer{f.agent("a", "v1"), f.agent("b", "v1"), f.agent("c", "v1"), f.agent("d", "v1")}
 	for range 200 {
-		w.plan(planEvery)
+		f.plan(planInterval)
 		loading := 0
 		for _, p := range peers {
-			_, v := p.Serves()
-			if l, ok := w.assign().Endpoints[p.Name()]; ok && l.Version != v {
+			_, v := p.ServedModel()
+			if l, ok := f.assign().Endpoints[p.Name()]; ok && l.Version != v {
 				loading++
 			}
 		}
-		if loading > loads {
+		if loading > maxConcurrentLoads {
 			t.Fatalf("%d endpoints load at once", loading)
 		}
 		for _, p := range peers {
-			if l, ok := w.assign().Endpoints[p.Name()]; ok {
-				w.serves(p, l.Version)
+			if l, ok := f.assign().Endpoints[p.Name()]; ok {
+				f.connect(p, l.Version)
 			}
 		}
 	}
 	for _, p := range peers {
-		if _, v := p.Serves(); v != "v2" {
+		if _, v := p.ServedModel(); v != "v2" {
 			t.Errorf("%s serves %s in the end", p.Name(), v)
 		}
 	}
-	writes := w.writes
-	w.plan(time.Minute)
-	if w.writes != writes {
-		t.Error("an assignment that all follow is still written")
+	writes := f.writes
+	f.plan(time.Minute)
+	if f.writes != writes {
+		t.Error("an assignment that all endpoints follow is still written")
 	}
 }
 
-// An agent gives an order only while it knows that the assignment is in force.
-// Until its endpoint follows, the entry keeps confirming it.
+// An agent gives an order only while it knows that the assignment is in force. The
+// entry must confirm it until the endpoint follows.
 func TestAssignmentIsConfirmedUntilFollowed(t *testing.T) {
-	w := newWorld(t, "v2")
-	w.agent("a", "v1")
-	w.plan(planEvery)
-	first := w.assign()
-	w.plan(2 * touchEvery)
+	f := newFixture(t, "v2")
+	f.agent("a", "v1")
+	f.plan(planInterval)
+	first := f.assign()
+	f.plan(2 * confirmInterval)
 	ack := wire.LeaseReply{Pool: wire.AssignPrefix + model}
-	w.p.Ack(model, &ack)
+	f.planner.FillAck(model, &ack)
 	if !ack.Confirmed || ack.AgeMS != 0 || ack.Epoch != first.Epoch {
 		t.Errorf("ack %+v", ack)
 	}
 }
 
-// A link to an agent is new and what its endpoint serves has not been told
-// yet. An order now might take the endpoint from work that it does well.
+// A link to an agent is new, and the agent has not reported yet what its endpoint
+// serves. An order now might take the endpoint from useful work.
 func TestUnknownEndpointIsLeftAlone(t *testing.T) {
-	w := newWorld(t, "v2")
-	w.agent("a", "")
-	w.plan(planEvery)
-	if w.object.Version != 0 {
-		t.Errorf("assigned %+v", w.assign())
+	f := newFixture(t, "v2")
+	f.agent("a", "")
+	f.plan(planInterval)
+	if f.object.Version != 0 {
+		t.Errorf("assigned %+v", f.assign())
 	}
 }
--- a/entry/status.go
+++ b/entry/status.go
@@ -2,12 +2,12 @@
 
 import "lycheepond/core/report"
 
-// status is what operators read at /status.
+// status returns the report that operators read at /status.
 func (n *node) status() report.Entry {
 	s := report.Entry{
 		Name: n.cfg.Name, Zone: n.cfg.Zone, Ready: n.ready.Load(), Leaving: n.leaving.Load(),
 		Running: n.sched.Running(), ConfigVersion: n.store.Version(), ConfigDigest: n.store.Digest(),
-		PlatformUnavailable: n.feed.PlatformUnavailable(), PlatformAnswerAgeMS: n.feed.AnswerAgeMS(), Rejected: n.store.Rejected(), Pools: []report.Pool{}, Traffic: n.set.Counts(),
+		PlatformUnavailable: n.feed.PlatformUnavailable(), PlatformAnswerAgeMS: n.feed.AnswerAgeMS(), Rejected: n.store.Rejected(), Pools: []report.Pool{}, Traffic: n.agents.Counts(),
 	}
 	for _, p := range n.pools() {
 		s.Pools = append(s.Pools, n.poolStatus(p.Name))
@@ -16,21 +16,21 @@
 }
 
 func (n *node) poolStatus(name string) report.Pool {
-	ps := n.sched.Figures(name)
-	ps.Agents = []report.Agent{}
-	m := n.set.Pool(name)
+	status := n.sched.Figures(name)
+	status.Agents = []report.Agent{}
+	m := n.agents.Pool(name)
 	if m == nil {
-		return ps
+		return status
 	}
-	ps.Unlinked = m.Beyond
+	status.Unlinked = m.UnlinkedLive
 	for _, p := range m.Peers {
 		l, _ := p.Load()
-		_, version := p.Serves()
-		ps.Agents = append(ps.Agents, report.Agent{
-			Name: p.Name(), Zone: p.Zone(), Linked: p.Linked(), Leaving: p.Leaving(),
+		_, version := p.ServedModel()
+		status.Agents = append(status.Agents, report.Agent{
+			Name: p.Name(), Zone: p.Zone(), Linked: p.IsLinked(), Leaving: p.IsLeaving(),
 			InFlight: int(l.InFlight), InFlightBound: int(l.InFlightBound), Queued: int(l.Queued), ShedLevel: int(l.ShedLevel), Slow: l.Slow,
 			Version: version,
 		})
 	}
-	return ps
+	return status
 }
