--- a/entry/follow/age.go
+++ b/entry/follow/age.go
@@ -16,7 +16,7 @@
 const sampleInterval = 200 * time.Millisecond
 
 // Run samples the age of the knowledge until ctx ends.
-func (k *Known) Run(ctx context.Context) error {
+func (k *Knowledge) Run(ctx context.Context) error {
 	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
@@ -29,7 +29,7 @@
 	}
 }
 
-func (k *Known) sample() {
+func (k *Knowledge) sample() {
 	config, roster := k.cfg.Revisions()
 	now := k.now()
 	k.mu.Lock()
@@ -48,7 +48,7 @@
 
 // recordAge records the age of a list in the metrics and logs when the list becomes
 // old or fresh. It is called with mu held.
-func (k *Known) recordAge(l *listKnowledge, age time.Duration, revision int64) {
+func (k *Knowledge) recordAge(l *listKnowledge, age time.Duration, revision int64) {
 	meter.UpdateMS(l.age, age)
 	isOld := k.cfg.Rule.Old(age)
 	if isOld {
--- a/entry/follow/calls.go
+++ b/entry/follow/calls.go
@@ -100,19 +100,21 @@
 	if f.failures > 0 {
 		return !now.Before(f.retryAt)
 	}
-	if f.cfg.Due != nil {
-		f.nextCheckIn = f.cfg.Due()
+	if f.cfg.NextCheck != nil {
+		f.nextCheckIn = f.cfg.NextCheck()
 	}
-	return f.historyLost || f.cfg.Due != nil && f.nextCheckIn <= 0
+	return f.historyLost || f.cfg.NextCheck != nil && f.nextCheckIn <= 0
 }
 
 // checkTimeout returns how long a check may take.
-func (f *Follower[T]) checkTimeout() time.Duration { return CheckTimeout(len(f.items), f.cfg.Bound) }
+func (f *Follower[T]) checkTimeout() time.Duration {
+	return CheckTimeout(len(f.items), f.cfg.FreshnessBound)
+}
 
 // startWatch sends a watch.
 func (f *Follower[T]) startWatch(ctx context.Context) {
 	f.since = max(f.since, f.verifiedRevision)
-	wait := f.cfg.Wait()
+	wait := f.cfg.WatchTime()
 	f.watches++
 	ctx, f.cancelWatch = context.WithCancel(ctx)
 	f.startCall(ctx, answer[T]{watch: f.watches}, wait, wait+watchGrace)
@@ -153,7 +155,7 @@
 	case f.isChecking:
 	case f.failures > 0:
 		idle = f.retryAt.Sub(now)
-	case f.cfg.Due != nil:
+	case f.cfg.NextCheck != nil:
 		idle = f.nextCheckIn
 	}
 	if f.failures == 0 && f.cancelWatch == nil {
@@ -215,7 +217,7 @@
 		// A check has already brought a newer revision.
 	case len(a.changes) > 0:
 		f.applyChanges(a)
-	case f.cfg.Due == nil:
+	case f.cfg.NextCheck == nil:
 		f.verifiedRevision = max(f.verifiedRevision, a.revision)
 	}
 }
@@ -241,7 +243,7 @@
 func (f *Follower[T]) applyChanges(a answer[T]) {
 	f.since = max(f.since, a.revision)
 	f.recordRevisions(a.changes)
-	f.revision = max(f.revision, f.cfg.Changed(a.changes))
+	f.revision = max(f.revision, f.cfg.OnChanges(a.changes))
 	f.reportVerified(a.sentAt)
-	f.restartWatch(f.cfg.Pause())
+	f.restartWatch(f.cfg.BatchTime())
 }
--- a/entry/follow/first.go
+++ b/entry/follow/first.go
@@ -50,6 +50,6 @@
 	f.noteSuccess(a.sentAt)
 	f.since, f.verifiedRevision = a.revision, a.revision
 	f.recordRevisions(a.changes)
-	f.revision = max(f.revision, f.cfg.Listed(a.changes, a.revision))
+	f.revision = max(f.revision, f.cfg.OnList(a.changes, a.revision))
 	f.reportVerified(a.sentAt)
 }
--- a/entry/follow/follow.go
+++ b/entry/follow/follow.go
@@ -28,7 +28,7 @@
 	watchGrace = 1500 * time.Millisecond
 	// listTimeout bounds all calls for a whole list together. It allows for 3,000
 	// items read page by page by 300 entries at once.
-	listTimeout = 5 * CallTime
+	listTimeout = 5 * CallTimeout
 	// minRetryPause and maxRetryPause bound how often a failing platform is called.
 	// Every entry calls it, and the first second after its return matters.
 	minRetryPause = 100 * time.Millisecond
@@ -37,7 +37,7 @@
 
 // CallTimeout bounds a call to the platform that doesn't wait. It is about a
 // hundred times the usual duration.
-const CallTime = 2 * time.Second
+const CallTimeout = 2 * time.Second
 
 // Change is one change of a list.
 type Change[T any] struct {
@@ -50,7 +50,7 @@
 }
 
 // NewestRevision returns the highest revision of changes, zero if there are none.
-func Newest[T any](changes []Change[T]) int64 {
+func NewestRevision[T any](changes []Change[T]) int64 {
 	newest := int64(0)
 	for _, c := range changes {
 		newest = max(newest, c.Revision)
@@ -69,26 +69,26 @@
 	// It waits up to wait for the first change.
 	Watch func(ctx context.Context, since int64, wait time.Duration) ([]Change[T], int64, error)
 	// WatchTime returns how long the next watch waits for a change.
-	Wait func() time.Duration
+	WatchTime func() time.Duration
 	// NextCheck returns how long until the next check is due, or until it is to be
 	// called again, whichever is sooner. If nil, no checks are sent while calls
 	// succeed.
-	Due func() time.Duration
+	NextCheck func() time.Duration
 	// FreshnessBound is the time within which a change must be in force.
-	Bound time.Duration
+	FreshnessBound time.Duration
 	// BatchTime returns how long to wait after changes before the next watch, so
 	// that several changes arrive together. Fifty endpoints that start or leave at
 	// once would otherwise cost each entry fifty calls.
-	Pause func() time.Duration
+	BatchTime func() time.Duration
 	// OnList applies a whole list, OnChanges the changes after it. Both return the
 	// revision that the local copy has afterwards.
-	Listed  func(all []Change[T], revision int64) int64
-	Changed func(changes []Change[T]) int64
+	OnList    func(all []Change[T], revision int64) int64
+	OnChanges func(changes []Change[T]) int64
 	// OnVerified is called when a call sent at a time has shown that the platform
 	// has nothing newer than a revision. It may be nil.
-	Looked func(revision int64, sent time.Time)
+	OnVerified func(revision int64, sent time.Time)
 	// OnAway and OnBack are called when the platform stops and resumes answering.
-	Away, Back func()
+	OnAway, OnBack func()
 	// Random returns a number in [0, 1).
 	Random func() float64
 	Log    *zap.Logger
@@ -156,8 +156,8 @@
 }
 
 func (f *Follower[T]) reportVerified(sent time.Time) {
-	if f.cfg.Looked != nil {
-		f.cfg.Looked(f.revision, sent)
+	if f.cfg.OnVerified != nil {
+		f.cfg.OnVerified(f.revision, sent)
 	}
 }
 
@@ -171,7 +171,7 @@
 	}
 	f.failures = 0
 	logs.Info(f.cfg.Log, logs.EventPlatformBack, zap.String("list", f.cfg.Name))
-	f.cfg.Back()
+	f.cfg.OnBack()
 }
 
 // noteFailure records that a call failed and schedules the retry.
@@ -181,7 +181,7 @@
 	}
 	if f.failures == 0 {
 		logs.Warn(f.cfg.Log, logs.EventPlatformAway, zap.String("list", f.cfg.Name), zap.Error(err))
-		f.cfg.Away()
+		f.cfg.OnAway()
 	}
 	f.retryAt = time.Now().Add(backoff(f.failures, f.cfg.Random()))
 	f.failures++
--- a/entry/follow/follow_test.go
+++ b/entry/follow/follow_test.go
@@ -88,12 +88,12 @@
 		for _, c := range all {
 			learned <- c.Revision
 		}
-		return Newest(all)
+		return NewestRevision(all)
 	}
 	f := New(Config[int]{
-		Name: "x", List: s.list, Watch: s.watch, Wait: func() time.Duration { return 50 * time.Millisecond },
-		Pause:  func() time.Duration { return 10 * time.Millisecond },
-		Listed: func(all []Change[int], _ int64) int64 { return report(all) }, Changed: report, Away: func() {}, Back: func() {},
+		Name: "x", List: s.list, Watch: s.watch, WatchTime: func() time.Duration { return 50 * time.Millisecond },
+		BatchTime: func() time.Duration { return 10 * time.Millisecond },
+		OnList:    func(all []Change[int], _ int64) int64 { return report(all) }, OnChanges: report, OnAway: func() {}, OnBack: func() {},
 		Random: func() float64 { return 0 }, Log: zap.NewNop(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -159,13 +159,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	learned := make(chan int64, 100)
 	f := New(Config[int]{
-		Name: "x", List: s.list, Watch: watch, Wait: func() time.Duration { return time.Minute },
-		Pause: func() time.Duration { return 2 * time.Second }, Listed: func([]Change[int], int64) int64 { return 0 },
-		Changed: func(all []Change[int]) int64 {
+		Name: "x", List: s.list, Watch: watch, WatchTime: func() time.Duration { return time.Minute },
+		BatchTime: func() time.Duration { return 2 * time.Second }, OnList: func([]Change[int], int64) int64 { return 0 },
+		OnChanges: func(all []Change[int]) int64 {
 			learned <- all[len(all)-1].Revision
-			return Newest(all)
+			return NewestRevision(all)
 		},
-		Away: func() {}, Back: func() {},
+		OnAway: func() {}, OnBack: func() {},
 		Random: func() float64 { return 0 }, Log: zap.NewNop(),
 	})
 	ended := make(chan error, 1)
@@ -187,7 +187,7 @@
 // The watches of all entries start together after a change or an outage. They must
 // not end together, and none may wait for longer than the platform allows.
 func TestWatchTimesAreSpread(t *testing.T) {
-	for _, wait := range []func(float64) time.Duration{Wait, WaitEntries} {
+	for _, wait := range []func(float64) time.Duration{WatchTime, EntriesWatchTime} {
 		shortest, longest := wait(0.999), wait(0)
 		if longest < 2*shortest*9/10 || longest > 25*time.Second || shortest < 4*time.Second {
 			t.Errorf("watches wait for %v to %v", shortest, longest)
@@ -212,10 +212,10 @@
 // platform each time, but must meet the bound if the hub sends nothing.
 func TestBatchTime(t *testing.T) {
 	bound := 3 * time.Second
-	if got := Pause(29, true, bound); got <= Pause(29, false, bound) || got > bound/2 {
-		t.Errorf("an entry behind a hub collects changes for %v, others for %v", got, Pause(29, false, bound))
+	if got := BatchTime(29, true, bound); got <= BatchTime(29, false, bound) || got > bound/2 {
+		t.Errorf("an entry behind a hub collects changes for %v, others for %v", got, BatchTime(29, false, bound))
 	}
-	if got := Pause(5, false, bound); got != 50*time.Millisecond {
+	if got := BatchTime(5, false, bound); got != 50*time.Millisecond {
 		t.Errorf("one of five entries collects changes for %v", got)
 	}
 }
@@ -233,7 +233,7 @@
 				select {
 				case <-ctx.Done():
 					return nil, 0, ctx.Err()
-				case <-time.After(CallTime / 20):
+				case <-time.After(CallTimeout / 20):
 				}
 			}
 			return nil, 7, nil
@@ -242,8 +242,8 @@
 			<-ctx.Done()
 			return nil, 0, ctx.Err()
 		},
-		Wait:   func() time.Duration { return time.Minute },
-		Listed: func(_ []Change[int], revision int64) int64 { listed <- revision; return revision }, Log: zap.NewNop(),
+		WatchTime: func() time.Duration { return time.Minute },
+		OnList:    func(_ []Change[int], revision int64) int64 { listed <- revision; return revision }, Log: zap.NewNop(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -253,7 +253,7 @@
 		if revision != 7 {
 			t.Errorf("revision %d", revision)
 		}
-	case <-time.After(3 * CallTime):
+	case <-time.After(3 * CallTimeout):
 		t.Error("the list was not read to its end")
 	}
 	cancel()
--- a/entry/follow/known.go
+++ b/entry/follow/known.go
@@ -18,25 +18,25 @@
 const resendShare = 0.3
 
 // KnowledgeConfig holds the settings and callbacks of a Knowledge.
-type KnownConfig struct {
+type KnowledgeConfig struct {
 	// Self is the name of this entry.
 	Self string
 	Rule fresh.Rule
 	// Revisions returns the revisions in force.
 	Revisions func() (config, roster int64)
 	// ReachablePeers returns the names of the reachable peers.
-	Heard func() []string
+	ReachablePeers func() []string
 	// SendTallySoon requests that the next tally is sent as soon as possible,
 	// RelaySoon that received tallies are relayed as soon as possible.
-	Hurry, HurryOn func()
-	Metrics        *meter.Set
-	Log            *zap.Logger
+	SendTallySoon, RelaySoon func()
+	Metrics                  *meter.Set
+	Log                      *zap.Logger
 }
 
 // Knowledge tracks how current this entry's configuration and roster are, from its
 // own checks and from the evidence that peers send. It is safe for concurrent use.
-type Known struct {
-	cfg   KnownConfig
+type Knowledge struct {
+	cfg   KnowledgeConfig
 	start time.Time
 
 	mu sync.Mutex
@@ -73,8 +73,8 @@
 }
 
 // NewKnowledge returns a Knowledge without any evidence.
-func NewKnown(cfg KnownConfig) *Known {
-	k := &Known{cfg: cfg, start: time.Now(), lists: make(map[uint8]*listKnowledge), delays: make(map[string]*fresh.Way)}
+func NewKnowledge(cfg KnowledgeConfig) *Knowledge {
+	k := &Knowledge{cfg: cfg, start: time.Now(), lists: make(map[uint8]*listKnowledge), delays: make(map[string]*fresh.Way)}
 	for what, name := range map[uint8]string{wire.SnapshotConfig: "config", wire.SnapshotRoster: "roster"} {
 		label := meter.Label{Key: "list", Value: name}
 		k.lists[what] = &listKnowledge{
@@ -85,10 +85,10 @@
 	return k
 }
 
-func (k *Known) now() time.Duration { return time.Since(k.start) }
+func (k *Knowledge) now() time.Duration { return time.Since(k.start) }
 
 // revision returns the revision of a list in force.
-func (k *Known) revision(what uint8) int64 {
+func (k *Knowledge) revision(what uint8) int64 {
 	config, roster := k.cfg.Revisions()
 	if what == wire.SnapshotConfig {
 		return config
@@ -98,7 +98,7 @@
 
 // NoteVerified records that a call sent at a time and answered at once showed that
 // the platform has nothing newer than revision.
-func (k *Known) Looked(what uint8, revision int64, sent time.Time) {
+func (k *Knowledge) NoteVerified(what uint8, revision int64, sent time.Time) {
 	inForce := k.revision(what)
 	k.mu.Lock()
 	k.checks++
@@ -112,13 +112,13 @@
 	}
 	k.mu.Unlock()
 	if isNewStep {
-		k.cfg.Hurry()
+		k.cfg.SendTallySoon()
 	}
 }
 
 // HandleTally handles the evidence in a peer's tally. newProcess is set for the
 // first tally of a process.
-func (k *Known) Heard(peer string, newProcess bool, t *wire.Tally) {
+func (k *Knowledge) HandleTally(peer string, newProcess bool, t *wire.Tally) {
 	if t.UptimeMS == 0 {
 		return
 	}
@@ -146,12 +146,12 @@
 	}
 	k.mu.Unlock()
 	if gained >= k.cfg.Rule.Step() {
-		k.cfg.HurryOn()
+		k.cfg.RelaySoon()
 	}
 }
 
 // ForgetPeer forgets a peer that is no longer reachable.
-func (k *Known) Lost(peer string) {
+func (k *Knowledge) ForgetPeer(peer string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.delays, peer)
@@ -159,7 +159,7 @@
 
 // update recomputes verifiedAt of a list from the claims and the revision in force,
 // and returns by how much it moved forward. It is called with mu held.
-func (k *Known) update(l *listKnowledge, inForce int64) time.Duration {
+func (k *Knowledge) update(l *listKnowledge, inForce int64) time.Duration {
 	c, ok := l.claims.Known(inForce)
 	if !ok || l.any && c.At <= l.verifiedAt {
 		return 0
@@ -174,7 +174,7 @@
 // call, and at intervals what it has received. The caller must read the revisions
 // for that tally afterwards, so that they are at least as new as those that the
 // evidence is about.
-func (k *Known) Tell() (evidence []wire.Freshness, clock uint64) {
+func (k *Knowledge) Evidence() (evidence []wire.Freshness, clock uint64) {
 	config, roster := k.cfg.Revisions()
 	now := k.now()
 	k.mu.Lock()
@@ -199,7 +199,7 @@
 
 // NextCheck returns how long until this entry must check again, at most one step,
 // because evidence from peers may change it meanwhile.
-func (k *Known) Due(what uint8) time.Duration {
+func (k *Knowledge) NextCheck(what uint8) time.Duration {
 	inForce := k.revision(what)
 	k.mu.Lock()
 	l := k.lists[what]
@@ -213,13 +213,13 @@
 	if age < rule.First() {
 		return min(rule.First()-age, rule.Step())
 	}
-	reachable := k.cfg.Heard()
+	reachable := k.cfg.ReachablePeers()
 	return min(rule.Due(fresh.Rank(k.cfg.Self, reachable, c.Mark), len(reachable)+1)-age, rule.Step())
 }
 
 // CountRequest counts a request for each list that is old while the request is
 // decided.
-func (k *Known) Decided() {
+func (k *Knowledge) CountRequest() {
 	now := k.now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/entry/follow/known_test.go
+++ b/entry/follow/known_test.go
@@ -13,7 +13,7 @@
 
 // testKnowledge is an entry's Knowledge with revisions that the test sets.
 type testKnowledge struct {
-	*Known
+	*Knowledge
 	config, roster int64
 	reachable      []string
 	urgentSends    int
@@ -22,9 +22,9 @@
 
 func newTestKnowledge(name string) *testKnowledge {
 	k := &testKnowledge{set: meter.New()}
-	k.Known = NewKnown(KnownConfig{
+	k.Knowledge = NewKnowledge(KnowledgeConfig{
 		Self: name, Rule: fresh.Rule{Bound: 2 * time.Second}, Revisions: func() (int64, int64) { return k.config, k.roster },
-		Heard: func() []string { return k.reachable }, Hurry: func() { k.urgentSends++ }, HurryOn: func() { k.urgentSends++ }, Metrics: k.set, Log: zap.NewNop(),
+		ReachablePeers: func() []string { return k.reachable }, SendTallySoon: func() { k.urgentSends++ }, RelaySoon: func() { k.urgentSends++ }, Metrics: k.set, Log: zap.NewNop(),
 	})
 	return k
 }
@@ -34,19 +34,19 @@
 	for n := 20; n > 0; n-- {
 		back := time.Duration(n) * 250 * time.Millisecond
 		k.start, other.start = k.start.Add(back), other.start.Add(back)
-		k.Heard(other.cfg.Self, false, &wire.Tally{UptimeMS: uint64(other.now().Milliseconds())})
+		k.HandleTally(other.cfg.Self, false, &wire.Tally{UptimeMS: uint64(other.now().Milliseconds())})
 		k.start, other.start = k.start.Add(-back), other.start.Add(-back)
 	}
 }
 
 // receiveFrom lets k receive the current evidence of other.
 func (k *testKnowledge) receiveFrom(other *testKnowledge) {
-	evidence, clock := other.Tell()
-	k.Heard(other.cfg.Self, false, &wire.Tally{Freshness: evidence, UptimeMS: clock, ConfigRevision: other.config, RosterRevision: other.roster})
+	evidence, clock := other.Evidence()
+	k.HandleTally(other.cfg.Self, false, &wire.Tally{Freshness: evidence, UptimeMS: clock, ConfigRevision: other.config, RosterRevision: other.roster})
 }
 
 func (k *testKnowledge) verify(what uint8, back time.Duration) {
-	k.Looked(what, k.revision(what), time.Now().Add(-back))
+	k.NoteVerified(what, k.revision(what), time.Now().Add(-back))
 }
 
 func (k *testKnowledge) ageOf(what uint8) time.Duration {
@@ -78,10 +78,10 @@
 	if a.urgentSends != 2 || b.urgentSends != 1 {
 		t.Errorf("%d and %d urgent sends, want 2 and 1", a.urgentSends, b.urgentSends)
 	}
-	if due := b.Due(wire.SnapshotConfig); due <= 0 {
+	if due := b.NextCheck(wire.SnapshotConfig); due <= 0 {
 		t.Errorf("b checks in %v although a just has", due)
 	}
-	if due := b.Due(wire.SnapshotRoster); due > 0 {
+	if due := b.NextCheck(wire.SnapshotRoster); due > 0 {
 		t.Errorf("b has no evidence of the roster and checks in %v", due)
 	}
 	c.receiveFrom(b)
@@ -114,7 +114,7 @@
 	if age := b.ageOf(wire.SnapshotConfig); age < 3*time.Second {
 		t.Errorf("b counts revision 5 as the newest %v ago, but a has 7", age)
 	}
-	b.Decided()
+	b.CountRequest()
 	if n := b.set.Read().Counters[`requests_on_old_knowledge{list="config"}`]; n != 1 {
 		t.Errorf("%d requests on old knowledge, want 1", n)
 	}
@@ -122,7 +122,7 @@
 	if age := b.ageOf(wire.SnapshotConfig); age > time.Second {
 		t.Errorf("with revision 7 b's evidence is %v old", age)
 	}
-	b.Decided()
+	b.CountRequest()
 	if n := b.set.Read().Counters[`requests_on_old_knowledge{list="config"}`]; n != 1 {
 		t.Errorf("%d requests on old knowledge, want 1", n)
 	}
@@ -133,12 +133,12 @@
 func TestEvidenceForARevisionNotInForceIsNotSent(t *testing.T) {
 	a := newTestKnowledge("a")
 	a.start, a.roster = a.start.Add(-time.Minute), 5
-	a.Looked(wire.SnapshotRoster, 8, time.Now())
-	if evidence, _ := a.Tell(); len(evidence) != 0 {
+	a.NoteVerified(wire.SnapshotRoster, 8, time.Now())
+	if evidence, _ := a.Evidence(); len(evidence) != 0 {
 		t.Errorf("sent %+v with revision 5 in force", evidence)
 	}
 	a.roster = 8
-	if evidence, _ := a.Tell(); len(evidence) != 1 || evidence[0].Content != wire.SnapshotRoster {
+	if evidence, _ := a.Evidence(); len(evidence) != 1 || evidence[0].Content != wire.SnapshotRoster {
 		t.Errorf("sent %+v, want evidence of the roster", evidence)
 	}
 }
--- a/entry/follow/look_test.go
+++ b/entry/follow/look_test.go
@@ -34,14 +34,14 @@
 		for _, c := range all {
 			learned <- c.Revision
 		}
-		return Newest(all)
+		return NewestRevision(all)
 	}
 	f := New(Config[int]{
-		Name: "x", List: list, Watch: watch, Wait: func() time.Duration { return time.Minute },
-		Due:   func() time.Duration { return 30*time.Millisecond - time.Since(time.Unix(0, lastEvidence.Load())) },
-		Pause: func() time.Duration { return 0 }, Bound: time.Second,
-		Listed: func(all []Change[int], _ int64) int64 { return report(all) }, Changed: report, Away: func() {}, Back: func() {},
-		Looked: func(revision int64, sent time.Time) {
+		Name: "x", List: list, Watch: watch, WatchTime: func() time.Duration { return time.Minute },
+		NextCheck: func() time.Duration { return 30*time.Millisecond - time.Since(time.Unix(0, lastEvidence.Load())) },
+		BatchTime: func() time.Duration { return 0 }, FreshnessBound: time.Second,
+		OnList: func(all []Change[int], _ int64) int64 { return report(all) }, OnChanges: report, OnAway: func() {}, OnBack: func() {},
+		OnVerified: func(revision int64, sent time.Time) {
 			verifiedRevision.Store(revision)
 			lastEvidence.Store(max(lastEvidence.Load(), sent.UnixNano()))
 			evidence <- sent
@@ -150,7 +150,7 @@
 	s.set(func() { s.revision = 2 })
 	began := time.Now()
 	await(t, learned, 2)
-	if took := time.Since(began); took > CallTime/2 {
+	if took := time.Since(began); took > CallTimeout/2 {
 		t.Errorf("learned after %v", took)
 	}
 	if n := maxPending.Load(); n > 1 {
@@ -171,7 +171,7 @@
 		return s.list(ctx)
 	}, nil)
 	await(t, learned, 1)
-	if took := time.Since(began); took > CallTime/2 {
+	if took := time.Since(began); took > CallTimeout/2 {
 		t.Errorf("learned after %v", took)
 	}
 }
@@ -227,7 +227,7 @@
 	<-evidence // nothing has changed
 	s.set(func() { s.revision = 2 })
 	await(t, learned, 2)
-	if took := time.Since(began); took > CallTime/2 {
+	if took := time.Since(began); took > CallTimeout/2 {
 		t.Errorf("learned after %v", took)
 	}
 	for len(learned) > 0 {
@@ -238,7 +238,7 @@
 // A check is being read while a watch brings a later change. The older list must
 // not undo it.
 func TestOlderCheckIsIgnored(t *testing.T) {
-	f := New(Config[int]{Due: func() time.Duration { return time.Hour }})
+	f := New(Config[int]{NextCheck: func() time.Duration { return time.Hour }})
 	f.since = 7
 	f.recordRevisions([]Change[int]{{Name: "a", Revision: 7}})
 	f.handleCheck(answer[int]{revision: 6, changes: []Change[int]{{Name: "a", Revision: 2}}})
--- a/entry/follow/quarantine.go
+++ b/entry/follow/quarantine.go
@@ -66,7 +66,7 @@
 
 // Store queues a change to be stored, if this entry has lost an attempt of the
 // request. It does not block; changes beyond maxQueuedWrites are dropped.
-func (q *Quarantines) Note(c poison.Change) {
+func (q *Quarantines) Store(c poison.Change) {
 	if !c.Local {
 		return
 	}
--- a/entry/follow/register.go
+++ b/entry/follow/register.go
@@ -31,23 +31,23 @@
 	Remove          func(ctx context.Context, name string) error
 	// SilentEntries returns the listed entries that have been silent for d. It
 	// returns none if this entry may be the one that is cut off.
-	Silent func(d time.Duration) []string
-	Name   string
-	Random func() float64
-	Log    *zap.Logger
+	SilentEntries func(d time.Duration) []string
+	Name          string
+	Random        func() float64
+	Log           *zap.Logger
 	// missing holds one value while this entry's object is known to be missing.
 	missing chan struct{}
 }
 
 // Init makes r ready for Run and NoteMissing, and returns it.
-func (r *Registration) Start() *Registration {
+func (r *Registration) Init() *Registration {
 	r.missing = make(chan struct{}, 1)
 	r.missing <- struct{}{}
 	return r
 }
 
 // NoteMissing records that the list doesn't hold this entry.
-func (r *Registration) Missing() {
+func (r *Registration) NoteMissing() {
 	select {
 	case r.missing <- struct{}{}:
 	default:
@@ -87,7 +87,7 @@
 }
 
 func (r *Registration) removeSilent(ctx context.Context) {
-	for _, name := range r.Silent(purgeSilence) {
+	for _, name := range r.SilentEntries(purgeSilence) {
 		err := call(ctx, func(ctx context.Context) error { return r.Remove(ctx, name) })
 		logs.Info(r.Log, logs.EventEntryForgotten, zap.String("peer", name), zap.Error(err))
 	}
--- a/entry/follow/retry.go
+++ b/entry/follow/retry.go
@@ -28,7 +28,7 @@
 
 // call calls f with a timeout of CallTimeout.
 func call(ctx context.Context, f func(ctx context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, CallTime)
+	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	return f(ctx)
 }
--- a/entry/follow/wait.go
+++ b/entry/follow/wait.go
@@ -33,10 +33,10 @@
 )
 
 // WatchTime returns how long a watch waits. rnd is a random number in [0, 1).
-func Wait(rnd float64) time.Duration { return jitteredTime(maxWatchTime, rnd) }
+func WatchTime(rnd float64) time.Duration { return jitteredTime(maxWatchTime, rnd) }
 
 // EntriesWatchTime is WatchTime for the list of entries.
-func WaitEntries(rnd float64) time.Duration { return jitteredTime(maxEntriesWatchTime, rnd) }
+func EntriesWatchTime(rnd float64) time.Duration { return jitteredTime(maxEntriesWatchTime, rnd) }
 
 // CheckTimeout returns how long a check of a list of items may take when changes
 // must be in force within bound. A list of many pages gets more than its share of
@@ -56,7 +56,7 @@
 // each change costs more calls. An entry with a hub, which sends it newer versions,
 // can leave the calls to the hubs. It collects for a part of the freshness bound,
 // so that it still meets the bound if no hub sends it anything.
-func Pause(reachable int, hasHub bool, bound time.Duration) time.Duration {
+func BatchTime(reachable int, hasHub bool, bound time.Duration) time.Duration {
 	if hasHub {
 		return time.Duration(hubBatchShare * float64(bound))
 	}
--- a/entry/mesh/accept.go
+++ b/entry/mesh/accept.go
@@ -72,10 +72,10 @@
 		switch t := msg.(type) {
 		case *wire.PlaceRequest, *wire.PlaceReport:
 			if handlePlacement == nil {
-				if m.cfg.Serve == nil {
+				if m.cfg.ServePlacements == nil {
 					return
 				}
-				handlePlacement, endPlacements = m.cfg.Serve(ctx, hello.Zone, link.Send)
+				handlePlacement, endPlacements = m.cfg.ServePlacements(ctx, hello.Zone, link.Send)
 				m.addPlacementLinks(1)
 			}
 			handlePlacement(t)
@@ -87,7 +87,7 @@
 				m.handleRelayed(from, &t.Tallies[i])
 			}
 		case *wire.Snapshot:
-			m.cfg.Took(t)
+			m.cfg.OnSnapshot(t)
 		}
 	})
 }
@@ -154,7 +154,7 @@
 	if !ok {
 		return
 	}
-	m.cfg.Heard(Heard{Peer: o.name, Anew: newProcess, Tally: t})
+	m.cfg.OnTally(PeerTally{Peer: o.name, NewProcess: newProcess, Tally: t})
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.peer(o.name); !p.hasGap {
--- a/entry/mesh/ask.go
+++ b/entry/mesh/ask.go
@@ -12,7 +12,7 @@
 const requestedLinkTTL = 5 * time.Second
 
 // ReachableEntries returns the reachable entries, including this one.
-func (m *Mesh) Entries() []relay.Entry {
+func (m *Mesh) ReachableEntries() []relay.Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := []relay.Entry{m.self()}
@@ -26,7 +26,7 @@
 
 // KeepLinks requests links to the given peers, so that Send can reach them. Each
 // link is kept for requestedLinkTTL after the last call that names its peer.
-func (m *Mesh) Link(peers []string) {
+func (m *Mesh) KeepLinks(peers []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
@@ -57,8 +57,8 @@
 // handleReply handles a message that a peer sends over a link that this entry
 // dialled.
 func (m *Mesh) handleReply(peer string, msg wire.Message) {
-	if ack, ok := msg.(*wire.PlaceReply); ok && m.cfg.Acked != nil {
-		m.cfg.Acked(peer, ack)
+	if ack, ok := msg.(*wire.PlaceReply); ok && m.cfg.OnPlaceAck != nil {
+		m.cfg.OnPlaceAck(peer, ack)
 	}
 }
 
--- a/entry/mesh/dial.go
+++ b/entry/mesh/dial.go
@@ -233,8 +233,8 @@
 	m.mu.Lock()
 	d.link = nil
 	m.mu.Unlock()
-	if m.cfg.Parted != nil {
-		m.cfg.Parted(hello.Name)
+	if m.cfg.OnLinkClosed != nil {
+		m.cfg.OnLinkClosed(hello.Name)
 	}
 	if ctx.Err() != nil {
 		logs.Info(m.cfg.Log, logs.EventLinkClosed, zap.String("peer", hello.Name), zap.String("remote", addr))
--- a/entry/mesh/fresh_test.go
+++ b/entry/mesh/fresh_test.go
@@ -23,7 +23,7 @@
 		mark := uint32(n + 1)
 		began := time.Now()
 		from.with(func() { from.fresh = []wire.Freshness{{Content: wire.SnapshotConfig, AgeMS: 1, RefreshID: mark}} })
-		from.mesh.Hurry()
+		from.mesh.SendTallySoon()
 		for _, e := range all {
 			if e != from {
 				await(t, fmt.Sprint("evidence ", mark), func() bool {
@@ -44,7 +44,7 @@
 // Entries of an older version reject tallies with fields that they don't know.
 // While one of them is reachable, no tally may carry evidence.
 func TestEvidenceIsNotSentWhileAPeerCannotReadIt(t *testing.T) {
-	m := New(Config{Self: wire.Hello{Name: "a"}, Fresh: func() ([]wire.Freshness, uint64) { return []wire.Freshness{{RefreshID: 1}}, 1 }})
+	m := New(Config{Self: wire.Hello{Name: "a"}, Freshness: func() ([]wire.Freshness, uint64) { return []wire.Freshness{{RefreshID: 1}}, 1 }})
 	*m.peer("b") = peer{isReachable: true, readsExtensions: true}
 	if evidence, clock := m.freshness(); len(evidence) != 1 || clock == 0 {
 		t.Error("no evidence is sent although all peers can read it")
--- a/entry/mesh/mesh.go
+++ b/entry/mesh/mesh.go
@@ -56,7 +56,7 @@
 	// Freshness returns the evidence of how current the versions in force are, for
 	// the next tally, and for how many milliseconds this entry has run. If nil, no
 	// evidence is sent.
-	Fresh func() (evidence []wire.Freshness, clock uint64)
+	Freshness func() (evidence []wire.Freshness, clock uint64)
 	// Extend adds the fields to a tally that peers of older versions cannot read:
 	// what has changed since the last call, and if again is set also the state that
 	// a new peer needs. It may be nil.
@@ -66,34 +66,34 @@
 	// Snapshot returns the encoded version in force.
 	Snapshot func(what uint8) (*wire.Snapshot, error)
 	// OnTally handles a peer's tally.
-	Heard func(h Heard)
+	OnTally func(h PeerTally)
 	// FullTally returns the full state of a peer, put together from the tallies
 	// that were passed to OnTally.
-	Whole func(peer string) *wire.Tally
+	FullTally func(peer string) *wire.Tally
 	// OnSnapshot handles a version that a peer sent.
-	Took func(s *wire.Snapshot)
+	OnSnapshot func(s *wire.Snapshot)
 	// ServePlacements begins to handle the placement requests that a peer in a zone
 	// sends over a link. It returns a function that handles the peer's messages and
 	// one that ends the service. Both are called by the goroutine of the link. If
 	// nil, such messages are ignored.
-	Serve func(ctx context.Context, zone string, reply func(m wire.Message) error) (handle func(m wire.Message), end func())
+	ServePlacements func(ctx context.Context, zone string, reply func(m wire.Message) error) (handle func(m wire.Message), end func())
 	// OnPlaceAck handles a peer's answer to a placement message of this entry.
 	// OnLinkClosed is called when the link over which such messages were sent has
 	// ended. Both may be nil.
-	Acked  func(peer string, m *wire.PlaceReply)
-	Parted func(peer string)
+	OnPlaceAck   func(peer string, m *wire.PlaceReply)
+	OnLinkClosed func(peer string)
 	// OnPeerLost is called when a peer has become silent.
-	Lost func(peer string)
-	Log  *zap.Logger
+	OnPeerLost func(peer string)
+	Log        *zap.Logger
 }
 
 // PeerTally is a tally received from a peer.
-type Heard struct {
+type PeerTally struct {
 	Peer string
 	// NewProcess is set for the first tally of a peer's process, whose totals start
 	// at zero.
-	Anew  bool
-	Tally *wire.Tally
+	NewProcess bool
+	Tally      *wire.Tally
 }
 
 // Mesh manages the links of one entry. It is safe for concurrent use.
@@ -235,7 +235,7 @@
 }
 
 // SetListedEntries sets the entries that the platform lists.
-func (m *Mesh) List(ctx context.Context, entries []wire.EntryAddr) {
+func (m *Mesh) SetListedEntries(ctx context.Context, entries []wire.EntryAddr) {
 	listed := make(map[string]bool)
 	m.mu.Lock()
 	for _, e := range entries {
@@ -273,7 +273,7 @@
 
 // EntryCounts returns how many entries are reachable and how many may be running,
 // both including this one.
-func (m *Mesh) Reach() (reachable, known int) {
+func (m *Mesh) EntryCounts() (reachable, known int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	reachable, known = 1, 1
@@ -290,7 +290,7 @@
 }
 
 // ReachablePeers returns the names of the reachable entries without this one.
-func (m *Mesh) Names() []string {
+func (m *Mesh) ReachablePeers() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []string
@@ -303,11 +303,11 @@
 }
 
 // SendTallySoon requests that the next tally is sent as soon as possible.
-func (m *Mesh) Hurry() { signal(m.sendSoon) }
+func (m *Mesh) SendTallySoon() { signal(m.sendSoon) }
 
 // RelaySoon requests that received tallies are relayed as soon as possible, if this
 // entry is a hub.
-func (m *Mesh) HurryOn() { signal(m.relaySoon) }
+func (m *Mesh) RelaySoon() { signal(m.relaySoon) }
 
 func signal(c chan struct{}) {
 	select {
@@ -317,7 +317,7 @@
 }
 
 // HasHub reports whether a hub relays the tallies of other entries to this one.
-func (m *Mesh) Led() bool {
+func (m *Mesh) HasHub() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.plan.Led()
@@ -326,7 +326,7 @@
 // SilentPeers returns the listed peers that have been silent for d. After a pause
 // of this process only the time since the pause counts, and no peer is returned
 // before silent peers have been looked for again.
-func (m *Mesh) Silent(d time.Duration) []string {
+func (m *Mesh) SilentPeers(d time.Duration) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []string
--- a/entry/mesh/mesh_test.go
+++ b/entry/mesh/mesh_test.go
@@ -58,30 +58,30 @@
 	e := &entry{addr: addr, peerTotals: make(map[string]float64), lost: make(map[string]bool), receivedMarks: make(map[uint32]bool)}
 	e.mesh = New(Config{
 		Self: wire.Hello{Role: wire.RoleEntry, Name: name, Zone: zone, Incarnation: rand.Uint64()}, Listen: addr, Seeds: seeds, Open: func(string) (net.Listener, error) { return ln, nil }, Keys: wire.OneKey([]byte("a key for tests")),
-		Tally: e.tally, Fresh: e.evidence, Revisions: func() (int64, int64) { e.mu.Lock(); defer e.mu.Unlock(); return e.config, 0 },
+		Tally: e.tally, Freshness: e.evidence, Revisions: func() (int64, int64) { e.mu.Lock(); defer e.mu.Unlock(); return e.config, 0 },
 		Snapshot: func(what uint8) (*wire.Snapshot, error) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			return &wire.Snapshot{Content: what, Revision: e.config}, nil
 		},
-		Heard: func(h Heard) {
+		OnTally: func(h PeerTally) {
 			e.with(func() {
 				for _, u := range h.Tally.Customers {
 					e.peerTotals[h.Peer] = u.Total
 				}
 				for _, f := range h.Tally.Freshness {
 					e.receivedMarks[f.RefreshID] = true
-					e.mesh.HurryOn()
+					e.mesh.RelaySoon()
 				}
 			})
 		},
-		Whole: func(peer string) *wire.Tally {
+		FullTally: func(peer string) *wire.Tally {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			return &wire.Tally{Customers: []wire.CustomerUsage{{Customer: "c", Total: e.peerTotals[peer]}}}
 		},
-		Took: func(s *wire.Snapshot) { e.with(func() { e.config = max(e.config, s.Revision) }) },
-		Lost: func(peer string) { e.with(func() { e.lost[peer] = true }) }, Log: zap.NewNop(),
+		OnSnapshot: func(s *wire.Snapshot) { e.with(func() { e.config = max(e.config, s.Revision) }) },
+		OnPeerLost: func(peer string) { e.with(func() { e.lost[peer] = true }) }, Log: zap.NewNop(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -155,7 +155,7 @@
 	}
 	for _, e := range all {
 		await(t, "all entries to be reachable", func() bool {
-			reachable, known := e.mesh.Reach()
+			reachable, known := e.mesh.EntryCounts()
 			return reachable == 4 && known == 4
 		})
 		for i := range all {
@@ -230,7 +230,7 @@
 	await(t, "the peer", func() bool { return a.hasTotal("b", 5) })
 	b.stop()
 	await(t, "the loss", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.lost["b"] })
-	if reachable, known := a.mesh.Reach(); reachable != 1 || known != 2 {
+	if reachable, known := a.mesh.EntryCounts(); reachable != 1 || known != 2 {
 		t.Errorf("%d of %d entries reachable, want 1 of 2: the lost one may still admit requests", reachable, known)
 	}
 	again := start(t, "b", a.addr)
@@ -244,12 +244,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	a := start(t, "a")
 	t.Cleanup(cancel)
-	a.mesh.List(ctx, []wire.EntryAddr{{Name: "a", Addr: a.addr}, {Name: "x", Addr: "127.0.0.1:1"}, {Name: "y", Addr: "127.0.0.1:2"}})
-	if reachable, known := a.mesh.Reach(); reachable != 1 || known != 3 {
+	a.mesh.SetListedEntries(ctx, []wire.EntryAddr{{Name: "a", Addr: a.addr}, {Name: "x", Addr: "127.0.0.1:1"}, {Name: "y", Addr: "127.0.0.1:2"}})
+	if reachable, known := a.mesh.EntryCounts(); reachable != 1 || known != 3 {
 		t.Errorf("%d of %d, want 1 of 3", reachable, known)
 	}
-	a.mesh.List(ctx, []wire.EntryAddr{{Name: "a", Addr: a.addr}})
-	if _, known := a.mesh.Reach(); known != 1 {
+	a.mesh.SetListedEntries(ctx, []wire.EntryAddr{{Name: "a", Addr: a.addr}})
+	if _, known := a.mesh.EntryCounts(); known != 1 {
 		t.Errorf("%d known after the list was shortened, want 1", known)
 	}
 }
--- a/entry/mesh/pass.go
+++ b/entry/mesh/pass.go
@@ -102,7 +102,7 @@
 	defer m.tallyMu.Unlock()
 	var out wire.Relay
 	for _, o := range m.relayedOrigins(to) {
-		t := m.cfg.Whole(o.name)
+		t := m.cfg.FullTally(o.name)
 		m.mu.Lock()
 		p := m.peer(o.name)
 		t.Addr, t.ConfigRevision, t.RosterRevision, t.Seq, t.Full = p.addr, p.config, p.roster, p.seq, true
--- a/entry/mesh/relay_test.go
+++ b/entry/mesh/relay_test.go
@@ -86,7 +86,7 @@
 	all := startSettledFleet(t, 3, 4, 5)
 	awaitNextTotals(t, all)
 	for _, e := range all {
-		if reachable, known := e.mesh.Reach(); reachable != 12 || known != 12 {
+		if reachable, known := e.mesh.EntryCounts(); reachable != 12 || known != 12 {
 			t.Errorf("%s reaches %d of %d entries", e.name(), reachable, known)
 		}
 	}
@@ -120,18 +120,18 @@
 	})
 	t.Logf("all totals have spread again after %v", time.Since(began))
 	awaitAll(t, "the loss of the hub", rest, func(e *entry) bool {
-		reachable, known := e.mesh.Reach()
+		reachable, known := e.mesh.EntryCounts()
 		return reachable == 11 && known == 12
 	})
 }
 
 // receiver returns a mesh without links and the list of tallies that it passes on
 // to its callback.
-func receiver() (*Mesh, *[]Heard) {
-	var tallies []Heard
+func receiver() (*Mesh, *[]PeerTally) {
+	var tallies []PeerTally
 	m := New(Config{
 		Self: wire.Hello{Name: "me", Zone: "z"}, Log: zap.NewNop(),
-		Heard: func(h Heard) { tallies = append(tallies, h) }, Lost: func(string) {},
+		OnTally: func(h PeerTally) { tallies = append(tallies, h) }, OnPeerLost: func(string) {},
 	})
 	return m, &tallies
 }
@@ -155,7 +155,7 @@
 	receive(4, false)
 	receive(4, false)
 	receive(3, true)
-	if len(*tallies) != 2 || !(*tallies)[0].Anew || (*tallies)[1].Anew {
+	if len(*tallies) != 2 || !(*tallies)[0].NewProcess || (*tallies)[1].NewProcess {
 		t.Fatalf("accepted %+v, want tally 3 of a new process and tally 4", *tallies)
 	}
 	if l := m.lackedNow(); len(l) != 0 {
@@ -187,7 +187,7 @@
 	m.handleTally(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 3, Full: true}, nil)
 	m.handleTally(origin{"other", "z2", 8}, relay.Direct, &wire.Tally{Seq: 1, Full: true}, nil)
 	m.handleTally(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 4}, nil)
-	if len(*tallies) != 2 || !(*tallies)[1].Anew {
+	if len(*tallies) != 2 || !(*tallies)[1].NewProcess {
 		t.Errorf("accepted %+v, want one tally of each process", *tallies)
 	}
 }
--- a/entry/mesh/stopped_test.go
+++ b/entry/mesh/stopped_test.go
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m, _ := receiver()
 		lost := 0
-		m.cfg.Lost = func(string) { lost++ }
+		m.cfg.OnPeerLost = func(string) { lost++ }
 		from := origin{"other", "z", 7}
 		for seq := uint64(1); seq <= 3; seq++ {
 			m.handleTally(from, relay.Direct, &wire.Tally{Seq: seq, Full: seq == 1}, nil)
@@ -37,7 +37,7 @@
 			time.Sleep(2 * silenceLimit)
 			m.expireSilentPeers()
 		}
-		if reachable, _ := m.Reach(); reachable != 2 || lost > 0 {
+		if reachable, _ := m.EntryCounts(); reachable != 2 || lost > 0 {
 			t.Errorf("%d entries reachable after a pause, %d losses", reachable, lost)
 		}
 	})
@@ -51,13 +51,13 @@
 			m, _ := receiver()
 			m.handleTally(origin{"other", "z", 7}, relay.Direct, &wire.Tally{Seq: 1, Full: true}, nil)
 			began, running := time.Now(), time.Duration(0)
-			for reachable := 2; reachable == 2 && running < 2*silenceLimit; reachable, _ = m.Reach() {
+			for reachable := 2; reachable == 2 && running < 2*silenceLimit; reachable, _ = m.EntryCounts() {
 				time.Sleep(pause)
 				m.expireSilentPeers()
 				m.runSilenceChecks(minTallyInterval)
 				running += minTallyInterval
 			}
-			if reachable, _ := m.Reach(); reachable == 2 {
+			if reachable, _ := m.EntryCounts(); reachable == 2 {
 				t.Errorf("with pauses of %v still reachable after running for %v", pause, running)
 			}
 			t.Logf("with pauses of %v lost after %v, running for %v of it", pause, time.Since(began), running)
@@ -76,16 +76,16 @@
 		m.peers["other"].listed = true
 		m.runSilenceChecks(silenceLimit / 2)
 		time.Sleep(2 * knownPeriod)
-		if silent := m.Silent(knownPeriod); len(silent) > 0 {
+		if silent := m.SilentPeers(knownPeriod); len(silent) > 0 {
 			t.Errorf("%v reported before silent peers were looked for", silent)
 		}
 		m.expireSilentPeers()
 		m.runSilenceChecks(knownPeriod - silenceLimit)
-		if silent := m.Silent(knownPeriod); len(silent) > 0 {
+		if silent := m.SilentPeers(knownPeriod); len(silent) > 0 {
 			t.Errorf("%v reported %v after the pause", silent, knownPeriod-silenceLimit)
 		}
 		m.runSilenceChecks(2 * silenceLimit)
-		if silent := m.Silent(knownPeriod); len(silent) != 1 {
+		if silent := m.SilentPeers(knownPeriod); len(silent) != 1 {
 			t.Errorf("%v reported %v after the pause, want the silent peer", silent, knownPeriod+silenceLimit)
 		}
 	})
--- a/entry/mesh/tell.go
+++ b/entry/mesh/tell.go
@@ -118,10 +118,10 @@
 // freshness returns the evidence for the next tally of how current the versions in
 // force are. It returns none while a reachable peer could not read it.
 func (m *Mesh) freshness() (evidence []wire.Freshness, clock uint64) {
-	if m.cfg.Fresh == nil || !m.allReadExtensions() {
+	if m.cfg.Freshness == nil || !m.allReadExtensions() {
 		return nil, 0
 	}
-	return m.cfg.Fresh()
+	return m.cfg.Freshness()
 }
 
 // tallyInterval returns the time until the next tally. It grows with the number of
@@ -278,6 +278,6 @@
 	}
 	for _, name := range lost {
 		logs.Warn(m.cfg.Log, logs.EventPeerSilent, zap.String("peer", name), zap.Duration("within", silenceLimit))
-		m.cfg.Lost(name)
+		m.cfg.OnPeerLost(name)
 	}
 }
