--- a/core/admit/admit.go
+++ b/core/admit/admit.go
@@ -1,112 +1,113 @@
-// Package admit decides for one request, at the entry that accepted it, which
-// endpoint it is sent to now, if any.
+// Package admit decides, at the entry that accepted a request, which endpoint the request
+// is sent to now, if any.
 //
-// The load it answers is more work than the endpoints can start in time.
-// Engines know no priorities and serve in order of arrival, so whatever is sent
-// to a full one delays all that comes after it. Without admission every queue
-// grows until each answer is late, also those of the highest tier. The decision
-// predicts when the first event would come at each endpoint, from the work that
-// all entries have there, and sends a request only where that is within its target
-// and the wait for a slot within a share of it. The share is larger for higher
-// tiers: as queues grow, the lowest tier is turned away first and the highest finds
-// room that the others have left. What is turned away for the wait alone may stand
-// in line at the entry (core/await).
+// Admission control is needed when more work arrives than the endpoints can start in time.
+// Engines know no priorities and serve requests in order of arrival, so a request sent to a
+// full engine delays every later one. Without admission control, queues grow until every
+// answer is late, including those of the highest tier. For each endpoint, the package
+// predicts the time to the first event from the work that all entries have in flight there.
+// It admits a request only if that time is within the request's target and the wait for a
+// slot is within a share of the target. Higher tiers have a larger share, so as queues
+// grow, the lowest tier is refused first and leaves its room to the higher ones. A request
+// refused only because of the wait may be queued at the entry (package await).
 //
-// It uses no network, clock or random source.
+// The package uses no network, clock or random source.
 package admit
 
 import "time"
 
-// Endpoint is what is known of one endpoint when a request is placed.
+// Endpoint is what the entry knows about one endpoint when it places a request.
 type Endpoint struct {
-	// Near is set for the entry's own availability zone.
+	// SameZone is set if the endpoint is in the entry's own availability zone.
 	Near bool
-	// Usable is false for an endpoint that failed lately or is silent.
+	// Usable is false if the endpoint failed recently or is silent.
 	Usable bool
-	// Slots is how many requests it serves at once.
+	// Slots is the number of requests that the endpoint serves at once.
 	Slots int
-	// Requests, Prompt and Output sum up what all entries have sent there and
-	// have no end of: requests, prompt tokens of those without a first event,
-	// and output tokens that are still expected.
+	// Requests, PromptTokens and OutputTokens sum up the unfinished work that all entries
+	// have sent to the endpoint: the number of requests, the prompt tokens of those without
+	// a first event, and the output tokens still expected.
 	Requests, Prompt, Output int
-	// Tokens is the memory that those requests are going to take, Memory what
-	// the engine has; zero if unknown.
+	// KVTokensNeeded is the memory, in tokens, that those requests will need; KVTokens is
+	// the engine's total. Zero means unknown.
 	Tokens, Memory int
 	Pace           Pace
-	// Apart is a number from 0 to 1 that differs between entries: the smaller, the
-	// more this one prefers the endpoint.
+	// Bias is a number from 0 to 1 that differs between entries. The smaller it is, the
+	// more this entry prefers the endpoint.
 	Apart float64
-	// Yield is set if free slots there are left to requests that wait at other
-	// entries.
+	// YieldSlots is set if free slots at the endpoint are left to requests that wait at
+	// other entries.
 	Yield bool
 	Limit
 }
 
-// Limit is a limit on the rate of requests to an endpoint; the zero Limit is none.
+// RateLimit is a limit on the rate of requests to an endpoint. The zero RateLimit means no
+// limit.
 type Limit struct {
-	// Limited is set if the endpoint takes Rate requests a second at most. Allowed is how
-	// many may be sent now and NextAllowed, if that is none, the time until one may.
+	// Limited is set if the endpoint accepts at most RequestsPerSecond requests per second.
+	// AllowedNow is the number of requests that may be sent now. If it is zero,
+	// NextAllowedIn is the time until the next one may be sent.
 	Limited     bool
 	Rate        float64
 	Allowed     int
 	NextAllowed time.Duration
 }
 
-// Pace is how fast an endpoint is.
+// Pace describes how fast an endpoint works.
 type Pace struct {
-	// First is the time to the first event of a request without a prompt at an
-	// endpoint that is not full. For a plain service it is the whole answer.
-	First time.Duration
-	// Prompt is the time for each prompt token, Output for each output token.
-	Prompt, Output time.Duration
-	// Wait corrects the predicted wait for a slot; zero means one. Answers vary
-	// widely in length, and the short ones among those ahead free their slots
-	// long before the average does.
-	Wait float64
+	// FirstEvent is the time to the first event of a request without a prompt at an
+	// endpoint with free slots. For a plain service it is the time to the whole answer.
+	FirstEvent time.Duration
+	// PerPromptToken and PerOutputToken are the times for each token of the prompt and of
+	// the output.
+	PerPromptToken, PerOutputToken time.Duration
+	// WaitFactor scales the predicted wait for a slot; zero means one. The lengths of
+	// answers vary widely, and the short ones among the requests ahead free their slots
+	// long before the average one does.
+	WaitFactor float64
 }
 
-// Request is what placement needs to know of a request.
+// Request is what placement needs to know about a request.
 type Request struct {
-	// Rank is the place of the request's tier among those in use, zero the
+	// TierRank is the index of the request's tier among the tiers in use, zero for the
 	// highest.
 	Rank int
-	// Ranks is how many tiers are in use.
+	// TierCount is the number of tiers in use.
 	Ranks int
-	// Prompt and Output are tokens; zero for plain services.
+	// PromptTokens and OutputTokens are zero for plain services.
 	Prompt, Output int
-	// Target is the time within which the first event of such a request is
-	// wanted. Due is what is left of it and Left the time until the answer must
-	// be complete, both from now.
+	// Target is the time within which the first event of such a request is wanted.
+	// UntilTarget is the part of it that is left. UntilDeadline is the time left until the
+	// answer must be complete.
 	Target, Due, Left time.Duration
-	// Avoid is the index of an endpoint that has failed this request, -1 if
-	// there is none.
+	// AvoidEndpoint is the index of an endpoint where this request has failed, or -1.
 	Avoid int
-	// Behind is set if others that wait go before it.
+	// OthersFirst is set if other queued requests must be served before this one.
 	Behind bool
-	// Counted is set if whoever decides counts all that the endpoints have, as it comes
-	// and goes, and knows all that wait for them.
+	// ExactCounts is set if the decider counts all requests at the endpoints as they start
+	// and end, and knows all requests that wait for them.
 	Counted bool
 }
 
-// Decision is the outcome.
+// Decision is the outcome of Decide.
 type Decision struct {
-	// Endpoint is the index of the endpoint to send to; -1 means refused.
+	// Endpoint is the index of the endpoint to send the request to, or -1 if it is refused.
 	Endpoint int
-	// First is the predicted time to the first event at the best endpoint, Wait
-	// the part of it that is the wait for a slot.
+	// FirstEvent is the predicted time to the first event at the best endpoint. SlotWait is
+	// the part of it spent waiting for a slot.
 	First, Wait time.Duration
-	// Retry is, for a refusal, the time until there should be room.
+	// RetryAfter is the time until there should be room for a refused request.
 	Retry time.Duration
-	// Turn is, for a refusal, how long it takes on average until a slot is free
-	// for the next request, all endpoints together.
+	// SlotInterval is, for a refused request, the average time between two slots becoming
+	// free, over all endpoints.
 	Turn time.Duration
 	Why  Why
 }
 
-// Why tells why a request was refused.
+// Reason is the reason for which a request was refused.
 type Why uint8
 
-// The reasons.
+// Reasons.
 const (
 	Admitted Why = iota
 	// NoEndpoint means that no endpoint is known or usable.
@@ -119,150 +120,152 @@
 	TooLong
 )
 
-var whyNames = [...]string{"admitted", "no endpoint", "full", "late", "too long"}
+var reasonNames = [...]string{"admitted", "no endpoint", "full", "late", "too long"}
 
-// String returns the reason as logs spell it.
-func (w Why) String() string { return whyNames[w] }
+// String returns the reason as it appears in logs.
+func (w Why) String() string { return reasonNames[w] }
 
 const (
-	// topWait and lastWait are the shares of the target that the highest and the
-	// lowest tier in use may be predicted to wait for a slot in an engine's queue;
-	// the tiers between them lie at even steps. A wait there delays all that come
-	// behind, whatever their tier, and cannot be taken back. What is longer is waited
-	// at the entries, in the order of tiers.
-	topWait  = 0.2
-	lastWait = 0.05
-	// topCounted and lastCounted are the same where all is counted: a free slot is known
-	// at once, so the queue of an engine only bridges the way there.
-	topCounted  = 0.1
-	lastCounted = 0.02
-	// maxCounted bounds the requests at an endpoint, in its slots, where all is counted.
-	// Waits are learnt from requests whose wait is over, the short ones first: as a burst
-	// begins they look shorter than they are.
-	maxCounted = 2
-	// surePart is the part of the predicted time for an answer's output that it
-	// takes in any case. The pace is that of endpoints at their usual load, and
-	// estimates of outputs are often too long.
-	surePart = 0.5
-	// outputWeight is how much a later end counts against an earlier first
-	// event when endpoints are compared: slow endpoints hold their slots longer.
+	// topTierWaitShare and lowestTierWaitShare are the longest predicted waits in an
+	// engine's queue, as shares of the target, for the highest and the lowest tier in use.
+	// The tiers between them are at even steps. A request in an engine's queue delays all
+	// later requests of any tier and cannot be taken back, so longer waits are spent at the
+	// entries, which queue by tier.
+	topTierWaitShare    = 0.2
+	lowestTierWaitShare = 0.05
+	// topTierExactWaitShare and lowestTierExactWaitShare apply instead with exact counts. A
+	// free slot is then known at once, so an engine's queue only has to cover the time that
+	// a request takes to get there.
+	topTierExactWaitShare    = 0.1
+	lowestTierExactWaitShare = 0.02
+	// maxExactLoad is the largest number of requests at an endpoint with exact counts, in
+	// multiples of its slots. Waits are learned from requests whose wait has ended, the
+	// short ones first, so predicted waits are too short at the start of a burst.
+	maxExactLoad = 2
+	// minOutputShare is the share of the predicted output time that an answer is assumed to
+	// need at least. The pace is learned at the usual load, and output estimates are often
+	// too long.
+	minOutputShare = 0.5
+	// outputWeight is the weight of the output time against the time to the first event
+	// when endpoints are compared. Slow endpoints hold their slots longer.
 	outputWeight = 0.1
-	// farCost is added for endpoints in other availability zones, whose bytes have
-	// a price. It decides between endpoints that are about equally good.
-	farCost = 30 * time.Millisecond
-	// maxPreference bounds how far an entry's own preference may outweigh a shorter
-	// wait, once half of the slots are taken. Entries hear of the same free slot at the
-	// same time; without a preference of its own each would send there.
-	maxPreference = 60 * time.Millisecond
-	// shortestRetry is the least time to come back after: several times the
-	// delay with which entries hear of each other, and a part of usual targets, so
-	// that a caller refused in a moment's crowd can still be served in time.
-	shortestRetry = 100 * time.Millisecond
-	// noEndpointRetry is the time to come back after when nothing is usable: an
-	// endpoint that failed is tried again within this time.
-	noEndpointRetry = 500 * time.Millisecond
+	// crossZoneCost is added for endpoints in other availability zones, because traffic
+	// between zones is billed. It decides between endpoints that are otherwise about equal.
+	crossZoneCost = 30 * time.Millisecond
+	// maxBiasCost is the largest wait that an entry's bias may outweigh once half of the
+	// slots are taken. All entries learn of a free slot at the same time, and without a
+	// bias all of them would send a request there.
+	maxBiasCost = 60 * time.Millisecond
+	// minRetryAfter is several times the delay with which entries learn of each other's
+	// state, and only a part of the usual targets, so a caller refused during a short peak
+	// can still be served in time.
+	minRetryAfter = 100 * time.Millisecond
+	// noEndpointRetryAfter is used when no endpoint is usable. A failed endpoint is probed
+	// again within this time.
+	noEndpointRetryAfter = 500 * time.Millisecond
 )
 
-// Decide places a request.
+// Decide chooses an endpoint for a request or refuses it.
 func Decide(r Request, endpoints []Endpoint) Decision {
-	trusted := usable(r, endpoints)
-	var best, refused choice
+	skipUnusable := anyUsable(r, endpoints)
+	var cheapest, cheapestRefused candidate
 	for i := range endpoints {
 		e := &endpoints[i]
-		if i == r.Avoid && len(endpoints) > 1 || trusted && !e.Usable {
+		if i == r.Avoid && len(endpoints) > 1 || skipUnusable && !e.Usable {
 			continue
 		}
-		c := e.consider(r)
+		c := e.evaluate(r)
 		c.endpoint = i
-		if c.why == Admitted {
-			best.keep(c)
+		if c.reason == Admitted {
+			cheapest.keepCheaper(c)
 		} else {
-			refused.keep(c)
+			cheapestRefused.keepCheaper(c)
 		}
 	}
 	switch {
-	case best.seen:
-		return Decision{Endpoint: best.endpoint, First: best.first, Wait: best.wait}
-	case !refused.seen:
-		return Decision{Endpoint: -1, Retry: noEndpointRetry, Why: NoEndpoint}
+	case cheapest.set:
+		return Decision{Endpoint: cheapest.endpoint, First: cheapest.firstEvent, Wait: cheapest.slotWait}
+	case !cheapestRefused.set:
+		return Decision{Endpoint: -1, Retry: noEndpointRetryAfter, Why: NoEndpoint}
 	}
 	return Decision{
-		Endpoint: -1, First: refused.first, Wait: refused.wait, Retry: max(refused.over, shortestRetry),
-		Turn: turn(endpoints), Why: refused.why,
+		Endpoint: -1, First: cheapestRefused.firstEvent, Wait: cheapestRefused.slotWait, Retry: max(cheapestRefused.excess, minRetryAfter),
+		Turn: slotInterval(endpoints), Why: cheapestRefused.reason,
 	}
 }
 
-// choice is what sending a request to one endpoint would mean.
-type choice struct {
-	// seen is set in every choice but the zero value.
-	seen     bool
+// candidate is the predicted result of sending a request to one endpoint.
+type candidate struct {
+	// set is false only in the zero value.
+	set      bool
 	endpoint int
-	// cost orders choices.
-	cost        time.Duration
-	first, wait time.Duration
-	// why tells why the request is not sent there and over by how much the
-	// prediction exceeds what is allowed.
-	why  Why
-	over time.Duration
+	// cost orders candidates; the lowest is best.
+	cost                 time.Duration
+	firstEvent, slotWait time.Duration
+	// reason says why the request is not sent there. excess is how much the prediction
+	// exceeds the limit.
+	reason Why
+	excess time.Duration
 }
 
-func (c *choice) keep(o choice) {
-	if !c.seen || o.cost < c.cost {
+func (c *candidate) keepCheaper(o candidate) {
+	if !c.set || o.cost < c.cost {
 		*c = o
 	}
 }
 
-// consider works out what sending r to the endpoint would mean.
-func (e *Endpoint) consider(r Request) choice {
-	c := choice{seen: true, first: e.First(r), wait: e.slotWait(r)}
-	c.cost = c.first + e.costs(r)
-	free := !r.Behind && e.roomy()
+// evaluate predicts the result of sending r to the endpoint.
+func (e *Endpoint) evaluate(r Request) candidate {
+	c := candidate{set: true, firstEvent: e.PredictFirstEvent(r), slotWait: e.slotWait(r)}
+	c.cost = c.firstEvent + e.extraCost(r)
+	mostlyFree := !r.Behind && e.mostlyFree()
 	if e.Limited && e.Allowed <= 0 {
-		c.why, c.over, c.wait = Full, e.NextAllowed, max(c.wait, e.NextAllowed)
+		c.reason, c.excess, c.slotWait = Full, e.NextAllowed, max(c.slotWait, e.NextAllowed)
 		return c
 	}
-	if r.Counted && e.Requests >= maxCounted*max(e.Slots, 1) {
-		c.why, c.over = Full, c.wait
+	if r.Counted && e.Requests >= maxExactLoad*max(e.Slots, 1) {
+		c.reason, c.excess = Full, c.slotWait
 		return c
 	}
-	if over := c.wait - r.longestWait(); r.Behind || (over > 0 || e.Yield) && !free {
-		c.why, c.over = Full, over
+	if excess := c.slotWait - r.maxSlotWait(); r.Behind || (excess > 0 || e.Yield) && !mostlyFree {
+		c.reason, c.excess = Full, excess
 		return c
 	}
-	if over := c.first - r.Due; over > 0 && !free {
-		c.why, c.over = Late, over
+	if excess := c.firstEvent - r.Due; excess > 0 && !mostlyFree {
+		c.reason, c.excess = Late, excess
 		return c
 	}
-	if c.first+scale(time.Duration(r.Output)*e.Pace.Output, surePart) > r.Left {
-		c.why, c.over = TooLong, c.first
+	if c.firstEvent+scale(time.Duration(r.Output)*e.Pace.PerOutputToken, minOutputShare) > r.Left {
+		c.reason, c.excess = TooLong, c.firstEvent
 	}
 	return c
 }
 
-// longestWait returns the longest predicted wait for a slot with which r is sent.
-func (r Request) longestWait() time.Duration {
-	top, last := topWait, lastWait
+// maxSlotWait returns the longest predicted wait for a slot at which r is still admitted.
+func (r Request) maxSlotWait() time.Duration {
+	top, last := topTierWaitShare, lowestTierWaitShare
 	if r.Counted {
-		top, last = topCounted, lastCounted
+		top, last = topTierExactWaitShare, lowestTierExactWaitShare
 	}
 	return scale(r.Target, top-(top-last)*float64(r.Rank)/float64(max(r.Ranks-1, 1)))
 }
 
-// Free counts the slots that look free. Those of endpoints that failed lately do
-// not: nobody that waits can have them, and taken for room they would let lower
-// tiers pass those that wait.
+// FreeSlots returns the number of slots that appear to be free. Slots of unusable endpoints
+// do not count: no queued request can use them, and counting them would let lower tiers
+// pass requests that wait.
 func Free(endpoints []Endpoint) int {
 	n := 0
 	for i := range endpoints {
 		if e := &endpoints[i]; e.Usable {
-			n += e.free()
+			n += e.freeSlots()
 		}
 	}
 	return n
 }
 
-// free counts the slots that look free, as far as the rate limit allows their use.
-func (e *Endpoint) free() int {
+// freeSlots returns the number of slots that appear to be free and that the rate limit
+// allows to use.
+func (e *Endpoint) freeSlots() int {
 	n := max(e.Slots-e.Requests, 0)
 	if e.Limited {
 		n = min(n, e.Allowed)
@@ -270,8 +273,8 @@
 	return n
 }
 
-// Slots counts the slots of the usable endpoints, without those that a rate limit keeps
-// empty.
+// UsableSlots returns the number of slots of the usable endpoints, without those that a
+// rate limit keeps empty.
 func Slots(endpoints []Endpoint) int {
 	n := 0
 	for i := range endpoints {
@@ -279,7 +282,7 @@
 		switch {
 		case !e.Usable:
 		case e.Limited:
-			n += min(e.Slots, e.Requests+e.free())
+			n += min(e.Slots, e.Requests+e.freeSlots())
 		default:
 			n += e.Slots
 		}
@@ -287,32 +290,32 @@
 	return n
 }
 
-// turn returns how long it takes until the next slot is free.
-func turn(endpoints []Endpoint) time.Duration {
-	rate := 0.0
+// slotInterval returns the average time between two slots becoming free.
+func slotInterval(endpoints []Endpoint) time.Duration {
+	slotsPerNanosecond := 0.0
 	for i := range endpoints {
 		e := &endpoints[i]
 		if !e.Usable {
 			continue
 		}
-		slots := 0.0
+		endpointRate := 0.0
 		if e.Requests > 0 {
-			slots = float64(max(e.Slots, 1)) / (float64(e.each()) * e.Pace.wait())
+			endpointRate = float64(max(e.Slots, 1)) / (float64(e.meanHoldTime()) * e.Pace.waitFactor())
 		}
-		if named := e.Rate / float64(time.Second); e.Limited && (e.Requests == 0 || named < slots) {
-			slots = named
+		if rateLimit := e.Rate / float64(time.Second); e.Limited && (e.Requests == 0 || rateLimit < endpointRate) {
+			endpointRate = rateLimit
 		}
-		rate += slots
+		slotsPerNanosecond += endpointRate
 	}
-	if rate <= 0 {
+	if slotsPerNanosecond <= 0 {
 		return 0
 	}
-	return time.Duration(1 / rate)
+	return time.Duration(1 / slotsPerNanosecond)
 }
 
 func scale(d time.Duration, share float64) time.Duration { return time.Duration(share * float64(d)) }
 
-func usable(r Request, endpoints []Endpoint) bool {
+func anyUsable(r Request, endpoints []Endpoint) bool {
 	for i := range endpoints {
 		if i != r.Avoid && endpoints[i].Usable {
 			return true
@@ -321,7 +324,7 @@
 	return false
 }
 
-// roomy reports whether more than half of the slots are free. A request is not
-// refused there, however slow the endpoint or long the prompt: there is nobody
-// for whom the room would be kept.
-func (e *Endpoint) roomy() bool { return 2*e.Requests < e.Slots || e.Requests == 0 }
+// mostlyFree reports whether more than half of the slots are free. A request is then
+// admitted however slow the endpoint or long the prompt, since no other request needs the
+// slot.
+func (e *Endpoint) mostlyFree() bool { return 2*e.Requests < e.Slots || e.Requests == 0 }
--- a/core/admit/admit_test.go
+++ b/core/admit/admit_test.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-func pace() Pace {
-	return Pace{First: 20 * time.Millisecond, Prompt: 20 * time.Microsecond, Output: 5 * time.Millisecond}
+func testPace() Pace {
+	return Pace{FirstEvent: 20 * time.Millisecond, PerPromptToken: 20 * time.Microsecond, PerOutputToken: 5 * time.Millisecond}
 }
 
-func draft() Request {
+func testRequest() Request {
 	return Request{Prompt: 6000, Output: 400, Target: time.Second, Due: time.Second, Left: 15 * time.Second, Avoid: -1}
 }
 
-func TestDecidePrefersTheLeastLoaded(t *testing.T) {
+func TestDecidePrefersLeastLoaded(t *testing.T) {
 	es := []Endpoint{
-		{Usable: true, Slots: 9, Requests: 9, Output: 1800, Pace: pace()},
-		{Usable: true, Slots: 9, Requests: 2, Output: 400, Pace: pace()},
-		{Slots: 9, Pace: pace()},
+		{Usable: true, Slots: 9, Requests: 9, Output: 1800, Pace: testPace()},
+		{Usable: true, Slots: 9, Requests: 2, Output: 400, Pace: testPace()},
+		{Slots: 9, Pace: testPace()},
 	}
-	if d := Decide(draft(), es); d.Endpoint != 1 {
+	if d := Decide(testRequest(), es); d.Endpoint != 1 {
 		t.Errorf("endpoint %d, want 1: %+v", d.Endpoint, d)
 	}
 }
 
-// Queues grow at every endpoint. If all tiers were admitted to the same depth,
-// the highest would be refused as often as the lowest.
+// If all tiers were admitted up to the same queue length, the highest tier would be refused
+// as often as the lowest.
 func TestLowerTiersAreRefusedFirst(t *testing.T) {
 	refused := [3]int{}
 	for depth := range 40 {
-		e := Endpoint{Usable: true, Slots: 9, Requests: 9 + depth, Output: (9 + depth) * 150, Pace: pace()}
+		e := Endpoint{Usable: true, Slots: 9, Requests: 9 + depth, Output: (9 + depth) * 150, Pace: testPace()}
 		for rank := range refused {
 			r := Request{Rank: rank, Ranks: len(refused), Prompt: 600, Output: 200, Target: time.Second, Due: time.Second, Left: 12 * time.Second, Avoid: -1}
 			if Decide(r, []Endpoint{e}).Endpoint < 0 {
@@ -45,11 +45,11 @@
 	}
 }
 
-// As a burst begins only short waits have been learnt, and an owner predicts no wait at all.
-// Guards against queues in engines that grow with the burst.
-func TestCountedQueueIsBoundedWhateverWasLearnt(t *testing.T) {
-	e := Endpoint{Usable: true, Slots: 7, Output: 7 * 50, Pace: pace()}
-	e.Pace.Wait = leastWait
+// At the start of a burst only short waits have been learned, and an owner predicts no wait
+// at all. Engine queues must not grow with the burst.
+func TestExactCountsBoundQueueDespiteLearnedWait(t *testing.T) {
+	e := Endpoint{Usable: true, Slots: 7, Output: 7 * 50, Pace: testPace()}
+	e.Pace.WaitFactor = minWaitFactor
 	r := Request{Ranks: 3, Prompt: 600, Output: 50, Target: time.Second, Due: time.Second, Left: 12 * time.Second, Avoid: -1, Counted: true}
 	for Decide(r, []Endpoint{e}).Endpoint >= 0 && e.Requests < 100 {
 		e.Requests++
@@ -60,54 +60,53 @@
 	}
 }
 
-// A refused caller that comes back at the time it was told must find room if
-// the queue has drained as predicted.
-func TestRetryIsWhenTheQueueHasDrained(t *testing.T) {
-	e := Endpoint{Usable: true, Slots: 9, Requests: 30, Output: 30 * 200, Pace: pace()}
-	d := Decide(draft(), []Endpoint{e})
+// A refused caller that returns after RetryAfter must be admitted if the queue has drained
+// as predicted.
+func TestRetryAfterMatchesQueueDrainTime(t *testing.T) {
+	e := Endpoint{Usable: true, Slots: 9, Requests: 30, Output: 30 * 200, Pace: testPace()}
+	d := Decide(testRequest(), []Endpoint{e})
 	if d.Why != Full || d.Retry < 500*time.Millisecond {
 		t.Fatalf("%+v", d)
 	}
-	each := e.Pace.First + 200*e.Pace.Output
+	each := e.Pace.FirstEvent + 200*e.Pace.PerOutputToken
 	e.Requests -= int(d.Retry*9/each) + 1
 	e.Requests = max(e.Requests, 0)
 	e.Output = e.Requests * 200
-	if d := Decide(draft(), []Endpoint{e}); d.Endpoint < 0 {
+	if d := Decide(testRequest(), []Endpoint{e}); d.Endpoint < 0 {
 		t.Errorf("refused again: %+v", d)
 	}
 }
 
-// Every endpoint has failed lately. Refusing all work would keep them from ever
-// proving themselves again.
-func TestAllDistrustedIsBetterThanNone(t *testing.T) {
-	if d := Decide(draft(), []Endpoint{{Slots: 9, Pace: pace()}}); d.Endpoint != 0 {
+// If requests were refused while every endpoint is marked as failed, no endpoint could ever
+// show that it works again.
+func TestUnusableEndpointsAreUsedWhenThereAreNoOthers(t *testing.T) {
+	if d := Decide(testRequest(), []Endpoint{{Slots: 9, Pace: testPace()}}); d.Endpoint != 0 {
 		t.Errorf("%+v", d)
 	}
-	if d := Decide(draft(), nil); d.Why != NoEndpoint || d.Retry == 0 {
+	if d := Decide(testRequest(), nil); d.Why != NoEndpoint || d.Retry == 0 {
 		t.Errorf("%+v", d)
 	}
 }
 
 func TestAnswerThatCannotEndInTimeIsRefused(t *testing.T) {
-	r := draft()
+	r := testRequest()
 	r.Output = 8000
-	if d := Decide(r, []Endpoint{{Usable: true, Slots: 9, Pace: pace()}}); d.Why != TooLong {
+	if d := Decide(r, []Endpoint{{Usable: true, Slots: 9, Pace: testPace()}}); d.Why != TooLong {
 		t.Errorf("%+v", d)
 	}
 }
 
-// A caller wants a long answer. By the pace of a busy endpoint it would end just
-// after the caller's time, but that pace is an average: refused, the caller would
-// be refused each time that it comes back, though most such answers end in time.
-func TestAnswerThatMayEndInTimeIsTried(t *testing.T) {
-	r := draft()
+// At a busy endpoint's average pace, a long answer would end just after the deadline.
+// Refusing it would refuse it on every retry, although most such answers end in time.
+func TestAnswerThatMayEndInTimeIsAdmitted(t *testing.T) {
+	r := testRequest()
 	r.Output = 3500
-	if d := Decide(r, []Endpoint{{Usable: true, Slots: 9, Pace: pace()}}); d.Endpoint != 0 {
+	if d := Decide(r, []Endpoint{{Usable: true, Slots: 9, Pace: testPace()}}); d.Endpoint != 0 {
 		t.Errorf("%+v", d)
 	}
 }
 
-func TestLearnerFindsThePaceOfEach(t *testing.T) {
+func TestLearnerLearnsPacePerEndpoint(t *testing.T) {
 	l := NewLearner()
 	for range 60 {
 		l.First("slow", 6000, 20*time.Millisecond+6000*60*time.Microsecond)
@@ -116,18 +115,18 @@
 		l.Output("fast", 100, 300*time.Millisecond)
 	}
 	slow, fast := l.Pace("slow"), l.Pace("fast")
-	if slow.Prompt < 50*time.Microsecond || fast.Prompt > 15*time.Microsecond {
-		t.Errorf("prompt: slow %v, fast %v", slow.Prompt, fast.Prompt)
+	if slow.PerPromptToken < 50*time.Microsecond || fast.PerPromptToken > 15*time.Microsecond {
+		t.Errorf("prompt: slow %v, fast %v", slow.PerPromptToken, fast.PerPromptToken)
 	}
-	if slow.Output < 12*time.Millisecond || fast.Output > 4*time.Millisecond {
-		t.Errorf("output: slow %v, fast %v", slow.Output, fast.Output)
+	if slow.PerOutputToken < 12*time.Millisecond || fast.PerOutputToken > 4*time.Millisecond {
+		t.Errorf("output: slow %v, fast %v", slow.PerOutputToken, fast.PerOutputToken)
 	}
 }
 
-// Answers vary widely in length, so the first of nine requests ends long before
-// the average of them. Without the correction an entry takes endpoints for
-// twice as full as they are and refuses work for which there is room.
-func TestLearnerCorrectsWaits(t *testing.T) {
+// Answers vary widely in length, so the first of nine requests ends long before the
+// average. Without the correction an entry overestimates the load twofold and refuses
+// requests for which there is room.
+func TestLearnerCorrectsPredictedWaits(t *testing.T) {
 	l := NewLearner()
 	e := Endpoint{Usable: true, Slots: 9, Requests: 12, Output: 12 * 200}
 	for range 300 {
@@ -140,13 +139,12 @@
 	}
 }
 
-// A caller sends a prompt that takes longer to read than its target allows,
-// while most slots of the endpoint are free. Refused, it would be refused each
-// time that it comes back, though nothing stands in its way.
-func TestLongPromptIsServedWhereThereIsRoom(t *testing.T) {
-	r := draft()
+// A prompt takes longer to prefill than its target allows while most slots are free.
+// Refusing it would refuse it on every retry although there is room.
+func TestLongPromptIsAdmittedWhenMostSlotsAreFree(t *testing.T) {
+	r := testRequest()
 	r.Prompt = 80000
-	e := Endpoint{Usable: true, Slots: 9, Requests: 3, Output: 300, Pace: pace()}
+	e := Endpoint{Usable: true, Slots: 9, Requests: 3, Output: 300, Pace: testPace()}
 	if d := Decide(r, []Endpoint{e}); d.Endpoint != 0 {
 		t.Errorf("%+v", d)
 	}
@@ -156,19 +154,19 @@
 	}
 }
 
-// The quickest endpoint has a queue, and a slower one a free slot. Judged by the
-// quickest alone, a request of the lowest tier is refused although there is room
-// for it.
-func TestRoomAtASlowerEndpointIsUsed(t *testing.T) {
-	quick, slow := pace(), pace()
-	slow.First, slow.Prompt = 5*slow.First, 5*slow.Prompt
-	quick.Wait = 0.6
+// The fastest endpoint has a queue and a slower one has a free slot. If only the fastest
+// were considered, a request of the lowest tier would be refused although there is room for
+// it.
+func TestFreeSlotAtSlowerEndpointIsUsed(t *testing.T) {
+	quick, slow := testPace(), testPace()
+	slow.FirstEvent, slow.PerPromptToken = 5*slow.FirstEvent, 5*slow.PerPromptToken
+	quick.WaitFactor = 0.6
 	es := []Endpoint{
 		{Usable: true, Slots: 7, Requests: 7, Output: 7 * 200, Pace: quick},
 		{Usable: true, Slots: 7, Requests: 6, Output: 6 * 200, Pace: slow},
 	}
 	r := Request{Rank: 2, Ranks: 3, Prompt: 500, Output: 280, Target: 400 * time.Millisecond, Due: 400 * time.Millisecond, Left: 15 * time.Second, Avoid: -1}
-	if quick, slow := es[0].First(r), es[1].First(r); quick >= slow {
+	if quick, slow := es[0].PredictFirstEvent(r), es[1].PredictFirstEvent(r); quick >= slow {
 		t.Fatalf("first event after %v at the full endpoint, %v at the other", quick, slow)
 	}
 	if d := Decide(r, es); d.Endpoint != 1 {
@@ -176,22 +174,22 @@
 	}
 }
 
-// An engine is gone and the instance list still names it. Its slots must not be
-// taken for room that those in line leave to lower tiers.
-func TestFreeSlotsOfFailedEndpointsDoNotCount(t *testing.T) {
+// The instance list still names an engine that has gone. Its slots must not count as room
+// that queued requests leave to lower tiers.
+func TestFreeSlotsIgnoresFailedEndpoints(t *testing.T) {
 	es := []Endpoint{{Usable: true, Slots: 7, Requests: 5}, {Slots: 7}, {Usable: true, Slots: 7, Requests: 9}}
 	if got := Free(es); got != 2 {
 		t.Errorf("%d slots look free, want 2", got)
 	}
 }
 
-// Guards against exceeding an endpoint's limit because it is near, the only usable one, or
-// has free slots.
-func TestEndpointWithoutTokens(t *testing.T) {
+// An endpoint's rate limit must hold even if the endpoint is in the same zone, is the only
+// usable one, or has free slots.
+func TestRateLimitedEndpointIsNotUsed(t *testing.T) {
 	full := Endpoint{Near: true, Usable: true, Slots: 10, Limit: Limit{Limited: true, Rate: 2, NextAllowed: 400 * time.Millisecond}}
 	r := Request{Target: time.Second, Due: time.Second, Left: time.Minute, Avoid: -1, Ranks: 1}
 	for name, others := range map[string][]Endpoint{
-		"alone": nil, "beside one that failed": {{Slots: 10}}, "beside a full one": {{Usable: true, Slots: 1, Requests: 50, Output: 50000, Pace: Pace{Output: time.Second}}},
+		"alone": nil, "beside one that failed": {{Slots: 10}}, "beside a full one": {{Usable: true, Slots: 1, Requests: 50, Output: 50000, Pace: Pace{PerOutputToken: time.Second}}},
 	} {
 		dec := Decide(r, append([]Endpoint{full}, others...))
 		if dec.Endpoint >= 0 || dec.Why != Full {
--- a/core/admit/learn.go
+++ b/core/admit/learn.go
@@ -5,129 +5,131 @@
 	"time"
 )
 
-// Defaults of a pace, before anything was seen: those of a middling engine, or
-// of a quick service. They matter for the first second only.
+// Defaults for an average engine or a fast service. They are replaced by observations
+// within the first second.
 const (
-	firstDefault  = 25 * time.Millisecond
-	promptDefault = 20 * time.Microsecond
-	outputDefault = 5 * time.Millisecond
-	// waitDefault is for answers whose lengths spread as those of text do: the short
-	// ones free their slots early.
-	waitDefault = 0.5
+	defaultFirstEvent     = 25 * time.Millisecond
+	defaultPerPromptToken = 20 * time.Microsecond
+	defaultPerOutputToken = 5 * time.Millisecond
+	// defaultWaitFactor fits answers whose lengths vary as those of text do: short answers
+	// free their slots early.
+	defaultWaitFactor = 0.5
 )
 
 const (
-	// learnWeight is the weight of one observation of an endpoint: some ten
-	// observations, a few seconds of its usual load.
-	learnWeight = 0.15
-	// poolWeight is the weight of one observation of any endpoint of a pool in
-	// the pace that endpoints start with.
+	// endpointWeight is the weight of one observation of an endpoint. About ten
+	// observations, a few seconds at its usual load, determine its pace.
+	endpointWeight = 0.15
+	// poolWeight is the weight of one observation of any endpoint in the pace of the pool,
+	// with which new endpoints start.
 	poolWeight = 0.05
-	// longPrompt is how many prompt tokens make the time to the first event
-	// tell of the pace of reading; below it the fixed part prevails.
-	longPrompt = 1000
-	// waitWeight is the weight of one observation in the correction of waits,
-	// which scatter widely; leastWait and mostWait bound an observation.
-	waitWeight = 0.02
-	leastWait  = 0.02
-	mostWait   = 3
-	// leastPaces is how many endpoints it takes to know how unlike they are.
-	leastPaces = 3
-	// stray bounds how far one observation may lie from what is known: a stall
-	// of the endpoint is no new pace.
-	stray = 4
+	// longPromptTokens is the prompt length from which the time to the first event shows
+	// the prefill pace. For shorter prompts, the fixed part dominates.
+	longPromptTokens = 1000
+	// waitFactorWeight is the weight of one observation of a wait; waits vary widely.
+	// minWaitFactor and maxWaitFactor bound an observation.
+	waitFactorWeight = 0.02
+	minWaitFactor    = 0.02
+	maxWaitFactor    = 3
+	// minSpreadEndpoints is the number of endpoints needed to estimate how much they
+	// differ.
+	minSpreadEndpoints = 3
+	// maxDeviationFactor bounds how far one observation may be from the average, because a
+	// stall of the endpoint is not a change of its pace.
+	maxDeviationFactor = 4
 )
 
-// Learner learns the paces of the endpoints of one pool. One goroutine owns it.
+// Learner estimates the paces of the endpoints of one pool. It is owned by one goroutine.
 type Learner struct {
 	pool  Pace
 	paces map[string]*Pace
 }
 
-// NewLearner returns a learner that has seen nothing.
+// NewLearner returns a learner without observations.
 func NewLearner() *Learner {
 	return &Learner{
-		pool:  Pace{First: firstDefault, Prompt: promptDefault, Output: outputDefault, Wait: waitDefault},
+		pool:  Pace{FirstEvent: defaultFirstEvent, PerPromptToken: defaultPerPromptToken, PerOutputToken: defaultPerOutputToken, WaitFactor: defaultWaitFactor},
 		paces: make(map[string]*Pace),
 	}
 }
 
-// Pace returns the pace of an endpoint; that of the pool if it was never seen.
+// Pace returns the pace of an endpoint, or that of the pool if the endpoint has no
+// observations.
 func (l *Learner) Pace(id string) Pace {
 	p := l.paces[id]
 	if p == nil {
 		return l.pool
 	}
 	pace := *p
-	pace.Wait = l.pool.Wait
+	pace.WaitFactor = l.pool.WaitFactor
 	return pace
 }
 
-// Waited takes in how long a request waited for a slot that was predicted to
-// wait. The correction is one for the pool: it follows from how the lengths of
-// answers are spread, not from the endpoint.
-func (l *Learner) Waited(predicted, took time.Duration) {
+// ObserveWait records how long a request waited for a slot, if a wait was predicted. The
+// factor is learned per pool, because it depends on how the lengths of answers vary and not
+// on the endpoint.
+func (l *Learner) Waited(predicted, actual time.Duration) {
 	if predicted <= 0 {
 		return
 	}
-	x := min(max(float64(took)/float64(predicted)*l.pool.Wait, leastWait), mostWait)
-	l.pool.Wait += waitWeight * (x - l.pool.Wait)
+	factor := min(max(float64(actual)/float64(predicted)*l.pool.WaitFactor, minWaitFactor), maxWaitFactor)
+	l.pool.WaitFactor += waitFactorWeight * (factor - l.pool.WaitFactor)
 }
 
-// Spread returns by how much the mean logarithm of the paces of endpoints exceeds that of
+// PaceSpread returns by how much the mean logarithm of the endpoints' paces exceeds that of
 // the pool, to which fast endpoints contribute more, and their standard deviation. ok is
-// false if too few are known.
+// false if too few endpoints have observations.
 func (l *Learner) Spread(ids []string, engines bool) (shift, deviation float64, ok bool) {
-	of := func(p *Pace) float64 {
+	logPace := func(p *Pace) float64 {
 		if engines {
-			return math.Log(max(float64(p.Output), 1))
+			return math.Log(max(float64(p.PerOutputToken), 1))
 		}
-		return math.Log(max(float64(p.First), 1))
+		return math.Log(max(float64(p.FirstEvent), 1))
 	}
 	n, sum, squares := 0.0, 0.0, 0.0
 	for _, id := range ids {
 		if p := l.paces[id]; p != nil {
 			n++
-			sum += of(p)
-			squares += of(p) * of(p)
+			sum += logPace(p)
+			squares += logPace(p) * logPace(p)
 		}
 	}
-	if n < leastPaces {
+	if n < minSpreadEndpoints {
 		return 0, 0, false
 	}
 	mean := sum / n
-	return max(mean-of(&l.pool), 0), math.Sqrt(max(squares/n-mean*mean, 0)), true
+	return max(mean-logPace(&l.pool), 0), math.Sqrt(max(squares/n-mean*mean, 0)), true
 }
 
 // Forget drops an endpoint.
 func (l *Learner) Forget(id string) { delete(l.paces, id) }
 
-// First takes in the time to the first event of a request that found a free
-// slot and prompt tokens, its own included, to be read.
-func (l *Learner) First(id string, prompt int, took time.Duration) {
-	p := l.own(id)
-	if prompt < longPrompt {
-		rest := took - time.Duration(prompt)*p.Prompt
-		mix(&p.First, rest, learnWeight)
-		mix(&l.pool.First, rest, poolWeight)
+// ObserveFirstEvent records the time to the first event of a request that found a free
+// slot. promptTokens counts all prompt tokens that were to be read, including its own.
+func (l *Learner) First(id string, promptTokens int, took time.Duration) {
+	p := l.paceOf(id)
+	if promptTokens < longPromptTokens {
+		fixedPart := took - time.Duration(promptTokens)*p.PerPromptToken
+		updateAverage(&p.FirstEvent, fixedPart, endpointWeight)
+		updateAverage(&l.pool.FirstEvent, fixedPart, poolWeight)
 		return
 	}
-	each := (took - p.First) / time.Duration(prompt)
-	mix(&p.Prompt, each, learnWeight)
-	mix(&l.pool.Prompt, each, poolWeight)
+	perToken := (took - p.FirstEvent) / time.Duration(promptTokens)
+	updateAverage(&p.PerPromptToken, perToken, endpointWeight)
+	updateAverage(&l.pool.PerPromptToken, perToken, poolWeight)
 }
 
-// Output takes in the time that tokens after the first event took.
+// ObserveOutput records the time taken by the tokens after the first event.
 func (l *Learner) Output(id string, tokens int, took time.Duration) {
 	if tokens <= 0 {
 		return
 	}
-	p := l.own(id)
-	mix(&p.Output, took/time.Duration(tokens), learnWeight)
-	mix(&l.pool.Output, took/time.Duration(tokens), poolWeight)
+	p := l.paceOf(id)
+	updateAverage(&p.PerOutputToken, took/time.Duration(tokens), endpointWeight)
+	updateAverage(&l.pool.PerOutputToken, took/time.Duration(tokens), poolWeight)
 }
 
-func (l *Learner) own(id string) *Pace {
+func (l *Learner) paceOf(id string) *Pace {
 	p := l.paces[id]
 	if p == nil {
 		start := l.pool
@@ -137,8 +139,8 @@
 	return p
 }
 
-// mix moves an average towards a new value.
-func mix(avg *time.Duration, v time.Duration, weight float64) {
-	v = min(max(v, *avg/stray), *avg*stray)
+// updateAverage moves an average towards a new value.
+func updateAverage(avg *time.Duration, v time.Duration, weight float64) {
+	v = min(max(v, *avg/maxDeviationFactor), *avg*maxDeviationFactor)
 	*avg += time.Duration(weight * float64(v-*avg))
 }
--- a/core/admit/predict.go
+++ b/core/admit/predict.go
@@ -2,56 +2,56 @@
 
 import "time"
 
-// First predicts the time to the first event of r.
-func (e *Endpoint) First(r Request) time.Duration {
-	return e.Pace.First + e.slotWait(r) + time.Duration(e.Prompt+r.Prompt)*e.Pace.Prompt
+// PredictFirstEvent predicts the time to the first event of r.
+func (e *Endpoint) PredictFirstEvent(r Request) time.Duration {
+	return e.Pace.FirstEvent + e.slotWait(r) + time.Duration(e.Prompt+r.Prompt)*e.Pace.PerPromptToken
 }
 
-// Work predicts how long a request of so many tokens holds its slot.
-func (p Pace) Work(prompt, output int) time.Duration {
-	return p.First + time.Duration(prompt)*p.Prompt + time.Duration(output)*p.Output
+// HoldTime predicts how long a request with the given token counts holds its slot.
+func (p Pace) Work(promptTokens, outputTokens int) time.Duration {
+	return p.FirstEvent + time.Duration(promptTokens)*p.PerPromptToken + time.Duration(outputTokens)*p.PerOutputToken
 }
 
-// slotWait predicts how long r waits for a slot: requests end one after the
-// other as their remaining work, spread evenly, is done.
+// slotWait predicts how long r waits for a slot. It assumes that the requests end one after
+// the other at even intervals as their remaining work is done.
 func (e *Endpoint) slotWait(r Request) time.Duration {
 	slots := max(e.Slots, 1)
-	ahead := e.Requests - slots + 1
-	if ahead <= 0 {
+	requestsAhead := e.Requests - slots + 1
+	if requestsAhead <= 0 {
 		return e.memoryWait(r)
 	}
-	return time.Duration(float64(ahead) * float64(e.each()) / float64(slots) * e.Pace.wait())
+	return time.Duration(float64(requestsAhead) * float64(e.meanHoldTime()) / float64(slots) * e.Pace.waitFactor())
 }
 
-// each predicts how long a request holds its slot from now on, on average.
-func (e *Endpoint) each() time.Duration {
-	return e.Pace.First + time.Duration(e.Output/e.Requests)*e.Pace.Output
+// meanHoldTime predicts how much longer a running request holds its slot on average.
+func (e *Endpoint) meanHoldTime() time.Duration {
+	return e.Pace.FirstEvent + time.Duration(e.Output/e.Requests)*e.Pace.PerOutputToken
 }
 
-func (p Pace) wait() float64 {
-	if p.Wait <= 0 {
+func (p Pace) waitFactor() float64 {
+	if p.WaitFactor <= 0 {
 		return 1
 	}
-	return p.Wait
+	return p.WaitFactor
 }
 
-// memoryWait predicts how long r waits for memory while there are free slots.
-// An engine that runs out of memory throws away prompts that it has read.
+// memoryWait predicts how long r waits for memory while there are free slots. An engine
+// that runs out of memory discards prompts that it has already processed.
 func (e *Endpoint) memoryWait(r Request) time.Duration {
 	if e.Memory == 0 || e.Requests == 0 || e.Tokens+r.Prompt+r.Output <= e.Memory {
 		return 0
 	}
-	return time.Duration(e.Output/e.Requests) * e.Pace.Output
+	return time.Duration(e.Output/e.Requests) * e.Pace.PerOutputToken
 }
 
-// costs is what speaks against an endpoint beside the time to the first event.
-func (e *Endpoint) costs(r Request) time.Duration {
-	c := time.Duration(outputWeight * float64(r.Output) * float64(e.Pace.Output))
+// extraCost returns the cost of an endpoint besides its time to the first event.
+func (e *Endpoint) extraCost(r Request) time.Duration {
+	cost := time.Duration(outputWeight * float64(r.Output) * float64(e.Pace.PerOutputToken))
 	if !e.Near {
-		c += farCost
+		cost += crossZoneCost
 	}
-	if !e.roomy() {
-		c += scale(maxPreference, e.Apart)
+	if !e.mostlyFree() {
+		cost += scale(maxBiasCost, e.Apart)
 	}
-	return c
+	return cost
 }
