--- a/core/await/await.go
+++ b/core/await/await.go
@@ -1,15 +1,14 @@
-// Package await keeps the requests that wait at an entry for room at the
-// endpoints, in the order in which they are to be sent.
+// Package await keeps the requests that wait at an entry for a free slot of an endpoint, in
+// the order in which they are to be sent.
 //
-// The load it answers is a burst that takes every slot. Engines serve in order
-// of arrival, so whatever is sent to a full one stands before all that comes
-// later, whatever its tier, and a caller refused for a queue of some ten
-// milliseconds comes back when its target has passed. A request that waits here
-// instead takes the next slot of any endpoint, highest tier first. How long it
-// may wait is bounded by the caller's target, and ends with the final answer as
-// soon as the target can no longer be met.
+// Queuing at the entry is needed when a burst takes every slot. Engines serve in order of
+// arrival, so a request sent to a full engine is ahead of all later ones, whatever their
+// tiers, and a caller refused because of a queue of some ten milliseconds returns after its
+// target has passed. A request that waits at the entry instead takes the next free slot of
+// any endpoint, and the highest tier goes first. The caller's target bounds the wait. A
+// request is refused as soon as its target can no longer be met.
 //
-// It uses no network, clock or random source. One goroutine owns a Line.
+// The package uses no network, clock or random source. A Queue is owned by one goroutine.
 package await
 
 import (
@@ -20,86 +19,87 @@
 	"lycheepond/core/route"
 )
 
-// Line holds the requests of one pool that wait at one entry. The zero value is
-// empty.
+// Queue holds the requests of one pool that wait at one entry. The zero value is empty.
 type Line[T any] struct {
-	// waits is sorted as Place.Compare says.
-	waits []*Wait[T]
-	seq   uint64
+	// requests is sorted by Priority.Compare, then by arrival.
+	requests []*Wait[T]
+	seq      uint64
 }
 
-// Place says where in a line a request stands: the highest tier first, then
-// the earliest due.
+// Priority determines a request's position in a queue: the highest tier first, then the
+// earliest target.
 type Place struct {
 	Tier route.Tier
-	// Due is when its first event is wanted.
+	// TargetAt is the time at which the request's first event is wanted.
 	Due time.Duration
-	// Work is how long it is expected to hold its slot.
+	// HoldTime is how long the request is expected to hold its slot.
 	Work time.Duration
 }
 
-// Compare orders places, the first to be served first.
+// Compare orders priorities, the first to be served first.
 func (p Place) Compare(o Place) int {
-	return cmp.Or(p.Tier.Compare(o.Tier), cmp.Compare(p.rank(), o.rank()))
+	return cmp.Or(p.Tier.Compare(o.Tier), cmp.Compare(p.orderKey(), o.orderKey()))
 }
 
-// workWeight is how much later a request counts as due for the time that it holds a slot.
-const workWeight = 1.25
+// holdTimeWeight is the weight of the hold time in the order: the target of a request
+// counts as later by this multiple of its hold time.
+const holdTimeWeight = 1.25
 
-// rank orders the requests of a tier.
-func (p Place) rank() time.Duration { return p.Due + time.Duration(workWeight*float64(p.Work)) }
+// orderKey orders the requests of one tier, the smallest first.
+func (p Place) orderKey() time.Duration { return p.Due + time.Duration(holdTimeWeight*float64(p.Work)) }
 
-// Wait is one request that waits.
+// Request is one queued request.
 type Wait[T any] struct {
-	// Value is what the owner knows of the request.
-	Value T
-	place Place
-	// seq decides among equals: the one that came first goes first.
+	// Value is the owner's data about the request.
+	Value    T
+	priority Place
+	// seq breaks ties by order of arrival.
 	seq uint64
 }
 
-// Place returns where the request stands.
-func (w *Wait[T]) Place() Place { return w.place }
+// Priority returns the request's priority.
+func (r *Wait[T]) Priority() Place { return r.priority }
 
 func compare[T any](a, b *Wait[T]) int {
-	return cmp.Or(a.place.Compare(b.place), cmp.Compare(a.seq, b.seq))
+	return cmp.Or(a.priority.Compare(b.priority), cmp.Compare(a.seq, b.seq))
 }
 
-// Add puts a request into the line.
-func (l *Line[T]) Add(v T, p Place) *Wait[T] {
-	l.seq++
-	w := &Wait[T]{Value: v, place: p, seq: l.seq}
-	i, _ := slices.BinarySearchFunc(l.waits, w, compare)
-	l.waits = slices.Insert(l.waits, i, w)
-	return w
+// Add puts a request into the queue.
+func (q *Line[T]) Add(v T, p Place) *Wait[T] {
+	q.seq++
+	r := &Wait[T]{Value: v, priority: p, seq: q.seq}
+	i, _ := slices.BinarySearchFunc(q.requests, r, compare)
+	q.requests = slices.Insert(q.requests, i, r)
+	return r
 }
 
-// Remove takes a request out of the line and reports whether it was in it.
-func (l *Line[T]) Remove(w *Wait[T]) bool {
-	i, ok := slices.BinarySearchFunc(l.waits, w, compare)
+// Remove takes a request out of the queue and reports whether it was queued.
+func (q *Line[T]) Remove(r *Wait[T]) bool {
+	i, ok := slices.BinarySearchFunc(q.requests, r, compare)
 	if ok {
-		l.waits = slices.Delete(l.waits, i, i+1)
+		q.requests = slices.Delete(q.requests, i, i+1)
 	}
 	return ok
 }
 
-// Len returns how many requests wait.
-func (l *Line[T]) Len() int { return len(l.waits) }
+// Len returns the number of queued requests.
+func (q *Line[T]) Len() int { return len(q.requests) }
 
-// Ahead returns how many requests stand before one that came now with place p.
-func (l *Line[T]) Ahead(p Place) int {
-	n, _ := slices.BinarySearchFunc(l.waits, &Wait[T]{place: p, seq: l.seq + 1}, compare)
+// CountAhead returns the number of requests ahead of one that is added now with the given
+// priority.
+func (q *Line[T]) Ahead(p Place) int {
+	n, _ := slices.BinarySearchFunc(q.requests, &Wait[T]{priority: p, seq: q.seq + 1}, compare)
 	return n
 }
 
-// Offer shows the requests to send in their order. send reports whether it took
-// the request, which then leaves the line, and whether to go on with those
-// behind it.
-func (l *Line[T]) Offer(send func(w *Wait[T]) (sent, more bool)) {
-	for i := 0; i < len(l.waits); {
-		sent, more := send(l.waits[i])
+// SendInOrder calls send for the queued requests in order. send returns whether it has sent
+// the request, which is then removed from the queue, and whether to go on with the next
+// one.
+func (q *Line[T]) Offer(send func(r *Wait[T]) (sent, more bool)) {
+	for i := 0; i < len(q.requests); {
+		sent, more := send(q.requests[i])
 		if sent {
-			l.waits = slices.Delete(l.waits, i, i+1)
+			q.requests = slices.Delete(q.requests, i, i+1)
 		} else {
 			i++
 		}
--- a/core/await/share.go
+++ b/core/await/share.go
@@ -9,62 +9,61 @@
 )
 
 const (
-	// longestStand is the share of the target for which a request stands in line
-	// at most. A line serves whoever is due first, so in a long one everybody is
-	// served at the brink of the target, and whoever leaves it without a slot has
-	// no time left to come back in.
-	longestStand = 0.1
-	// Round is for how long a lot is valid: about the time in which entries hear
-	// of each other.
-	Round = 40 * time.Millisecond
+	// maxWaitShare is the longest wait in a queue as a share of the target. A queue serves
+	// the earliest target first, so with a longer wait every request would be served just
+	// before its target, and a request that leaves without a slot would have no time left
+	// for a retry.
+	maxWaitShare = 0.1
+	// DrawInterval is the time for which a draw is valid, about the time in which entries
+	// learn of each other's changes.
+	DrawInterval = 40 * time.Millisecond
 )
 
-// Patience returns for how long a request stands in line at most: it needs own
-// from the time at which it is sent, and its first event is wanted within due
-// of a target.
-func Patience(target, due, own time.Duration) time.Duration {
-	return min(due-own, time.Duration(longestStand*float64(target)))
+// MaxWait returns the longest time that a request may wait in a queue. serviceTime is the
+// time from sending it to its first event, and untilTarget is what is left of its target.
+func Patience(target, untilTarget, serviceTime time.Duration) time.Duration {
+	return min(untilTarget-serviceTime, time.Duration(maxWaitShare*float64(target)))
 }
 
-// Crowd is what competes with a request for the free slots of its pool, at all
-// entries, as far as they have told each other.
+// Contention describes the requests that compete for the free slots of a pool at all
+// entries, as far as they have reported them.
 type Crowd struct {
-	// First is how many requests of higher tiers wait at other entries, Beside
-	// how many of the same.
+	// HigherTier and SameTier count the requests of higher tiers and of the same tier that
+	// wait at other entries.
 	First, Beside int
-	// Own is how many of the same tier wait here, this one included.
+	// OwnSameTier counts the requests of the same tier that wait at this entry, including
+	// the one to be sent.
 	Own int
-	// Free is how many slots look free.
+	// FreeSlots is the number of slots that appear to be free.
 	Free int
 }
 
-// Blocked reports whether those that go first need all free slots.
+// Blocked reports whether the requests of higher tiers need all free slots.
 func (c Crowd) Blocked() bool { return c.First > c.Free }
 
-// Part returns which part of the free slots is for this entry's requests. If
-// each entry took whatever slot it hears is free, a slot that became free would
-// be taken by all that have somebody waiting, while the engine serves one.
+// Share returns the share of the free slots that is meant for this entry's requests. If
+// each entry took every free slot it learned of, a freed slot would be taken by all entries
+// with queued requests, while the engine serves only one.
 func (c Crowd) Part() float64 {
-	part := float64(c.Own) / float64(max(c.Own+c.Beside, 1))
+	share := float64(c.Own) / float64(max(c.Own+c.Beside, 1))
 	if c.First > 0 {
-		part *= float64(max(c.Free-c.First, 0)) / float64(max(c.Free, 1))
+		share *= float64(max(c.Free-c.First, 0)) / float64(max(c.Free, 1))
 	}
-	return part
+	return share
 }
 
-// Lot returns a number from 0 to 1 for an entry and an endpoint that is drawn
-// anew in each round. The entry takes a slot that is free there if the lot is
-// below its part: on average one entry does.
+// Draw returns a number from 0 to 1 for an entry and an endpoint, which changes every
+// DrawInterval. An entry takes a free slot of the endpoint if the number is below the
+// entry's share, so on average one entry takes it.
 func Lot(entry, endpoint string, now time.Duration) float64 {
-	return draw(entry, endpoint, binary.LittleEndian.AppendUint64(nil, uint64(now/Round)))
+	return hashToUnit(entry, endpoint, binary.LittleEndian.AppendUint64(nil, uint64(now/DrawInterval)))
 }
 
-// Apart returns a number from 0 to 1 that is the same each time for an entry and
-// an endpoint.
-func Apart(entry, endpoint string) float64 { return draw(entry, endpoint, nil) }
+// FixedDraw returns a number from 0 to 1 that depends only on the entry and the endpoint.
+func Apart(entry, endpoint string) float64 { return hashToUnit(entry, endpoint, nil) }
 
-// draw returns a number from 0 to 1 for an entry, an endpoint and a round.
-func draw(entry, endpoint string, round []byte) float64 {
+// hashToUnit returns a number from 0 to 1 for an entry, an endpoint and a round.
+func hashToUnit(entry, endpoint string, round []byte) float64 {
 	h := fnv.New64a()
 	h.Write([]byte(entry))
 	h.Write([]byte(endpoint))
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -1,21 +1,21 @@
-// Package relay decides over which links entries tell each other what they do.
+// Package relay decides over which links entries send each other their tallies.
 //
-// The load it answers is the entries' own: if each tells all others, messages
-// and links grow with the square of their number, most of them cross between
-// availability zones, and small entries spend more on hearing than on serving.
-// So a fleet of more than a few entries tells through hubs: one in each zone, or
-// several in a zone with many entries, as what a hub sends grows with those that
-// it passes everything on to. An entry tells its hub; the hub tells the other
-// hubs and passes on, in one message for all, what it hears to the entries of its
-// own group.
+// If each entry sent its tallies to all others, messages and links would grow with the
+// square of the number of entries. Most messages would cross between availability zones,
+// and small entries would spend more on receiving than on serving. In larger fleets,
+// entries therefore send through hubs. Each zone has one hub, or several if it has many
+// entries, because a hub's traffic grows with the number of entries that it forwards to. An
+// entry sends its tallies to its hub. The hub sends them to the other hubs, and it forwards
+// what it receives to the entries of its own group, in one message for all.
 //
-// Hubs are the entries of a zone with the most capacity. Nobody elects them: each
-// entry derives them from those that it hears, so two may differ for a moment or
-// while the network is parted. Whoever is not heard by another one says so, and
-// the two talk without a hub until it is. A hub that fails therefore costs a
-// moment, and a parted network as many links as it needs.
+// The hubs of a zone are its entries with the most capacity. There is no election: each
+// entry derives the hubs from the entries that it can reach. Two entries may therefore
+// disagree for a short time or during a network partition. An entry that does not receive
+// another one's tallies reports this, and the two use a direct link until it does. The
+// failure of a hub thus causes only a short gap, and a partition costs only the links that
+// it needs.
 //
-// It uses no network, clock or random source.
+// The package uses no network, clock or random source.
 package relay
 
 import (
@@ -27,43 +27,43 @@
 )
 
 const (
-	// few is up to how many entries all tell all: 56 links, and each entry hears
-	// the others without a detour.
-	few = 8
-	// groupSize is how many entries of a zone have one hub at most, on average. A
-	// hub sends all that a fleet tells to each entry of its group.
-	groupSize = 16
+	// maxFullMeshEntries is the largest number of entries that all send to each other
+	// directly, over 56 links, so that tallies take no detour.
+	maxFullMeshEntries = 8
+	// maxMeanGroupSize is the largest mean number of entries of a zone that share a hub. A
+	// hub sends the tallies of the whole fleet to each entry of its group.
+	maxMeanGroupSize = 16
 )
 
-// Entry is what matters of an entry.
+// Entry describes an entry of the fleet.
 type Entry struct {
 	Name, Zone string
-	// Capacity is how much work the entry can carry, zero if unknown. Only the
-	// relation between entries counts.
+	// Capacity is how much work the entry can handle, or zero if unknown. Only the ratio
+	// between entries matters.
 	Capacity uint32
 }
 
-// Plan says who tells whom, as one entry sees it. The zero Plan has all tell
-// all.
+// Plan defines which entries have links, as computed by one entry. In the zero Plan, all
+// entries have links to each other.
 type Plan struct {
 	self Entry
-	// hubs holds the hubs of each zone, none of them empty; nil while all tell all.
+	// hubs holds the hubs of each zone, at least one per zone, or nil for a full mesh.
 	hubs map[string][]string
 }
 
-// New returns the plan of an entry that knows of so many, itself included, hears
-// the given ones and may use some of these as hubs.
-func New(self Entry, known int, heard []Entry, usable func(Entry) bool) Plan {
-	if known <= few {
+// New returns the plan of an entry that knows of knownEntries entries, itself included. Of
+// the reachable entries, only those for which usable returns true can be hubs.
+func New(self Entry, knownEntries int, reachable []Entry, usable func(Entry) bool) Plan {
+	if knownEntries <= maxFullMeshEntries {
 		return Plan{self: self}
 	}
 	zones := map[string][]Entry{self.Zone: {self}}
-	sizes := map[string]int{self.Zone: 1}
-	for _, e := range heard {
+	zoneSizes := map[string]int{self.Zone: 1}
+	for _, e := range reachable {
 		if e.Name == self.Name {
 			continue
 		}
-		sizes[e.Zone]++
+		zoneSizes[e.Zone]++
 		if usable(e) {
 			zones[e.Zone] = append(zones[e.Zone], e)
 		}
@@ -73,28 +73,28 @@
 		slices.SortFunc(entries, func(a, b Entry) int {
 			return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.Name, b.Name))
 		})
-		for _, e := range entries[:min(hubs(sizes[zone]), len(entries))] {
+		for _, e := range entries[:min(hubCount(zoneSizes[zone]), len(entries))] {
 			p.hubs[zone] = append(p.hubs[zone], e.Name)
 		}
 	}
 	return p
 }
 
-// hubs returns how many hubs a zone of so many entries has: a power of two, so
-// that it changes seldom as entries come and go.
-func hubs(entries int) int {
+// hubCount returns the number of hubs of a zone with the given number of entries. It is a
+// power of two, so that it rarely changes as entries come and go.
+func hubCount(entries int) int {
 	n := 1
-	for n*groupSize < entries {
+	for n*maxMeanGroupSize < entries {
 		n *= 2
 	}
 	return n
 }
 
-// hub returns the hub of an entry, empty if its zone has none. An entry moves to
-// another hub only when its own goes or a new one comes.
-func (p Plan) hub(e Entry) string {
-	var best string
-	var most uint64
+// hubOf returns the hub of an entry, or an empty string if its zone has none. The hub of an
+// entry changes only if it leaves or if the new hub has just joined.
+func (p Plan) hubOf(e Entry) string {
+	var hub string
+	var maxScore uint64
 	for _, name := range p.hubs[e.Zone] {
 		if name == e.Name {
 			return name
@@ -103,53 +103,53 @@
 		h.Write([]byte(name))
 		h.Write([]byte{0})
 		h.Write([]byte(e.Name))
-		if x := spread.Bits(h.Sum64()); best == "" || x > most {
-			best, most = name, x
+		if score := spread.Bits(h.Sum64()); hub == "" || score > maxScore {
+			hub, maxScore = name, score
 		}
 	}
-	return best
+	return hub
 }
 
-// Hub reports whether the entry passes on what it hears.
-func (p Plan) Hub() bool { return p.hubs != nil && p.isHub(p.self) }
+// IsHub reports whether this entry forwards what it receives.
+func (p Plan) Hub() bool { return p.hubs != nil && p.entryIsHub(p.self) }
 
-// Led reports whether another entry passes on to this one what it hears.
-func (p Plan) Led() bool { return p.hubs != nil && !p.isHub(p.self) }
+// FollowsHub reports whether this entry receives tallies from a hub.
+func (p Plan) Led() bool { return p.hubs != nil && !p.entryIsHub(p.self) }
 
-func (p Plan) isHub(e Entry) bool { return p.hub(e) == e.Name }
+func (p Plan) entryIsHub(e Entry) bool { return p.hubOf(e) == e.Name }
 
-// Near reports whether an entry is of the same group as this one: both have the
-// same hub.
-func (p Plan) Near(e Entry) bool { return p.same(e, p.self) }
+// SameGroup reports whether the given entry and this one have the same hub.
+func (p Plan) Near(e Entry) bool { return p.inSameGroup(e, p.self) }
 
-func (p Plan) same(a, b Entry) bool { return a.Zone == b.Zone && p.hub(a) == p.hub(b) }
+func (p Plan) inSameGroup(a, b Entry) bool { return a.Zone == b.Zone && p.hubOf(a) == p.hubOf(b) }
 
-// Tells reports whether from keeps a link to to.
+// HasLink reports whether from keeps a link to to.
 func (p Plan) Tells(from, to Entry) bool {
 	if p.hubs == nil {
 		return true
 	}
-	if p.same(from, to) {
-		return p.isHub(from) || p.isHub(to)
+	if p.inSameGroup(from, to) {
+		return p.entryIsHub(from) || p.entryIsHub(to)
 	}
-	return p.isHub(from) && p.isHub(to)
+	return p.entryIsHub(from) && p.entryIsHub(to)
 }
 
-// Source is how an entry heard what another one told.
+// Source is the kind of link on which an entry received a tally.
 type Source uint8
 
-// The sources.
+// Sources.
 const (
-	// Direct is the link of the one that told it.
+	// Direct is a link to the entry whose tally it is.
 	Direct Source = iota
-	// Within is a hub of this entry's group, Between one of another.
+	// OwnHub is a link to a hub of this entry's group, OtherHub one to a hub of another
+	// group.
 	Within
 	Between
 )
 
-// Passes reports whether a hub passes on to another entry what origin told and
-// the hub heard from a source. What came from a hub goes to the own group only, so
-// nothing goes round in circles.
+// Forwards reports whether this entry, as a hub, forwards a tally of origin, which it
+// received from the given source, to another entry. Tallies received from a hub are
+// forwarded only within the own group, so that none goes round in a circle.
 func (p Plan) Passes(origin Entry, from Source, to Entry) bool {
 	if !p.Hub() || from == Within || origin.Name == to.Name || !p.Tells(p.self, to) {
 		return false
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -17,14 +17,14 @@
 	return out
 }
 
-// heard spreads what one entry tells over the links of the plans, those of cut
-// entries left out, and returns how often each entry gets it.
-func heard(all []Entry, origin Entry, cut map[string]bool) map[string]int {
+// countDeliveries distributes a tally of one entry over the links of the plans, without the
+// entries in cut, and returns how often each entry receives it.
+func countDeliveries(all []Entry, origin Entry, cut map[string]bool) map[string]int {
 	plans := make(map[string]Plan)
 	for _, e := range all {
 		plans[e.Name] = New(e, len(all), all, func(o Entry) bool { return !cut[o.Name] })
 	}
-	got := make(map[string]int)
+	deliveries := make(map[string]int)
 	type step struct {
 		at   Entry
 		from Source
@@ -38,11 +38,11 @@
 			if to == s.at || cut[to.Name] {
 				continue
 			}
-			first := s.at == origin && p.Tells(origin, to)
-			if !first && !(s.at != origin && p.Passes(origin, s.from, to)) {
+			originSends := s.at == origin && p.Tells(origin, to)
+			if !originSends && !(s.at != origin && p.Passes(origin, s.from, to)) {
 				continue
 			}
-			got[to.Name]++
+			deliveries[to.Name]++
 			from := Direct
 			if s.at != origin {
 				from = Between
@@ -53,12 +53,13 @@
 			next = append(next, step{to, from})
 		}
 	}
-	return got
+	return deliveries
 }
 
-// Whatever the shape of the fleet and whoever is away, all that agree on who is
-// there hear each other, once, and nothing goes round in circles.
-func TestEveryEntryHearsEveryOtherOnce(t *testing.T) {
+// For any fleet and any set of unreachable entries, all entries that agree on who is
+// reachable must receive each other's tallies exactly once, and no message may go round in
+// a circle.
+func TestEveryEntryReceivesEachTallyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := fleet(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 20).Draw(t, "each"))
 		cut := make(map[string]bool)
@@ -69,25 +70,24 @@
 			if cut[origin.Name] {
 				continue
 			}
-			got := heard(all, origin, cut)
+			deliveries := countDeliveries(all, origin, cut)
 			for _, e := range all {
 				want := 1
 				if cut[e.Name] || e == origin {
 					want = 0
 				}
-				if got[e.Name] != want {
-					t.Fatalf("%s hears %s %d times, want %d", e.Name, origin.Name, got[e.Name], want)
+				if deliveries[e.Name] != want {
+					t.Fatalf("%s receives the tally of %s %d times, want %d", e.Name, origin.Name, deliveries[e.Name], want)
 				}
 			}
 		}
 	})
 }
 
-// A fleet grows. If links grew with the square of it, each entry of four hundred
-// would keep eight hundred of them; and a hub of a hundred would send everything
-// a hundred times.
-func TestLinksGrowWithTheGroups(t *testing.T) {
-	for _, c := range []struct{ zones, each, most int }{{4, 2, 7}, {5, 6, 9}, {28, 15, 41}, {3, 100, 60}} {
+// If links grew with the square of the fleet, each of four hundred entries would keep eight
+// hundred of them, and a hub of a hundred entries would send each message a hundred times.
+func TestLinkCountIsBounded(t *testing.T) {
+	for _, c := range []struct{ zones, each, maxLinks int }{{4, 2, 7}, {5, 6, 9}, {28, 15, 41}, {3, 100, 60}} {
 		all := fleet(c.zones, c.each)
 		for _, e := range all {
 			p := New(e, len(all), all, func(Entry) bool { return true })
@@ -97,16 +97,16 @@
 					n++
 				}
 			}
-			if n > c.most {
-				t.Errorf("%d entries in %d zones: %s tells %d, want %d at most", len(all), c.zones, e.Name, n, c.most)
+			if n > c.maxLinks {
+				t.Errorf("%d entries in %d zones: %s has %d links, want %d at most", len(all), c.zones, e.Name, n, c.maxLinks)
 			}
 		}
 	}
 }
 
-// A hub that is small chokes on what the fleet tells, and its whole group acts on
-// old knowledge.
-func TestHubsAreTheLargest(t *testing.T) {
+// A small hub would be overloaded by the fleet's tallies, and its whole group would act on
+// outdated state.
+func TestHubsHaveLargestCapacity(t *testing.T) {
 	var all []Entry
 	for z := range 5 {
 		for i := range 23 {
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -1,60 +1,60 @@
-// Package route keeps one version of the operator's configuration for plain
-// HTTP work (routes, pools, customers, limits) and finds in it what a request
-// may do. It uses no network, clock or random source.
+// Package route holds one version of the operator's configuration for plain HTTP services
+// (routes, pools, customers, limits) and looks up what applies to a request. It uses no
+// network, clock or random source.
 package route
 
 import "time"
 
-// Route says how the requests below one path of one host are served.
+// Route defines how the requests below one path of one host are served.
 type Route struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Name     string
 	Host     string
-	// Prefix begins and ends with a slash.
+	// Prefix is a path that begins and ends with a slash.
 	Prefix string
-	// Repeatable requests may run more than once.
+	// Repeatable is set if requests may be executed more than once.
 	Repeatable bool
-	// Stream answers are a series of events.
+	// Stream is set if answers are event streams.
 	Stream bool
-	// Resumable streams may go on at another endpoint after the last event.
+	// Resumable is set if a stream may be resumed at another endpoint after its last event.
 	Resumable bool
-	// Public routes ask for no key.
+	// Public is set if requests need no key.
 	Public bool
-	// Timeout is the longest time that a caller may be kept waiting.
+	// Timeout is the longest time that a caller may have to wait for the complete answer.
 	Timeout time.Duration
 	// Target is the time within which the answer, or its first event, is wanted.
 	Target time.Duration
-	// MaxPause is the longest pause between two events of an answer in time.
+	// MaxPause is the longest pause between two events of an answer that counts as in time.
 	MaxPause time.Duration
-	// Tier is the rank of the route, zero the highest.
+	// Tier is the rank of the route, zero for the highest.
 	Tier int
-	// Attempts is how many endpoints one request may run on.
+	// Attempts is the largest number of endpoints on which one request may be executed.
 	Attempts int
-	// Shares is never empty; the weights are positive.
+	// Shares is never empty, and the weights are positive.
 	Shares []Share
 }
 
-// Share is the part of a route's requests that one pool serves.
+// Share is the share of a route's requests that one pool serves.
 type Share struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Pool     string
 	Weight   int
 }
 
-// Pool is a service: a set of endpoints that serve the same requests.
+// Pool is a set of endpoints that serve the same requests.
 type Pool struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Name     string
-	// MaxConns is how many connections one endpoint accepts from all callers
-	// together; zero means no limit.
+	// MaxConns is the number of connections that one endpoint accepts from all callers
+	// together. Zero means no limit.
 	MaxConns int
 	// Engine is set for pools of model engines.
 	Engine bool
-	// Slots is how many requests an engine serves at once; zero if unknown.
+	// Slots is the number of requests that an engine serves at once, or zero if unknown.
 	Slots int
-	// KVTokens is the memory of one engine in tokens; zero if unknown.
+	// KVTokens is the memory of one engine in tokens, or zero if unknown.
 	KVTokens int
-	// EventTokens is how many tokens one event of a stream holds.
+	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
 }
 
@@ -63,31 +63,31 @@
 	_msgpack struct{} `msgpack:",as_array"`
 	Name     string
 	Keys     []string
-	// Tier goes before the route's when HasTier is set.
+	// Tier is the customer's rank. If HasTier is set, it takes precedence over the route's.
 	Tier    int
 	HasTier bool
-	// Rate and Burst bound what the customer may use, in tokens a second and
-	// in tokens if ByTokens is set, else in requests; zero means no limit.
+	// Rate and Burst limit the customer's use. They are in tokens per second and tokens if
+	// ByTokens is set, else in requests per second and requests. Zero means no limit.
 	Rate, Burst float64
 	ByTokens    bool
-	// PlainTokens is what a request without token counts counts as.
+	// DefaultTokens is the number of tokens charged for a request without token counts.
 	PlainTokens float64
 }
 
-// Limits bound what a caller may send.
+// Limits bounds what a caller may send.
 type Limits struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	// HeaderBytes and BodyBytes bound the size of one request.
+	// HeaderBytes and BodyBytes limit the size of one request.
 	HeaderBytes, BodyBytes int
-	// HeaderTime is how long a caller may take to send the headers, IdleTime
-	// how long a connection may stay without a request.
+	// HeaderTime is how long a caller may take to send the headers. IdleTime is how long a
+	// connection may stay open without a request.
 	HeaderTime, IdleTime time.Duration
 }
 
 // Config is one version of the operator's configuration.
 type Config struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	// Revision orders versions: it is the platform's, and it only grows.
+	// Revision orders the versions. The platform assigns it, and it only increases.
 	Revision  int64
 	Routes    []Route
 	Pools     []Pool
@@ -95,20 +95,21 @@
 	Limits    Limits
 }
 
-// Endpoint is one entry of the instance list.
+// Endpoint is one item of the instance list.
 type Endpoint struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       string
-	// Born tells starts of an endpoint under the same ID apart.
+	// Incarnation differs between successive starts of an endpoint with the same ID.
 	Born int64
 	Pool string
 	Addr string
 	Zone string
-	// Slots is how many requests it serves at once.
+	// Slots is the number of requests that the endpoint serves at once.
 	Slots int
-	// Leaving endpoints finish what they have and take nothing new.
+	// Leaving is set if the endpoint finishes its running requests and accepts no new ones.
 	Leaving bool
-	// Version is that of its software, Cold how much longer it stays slow after its start.
+	// Version is the version of its software. ColdFor is how much longer the endpoint is
+	// slow after its start.
 	Version string
 	Cold    time.Duration
 }
@@ -116,7 +117,7 @@
 // Roster is one version of the instance list.
 type Roster struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	// Revision orders versions.
+	// Revision orders the versions.
 	Revision  int64
 	Endpoints []Endpoint
 }
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// Table answers questions about one Config. It is immutable.
+// Table looks up the parts of one Config. It is immutable.
 type Table struct {
 	cfg Config
-	// hosts holds the routes of a host, longest prefix first.
+	// hosts holds the routes of each host, longest prefix first.
 	hosts     map[string][]*Route
 	pools     map[string]*Pool
 	customers map[string]*Customer
@@ -40,13 +40,13 @@
 	return t
 }
 
-// Config returns the configuration that the table was made of.
+// Config returns the configuration that the table was built from.
 func (t *Table) Config() Config { return t.cfg }
 
 // Revision returns the revision of the configuration.
 func (t *Table) Revision() int64 { return t.cfg.Revision }
 
-// Find returns the route of a host and path: the one with the longest prefix.
+// Find returns the route with the longest prefix that matches a host and path.
 func (t *Table) Find(host, path string) (*Route, bool) {
 	for _, r := range t.hosts[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -56,13 +56,14 @@
 	return nil, false
 }
 
-// Pool returns the pool of a name.
+// Pool returns the pool with the given name.
 func (t *Table) Pool(name string) (*Pool, bool) {
 	p, ok := t.pools[name]
 	return p, ok
 }
 
-// Keyed reports whether requests need a key at all.
+// RequiresKey reports whether the configuration has customers, so that requests to routes
+// that are not public need a key.
 func (t *Table) Keyed() bool { return len(t.cfg.Customers) > 0 }
 
 // Customer returns the holder of a key.
@@ -71,8 +72,8 @@
 	return c, ok
 }
 
-// Choose returns the pool that serves the request with the given ID. The same
-// request gets the same pool at every entry.
+// ChoosePool returns the pool that serves the request with the given ID. All entries choose
+// the same pool for the same request.
 func (r *Route) Choose(id string) string {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Pool
@@ -93,5 +94,5 @@
 	return r.Shares[0].Pool
 }
 
-// Once reports whether a request of the route may run once at most.
+// AtMostOnce reports whether a request of the route may be executed only once.
 func (r *Route) Once() bool { return !r.Repeatable && !(r.Stream && r.Resumable) }
--- a/core/route/table_test.go
+++ b/core/route/table_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestFindTakesTheLongestPrefix(t *testing.T) {
+func TestFindReturnsLongestPrefix(t *testing.T) {
 	table := NewTable(Config{Routes: []Route{
 		{Name: "short", Host: "h", Prefix: "/a/"},
 		{Name: "long", Host: "h", Prefix: "/a/b/"},
@@ -34,7 +34,7 @@
 	return r.Name
 }
 
-func TestChooseFollowsTheWeights(t *testing.T) {
+func TestChoosePoolFollowsWeights(t *testing.T) {
 	r := Route{Shares: []Share{{Pool: "a", Weight: 90}, {Pool: "b", Weight: 10}}}
 	n := 0
 	for i := range 10000 {
@@ -47,10 +47,10 @@
 	}
 }
 
-func TestTierOfCustomerGoesFirst(t *testing.T) {
+func TestCustomerTierGoesFirst(t *testing.T) {
 	r := Route{Tier: 2}
 	if got := r.TierOf(&Customer{HasTier: true, Tier: 0}); got != (Tier{0, 2}) {
-		t.Errorf("tier %v, want the customer's 0 first", got)
+		t.Errorf("tier %v, want the customer's 0, then the route's 2", got)
 	}
 	if got := r.TierOf(&Customer{}); got != (Tier{2, 2}) {
 		t.Errorf("tier %v, want the route's 2", got)
@@ -59,14 +59,14 @@
 		t.Errorf("tier %v, want the route's 2", got)
 	}
 	if got := (Tier{1, 2}).String(); got != "1.2" {
-		t.Errorf("spelt %q", got)
+		t.Errorf("printed as %q", got)
 	}
 }
 
-// The operator ranks three routes, and all customers have one rank. Without the
-// route's rank among equals, drafts that people wait for are refused as often as
-// tagging jobs.
-func TestTiersOrderCustomersThenRoutes(t *testing.T) {
+// The operator gives three routes different ranks and all customers the same one. If the
+// route's rank did not decide among equal customers, drafts that people wait for would be
+// refused as often as tagging jobs.
+func TestTiersAreOrderedByCustomerThenRoute(t *testing.T) {
 	to := func(pool string) []Share { return []Share{{Pool: pool, Weight: 1}} }
 	table := NewTable(Config{
 		Routes: []Route{
--- a/core/route/tier.go
+++ b/core/route/tier.go
@@ -6,11 +6,10 @@
 	"slices"
 )
 
-// Tier is the rank of a request. The customer's rank goes first; among requests
-// of customers of one rank the route's decides.
+// Tier is the rank of a request. The customer's rank is compared first, then the route's.
 type Tier struct {
-	// Customer and Route are ranks, zero the highest. A request without a
-	// ranked customer has its route's rank in both.
+	// Customer and Route are ranks, zero for the highest. If the customer has no rank, both
+	// are the route's rank.
 	Customer, Route int
 }
 
@@ -19,10 +18,10 @@
 	return cmp.Or(cmp.Compare(t.Customer, o.Customer), cmp.Compare(t.Route, o.Route))
 }
 
-// String returns the tier as logs spell it.
+// String returns the tier as it appears in logs.
 func (t Tier) String() string { return fmt.Sprintf("%d.%d", t.Customer, t.Route) }
 
-// TierOf returns the tier of a request of a customer, which may be nil.
+// TierOf returns the tier of a request of the given customer, which may be nil.
 func (r *Route) TierOf(c *Customer) Tier {
 	if c != nil && c.HasTier {
 		return Tier{Customer: c.Tier, Route: r.Tier}
@@ -30,13 +29,12 @@
 	return Tier{Customer: r.Tier, Route: r.Tier}
 }
 
-// Tiers returns the tiers of the requests that a pool may get, the highest
-// first.
+// Tiers returns the tiers of the requests that a pool may receive, the highest first.
 func (t *Table) Tiers(pool string) []Tier {
 	var out []Tier
 	for i := range t.cfg.Routes {
 		r := &t.cfg.Routes[i]
-		if !r.leadsTo(pool) {
+		if !r.usesPool(pool) {
 			continue
 		}
 		if r.Public || !t.Keyed() {
@@ -51,6 +49,6 @@
 	return slices.Compact(out)
 }
 
-func (r *Route) leadsTo(pool string) bool {
+func (r *Route) usesPool(pool string) bool {
 	return slices.ContainsFunc(r.Shares, func(s Share) bool { return s.Pool == pool })
 }
--- a/core/shard/shard.go
+++ b/core/shard/shard.go
@@ -1,18 +1,18 @@
-// Package shard divides the endpoints of a pool into shards and chooses, for each
-// shard, the entry that places requests there.
+// Package shard divides the endpoints of a pool into shards and chooses, for each shard,
+// the entry that places requests there.
 //
-// The load it answers is a burst that reaches many entries at once. If each of them
-// places requests by what the others told some time ago, all send to the same free
-// slots: what is sent in excess grows with the number of entries and with the age
-// of what they know, and waits at the endpoints in order of arrival, whatever its
-// tier. So one entry counts what each endpoint of a shard has, and the others ask
-// it for a place.
+// Owners are needed when a burst reaches many entries at once. If each entry placed
+// requests by the state that the others reported some time ago, all would send to the same
+// free slots. The excess grows with the number of entries and the age of their reports, and
+// it waits at the endpoints in order of arrival, whatever its tier. Instead, one entry
+// counts the requests at all endpoints of a shard, and the other entries ask it for
+// placements.
 //
-// The owner of a shard follows from the entries that are heard, so nothing is
-// elected. Two entries may name different owners for a moment; both owners then
-// count each other's requests with some delay, as entries without shards do.
+// The owner of a shard is computed from the list of reachable entries, so there is no
+// election. Two entries may name different owners for a short time. Both owners then learn
+// of each other's requests with some delay, as entries without shards do.
 //
-// It uses no network, clock or random source.
+// The package uses no network, clock or random source.
 package shard
 
 import (
@@ -24,59 +24,60 @@
 )
 
 const (
-	// few is up to how many entries place requests themselves: what they tell each
-	// other is then as new as an owner's answer.
-	few = 8
-	// size is how many endpoints a shard has at most, on average. An owner spends
-	// some messages on each request of its shard.
-	size = 64
-	// least is how many endpoints a zone has at least, on average, to have shards
-	// of its own. In smaller shards, one is full while another has free slots.
-	least = 16
-	// peer is which part of the largest capacity makes an entry an owner: smaller
-	// ones would be slow to answer.
-	peer = 0.5
-	// spare is which part of the slots of the own zone's shard must look free, or may
-	// be waited for, for other shards not to be considered.
-	spare = 1.0 / 16
+	// maxEntriesWithoutOwners is the largest number of entries that place requests
+	// themselves. Their reports to each other are then as recent as an owner's answer.
+	maxEntriesWithoutOwners = 8
+	// maxMeanShardEndpoints is the largest mean number of endpoints in a shard. An owner
+	// handles several messages for each request of its shard.
+	maxMeanShardEndpoints = 64
+	// minMeanZoneEndpoints is the smallest mean number of endpoints per zone for which
+	// zones have their own shards. Among smaller shards, one is often full while another
+	// has free slots.
+	minMeanZoneEndpoints = 16
+	// minOwnerCapacityShare is the smallest capacity of an owner as a share of the largest
+	// capacity. Smaller entries would answer slowly.
+	minOwnerCapacityShare = 0.5
+	// minFreeSlotShare is a share of the slots of the own zone's shards. Other shards are
+	// considered if no more slots than this are free in the own zone or, if no shard has a
+	// free slot, if more requests than this wait there.
+	minFreeSlotShare = 1.0 / 16
 )
 
-// Needed reports whether a fleet of so many entries has owners.
-func Needed(entries int) bool { return entries > few }
+// HasOwners reports whether shards have owners in a fleet with the given number of entries.
+func Needed(entries int) bool { return entries > maxEntriesWithoutOwners }
 
-// Key names a shard of a pool.
+// Key identifies a shard of a pool.
 type Key struct {
-	// Zone is empty for a shard of endpoints of all zones.
+	// Zone is empty for a shard with endpoints of all zones.
 	Zone string
 	N    uint16
 }
 
-// Layout says to which shard each endpoint of a pool belongs. The zero Layout has
-// one shard.
+// Layout assigns the endpoints of a pool to shards. The zero Layout has one shard.
 type Layout struct {
-	zones bool
-	// parts is how many shards a zone has, or the pool if zones is not set; a power
-	// of two, so that it changes seldom as endpoints come and go. Zero means one.
-	parts uint32
+	perZone bool
+	// shards is the number of shards per zone, or of the whole pool if perZone is not set.
+	// It is a power of two, so that it rarely changes as endpoints come and go. Zero means
+	// one.
+	shards uint32
 }
 
-// NewLayout returns the layout of a pool with the given number of endpoints in each
-// zone.
-func NewLayout(zones map[string]int) Layout {
-	total, used := 0, 0
-	for _, n := range zones {
+// NewLayout returns the layout of a pool with the given number of endpoints in each zone.
+func NewLayout(endpointsByZone map[string]int) Layout {
+	total, zones := 0, 0
+	for _, n := range endpointsByZone {
 		total += n
 		if n > 0 {
-			used++
+			zones++
 		}
 	}
-	l := Layout{parts: 1}
-	if total > size && used > 1 && total >= used*least {
-		l.zones = true
-		total /= used
+	l := Layout{shards: 1}
+	if total > maxMeanShardEndpoints && zones > 1 && total >= zones*minMeanZoneEndpoints {
+		l.perZone = true
+		total /= zones
 	}
-	for int(l.parts)*size < total {
-		l.parts *= 2
+	for int(l.shards)*maxMeanShardEndpoints < total {
+		l.shards *= 2
 	}
 	return l
 }
@@ -84,109 +85,111 @@
 // Key returns the shard of an endpoint.
 func (l Layout) Key(id, zone string) Key {
 	var k Key
-	if l.zones {
+	if l.perZone {
 		k.Zone = zone
 	}
-	if l.parts > 1 {
-		k.N = uint16(mixed(id) % uint64(l.parts))
+	if l.shards > 1 {
+		k.N = uint16(hashNames(id) % uint64(l.shards))
 	}
 	return k
 }
 
-// Owner returns the entry that places requests at the endpoints of a shard, empty if
-// none is able to. It moves to another entry only if that one comes or the owner
-// goes.
+// Owner returns the entry that places requests at the endpoints of a shard, or an empty
+// string if no entry can. The owner changes only if it leaves or if the new owner has just
+// joined.
 func Owner(pool string, k Key, entries []relay.Entry) string {
 	zone := k.Zone
-	largest := capacity(zone, entries)
-	if largest == 0 {
-		zone, largest = "", capacity("", entries)
+	maxCapacity := maxCapacityIn(zone, entries)
+	if maxCapacity == 0 {
+		zone, maxCapacity = "", maxCapacityIn("", entries)
 	}
-	owner, most := "", 0.0
+	owner, maxScore := "", 0.0
 	for _, e := range entries {
-		if e.Capacity == 0 || zone != "" && e.Zone != zone || float64(e.Capacity) < peer*float64(largest) {
+		if e.Capacity == 0 || zone != "" && e.Zone != zone || float64(e.Capacity) < minOwnerCapacityShare*float64(maxCapacity) {
 			continue
 		}
 		// Weighted rendezvous hashing.
-		x := (float64(mixed(e.Name, pool, k.Zone, string(rune(k.N)))>>11) + 0.5) / (1 << 53)
-		if score := -float64(e.Capacity) / math.Log(x); owner == "" || score > most {
-			owner, most = e.Name, score
+		uniform := (float64(hashNames(e.Name, pool, k.Zone, string(rune(k.N)))>>11) + 0.5) / (1 << 53)
+		if score := -float64(e.Capacity) / math.Log(uniform); owner == "" || score > maxScore {
+			owner, maxScore = e.Name, score
 		}
 	}
 	return owner
 }
 
-// capacity returns the largest capacity of an entry of a zone, or of all if zone is
-// empty.
-func capacity(zone string, entries []relay.Entry) uint32 {
-	var most uint32
+// maxCapacityIn returns the largest capacity among the entries of a zone, or among all
+// entries if zone is empty.
+func maxCapacityIn(zone string, entries []relay.Entry) uint32 {
+	var largest uint32
 	for _, e := range entries {
 		if zone == "" || e.Zone == zone {
-			most = max(most, e.Capacity)
+			largest = max(largest, e.Capacity)
 		}
 	}
-	return most
+	return largest
 }
 
-// Load is what an entry knows of a shard.
+// Load is what an entry knows about the load of a shard.
 type Load struct {
 	Key Key
-	// Slots counts the slots of usable endpoints, Free those that look free.
+	// Slots is the number of slots of usable endpoints, FreeSlots the number of those that
+	// appear to be free.
 	Slots, Free int
-	// Ahead counts the requests that wait for a slot there before the one to place.
+	// RequestsAhead is the number of requests that wait for a slot of the shard ahead of
+	// the one to be placed.
 	Ahead int
 }
 
-// crowded reports whether requests of the shard's own zone had better go elsewhere,
-// as far as others have room.
-func (l Load) crowded(free int) bool {
-	if free > 0 {
-		return float64(l.Free) <= spare*float64(l.Slots)
+// isCrowded reports whether requests from the shard's own zone should also consider other
+// shards. totalFreeSlots is the number of free slots of all shards.
+func (l Load) isCrowded(totalFreeSlots int) bool {
+	if totalFreeSlots > 0 {
+		return float64(l.Free) <= minFreeSlotShare*float64(l.Slots)
 	}
-	return float64(l.Ahead) > spare*float64(l.Slots)
+	return float64(l.Ahead) > minFreeSlotShare*float64(l.Slots)
 }
 
-// weight is how much a request should be sent to the shard rather than to others, of
-// which free slots are known or not.
-func (l Load) weight(free int) float64 {
-	if free > 0 {
+// weight returns the relative share of requests to send to the shard. totalFreeSlots is the
+// number of free slots of all shards.
+func (l Load) weight(totalFreeSlots int) float64 {
+	if totalFreeSlots > 0 {
 		return float64(l.Free)
 	}
-	// Waiting requests that are few for the shard's size tell little: many entries
-	// would go to the one shard where none waited a moment ago.
-	return float64(l.Slots) / (1 + spare*float64(l.Slots) + float64(l.Ahead))
+	// Small differences between short queues are ignored. Otherwise many entries would
+	// choose the one shard where nothing waited a moment ago.
+	return float64(l.Slots) / (1 + minFreeSlotShare*float64(l.Slots) + float64(l.Ahead))
 }
 
-// Choose returns the index of the shard to ask for a place, for an entry of a zone,
-// and whether the request may wait there because no other shard has room. Shards of
-// the own zone go first as long as they have room, or few wait there; draw, a number
-// from 0 to 1, decides among shards by their free slots or by those that wait. loads
-// must not be empty.
-func Choose(loads []Load, zone string, draw float64) (i int, stand bool) {
-	var near, all Load
+// Choose returns the index of the shard whose owner to ask for a placement, for an entry of
+// the given zone, and whether the request may wait there because no other shard has a free
+// slot. Shards of the own zone are preferred while they have free slots or short queues.
+// draw, a number from 0 to 1, selects among the candidates in proportion to their free
+// slots or, if there are none, by the lengths of their queues. loads must not be empty.
+func Choose(loads []Load, zone string, draw float64) (i int, mayWait bool) {
+	var sameZone, all Load
 	for _, l := range loads {
 		all.add(l)
 		if l.Key.Zone == zone {
-			near.add(l)
+			sameZone.add(l)
 		}
 	}
-	among := func(Load) bool { return true }
-	if near.Slots > 0 && !near.crowded(all.Free) {
-		among = func(l Load) bool { return l.Key.Zone == zone }
+	isCandidate := func(Load) bool { return true }
+	if sameZone.Slots > 0 && !sameZone.isCrowded(all.Free) {
+		isCandidate = func(l Load) bool { return l.Key.Zone == zone }
 	}
 	total := 0.0
 	for _, l := range loads {
-		if among(l) {
+		if isCandidate(l) {
 			total += l.weight(all.Free)
 		}
 	}
-	left, chosen := draw*total, 0
+	remaining, chosen := draw*total, 0
 	for i, l := range loads {
-		if !among(l) {
+		if !isCandidate(l) {
 			continue
 		}
 		chosen = i
-		if left -= l.weight(all.Free); left < 0 {
+		if remaining -= l.weight(all.Free); remaining < 0 {
 			break
 		}
 	}
@@ -199,8 +202,8 @@
 	l.Ahead += o.Ahead
 }
 
-// mixed returns a hash of names with evenly spread bits.
-func mixed(names ...string) uint64 {
+// hashNames returns a hash of names with evenly distributed bits.
+func hashNames(names ...string) uint64 {
 	h := fnv.New64a()
 	for _, n := range names {
 		h.Write([]byte(n))
--- a/core/shard/shard_test.go
+++ b/core/shard/shard_test.go
@@ -24,9 +24,8 @@
 	return out
 }
 
-// A shard that is owned by a small entry waits for it, and each of its requests with
-// it.
-func TestOwnersAreLarge(t *testing.T) {
+// A small entry answers slowly and so would delay every request of a shard that it owns.
+func TestOwnersHaveLargeCapacity(t *testing.T) {
 	entries := fleet(5, 3, 20)
 	for z := range 5 {
 		k := shard.Key{Zone: fmt.Sprintf("z%d", z)}
@@ -38,20 +37,21 @@
 		}
 	}
 	if got := shard.Owner("p", shard.Key{}, []relay.Entry{{Name: "a"}}); got != "" {
-		t.Errorf("owner %q of unknown capacity", got)
+		t.Errorf("owner %q has an unknown capacity", got)
 	}
 }
 
-// Endpoints that change owners without need are counted by two entries for a while.
-func TestOwnersStay(t *testing.T) {
+// While the owner of a shard changes, two entries count its endpoints for some time, so a
+// change without need must be avoided.
+func TestOwnerChangesOnlyWhenItLeaves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := fleet(3, 4, 0)
 		k := shard.Key{N: uint16(rapid.IntRange(0, 20).Draw(t, "shard"))}
 		before := shard.Owner("p", k, entries)
-		gone := rapid.IntRange(0, len(entries)-1).Draw(t, "gone")
-		rest := append(append([]relay.Entry(nil), entries[:gone]...), entries[gone+1:]...)
-		if after := shard.Owner("p", k, rest); after != before && entries[gone].Name != before {
-			t.Fatalf("%s goes and the shard moves from %s to %s", entries[gone].Name, before, after)
+		removed := rapid.IntRange(0, len(entries)-1).Draw(t, "gone")
+		remaining := append(append([]relay.Entry(nil), entries[:removed]...), entries[removed+1:]...)
+		if after := shard.Owner("p", k, remaining); after != before && entries[removed].Name != before {
+			t.Fatalf("%s leaves and the shard moves from %s to %s", entries[removed].Name, before, after)
 		}
 	})
 }
@@ -82,23 +82,23 @@
 func TestChoose(t *testing.T) {
 	key := func(z string) shard.Key { return shard.Key{Zone: z} }
 	for _, tt := range []struct {
-		name  string
-		loads []shard.Load
-		draw  float64
-		want  string
-		stand bool
+		name    string
+		loads   []shard.Load
+		draw    float64
+		want    string
+		mayWait bool
 	}{
-		{"room near", []shard.Load{{key("a"), 70, 20, 0}, {key("b"), 70, 40, 0}}, 0.9, "a", false},
-		{"room near alone", []shard.Load{{key("a"), 70, 20, 0}, {key("b"), 70, 0, 0}}, 0.9, "a", true},
-		{"little room near", []shard.Load{{key("a"), 70, 2, 0}, {key("b"), 70, 40, 0}}, 0.9, "b", false},
-		{"no room", []shard.Load{{key("b"), 70, 0, 0}, {key("a"), 70, 0, 3}}, 0.1, "a", true},
-		{"no room, many wait near", []shard.Load{{key("b"), 70, 0, 0}, {key("a"), 70, 0, 30}}, 0.5, "b", true},
-		{"none near, no room", []shard.Load{{key("c"), 70, 0, 0}, {key("b"), 70, 0, 0}}, 0.6, "b", true},
-		{"none near", []shard.Load{{key("c"), 70, 10, 0}, {key("b"), 70, 30, 0}}, 0.5, "b", false},
+		{"free slots in the zone", []shard.Load{{key("a"), 70, 20, 0}, {key("b"), 70, 40, 0}}, 0.9, "a", false},
+		{"free slots only in the zone", []shard.Load{{key("a"), 70, 20, 0}, {key("b"), 70, 0, 0}}, 0.9, "a", true},
+		{"few free slots in the zone", []shard.Load{{key("a"), 70, 2, 0}, {key("b"), 70, 40, 0}}, 0.9, "b", false},
+		{"no free slots", []shard.Load{{key("b"), 70, 0, 0}, {key("a"), 70, 0, 3}}, 0.1, "a", true},
+		{"no free slots, many requests wait in the zone", []shard.Load{{key("b"), 70, 0, 0}, {key("a"), 70, 0, 30}}, 0.5, "b", true},
+		{"no shard in the zone, no free slots", []shard.Load{{key("c"), 70, 0, 0}, {key("b"), 70, 0, 0}}, 0.6, "b", true},
+		{"no shard in the zone", []shard.Load{{key("c"), 70, 10, 0}, {key("b"), 70, 30, 0}}, 0.5, "b", false},
 	} {
-		i, stand := shard.Choose(tt.loads, "a", tt.draw)
-		if got := tt.loads[i].Key.Zone; got != tt.want || stand != tt.stand {
-			t.Errorf("%s: shard of zone %s, wait %v, want %s, %v", tt.name, got, stand, tt.want, tt.stand)
+		i, mayWait := shard.Choose(tt.loads, "a", tt.draw)
+		if got := tt.loads[i].Key.Zone; got != tt.want || mayWait != tt.mayWait {
+			t.Errorf("%s: shard of zone %s, wait %v, want %s, %v", tt.name, got, mayWait, tt.want, tt.mayWait)
 		}
 	}
 }
