--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -1,14 +1,14 @@
-// Package limit enforces rate limits that endpoints name, over all entries together.
+// Package limit enforces rate limits stated by endpoints over all entries together.
 //
-// The load it answers is an endpoint in need that states in its answers how many requests
-// a second it takes in all. If each entry enforced the limit by itself, the endpoint would
-// get a multiple of it; fixed shares would leave most of it unused while only some entries
-// have requests for it. Here every entry keeps a token bucket with the whole rate, and
-// takes its own requests and those that peers report out of it. The entries take tokens at
-// different levels, so that they do not all spend the same one before they have heard of
-// each other.
+// An overloaded endpoint states in its answers how many requests per second it accepts in
+// total. If each entry enforced the limit separately, the endpoint would receive a multiple
+// of it. With fixed shares, most of the limit would be unused while only some entries have
+// requests for the endpoint. Instead, each entry keeps a token bucket with the whole rate
+// and takes tokens for its own requests and for those that its peers report. Entries
+// require different token levels before they send, so that they do not all spend the same
+// token before they have received each other's reports.
 //
-// It uses no network, clock or random source. One goroutine owns a Book.
+// The package uses no network, clock or random source. A Limiter is owned by one goroutine.
 package limit
 
 import (
@@ -17,160 +17,165 @@
 )
 
 const (
-	// levelStep is the difference in level, in tokens, at which entries take.
+	// levelStep is the difference, in tokens, between the bucket levels that entries of
+	// successive ranks require.
 	levelStep = 0.25
-	// spareTokens is the capacity of a bucket beyond the highest of these levels.
-	spareTokens = 2
-	// minRate is the lowest rate, in requests a second: only an answer can end a limit.
+	// extraTokens is the capacity of a bucket beyond the highest of these levels.
+	extraTokens = 2
+	// minRate is the lowest rate, in requests per second. Only an answer can end a limit,
+	// so some requests must be sent.
 	minRate = 0.2
 	// maxDebt bounds how far peers can overdraw a bucket, in seconds of its rate.
 	maxDebt = 1
-	// maxEndpoints bounds the memory of a Book.
+	// maxEndpoints bounds the memory of a Limiter.
 	maxEndpoints = 1 << 14
-	// maxReports bounds the reports of one call.
+	// maxReports bounds the number of reports returned by one call.
 	maxReports = 64
 )
 
-// Share is an entry's share in a limit.
+// Share is an entry's share of a limit.
 type Share struct {
-	// Part is the part of the rate that this entry and the peers that it hears may use.
+	// RateShare is the share of the rate that this entry and its reachable peers may use
+	// together.
 	Part float64
-	// Rank is the entry's rank among Entries, which is at least one.
+	// Rank is the entry's rank among Entries entries, from zero. Entries is at least one.
 	Rank, Entries int
 }
 
-// Book tracks the limits of endpoints.
+// Limiter tracks the rate limits of endpoints.
 type Book struct {
-	// endpoints has at most maxEndpoints entries.
+	// endpoints has at most maxEndpoints elements.
 	endpoints map[string]*bucket
 }
 
 // bucket is the token bucket of an endpoint.
 type bucket struct {
-	// rate is in requests a second, valid if limited.
+	// rate is in requests per second and valid if limited is set.
 	rate    float64
 	limited bool
-	// observed is when the answer arrived that stated rate and limited.
-	observed time.Duration
-	// tokens is the level at time filled; negative if peers have overdrawn it.
-	tokens float64
-	filled time.Duration
-	// sent counts requests of this entry, peers holds the counts that peers reported.
+	// observedAt is the time of the answer that stated rate and limited.
+	observedAt time.Duration
+	// tokens is the number of tokens at time filledAt. It is negative if peers have
+	// overdrawn the bucket.
+	tokens   float64
+	filledAt time.Duration
+	// sent counts the requests of this entry; peers holds the counts that peers have
+	// reported.
 	sent  float64
 	peers map[string]float64
-	// dirty is set while peers have not been told of the latest change.
+	// dirty is set while the latest change has not been reported to peers.
 	dirty bool
 }
 
-// New returns an empty Book.
+// New returns a limiter without limits.
 func New() *Book { return &Book{endpoints: make(map[string]*bucket)} }
 
-// Observe records what an answer states about its endpoint's limit, and reports whether
-// that is new. An answer that states no limit ends one only if its request was sent after
-// the last answer that did: answers may overtake each other.
-func (b *Book) Observe(now time.Duration, id string, sent time.Duration, rate float64, limited bool) (changed bool) {
-	k := b.endpoints[id]
-	if !limited && (k == nil || !k.limited || sent <= k.observed) {
+// Observe records what an answer states about the endpoint's limit and reports whether the
+// limit changed. An answer without a limit ends the limit only if its request was sent
+// after the last answer that stated one, because answers may overtake each other.
+func (l *Book) Observe(now time.Duration, id string, sentAt time.Duration, rate float64, limited bool) (changed bool) {
+	k := l.endpoints[id]
+	if !limited && (k == nil || !k.limited || sentAt <= k.observedAt) {
 		return false
 	}
 	if k == nil {
-		if k = b.add(now, id); k == nil {
+		if k = l.addEndpoint(now, id); k == nil {
 			return false
 		}
 	}
-	changed = k.set(now, now, rate, limited)
+	changed = k.setLimit(now, now, rate, limited)
 	k.dirty = k.dirty || changed
 	return changed
 }
 
-// add returns the bucket of a new endpoint, nil if there are too many.
-func (b *Book) add(now time.Duration, id string) *bucket {
-	if len(b.endpoints) >= maxEndpoints {
+// addEndpoint returns the bucket of a new endpoint, or nil if there are too many endpoints.
+func (l *Book) addEndpoint(now time.Duration, id string) *bucket {
+	if len(l.endpoints) >= maxEndpoints {
 		return nil
 	}
-	k := &bucket{filled: now, peers: make(map[string]float64)}
-	b.endpoints[id] = k
+	k := &bucket{filledAt: now, peers: make(map[string]float64)}
+	l.endpoints[id] = k
 	return k
 }
 
-func (k *bucket) set(now, observed time.Duration, rate float64, limited bool) (changed bool) {
+func (k *bucket) setLimit(now, observedAt time.Duration, rate float64, limited bool) (changed bool) {
 	rate = max(rate, minRate)
 	changed = limited != k.limited || limited && rate != k.rate
 	if limited && !k.limited {
-		k.tokens, k.filled = min(k.tokens, 0), now
+		k.tokens, k.filledAt = min(k.tokens, 0), now
 	}
-	k.rate, k.limited, k.observed = rate, limited, observed
+	k.rate, k.limited, k.observedAt = rate, limited, observedAt
 	return changed
 }
 
-// Empty reports whether no limit is known.
-func (b *Book) Empty() bool { return len(b.endpoints) == 0 }
+// Empty reports whether no endpoint is tracked.
+func (l *Book) Empty() bool { return len(l.endpoints) == 0 }
 
-// Rate returns the limit of an endpoint in requests a second and whether it has one.
-func (b *Book) Rate(id string) (rate float64, ok bool) {
-	k := b.endpoints[id]
+// Rate returns the limit of an endpoint in requests per second and whether it has one.
+func (l *Book) Rate(id string) (rate float64, ok bool) {
+	k := l.endpoints[id]
 	if k == nil || !k.limited {
 		return 0, false
 	}
 	return k.rate, true
 }
 
-// Available returns how many requests may be sent to an endpoint now and, if none, the
-// time until one may.
-func (b *Book) Available(now time.Duration, id string, s Share) (n int, wait time.Duration) {
-	k := b.endpoints[id]
+// Available returns the number of requests that may be sent to an endpoint now and, if it
+// is zero, the time until one may be sent.
+func (l *Book) Available(now time.Duration, id string, s Share) (n int, wait time.Duration) {
+	k := l.endpoints[id]
 	if k == nil || !k.limited {
 		return math.MaxInt, 0
 	}
-	k.fill(now, s)
+	k.refill(now, s)
 	tokens := k.tokens - float64(s.Rank)*levelStep
 	if tokens >= 1 {
 		return int(tokens), 0
 	}
-	return 0, time.Duration((1 - tokens) / s.rate(k) * float64(time.Second))
+	return 0, time.Duration((1 - tokens) / s.fillRate(k) * float64(time.Second))
 }
 
-// rate returns the rate at which an entry fills a bucket.
-func (s Share) rate(k *bucket) float64 { return k.rate * max(s.Part, 1e-3) }
+// fillRate returns the rate at which this entry fills a bucket, in tokens per second.
+func (s Share) fillRate(k *bucket) float64 { return k.rate * max(s.Part, 1e-3) }
 
-func (k *bucket) fill(now time.Duration, s Share) {
-	if elapsed := now - k.filled; elapsed > 0 {
-		k.tokens += elapsed.Seconds() * s.rate(k)
+func (k *bucket) refill(now time.Duration, s Share) {
+	if elapsed := now - k.filledAt; elapsed > 0 {
+		k.tokens += elapsed.Seconds() * s.fillRate(k)
 	}
-	k.filled = now
+	k.filledAt = now
 	peers := float64(max(s.Entries, 1) - 1)
-	k.tokens = min(k.tokens, spareTokens+peers*levelStep)
+	k.tokens = min(k.tokens, extraTokens+peers*levelStep)
 	k.tokens = max(k.tokens, -peers-maxDebt*k.rate)
 }
 
-// Take records a request that is sent to an endpoint.
-func (b *Book) Take(id string) { b.spend(id, 1) }
+// Take records that a request is sent to an endpoint.
+func (l *Book) Take(id string) { l.spend(id, 1) }
 
-// Return takes back a request that did not reach its endpoint.
-func (b *Book) Return(id string) { b.spend(id, -1) }
+// Return returns the token of a request that did not reach its endpoint.
+func (l *Book) Return(id string) { l.spend(id, -1) }
 
-func (b *Book) spend(id string, n float64) {
-	if k := b.endpoints[id]; k != nil && k.limited {
+func (l *Book) spend(id string, n float64) {
+	if k := l.endpoints[id]; k != nil && k.limited {
 		k.sent += n
 		k.tokens -= n
 		k.dirty = true
 	}
 }
 
-// Keep forgets all endpoints but those that are known.
-func (b *Book) Keep(known func(id string) bool) {
-	for id := range b.endpoints {
+// Retain drops all endpoints for which known returns false.
+func (l *Book) Keep(known func(id string) bool) {
+	for id := range l.endpoints {
 		if !known(id) {
-			delete(b.endpoints, id)
+			delete(l.endpoints, id)
 		}
 	}
 }
 
-// Report is what an entry knows of the limit of an endpoint.
+// Report is the state of an endpoint's limit at one entry, as sent to its peers.
 type Report struct {
 	Endpoint string
-	// Rate is in requests a second, valid if Limited; Age is the age of the answer that
-	// stated it.
+	// Rate is in requests per second and valid if Limited is set. Age is the age of the
+	// answer that stated it.
 	Rate    float64
 	Limited bool
 	Age     time.Duration
@@ -178,52 +183,52 @@
 	Sent float64
 }
 
-// Reports returns reports on endpoints that changed since they were last reported, at most
-// maxReports. If again is set it also reports, by and by, the limits under which this entry
-// has sent requests, for a new peer.
-func (b *Book) Reports(now time.Duration, again bool) []Report {
+// Reports returns reports on the endpoints that changed since they were last reported, at
+// most maxReports. If resend is set, for a new peer, it also marks the limits under which
+// this entry has sent requests for reporting, over several calls if needed.
+func (l *Book) Reports(now time.Duration, resend bool) []Report {
 	var out []Report
-	for id, k := range b.endpoints {
-		k.dirty = k.dirty || again && k.limited && k.sent > 0
+	for id, k := range l.endpoints {
+		k.dirty = k.dirty || resend && k.limited && k.sent > 0
 		if !k.dirty || len(out) >= maxReports {
 			continue
 		}
 		k.dirty = false
-		out = append(out, Report{Endpoint: id, Rate: k.rate, Limited: k.limited, Age: max(now-k.observed, 0), Sent: k.sent})
+		out = append(out, Report{Endpoint: id, Rate: k.rate, Limited: k.limited, Age: max(now-k.observedAt, 0), Sent: k.sent})
 	}
 	return out
 }
 
-// Merge merges a peer's report and returns whether the limit has changed. The latest
-// answer prevails, whichever entry observed it.
-func (b *Book) Merge(now time.Duration, peer string, r Report) (changed bool) {
-	k := b.endpoints[r.Endpoint]
+// Merge merges a peer's report and reports whether the limit changed. The latest answer
+// determines the limit, whichever entry observed it.
+func (l *Book) Merge(now time.Duration, peer string, r Report) (changed bool) {
+	k := l.endpoints[r.Endpoint]
 	added := k == nil
 	if added {
 		if !r.Limited {
 			return false
 		}
-		if k = b.add(now, r.Endpoint); k == nil {
+		if k = l.addEndpoint(now, r.Endpoint); k == nil {
 			return false
 		}
 	}
-	if at := now - r.Age; added || at > k.observed {
-		changed = k.set(now, at, r.Rate, r.Limited)
+	if observedAt := now - r.Age; added || observedAt > k.observedAt {
+		changed = k.setLimit(now, observedAt, r.Rate, r.Limited)
 	}
-	before, known := k.peers[peer]
+	previous, known := k.peers[peer]
 	k.peers[peer] = r.Sent
 	if known {
-		k.tokens -= r.Sent - before
+		k.tokens -= r.Sent - previous
 	} else {
-		// Most of what the peer sent before the first report was sent long ago.
+		// Most requests counted in a peer's first report were sent long ago.
 		k.tokens -= min(r.Sent, 1)
 	}
 	return changed
 }
 
 // Forget drops the counts of a peer that was restarted.
-func (b *Book) Forget(peer string) {
-	for _, k := range b.endpoints {
+func (l *Book) Forget(peer string) {
+	for _, k := range l.endpoints {
 		delete(k.peers, peer)
 	}
 }
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -8,87 +8,90 @@
 	"time"
 )
 
-// Guards against limits that an overtaken answer ends, or that never end.
+// A limit must not end because of an answer that was overtaken by another one, and must not
+// last forever.
 func TestAnswersBeginAndEndLimits(t *testing.T) {
-	b := New()
-	if b.Observe(1, "e", 0, 0, false) {
-		t.Error("an answer without a limit changes something")
+	l := New()
+	if l.Observe(1, "e", 0, 0, false) {
+		t.Error("an answer without a limit changes the state")
 	}
-	if !b.Observe(2*time.Second, "e", time.Second, 3, true) || b.Observe(3*time.Second, "e", time.Second, 3, true) {
-		t.Error("a limit begins not just once")
+	if !l.Observe(2*time.Second, "e", time.Second, 3, true) || l.Observe(3*time.Second, "e", time.Second, 3, true) {
+		t.Error("a limit does not begin exactly once")
 	}
-	if b.Observe(4*time.Second, "e", 2*time.Second, 0, false) {
-		t.Error("an answer to a request from before the last word ends the limit")
+	if l.Observe(4*time.Second, "e", 2*time.Second, 0, false) {
+		t.Error("an answer to a request sent before the last stated limit ends the limit")
 	}
-	if !b.Observe(5*time.Second, "e", 4*time.Second, 0, false) {
+	if !l.Observe(5*time.Second, "e", 4*time.Second, 0, false) {
 		t.Error("an answer without a limit does not end it")
 	}
-	if n, _ := b.Available(5*time.Second, "e", Share{Part: 1, Entries: 1}); n != math.MaxInt {
+	if n, _ := l.Available(5*time.Second, "e", Share{Part: 1, Entries: 1}); n != math.MaxInt {
 		t.Errorf("%d available without a limit", n)
 	}
 }
 
-// Guards against an endpoint that states a limit of zero and never gets a request again.
+// An endpoint that states a limit of zero must still get a request now and then, or it
+// could never end the limit.
 func TestZeroLimitCanEnd(t *testing.T) {
-	b := New()
-	b.Observe(0, "e", 0, 0, true)
-	n, next := b.Available(0, "e", Share{Part: 1, Entries: 1})
+	l := New()
+	l.Observe(0, "e", 0, 0, true)
+	n, next := l.Available(0, "e", Share{Part: 1, Entries: 1})
 	if n > 0 || next <= 0 || next > 10*time.Second {
 		t.Errorf("%d available, next after %v", n, next)
 	}
 }
 
-// Guards against memory that grows with endpoints that are gone.
-func TestEndpointsAreBounded(t *testing.T) {
-	b := New()
+// The memory of a limiter must not grow with endpoints that no longer exist.
+func TestNumberOfEndpointsIsBounded(t *testing.T) {
+	l := New()
 	for i := range maxEndpoints + 10 {
-		b.Merge(0, "p", Report{Endpoint: fmt.Sprint(i), Rate: 1, Limited: true})
+		l.Merge(0, "p", Report{Endpoint: fmt.Sprint(i), Rate: 1, Limited: true})
 	}
-	if len(b.endpoints) != maxEndpoints {
-		t.Errorf("%d endpoints", len(b.endpoints))
+	if len(l.endpoints) != maxEndpoints {
+		t.Errorf("%d endpoints", len(l.endpoints))
 	}
-	b.Keep(func(id string) bool { return id == "1" })
-	if _, ok := b.Rate("1"); !ok || len(b.endpoints) != 1 {
-		t.Errorf("%d endpoints are kept, the known one: %v", len(b.endpoints), ok)
+	l.Keep(func(id string) bool { return id == "1" })
+	if _, ok := l.Rate("1"); !ok || len(l.endpoints) != 1 {
+		t.Errorf("%d endpoints are kept, the known one: %v", len(l.endpoints), ok)
 	}
 }
 
 const (
-	simStep = time.Millisecond
-	simTime = 40 * time.Second
-	simSpan = 4 * time.Second
+	simStep     = time.Millisecond
+	simDuration = 40 * time.Second
+	simSpan     = 4 * time.Second
 )
 
-// sim is entries that send to one endpoint, on simulated time.
+// sim simulates entries that send requests to one endpoint.
 type sim struct {
-	rnd   *rand.Rand
-	way   time.Duration
-	every time.Duration
-	books []*Book
-	// cut holds until when an entry hears nobody; loud is set for those with requests.
-	cut    []time.Duration
-	told   []simReport
-	sent   []time.Duration
-	rate   float64
-	demand float64
-	// owners is set if one entry places nearly all requests; who that is changes, and two
-	// take themselves for it for a while.
-	owners bool
+	rnd            *rand.Rand
+	delay          time.Duration
+	reportInterval time.Duration
+	books          []*Book
+	// cutUntil is the time until which an entry is cut off from all others.
+	cutUntil  []time.Duration
+	inTransit []simReport
+	sentAt    []time.Duration
+	rate      float64
+	demand    float64
+	// hasOwner is set if one entry places nearly all requests. The owner changes from time
+	// to time, and two entries then act as the owner for a while.
+	hasOwner bool
 }
 
 type simReport struct {
 	at       time.Duration
 	from, to int
-	w        Report
+	report   Report
 }
 
-// heard returns how many entries one hears, itself included.
-func (s *sim) heard(now time.Duration, i int) int {
-	if now < s.cut[i] {
+// reachable returns the number of entries that an entry receives reports from, itself
+// included.
+func (s *sim) reachable(now time.Duration, i int) int {
+	if now < s.cutUntil[i] {
 		return 1
 	}
 	n := 0
-	for _, until := range s.cut {
+	for _, until := range s.cutUntil {
 		if now >= until {
 			n++
 		}
@@ -96,11 +99,11 @@
 	return n
 }
 
-// share returns the part of an entry in the limit, and its demand of all.
+// share returns an entry's share of the limit and its demand in requests per second.
 func (s *sim) share(now time.Duration, i int) (Share, float64) {
 	n := len(s.books)
-	if !s.owners {
-		return Share{Part: float64(s.heard(now, i)) / float64(n), Rank: i, Entries: n}, s.demand
+	if !s.hasOwner {
+		return Share{Part: float64(s.reachable(now, i)) / float64(n), Rank: i, Entries: n}, s.demand
 	}
 	const term, overlap = 13 * time.Second, 1500 * time.Millisecond
 	owner := int(now/term) % n
@@ -110,60 +113,60 @@
 	return Share{Part: 1 / float64(n), Entries: 1}, s.demand / 20
 }
 
-func (s *sim) play() {
-	told := make([]time.Duration, len(s.books))
-	for now := simStep; now < simTime; now += simStep {
-		for i, b := range s.books {
+func (s *sim) run() {
+	reportedAt := make([]time.Duration, len(s.books))
+	for now := simStep; now < simDuration; now += simStep {
+		for i, l := range s.books {
 			share, demand := s.share(now, i)
 			if s.rnd.Float64() < demand*simStep.Seconds() {
-				if n, _ := b.Available(now, "e", share); n > 0 {
-					b.Take("e")
-					s.sent = append(s.sent, now)
-					b.Observe(now, "e", now, s.rate, true)
+				if n, _ := l.Available(now, "e", share); n > 0 {
+					l.Take("e")
+					s.sentAt = append(s.sentAt, now)
+					l.Observe(now, "e", now, s.rate, true)
 				}
 			}
-			if now-told[i] >= s.every {
-				told[i] = now
-				for _, w := range b.Reports(now, false) {
+			if now-reportedAt[i] >= s.reportInterval {
+				reportedAt[i] = now
+				for _, r := range l.Reports(now, false) {
 					for j := range s.books {
 						if j != i {
-							s.told = append(s.told, simReport{now + s.way, i, j, w})
+							s.inTransit = append(s.inTransit, simReport{now + s.delay, i, j, r})
 						}
 					}
 				}
 			}
 			switch s.rnd.IntN(20000 * len(s.books)) {
 			case 0:
-				s.cut[i] = now + 3*time.Second
+				s.cutUntil[i] = now + 3*time.Second
 			case 1:
 				s.books[i] = New()
 				for j, o := range s.books {
 					o.Forget(fmt.Sprint(i))
-					for _, w := range o.Reports(now, true) {
-						s.told = append(s.told, simReport{now + s.way, j, i, w})
+					for _, r := range o.Reports(now, true) {
+						s.inTransit = append(s.inTransit, simReport{now + s.delay, j, i, r})
 					}
 				}
 			}
 		}
 		n := 0
-		for _, w := range s.told {
+		for _, r := range s.inTransit {
 			switch {
-			case now < w.at:
-				s.told[n] = w
+			case now < r.at:
+				s.inTransit[n] = r
 				n++
-			case now >= s.cut[w.from] && now >= s.cut[w.to] && w.from != w.to:
-				s.books[w.to].Merge(now, fmt.Sprint(w.from), w.w)
+			case now >= s.cutUntil[r.from] && now >= s.cutUntil[r.to] && r.from != r.to:
+				s.books[r.to].Merge(now, fmt.Sprint(r.from), r.report)
 			}
 		}
-		s.told = s.told[:n]
+		s.inTransit = s.inTransit[:n]
 	}
 }
 
-// most returns the most requests in a span.
-func (s *sim) most() int {
+// maxInSpan returns the largest number of requests sent within simSpan.
+func (s *sim) maxInSpan() int {
 	most, from := 0, 0
-	for i, at := range s.sent {
-		for s.sent[from] <= at-simSpan {
+	for i, at := range s.sentAt {
+		for s.sentAt[from] <= at-simSpan {
 			from++
 		}
 		most = max(most, i-from+1)
@@ -171,9 +174,9 @@
 	return most
 }
 
-// Guards against entries that exceed a limit together, while reports are on their way,
-// after cuts and restarts, or that leave it unused.
-func TestEntriesEnforceALimitTogether(t *testing.T) {
+// Entries must not exceed a limit together while reports are in transit, during partitions
+// or after restarts. They must also not leave it mostly unused.
+func TestEntriesEnforceLimitTogether(t *testing.T) {
 	for _, tc := range []struct {
 		entries    int
 		way, every time.Duration
@@ -189,21 +192,21 @@
 		for _, rate := range []float64{0.3, 1, 2.2, 3.3, 10, 60} {
 			for _, demand := range []float64{0.5, 3} {
 				s := &sim{
-					rnd: rand.New(rand.NewPCG(uint64(tc.entries), uint64(10*rate))), way: tc.way, every: tc.every, cut: make([]time.Duration, tc.entries), rate: rate,
-					demand: demand * max(rate, 1), owners: tc.owners,
+					rnd: rand.New(rand.NewPCG(uint64(tc.entries), uint64(10*rate))), delay: tc.way, reportInterval: tc.every, cutUntil: make([]time.Duration, tc.entries), rate: rate,
+					demand: demand * max(rate, 1), hasOwner: tc.owners,
 				}
 				for range tc.entries {
-					b := New()
-					b.Observe(0, "e", 0, rate, true)
-					s.books = append(s.books, b)
+					l := New()
+					l.Observe(0, "e", 0, rate, true)
+					s.books = append(s.books, l)
 				}
-				s.play()
-				if most, allowed := s.most(), 1.5*rate*simSpan.Seconds()+5; float64(most) > allowed {
+				s.run()
+				if most, allowed := s.maxInSpan(), 1.5*rate*simSpan.Seconds()+5; float64(most) > allowed {
 					t.Errorf("%d entries, limit %v, demand %v: %d requests in %v, %.0f allowed", tc.entries, rate, s.demand, most, simSpan, allowed)
 				}
-				used := float64(len(s.sent)) / simTime.Seconds()
+				used := float64(len(s.sentAt)) / simDuration.Seconds()
 				if used < 0.7*min(rate, s.demand*float64(tc.entries)) {
-					t.Errorf("%d entries, limit %v, demand %v: %.2f a second sent", tc.entries, rate, s.demand, used)
+					t.Errorf("%d entries, limit %v, demand %v: %.2f requests per second sent", tc.entries, rate, s.demand, used)
 				}
 			}
 		}
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -1,183 +1,181 @@
-// Package quota bounds what each customer uses over all entries together.
+// Package quota limits what each customer uses over all entries together.
 //
-// The load it answers is one customer that sends many times its usual through
-// every entry at once. An entry that counted only for itself would let through
-// as many limits as there are entries; one that took a fixed share would refuse
-// a customer whose connections all land on one entry. So every entry counts its
-// own use and takes in the totals that the others tell it several times a
-// second, and all fill and drain the same bucket in effect.
+// A customer may send many times its usual load through every entry at once. If each entry
+// counted only its own requests, the customer would get one limit per entry. With fixed
+// shares, an entry would refuse a customer whose connections all end at that entry.
+// Instead, each entry counts its own use and merges the totals that the others report
+// several times per second, so all entries effectively share one token bucket.
 //
-// An entry that does not hear from k of n others cannot know what they admit.
-// It then admits the heard share of the limit, as the unheard ones do with
-// theirs, so that the sum stays within the limit while the network is parted.
+// An entry that does not receive reports from k of n other entries cannot know what they
+// admit. It then uses only the reachable entries' share of the limit, as the others do with
+// theirs, so the sum stays within the limit during a network partition.
 //
-// It uses no network, clock or random source. One goroutine owns a Book.
+// The package uses no network, clock or random source. A Limiter is owned by one goroutine.
 package quota
 
 import "time"
 
-// startShare is the part of a burst that a new bucket holds: all entries may
-// start at once, and with whole bursts a customer would get one each time.
-const startShare = 0.5
+// initialBurstShare is the share of the burst that a new bucket holds. All entries may
+// start at once, and with full buckets a customer would get several whole bursts each time.
+const initialBurstShare = 0.5
 
-// shortestWait is the least time that a refused caller is told to wait: the
-// time in which entries hear of each other. Each caller is told the same: later
-// times for later callers leave free what the limit earns meanwhile, 2 to 4 in
-// 100 of what the callers could have (two calm days, one run each).
-const shortestWait = 30 * time.Millisecond
+// minWait is the shortest time that a refused caller is told to wait, the time in which
+// entries receive each other's totals. It is the same for all callers: longer waits for
+// later callers leave free what is earned meanwhile, 2 to 4 in 100 units of what the
+// callers could use.
+const minWait = 30 * time.Millisecond
 
 // Limit is what one customer may use.
 type Limit struct {
-	// Rate is in units a second, Burst in units. A zero Rate means no limit.
+	// Rate is in units per second, Burst in units. A zero Rate means no limit.
 	Rate, Burst float64
 }
 
-// Tolerance is by how much the use of a customer may exceed its limit, all
-// entries together.
+// Tolerance is how much a customer's use of all entries together may exceed its limit.
 type Tolerance struct {
-	// Over is a share of the limit, Slack a number of units on top.
+	// Over is a share of the limit, Slack a number of additional units.
 	Over, Slack float64
 }
 
-// toleranceShare is the part of the tolerance that is given to customers. Work
-// within the limit that is refused is lost, work a little beyond it does no
-// harm, and what the entries count differs from what the operator counts at the
-// edges of time windows. The other part is for what entries admit before they
-// have heard of each other.
-const toleranceShare = 0.5
+// grantedToleranceShare is the share of the tolerance that is granted to customers. Refused
+// work within the limit is lost, while slightly more work does no harm, and the entries'
+// counts differ from the operator's at the edges of time windows. The rest of the tolerance
+// covers requests that entries admit before they receive each other's totals.
+const grantedToleranceShare = 0.5
 
-// With returns the limit up to which requests are admitted.
+// WithTolerance returns the limit up to which requests are admitted.
 func (l Limit) With(t Tolerance) Limit {
 	if l.Rate <= 0 {
 		return l
 	}
-	return Limit{Rate: l.Rate * (1 + toleranceShare*t.Over), Burst: l.Burst + toleranceShare*t.Slack}
+	return Limit{Rate: l.Rate * (1 + grantedToleranceShare*t.Over), Burst: l.Burst + grantedToleranceShare*t.Slack}
 }
 
-// Book counts the use of all customers.
+// Limiter tracks the use of all customers.
 type Book struct {
-	// heard and known count entries, this one included; heard is at most known.
-	heard, known int
-	buckets      map[string]*bucket
-	// peers holds the last total of each customer that a peer told.
-	peers map[string]map[string]float64
+	// reachableEntries and knownEntries count entries, including this one. reachableEntries
+	// is at most knownEntries.
+	reachableEntries, knownEntries int
+	buckets                        map[string]*bucket
+	// peerTotals holds the last total that each peer reported for each customer.
+	peerTotals map[string]map[string]float64
 }
 
 type bucket struct {
 	limit Limit
-	// level is at most the burst; it falls below zero when peers used more
-	// than was known here.
+	// level is the number of units left, at most the burst. It is negative if requests or
+	// peers used more than was left.
 	level float64
-	// used is the total that this entry admitted and that was not returned.
-	used   float64
-	filled time.Duration
+	// used is the total number of units that this entry admitted and that were not
+	// returned.
+	used     float64
+	filledAt time.Duration
 }
 
-// New returns an empty book of an entry that knows no other.
+// New returns a limiter for an entry that knows no other entry.
 func New() *Book {
-	return &Book{heard: 1, known: 1, buckets: make(map[string]*bucket), peers: make(map[string]map[string]float64)}
+	return &Book{reachableEntries: 1, knownEntries: 1, buckets: make(map[string]*bucket), peerTotals: make(map[string]map[string]float64)}
 }
 
-// Reach says from how many of the known entries this one hears, itself included.
-func (b *Book) Reach(heard, known int) {
-	b.known = max(known, 1)
-	b.heard = min(max(heard, 1), b.known)
+// SetEntries sets how many entries are known and from how many of them this one receives
+// reports, itself included.
+func (q *Book) Reach(reachable, known int) {
+	q.knownEntries = max(known, 1)
+	q.reachableEntries = min(max(reachable, 1), q.knownEntries)
 }
 
-// Take admits n units for a customer or refuses them. When it refuses, wait is
-// the time after which it would be admitted if nothing else came.
-func (b *Book) Take(now time.Duration, customer string, l Limit, n float64) (wait time.Duration, ok bool) {
-	k := b.bucket(now, customer, l)
+// Take admits a request of n units for a customer or refuses it. If it is refused, wait is
+// the time after which it would be admitted if no other request came.
+func (q *Book) Take(now time.Duration, customer string, l Limit, n float64) (wait time.Duration, ok bool) {
+	k := q.bucket(now, customer, l)
 	if l.Rate <= 0 {
 		k.used += n
 		return 0, true
 	}
-	share := b.share()
-	k.fill(now, share)
-	// Whatever its size, a request is admitted while anything is left; what it
-	// takes beyond is paid back before the next. If it had to find room for its
-	// whole size, the small requests of a customer at its limit would take each
-	// unit as it comes, and the large ones would never run.
+	share := q.reachableShare()
+	k.refill(now, share)
+	// A request of any size is admitted while units are left. The excess is paid back
+	// before the next one is admitted. If a request had to wait for its full size, the
+	// small requests of a customer at its limit would use up each unit, and its large
+	// requests would never be admitted.
 	if k.level <= 0 {
-		return shortestWait + time.Duration(-k.level/(l.Rate*share)*float64(time.Second)), false
+		return minWait + time.Duration(-k.level/(l.Rate*share)*float64(time.Second)), false
 	}
 	k.level -= n
 	k.used += n
 	return 0, true
 }
 
-// Return gives back what Take admitted for a request that never ran. The other
-// entries learn of it with the next total: without that a customer whose
-// requests are refused for want of room would be taken for one over its limit
-// at every entry but the one that refused them.
-func (b *Book) Return(customer string, n float64) {
-	if k := b.buckets[customer]; k != nil {
+// Return returns the units that Take admitted for a request that was never executed. The
+// other entries learn of it with the next total. Otherwise they would treat a customer
+// whose requests are refused for lack of capacity as one over its limit.
+func (q *Book) Return(customer string, n float64) {
+	if k := q.buckets[customer]; k != nil {
 		k.level = min(k.level+n, k.limit.Burst)
 		k.used -= n
 	}
 }
 
-// Told takes in a peer's total for a customer, which falls when the peer gave
-// something back. A peer that started again counts from zero; Forget comes first
-// then.
-func (b *Book) Told(peer, customer string, total float64) {
-	totals := b.peers[peer]
+// MergeTotal records a peer's total for a customer. The total decreases if the peer
+// returned units. A restarted peer counts from zero, so Forget must be called first.
+func (q *Book) Told(peer, customer string, total float64) {
+	totals := q.peerTotals[peer]
 	if totals == nil {
 		totals = make(map[string]float64)
-		b.peers[peer] = totals
+		q.peerTotals[peer] = totals
 	}
-	before, known := totals[customer]
+	previous, known := totals[customer]
 	totals[customer] = total
-	k := b.buckets[customer]
+	k := q.buckets[customer]
 	if k == nil {
 		return
 	}
 	if !known && total > k.limit.Burst {
-		// The total of a peer that was not heard before tells of use long ago;
-		// the burst is the most of it that can still matter.
-		total, before = k.limit.Burst, 0
+		// The total of a peer without earlier reports includes use from long ago. At most
+		// the burst of it still matters.
+		total, previous = k.limit.Burst, 0
 	}
-	k.level = min(k.level-(total-before), k.limit.Burst)
+	k.level = min(k.level-(total-previous), k.limit.Burst)
 }
 
 // Forget drops the totals of a peer that is gone.
-func (b *Book) Forget(peer string) { delete(b.peers, peer) }
+func (q *Book) Forget(peer string) { delete(q.peerTotals, peer) }
 
-// TotalsOf calls f with the totals that a peer told.
-func (b *Book) TotalsOf(peer string, f func(customer string, total float64)) {
-	for name, total := range b.peers[peer] {
+// PeerTotals calls f with the totals that a peer reported.
+func (q *Book) TotalsOf(peer string, f func(customer string, total float64)) {
+	for name, total := range q.peerTotals[peer] {
 		f(name, total)
 	}
 }
 
-// Totals calls f with the total of each customer that asked for anything here.
-func (b *Book) Totals(f func(customer string, total float64)) {
-	for name, k := range b.buckets {
+// OwnTotals calls f with this entry's total for each customer that has sent requests to it.
+func (q *Book) Totals(f func(customer string, total float64)) {
+	for name, k := range q.buckets {
 		f(name, k.used)
 	}
 }
 
-func (b *Book) share() float64 { return float64(b.heard) / float64(b.known) }
+func (q *Book) reachableShare() float64 { return float64(q.reachableEntries) / float64(q.knownEntries) }
 
-// bucket returns the bucket of a customer with the limit in force.
-func (b *Book) bucket(now time.Duration, customer string, l Limit) *bucket {
-	k := b.buckets[customer]
+// bucket returns the bucket of a customer and sets its current limit.
+func (q *Book) bucket(now time.Duration, customer string, l Limit) *bucket {
+	k := q.buckets[customer]
 	if k == nil {
-		k = &bucket{level: l.Burst * startShare, filled: now}
-		b.buckets[customer] = k
+		k = &bucket{level: l.Burst * initialBurstShare, filledAt: now}
+		q.buckets[customer] = k
 	}
 	k.limit = l
 	return k
 }
 
-func (k *bucket) fill(now time.Duration, share float64) {
-	passed := now - k.filled
-	k.filled = now
-	if passed > 0 {
-		k.level += k.limit.Rate * share * passed.Seconds()
+func (k *bucket) refill(now time.Duration, share float64) {
+	elapsed := now - k.filledAt
+	k.filledAt = now
+	if elapsed > 0 {
+		k.level += k.limit.Rate * share * elapsed.Seconds()
 	}
 	k.level = min(k.level, k.limit.Burst*share)
-	// What peers used beyond the limit is not held against the customer for
-	// longer than the time in which a whole burst is earned again.
+	// Use beyond the limit counts against the customer no longer than it takes to earn a
+	// whole burst.
 	k.level = max(k.level, -k.limit.Burst)
 }
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// run lets every entry be asked for far more than the limit, and tells totals
-// between those that hear each other every tell.
-func run(entries int, hears func(a, b int) bool, d, tell time.Duration) (total float64) {
+// admittedUnits sends each entry far more requests than the limit and returns the number of
+// units admitted. Entries that can reach each other exchange totals once per interval.
+func admittedUnits(entries int, canReach func(a, b int) bool, duration, interval time.Duration) (total float64) {
 	limit := Limit{Rate: 1000, Burst: 1000}
 	books := make([]*Book, entries)
 	for i := range books {
 		books[i] = New()
-		heard := 0
+		reachable := 0
 		for j := range entries {
-			if hears(i, j) {
-				heard++
+			if canReach(i, j) {
+				reachable++
 			}
 		}
-		books[i].Reach(heard, entries)
+		books[i].Reach(reachable, entries)
 	}
 	step := 10 * time.Millisecond
-	for now := time.Duration(0); now < d; now += step {
-		for _, b := range books {
+	for now := time.Duration(0); now < duration; now += step {
+		for _, q := range books {
 			for range 10 {
-				if _, ok := b.Take(now, "c", limit, 10); ok {
+				if _, ok := q.Take(now, "c", limit, 10); ok {
 					total += 10
 				}
 			}
 		}
-		if now%tell != 0 {
+		if now%interval != 0 {
 			continue
 		}
-		for i, b := range books {
-			b.Totals(func(c string, n float64) {
+		for i, q := range books {
+			q.Totals(func(c string, n float64) {
 				for j := range books {
-					if i != j && hears(i, j) {
+					if i != j && canReach(i, j) {
 						books[j].Told(string(rune('a'+i)), c, n)
 					}
 				}
@@ -46,95 +46,94 @@
 	return total
 }
 
-// One customer sends fifty times its limit through each of five entries. If
-// entries counted for themselves it would get five limits, and the others'
-// requests would wait behind it.
-func TestHotCustomerGetsOneLimitOverAllEntries(t *testing.T) {
-	got := run(5, func(int, int) bool { return true }, 8*time.Second, 50*time.Millisecond)
-	// The limit over eight seconds is 9000; a tenth more is the tolerance.
+// A customer sends fifty times its limit through each of five entries. If entries counted
+// separately, it would get five limits and delay the requests of other customers.
+func TestCustomerGetsOneLimitOverAllEntries(t *testing.T) {
+	got := admittedUnits(5, func(int, int) bool { return true }, 8*time.Second, 50*time.Millisecond)
+	// The limit over eight seconds is 9000; the tolerance is a tenth more.
 	if got > 9900 || got < 7500 {
 		t.Errorf("%.0f units in 8 s, want about 8500", got)
 	}
 }
 
-// Two entries of five are cut off from the others. Both sides go on serving,
-// and neither may give the whole limit.
-func TestPartedEntriesKeepTheSumWithinTheLimit(t *testing.T) {
-	got := run(5, func(a, b int) bool { return (a < 2) == (b < 2) }, 8*time.Second, 50*time.Millisecond)
+// Two of five entries are cut off from the others. Both sides continue to serve, and
+// neither may use the whole limit.
+func TestSumStaysWithinLimitDuringPartition(t *testing.T) {
+	got := admittedUnits(5, func(a, b int) bool { return (a < 2) == (b < 2) }, 8*time.Second, 50*time.Millisecond)
 	if got > 9900 || got < 7000 {
 		t.Errorf("%.0f units in 8 s, want about 8500", got)
 	}
 }
 
-// The endpoints are full, so one entry admits a customer's requests against the
-// limit and then refuses them for want of room. Another entry has heard of them.
-// If it were not told that they never ran, the customer would be refused there
-// for work that nobody did, as long as the overload lasts.
-func TestWorkThatNeverRanIsTakenBackEverywhere(t *testing.T) {
+// The endpoints are full, so one entry admits a customer's requests against the limit and
+// then refuses them for lack of capacity. Another entry has received the totals. If the
+// returned units were not reported to it, it would refuse the customer for work that was
+// never executed, as long as the overload lasts.
+func TestReturnedUnitsAreRestoredAtAllEntries(t *testing.T) {
 	limit := Limit{Rate: 100, Burst: 1000}
 	busy, other := New(), New()
 	busy.Reach(2, 2)
 	other.Reach(2, 2)
 	other.Take(0, "c", limit, 1)
-	tell := func() { busy.Totals(func(c string, total float64) { other.Told("busy", c, total) }) }
+	sendTotals := func() { busy.Totals(func(c string, total float64) { other.Told("busy", c, total) }) }
 	for range 40 {
 		if _, ok := busy.Take(0, "c", limit, 10); !ok {
 			t.Fatal("refused within the limit")
 		}
-		tell()
+		sendTotals()
 		busy.Return("c", 10)
-		tell()
+		sendTotals()
 	}
 	if wait, ok := other.Take(0, "c", limit, 400); !ok {
-		t.Errorf("refused for %v though the customer used next to nothing", wait)
+		t.Errorf("refused for %v although the customer used almost nothing", wait)
 	}
 	if _, ok := other.Take(0, "c", limit, 400); !ok {
-		t.Error("the unused half of a burst is gone")
+		t.Error("the unused half of a burst is missing")
 	}
 }
 
-func TestTakeTellsWhenToComeBack(t *testing.T) {
-	b := New()
+func TestTakeReturnsWaitUntilAdmission(t *testing.T) {
+	q := New()
 	limit := Limit{Rate: 100, Burst: 100}
-	b.Take(0, "c", limit, 70)
-	wait, ok := b.Take(0, "c", limit, 20)
-	if ok || wait != 200*time.Millisecond+shortestWait {
+	q.Take(0, "c", limit, 70)
+	wait, ok := q.Take(0, "c", limit, 20)
+	if ok || wait != 200*time.Millisecond+minWait {
 		t.Errorf("%v %v, want to wait 230ms", wait, ok)
 	}
-	if _, ok := b.Take(wait, "c", limit, 20); !ok {
-		t.Error("refused after the time that was told")
+	if _, ok := q.Take(wait, "c", limit, 20); !ok {
+		t.Error("refused after the returned wait")
 	}
 }
 
-// A customer at its limit sends small and large requests. The small ones take
-// each unit as it comes; the large ones must get their turn all the same.
-func TestLargeRequestsOfACustomerAtItsLimitRun(t *testing.T) {
-	b := New()
+// A customer at its limit sends small and large requests. The large ones must be admitted
+// although the small ones could use up each unit as it becomes free.
+func TestLargeRequestsAreAdmittedAtTheLimit(t *testing.T) {
+	q := New()
 	limit := Limit{Rate: 1000, Burst: 1000}
 	rnd := rand.New(rand.NewPCG(1, 2))
-	small, large, smallAsked, largeAsked := 0.0, 0.0, 0.0, 0.0
+	small, large, smallTotal, largeTotal := 0.0, 0.0, 0.0, 0.0
 	for now := time.Duration(0); now < 60*time.Second; now += time.Duration(rnd.IntN(int(10 * time.Millisecond))) {
 		if rnd.IntN(20) > 0 {
-			smallAsked++
-			if _, ok := b.Take(now, "c", limit, 10); ok {
+			smallTotal++
+			if _, ok := q.Take(now, "c", limit, 10); ok {
 				small++
 			}
 			continue
 		}
-		largeAsked++
-		if _, ok := b.Take(now, "c", limit, 400); ok {
+		largeTotal++
+		if _, ok := q.Take(now, "c", limit, 400); ok {
 			large++
 		}
 	}
-	if large/largeAsked < 0.5*small/smallAsked {
-		t.Errorf("%.0f of %.0f large and %.0f of %.0f small requests ran", large, largeAsked, small, smallAsked)
+	if large/largeTotal < 0.5*small/smallTotal {
+		t.Errorf("%.0f of %.0f large and %.0f of %.0f small requests were admitted", large, largeTotal, small, smallTotal)
 	}
 }
 
-func TestNoLimit(t *testing.T) {
-	b := New()
+func TestZeroRateMeansNoLimit(t *testing.T) {
+	q := New()
 	for range 1000 {
-		if _, ok := b.Take(0, "c", Limit{}, 1e9); !ok {
+		if _, ok := q.Take(0, "c", Limit{}, 1e9); !ok {
 			t.Fatal("refused without a limit")
 		}
 	}
--- a/core/trust/trust.go
+++ b/core/trust/trust.go
@@ -1,182 +1,181 @@
-// Package trust decides from the results of requests which endpoints are worth
-// sending to.
+// Package trust decides from the results of requests which endpoints are usable.
 //
-// The load it answers is an endpoint that answers its health check and fails
-// half of its requests, or that is gone while the instance list still names it.
-// Without it every entry goes on sending the failed endpoint its share, and
-// least-loaded placement sends it more than that, since failing is quick. Plain
-// results of requests are used in place of health checks: they are free, and
-// they show what callers get.
+// An endpoint may pass its health check and still fail half of its requests, or may be gone
+// while the instance list still names it. Without this package, entries would go on sending
+// it its share of requests, and least-loaded placement would send it even more, because
+// failing is quick. The package uses the results of ordinary requests instead of health
+// checks: they cost nothing extra and show what callers get.
 //
-// It uses no network, clock or random source. One goroutine owns a Book.
+// The package uses no network, clock or random source. A Tracker is owned by one goroutine.
 package trust
 
 import "time"
 
-// Result is how a request at an endpoint ended.
+// Result is the outcome of a request at an endpoint.
 type Result uint8
 
-// The results.
+// Results.
 const (
-	// Good is any whole answer that is not a server error.
+	// Success is a complete answer that is not a server error.
 	Good Result = iota
-	// Error is a whole answer with a server error; some requests earn one at
-	// any endpoint.
+	// ServerError is a complete answer with a server error. Some requests cause one at any
+	// endpoint.
 	Error
-	// Broken is an answer that broke off, was garbled or never came.
+	// Broken is an answer that broke off, was malformed or never came.
 	Broken
-	// Unreachable is a connection that could not be made.
+	// Unreachable means that no connection could be made.
 	Unreachable
 )
 
 var resultNames = [...]string{"good", "error", "broken", "unreachable"}
 
-// String returns the result as logs spell it.
+// String returns the result as it appears in logs.
 func (r Result) String() string { return resultNames[r] }
 
 const (
-	// errorWeight is the weight of one result in the average failure rate: ten
-	// or so results decide, a second or two of an endpoint's usual load.
-	errorWeight = 0.12
-	// failing is the failure rate above which an endpoint is avoided. Services
-	// whose requests fail by themselves reach 0.14, and the average of ten
-	// results strays to 0.35 one time in a thousand.
-	failing = 0.4
-	// firstPause and longestPause bound how long an endpoint is avoided before
-	// one request tries it again. A restart takes seconds; trying more often
-	// costs one caller's attempt each time.
-	firstPause   = 400 * time.Millisecond
-	longestPause = 3 * time.Second
-	// trialTime is how long a trial may stay without a result before another
-	// one is allowed, so that a lost result does not keep an endpoint out.
-	trialTime = 2 * time.Second
+	// resultWeight is the weight of one result in the average failure rate. About ten
+	// results, one or two seconds of an endpoint's usual load, determine it.
+	resultWeight = 0.12
+	// maxFailureRate is the failure rate above which an endpoint is avoided. Services
+	// that cause errors at every endpoint reach a rate of 0.14, and the average of ten
+	// of their results exceeds 0.35 one time in a thousand.
+	maxFailureRate = 0.4
+	// minPause and maxPause bound the time for which an endpoint is avoided before one
+	// request probes it. A restart takes seconds, and each probe costs one caller an
+	// attempt.
+	minPause = 400 * time.Millisecond
+	maxPause = 3 * time.Second
+	// probeTimeout is the time after which a probe without a result is ignored, so that a
+	// lost result does not exclude the endpoint forever.
+	probeTimeout = 2 * time.Second
 )
 
-// Book keeps what is known of the endpoints.
+// Tracker tracks the health of the endpoints.
 type Book struct {
 	health map[string]*health
 }
 
 type health struct {
-	// rate is the average share of failures, between 0 and 1.
-	rate float64
-	// pauses counts the pauses since the last good result.
-	pauses int
-	// until is the end of the pause; zero if there is none.
-	until time.Duration
-	// trial is when the request that tries the endpoint again was sent.
-	trial time.Duration
-	// trying is set while that request has no result.
-	trying bool
-	// unreachable is set if the last failure was that no connection could be
-	// made. Such an endpoint is tried with a connection, not with a request: a
-	// connection to a silent one takes a caller's whole target to fail.
+	// failureRate is the average share of failures, from 0 to 1.
+	failureRate float64
+	// pauseCount is the number of pauses, less one for each success.
+	pauseCount int
+	// pausedUntil is the end of the pause, or zero if there is none.
+	pausedUntil time.Duration
+	// probedAt is the time at which the last probe was sent.
+	probedAt time.Duration
+	// probing is set while that probe has no result.
+	probing bool
+	// unreachable is set if the last failure was that no connection could be made. Such an
+	// endpoint is probed with a connection instead of a request, because a connection
+	// attempt to a silent endpoint would use up a caller's whole target.
 	unreachable bool
 }
 
-// New returns a book that trusts every endpoint.
+// New returns a tracker for which every endpoint is usable.
 func New() *Book { return &Book{health: make(map[string]*health)} }
 
 // Usable reports whether requests may be sent to an endpoint.
-func (b *Book) Usable(now time.Duration, id string) bool {
-	h := b.health[id]
-	if h == nil || h.until == 0 {
+func (t *Book) Usable(now time.Duration, id string) bool {
+	h := t.health[id]
+	if h == nil || h.pausedUntil == 0 {
 		return true
 	}
-	if now < h.until || h.unreachable {
+	if now < h.pausedUntil || h.unreachable {
 		return false
 	}
-	return !h.trying || now-h.trial > trialTime
+	return !h.probing || now-h.probedAt > probeTimeout
 }
 
-// Sent records a request, which is the trial of an endpoint after its pause.
-func (b *Book) Sent(now time.Duration, id string) {
-	if h := b.health[id]; h != nil && h.until != 0 {
-		h.trying, h.trial = true, now
+// RecordSent records that a request is sent to an endpoint. If the endpoint was paused, the
+// request is its probe.
+func (t *Book) Sent(now time.Duration, id string) {
+	if h := t.health[id]; h != nil && h.pausedUntil != 0 {
+		h.probing, h.probedAt = true, now
 	}
 }
 
-// Change is what a result changed for an endpoint.
+// Change is the effect of a result on an endpoint's usability.
 type Change uint8
 
-// The changes.
+// Changes.
 const (
-	// Same means that the endpoint is as usable as before.
-	Same Change = iota
-	// Lost means that it has just become unusable, Regained that it is usable
-	// again.
+	// Unchanged means that the endpoint is as usable as before.
+	Unchanged Change = iota
+	// BecameUnusable and BecameUsable mean that the result changed the endpoint's
+	// usability.
 	Lost
 	Regained
 )
 
-// Ended records the result of a request and reports what it changed.
-func (b *Book) Ended(now time.Duration, id string, r Result) Change {
-	h := b.health[id]
+// RecordResult records the result of a request and returns the change that it caused.
+func (t *Book) Ended(now time.Duration, id string, r Result) Change {
+	h := t.health[id]
 	if h == nil {
 		if r == Good {
-			return Same
+			return Unchanged
 		}
 		h = new(health)
-		b.health[id] = h
+		t.health[id] = h
 	}
-	paused := h.until != 0
-	h.trying, h.unreachable = false, r == Unreachable
+	wasPaused := h.pausedUntil != 0
+	h.probing, h.unreachable = false, r == Unreachable
 	if r == Good {
-		h.good()
-		if paused {
+		h.recordSuccess()
+		if wasPaused {
 			return Regained
 		}
-		return Same
+		return Unchanged
 	}
-	h.rate += errorWeight * (1 - h.rate)
+	h.failureRate += resultWeight * (1 - h.failureRate)
 	if r == Broken {
-		// A broken answer costs its caller more than an error does and is no
-		// part of normal service: it counts twice.
-		h.rate += errorWeight * (1 - h.rate)
+		// A broken answer counts twice: it costs the caller more than an error and is never
+		// part of normal service.
+		h.failureRate += resultWeight * (1 - h.failureRate)
 	}
-	if r != Unreachable && h.rate < failing && !paused {
-		return Same
+	if r != Unreachable && h.failureRate < maxFailureRate && !wasPaused {
+		return Unchanged
 	}
-	h.pause(now)
-	if paused {
-		return Same
+	h.startPause(now)
+	if wasPaused {
+		return Unchanged
 	}
 	return Lost
 }
 
-func (h *health) good() {
-	h.rate -= errorWeight * h.rate
-	if h.until != 0 {
-		// The trial went well: what was held against the endpoint is halved, so
-		// that one good answer in two does not bring it back for long.
-		h.rate = min(h.rate, failing/2)
+func (h *health) recordSuccess() {
+	h.failureRate -= resultWeight * h.failureRate
+	if h.pausedUntil != 0 {
+		// After a successful probe, the failure rate drops to at most half of the maximum.
+		// An endpoint that fails every other request is then soon avoided again.
+		h.failureRate = min(h.failureRate, maxFailureRate/2)
 	}
-	h.until, h.pauses = 0, max(h.pauses-1, 0)
+	h.pausedUntil, h.pauseCount = 0, max(h.pauseCount-1, 0)
 }
 
-func (h *health) pause(now time.Duration) {
-	h.until = now + min(firstPause<<min(h.pauses, 8), longestPause)
-	h.pauses++
+func (h *health) startPause(now time.Duration) {
+	h.pausedUntil = now + min(minPause<<min(h.pauseCount, 8), maxPause)
+	h.pauseCount++
 }
 
-// Due calls f with each endpoint that is to be tried with a connection now, and
-// takes it for being tried.
-func (b *Book) Due(now time.Duration, f func(id string)) {
-	for id, h := range b.health {
-		if h.unreachable && now >= h.until && (!h.trying || now-h.trial > trialTime) {
-			h.trying, h.trial = true, now
+// StartConnectProbes calls f for each endpoint that is to be probed with a connection now,
+// and marks it as being probed.
+func (t *Book) Due(now time.Duration, f func(id string)) {
+	for id, h := range t.health {
+		if h.unreachable && now >= h.pausedUntil && (!h.probing || now-h.probedAt > probeTimeout) {
+			h.probing, h.probedAt = true, now
 			f(id)
 		}
 	}
 }
 
-// Reached records that a connection to an endpoint could be made: the next
-// request may try it.
-func (b *Book) Reached(now time.Duration, id string) {
-	if h := b.health[id]; h != nil && h.unreachable {
-		h.unreachable, h.trying, h.until = false, false, now
+// RecordConnected records that a connection to an unreachable endpoint could be made. The
+// next request may probe it.
+func (t *Book) Reached(now time.Duration, id string) {
+	if h := t.health[id]; h != nil && h.unreachable {
+		h.unreachable, h.probing, h.pausedUntil = false, false, now
 	}
 }
 
-// Forget drops what is known of an endpoint, as after its restart.
-func (b *Book) Forget(id string) { delete(b.health, id) }
+// Forget drops the state of an endpoint, for example after a restart.
+func (t *Book) Forget(id string) { delete(t.health, id) }
--- a/core/trust/trust_test.go
+++ b/core/trust/trust_test.go
@@ -5,84 +5,83 @@
 	"time"
 )
 
-// An endpoint crashes and the list still names it. One request meets it; from
-// then on it is tried with connections, a few in ten seconds.
-func TestUnreachableEndpointIsAvoidedAtOnce(t *testing.T) {
-	b, sent, tried := New(), 0, 0
+// An endpoint crashes while the instance list still names it. Only one request may fail
+// there. After that, the endpoint is probed with a few connections in ten seconds.
+func TestUnreachableEndpointIsAvoidedImmediately(t *testing.T) {
+	tracker, sent, probes := New(), 0, 0
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * time.Millisecond {
-		b.Due(now, func(id string) {
-			tried++
-			b.Ended(now+time.Millisecond, id, Unreachable)
+		tracker.Due(now, func(id string) {
+			probes++
+			tracker.Ended(now+time.Millisecond, id, Unreachable)
 		})
-		if b.Usable(now, "e") {
+		if tracker.Usable(now, "e") {
 			sent++
-			b.Sent(now, "e")
-			b.Ended(now+time.Millisecond, "e", Unreachable)
+			tracker.Sent(now, "e")
+			tracker.Ended(now+time.Millisecond, "e", Unreachable)
 		}
 	}
-	if sent > 1 || tried < 3 || tried > 7 {
-		t.Errorf("%d of 1000 requests and %d connections went to an endpoint that was gone", sent, tried)
+	if sent > 1 || probes < 3 || probes > 7 {
+		t.Errorf("%d of 1000 requests and %d connections went to an unreachable endpoint", sent, probes)
 	}
 }
 
-// A service answers one request in seven with an error of its own. That is how
-// it is, and avoiding its endpoints in turn would only crowd the others.
-func TestUsualErrorsAreNoReasonToAvoid(t *testing.T) {
-	b := New()
+// A service normally answers one request in seven with an error. Avoiding its endpoints in
+// turn would only overload the others.
+func TestUsualErrorRateKeepsEndpointUsable(t *testing.T) {
+	tracker := New()
 	for i := range 2000 {
 		r := Good
 		if i%7 == 0 {
 			r = Error
 		}
-		if b.Ended(time.Duration(i)*10*time.Millisecond, "e", r) == Lost {
+		if tracker.Ended(time.Duration(i)*10*time.Millisecond, "e", r) == Lost {
 			t.Fatalf("avoided after %d requests", i)
 		}
 	}
 }
 
-// An endpoint fails nine requests in twenty by breaking off while its health
-// check is good. Callers would lose these requests for as long as it lasts.
-func TestEndpointThatBreaksOffIsAvoided(t *testing.T) {
-	b, sent := New(), 0
+// An endpoint breaks off nine of twenty requests while its health check succeeds. Callers
+// would lose these requests as long as the fault lasts.
+func TestEndpointWithBrokenAnswersIsAvoided(t *testing.T) {
+	tracker, sent := New(), 0
 	for i := range 1000 {
 		now := time.Duration(i) * 10 * time.Millisecond
-		if !b.Usable(now, "e") {
+		if !tracker.Usable(now, "e") {
 			continue
 		}
 		sent++
-		b.Sent(now, "e")
+		tracker.Sent(now, "e")
 		r := Good
 		if i%20 < 9 {
 			r = Broken
 		}
-		b.Ended(now, "e", r)
+		tracker.Ended(now, "e", r)
 	}
 	if sent > 400 {
 		t.Errorf("%d of 1000 requests went to an endpoint that fails half of them", sent)
 	}
 }
 
-// After its restart the endpoint is good again and must get its share back
-// within the longest pause.
-func TestEndpointComesBack(t *testing.T) {
-	b := New()
+// After a restart, an endpoint must receive requests again within the longest pause.
+func TestEndpointIsUsedAgainAfterRestart(t *testing.T) {
+	tracker := New()
 	for i := range 20 {
-		b.Ended(time.Duration(i)*time.Millisecond, "e", Unreachable)
+		tracker.Ended(time.Duration(i)*time.Millisecond, "e", Unreachable)
 	}
-	now := time.Second + longestPause
-	if b.Usable(now, "e") {
-		t.Fatal("a caller's request is sent before a connection could be made")
+	now := time.Second + maxPause
+	if tracker.Usable(now, "e") {
+		t.Fatal("usable before a connection could be made")
 	}
-	b.Due(now, func(id string) { b.Reached(now, id) })
-	if !b.Usable(now, "e") {
-		t.Fatal("not tried again after a connection could be made")
+	tracker.Due(now, func(id string) { tracker.Reached(now, id) })
+	if !tracker.Usable(now, "e") {
+		t.Fatal("not usable after a connection could be made")
 	}
-	b.Sent(now, "e")
-	if b.Usable(now, "e") {
-		t.Fatal("a second request before the trial has its result")
+	tracker.Sent(now, "e")
+	if tracker.Usable(now, "e") {
+		t.Fatal("usable for a second request before the probe has a result")
 	}
-	b.Ended(now, "e", Good)
-	if !b.Usable(now, "e") {
-		t.Fatal("still avoided after a good trial")
+	tracker.Ended(now, "e", Good)
+	if !tracker.Usable(now, "e") {
+		t.Fatal("still avoided after a successful probe")
 	}
 }
