--- a/core/canary/canary.go
+++ b/core/canary/canary.go
@@ -1,256 +1,267 @@
-// Package canary moves a pool to endpoints of another version as an operator orders: it
-// decides how many requests the new version gets, whether it is bad, and when it
+// Package canary moves a pool to endpoints of another version when an operator orders it.
+// It decides how many requests the new version receives, whether it is bad, and when it
 // replaces the old one.
 //
-// The load it answers is a version of which part of the answers fail or are slow, from
-// the start or later, under load or on one route only, beside endpoints that are in
-// trouble of their own. Sent all requests at once it would fail all of them; judged by
-// few, a good one falls for its neighbours' trouble. Each entry sends a bounded part of
-// its own requests to the new version, so that the part holds over all entries whatever
-// they know of each other; what came of them is added up over all entries and compared
-// with the old version on the same routes at the same time.
+// A new version may fail or slow down a part of its answers, from the start or later, under
+// load or on one route only, while some endpoints have faults that are unrelated to the
+// version. If it received all requests at once, all of them could fail; if it were judged
+// by few answers, a good version could be blamed for unrelated faults. Each entry therefore
+// sends a bounded share of its own requests to the new version, so that the share holds
+// over all entries whatever they know about each other. The results of all entries are
+// added up and compared with those of the old version on the same routes at the same time.
 //
-// It uses no network, clock or random source. One goroutine owns a Book.
+// The package uses no network, clock or random source. A Controller is owned by one
+// goroutine.
 package canary
 
 import (
 	"time"
 )
 
-// Rule is what the operator allows a version that turns out to be bad.
+// Limit bounds the requests that may be sent to a new version, which may turn out to be
+// bad.
 type Rule struct {
-	// Share is the part of a pool's requests between order and deadline, Slack a number
-	// on top, over all entries. With a Share of zero nothing is rolled out: endpoints of
-	// all versions are in service.
+	// Share is the largest share of a pool's requests between order and deadline, and Slack
+	// a number of additional requests, both over all entries. With a Share of zero there
+	// are no rollouts, and the endpoints of all versions are in service.
 	Share, Slack float64
 }
 
 // Order is an operator's order to move a pool to a version.
 type Order struct {
 	Pool, Target string
-	// Over is the time that the operator gives it.
+	// Duration is the time that the operator allows for the rollout.
 	Over time.Duration
-	// Created and Revision are revisions of the platform: that of the first order of its
-	// name, and one at which the platform held this one. Of two orders for a pool the one
-	// with the higher Revision is the later.
+	// CreateRevision and Revision are revisions of the platform. CreateRevision is that of
+	// the first order with this name. Revision is one at which the platform held this
+	// order; of two orders for a pool, the one with the higher Revision is the later one.
 	Created, Revision int64
 }
 
-// same reports whether o and p are one order, which may be seen at several revisions.
-func (o Order) same(p Order) bool {
+// sameOrder reports whether o and p are the same order, possibly seen at different
+// revisions.
+func (o Order) sameOrder(p Order) bool {
 	return o.Pool == p.Pool && o.Target == p.Target && o.Over == p.Over && o.Created == p.Created
 }
 
-// State is how far an order is.
+// State is the state of an order.
 type State uint8
 
-// The states.
+// States.
 const (
-	// Running orders have no end yet.
+	// Running means that the order has not ended.
 	Running State = 1 + iota
-	// Complete means that the target has replaced the old version, RolledBack that it
-	// gets nothing any more.
+	// Complete means that the target has replaced the old version. RolledBack means that
+	// the target receives no more requests.
 	Complete
 	RolledBack
 )
 
 var stateNames = [...]string{"none", "running", "complete", "rolled back"}
 
-// String returns the state as logs spell it.
+// String returns the state as it appears in logs.
 func (s State) String() string { return stateNames[s] }
 
-// Use is what the endpoints of a version are used for.
+// Role is what the endpoints of a version are used for.
 type Use uint8
 
-// The uses.
+// Roles.
 const (
-	// Service endpoints take any request of the pool.
+	// InService endpoints accept any request of the pool.
 	Service Use = iota
-	// Trial endpoints take those that Take admits.
+	// OnTrial endpoints accept the requests that AdmitToTrial admits.
 	Trial
-	// Closed endpoints take none.
-	Closed
+	// OutOfService endpoints accept no requests.
+	OutOfService
 )
 
-// Book is what an entry knows of orders and versions.
+// Controller tracks the orders and versions of all pools at one entry.
 type Book struct {
-	rule  Rule
+	limit Rule
 	pools map[string]*pool
-	// known is set once all orders of some time were read.
-	known bool
-	// dirty is set when Use may have changed, see Changed.
-	dirty   bool
-	changes []Change
-	// reported is when evidence was last reported.
-	reported time.Duration
+	// ordersKnown is set once all orders as of some time have been read.
+	ordersKnown bool
+	// rolesChanged is set when the result of RoleOf may have changed, until
+	// TakeRolesChanged is called.
+	rolesChanged bool
+	changes      []Change
+	// reportedAt is the time at which evidence was last reported.
+	reportedAt time.Duration
 }
 
 type pool struct {
 	name string
-	// listed counts the endpoints of each version on the instance list.
-	listed map[string]int
-	// service holds the versions that take requests, refused those that may not, and fresh
-	// since when others were listed.
-	service, refused map[string]bool
-	fresh            map[string]time.Duration
-	// r is the latest order, nil if there is none; cancelled is the revision at which
-	// the platform last had none.
-	r         *rollout
-	cancelled int64
-	routes    map[string]*baseline
+	// endpointCounts is the number of endpoints of each version on the instance list.
+	endpointCounts map[string]int
+	// inService holds the versions that accept requests and refused those that must not.
+	// undecidedSince holds the time at which each other version was first listed.
+	inService, refused map[string]bool
+	undecidedSince     map[string]time.Duration
+	// rollout is the latest order, or nil. cancelRevision is the revision at which the
+	// platform last had no order for the pool.
+	rollout        *rollout
+	cancelRevision int64
+	baselines      map[string]*baseline
 }
 
-// Change is a change for the log.
+// Change is a change of an order's state, for the log.
 type Change struct {
 	Order Order
 	State State
 	// Age is the time since the order.
 	Age time.Duration
-	// Why says what decided, Finding by which answers.
+	// Reason says what caused the change. Finding is the evidence for it.
 	Why     string
 	Finding Finding
-	// Moved is set when the entry sends nothing to the old version from now on.
+	// Moved is set when this entry stops sending requests to the old version.
 	Moved bool
 }
 
-// New returns a Book without orders.
-func New(r Rule) *Book { return &Book{rule: r, pools: make(map[string]*pool), known: r.Share <= 0} }
+// New returns a controller without orders.
+func New(limit Rule) *Book {
+	return &Book{limit: limit, pools: make(map[string]*pool), ordersKnown: limit.Share <= 0}
+}
 
-// Active reports whether roll-outs are served at all.
-func (b *Book) Active() bool { return b.rule.Share > 0 }
+// Active reports whether rollouts are enabled.
+func (c *Book) Active() bool { return c.limit.Share > 0 }
 
-// Known reports whether the orders are known.
-func (b *Book) Known() bool { return b.known }
+// OrdersKnown reports whether the orders are known.
+func (c *Book) Known() bool { return c.ordersKnown }
 
-// Changed reports whether uses of versions may have changed since the last call.
-func (b *Book) Changed() bool {
-	d := b.dirty
-	b.dirty = false
-	return d
+// TakeRolesChanged reports whether the roles of versions may have changed since the last
+// call.
+func (c *Book) Changed() bool {
+	changed := c.rolesChanged
+	c.rolesChanged = false
+	return changed
 }
 
-// Changes returns what has changed since the last call.
-func (b *Book) Changes() []Change {
-	c := b.changes
-	b.changes = nil
-	return c
+// TakeChanges returns the changes since the last call.
+func (c *Book) Changes() []Change {
+	changes := c.changes
+	c.changes = nil
+	return changes
 }
 
-func (b *Book) pool(name string) *pool {
-	p := b.pools[name]
+func (c *Book) pool(name string) *pool {
+	p := c.pools[name]
 	if p == nil {
 		p = &pool{
-			name: name, listed: make(map[string]int), service: make(map[string]bool), refused: make(map[string]bool),
-			fresh: make(map[string]time.Duration), routes: make(map[string]*baseline),
+			name: name, endpointCounts: make(map[string]int), inService: make(map[string]bool), refused: make(map[string]bool),
+			undecidedSince: make(map[string]time.Duration), baselines: make(map[string]*baseline),
 		}
-		b.pools[name] = p
+		c.pools[name] = p
 	}
 	return p
 }
 
-// List takes in how many endpoints of each version a pool has.
-func (b *Book) List(now time.Duration, pool string, versions map[string]int) {
-	if !b.Active() {
+// SetVersions sets the number of endpoints of each version of a pool.
+func (c *Book) List(now time.Duration, pool string, versions map[string]int) {
+	if !c.Active() {
 		return
 	}
-	p := b.pool(pool)
-	first := len(p.listed) == 0
-	p.listed = versions
-	for v := range p.fresh {
+	p := c.pool(pool)
+	first := len(p.endpointCounts) == 0
+	p.endpointCounts = versions
+	for v := range p.undecidedSince {
 		if versions[v] == 0 {
-			delete(p.fresh, v)
+			delete(p.undecidedSince, v)
 		}
 	}
 	for v := range versions {
-		if p.service[v] || p.refused[v] || p.target() == v {
+		if p.inService[v] || p.refused[v] || p.target() == v {
 			continue
 		}
-		if _, ok := p.fresh[v]; !ok {
-			p.fresh[v] = now
-			b.dirty = true
+		if _, ok := p.undecidedSince[v]; !ok {
+			p.undecidedSince[v] = now
+			c.rolesChanged = true
 		}
 	}
-	if first && b.known {
-		// The versions that an entry finds are in service, unless an order says otherwise.
-		p.admit(func(time.Duration) bool { return true })
+	if first && c.ordersKnown {
+		// The versions that an entry finds when it starts are in service unless an order
+		// says otherwise.
+		p.putInService(func(time.Duration) bool { return true })
 	}
-	if first && p.target() != "" && p.only(p.target()) {
-		// There is nothing to move from.
-		p.r.moved, p.r.movedAt = true, now
+	if first && p.target() != "" && p.hasOnly(p.target()) {
+		// There is no other version to move from.
+		p.rollout.moved, p.rollout.movedAt = true, now
 	}
-	p.keep()
+	p.ensureService()
 }
 
-// only reports whether a version is listed and no other one.
-func (p *pool) only(version string) bool { return len(p.listed) == 1 && p.listed[version] > 0 }
+// hasOnly reports whether a version is listed and no other one.
+func (p *pool) hasOnly(version string) bool {
+	return len(p.endpointCounts) == 1 && p.endpointCounts[version] > 0
+}
 
-// admit takes versions into service that were listed first at a time for which ok holds.
-func (p *pool) admit(ok func(time.Duration) bool) (changed bool) {
-	for v, since := range p.fresh {
+// putInService puts the undecided versions in service for whose first listing time ok
+// returns true.
+func (p *pool) putInService(ok func(time.Duration) bool) (changed bool) {
+	for v, since := range p.undecidedSince {
 		if v != p.target() && ok(since) {
-			p.service[v] = true
-			delete(p.fresh, v)
+			p.inService[v] = true
+			delete(p.undecidedSince, v)
 			changed = true
 		}
 	}
 	return changed
 }
 
-// keep takes all that is left into service when nothing of what was in service is listed.
-func (p *pool) keep() {
-	if !p.serves() && p.target() == "" {
-		p.admit(func(time.Duration) bool { return true })
+// ensureService puts all undecided versions in service if no listed version is.
+func (p *pool) ensureService() {
+	if !p.hasService() && p.target() == "" {
+		p.putInService(func(time.Duration) bool { return true })
 	}
 }
 
-// serves reports whether a version is listed that is in service.
-func (p *pool) serves() bool {
-	for v := range p.listed {
-		if p.service[v] {
+// hasService reports whether a listed version is in service.
+func (p *pool) hasService() bool {
+	for v := range p.endpointCounts {
+		if p.inService[v] {
 			return true
 		}
 	}
 	return false
 }
 
-// target returns the version that an order names which has not ended, empty if there is
+// target returns the target version of the running order, or an empty string if there is
 // none.
 func (p *pool) target() string {
-	if p.r == nil || p.r.state != Running {
+	if p.rollout == nil || p.rollout.state != Running {
 		return ""
 	}
-	return p.r.Target
+	return p.rollout.Target
 }
 
-// Unsure reports whether endpoints wait for the orders to be read.
-func (b *Book) Unsure() bool {
-	for _, p := range b.pools {
-		if len(p.fresh) > 0 {
+// AwaitsOrders reports whether endpoints are unused until the orders are read.
+func (c *Book) Unsure() bool {
+	for _, p := range c.pools {
+		if len(p.undecidedSince) > 0 {
 			return true
 		}
 	}
-	return !b.known
+	return !c.ordersKnown
 }
 
-// Read notes that all orders as of a time are known.
-func (b *Book) Read(asOf time.Duration) {
-	first := !b.known
-	b.known = true
-	for _, p := range b.pools {
-		if p.admit(func(since time.Duration) bool { return first || since < asOf }) {
-			b.dirty = true
+// RecordOrdersRead records that all orders as of a time are known.
+func (c *Book) Read(asOf time.Duration) {
+	first := !c.ordersKnown
+	c.ordersKnown = true
+	for _, p := range c.pools {
+		if p.putInService(func(since time.Duration) bool { return first || since < asOf }) {
+			c.rolesChanged = true
 		}
 	}
-	b.dirty = b.dirty || first
+	c.rolesChanged = c.rolesChanged || first
 }
 
-// Use returns what the endpoints of a version are used for.
-func (b *Book) Use(pool, version string) Use {
-	p := b.pools[pool]
-	if !b.Active() || p == nil {
+// RoleOf returns the role of the endpoints of a version.
+func (c *Book) Use(pool, version string) Use {
+	p := c.pools[pool]
+	if !c.Active() || p == nil {
 		return Service
 	}
-	r := p.r
+	r := p.rollout
 	switch {
 	case r != nil && r.state == Running && version == r.Target:
 		if r.moved {
@@ -258,32 +269,32 @@
 		}
 		return Trial
 	case p.refused[version] || r != nil && r.state == Running && r.moved:
-		return Closed
-	case p.service[version]:
+		return OutOfService
+	case p.inService[version]:
 		return Service
 	}
-	return Closed
+	return OutOfService
 }
 
-// Open reports whether an order of a pool has no end yet.
-func (b *Book) Open(pool string) bool {
-	p := b.pools[pool]
+// HasOpenOrder reports whether a pool has a running order.
+func (c *Book) Open(pool string) bool {
+	p := c.pools[pool]
 	return p != nil && p.target() != ""
 }
 
-// Order takes in an order that was given some time ago, as far as is known.
-func (b *Book) Order(now time.Duration, o Order, age time.Duration) {
-	if !b.Active() || o.Target == "" {
+// AddOrder records an order. age is the time since it was given, as far as is known.
+func (c *Book) Order(now time.Duration, o Order, age time.Duration) {
+	if !c.Active() || o.Target == "" {
 		return
 	}
-	p := b.pool(o.Pool)
-	if o.Revision <= p.cancelled {
+	p := c.pool(o.Pool)
+	if o.Revision <= p.cancelRevision {
 		return
 	}
-	if r := p.r; r != nil {
-		if r.same(o) {
+	if r := p.rollout; r != nil {
+		if r.sameOrder(o) {
 			r.Revision = max(r.Revision, o.Revision)
-			r.since = min(r.since, now-age)
+			r.orderedAt = min(r.orderedAt, now-age)
 			return
 		}
 		if o.Revision < r.Revision {
@@ -293,95 +304,95 @@
 			p.refused[r.Target] = true
 		}
 	}
-	replaced := p.r != nil
-	p.r = newRollout(o, now, age)
-	p.r.seen = len(p.listed) > 0
+	replaced := p.rollout != nil
+	p.rollout = newRollout(o, now, age)
+	p.rollout.runningAtOrder = len(p.endpointCounts) > 0
 	if replaced {
-		p.r.replacedAt = o.Revision
+		p.rollout.replacedRevision = o.Revision
 	}
 	delete(p.refused, o.Target)
-	delete(p.fresh, o.Target)
-	if p.service[o.Target] && p.only(o.Target) {
-		// There is nothing to move from.
-		p.r.moved, p.r.movedAt = true, now
+	delete(p.undecidedSince, o.Target)
+	if p.inService[o.Target] && p.hasOnly(o.Target) {
+		// There is no other version to move from.
+		p.rollout.moved, p.rollout.movedAt = true, now
 	} else {
-		delete(p.service, o.Target)
+		delete(p.inService, o.Target)
 	}
-	b.dirty = true
-	b.note(now, p.r, "ordered", Finding{})
+	c.rolesChanged = true
+	c.recordChange(now, p.rollout, "ordered", Finding{})
 }
 
-// Cancel notes that the platform has no order for a pool at a revision.
-func (b *Book) Cancel(now time.Duration, pool string, revision int64) {
-	p := b.pools[pool]
-	if p == nil || p.r == nil || p.r.Revision > revision {
+// CancelOrder records that the platform has no order for a pool at a revision.
+func (c *Book) Cancel(now time.Duration, pool string, revision int64) {
+	p := c.pools[pool]
+	if p == nil || p.rollout == nil || p.rollout.Revision > revision {
 		return
 	}
-	p.cancelled = revision
-	if p.r.state == Running {
-		p.refused[p.r.Target] = true
-		b.note(now, p.r, "the order was removed", Finding{})
+	p.cancelRevision = revision
+	if p.rollout.state == Running {
+		p.refused[p.rollout.Target] = true
+		c.recordChange(now, p.rollout, "the order was removed", Finding{})
 	}
-	p.r = nil
-	p.keep()
-	b.dirty = true
+	p.rollout = nil
+	p.ensureService()
+	c.rolesChanged = true
 }
 
-// Written takes in the state that the platform has for an order at a revision, zero if it
-// has none that can be read. Its word is final.
-func (b *Book) Written(now time.Duration, pool, target string, s State, revision int64) {
-	p := b.pools[pool]
-	if p == nil || p.r == nil {
+// MergeStored records the state that the platform has stored for an order at a revision, or
+// zero if it has none that can be read. A stored end of an order is final.
+func (c *Book) Written(now time.Duration, pool, target string, s State, revision int64) {
+	p := c.pools[pool]
+	if p == nil || p.rollout == nil {
 		return
 	}
-	r := p.r
-	r.written = s
-	if target != r.Target || revision <= r.replacedAt {
-		// It was written for the order before.
-		r.written = 0
+	r := p.rollout
+	r.storedState = s
+	if target != r.Target || revision <= r.replacedRevision {
+		// The state was stored for the previous order.
+		r.storedState = 0
 	}
-	if r.written == Complete || r.written == RolledBack && r.state != RolledBack {
-		b.adopt(now, p, r.written, "written in the store")
+	if r.storedState == Complete || r.storedState == RolledBack && r.state != RolledBack {
+		c.adoptState(now, p, r.storedState, "written in the store")
 	}
 }
 
-// adopt takes over the end of an order.
-func (b *Book) adopt(now time.Duration, p *pool, s State, why string) {
-	if p.r.state != s {
-		b.end(now, p, s, why, Finding{})
+// adoptState ends an order that has ended elsewhere.
+func (c *Book) adoptState(now time.Duration, p *pool, s State, reason string) {
+	if p.rollout.state != s {
+		c.endOrder(now, p, s, reason, Finding{})
 	}
 }
 
-// end ends an order.
-func (b *Book) end(now time.Duration, p *pool, s State, why string, f Finding) {
-	r := p.r
-	r.state, r.ended = s, now
+// endOrder ends an order.
+func (c *Book) endOrder(now time.Duration, p *pool, s State, reason string, f Finding) {
+	r := p.rollout
+	r.state, r.endedAt = s, now
 	switch s {
 	case Complete:
-		clear(p.service)
+		clear(p.inService)
 		delete(p.refused, r.Target)
-		p.service[r.Target] = true
-		for v := range p.listed {
+		p.inService[r.Target] = true
+		for v := range p.endpointCounts {
 			if v != r.Target {
 				p.refused[v] = true
-				delete(p.fresh, v)
+				delete(p.undecidedSince, v)
 			}
 		}
 	case RolledBack:
-		delete(p.service, r.Target)
+		delete(p.inService, r.Target)
 		p.refused[r.Target] = true
-		for v := range p.listed {
-			if v != r.Target && !p.service[v] {
+		for v := range p.endpointCounts {
+			if v != r.Target && !p.inService[v] {
 				delete(p.refused, v)
-				p.service[v] = true
-				delete(p.fresh, v)
+				p.inService[v] = true
+				delete(p.undecidedSince, v)
 			}
 		}
 	}
-	b.dirty = true
-	b.note(now, r, why, f)
+	c.rolesChanged = true
+	c.recordChange(now, r, reason, f)
 }
 
-func (b *Book) note(now time.Duration, r *rollout, why string, f Finding) {
-	b.changes = append(b.changes, Change{Order: r.Order, State: r.state, Age: now - r.since, Why: why, Finding: f})
+func (c *Book) recordChange(now time.Duration, r *rollout, reason string, f Finding) {
+	c.changes = append(c.changes, Change{Order: r.Order, State: r.state, Age: now - r.orderedAt, Why: reason, Finding: f})
 }
--- a/core/canary/evidence.go
+++ b/core/canary/evidence.go
@@ -6,36 +6,37 @@
 )
 
 const (
-	// epochs divide the time of an order, so that what begins late can be told from
-	// what came before.
-	epochs = 6
+	// epochCount is the number of epochs in the duration of an order. Epochs allow a fault
+	// that begins late to be distinguished from what came before.
+	epochCount = 6
 	// maxCells bounds the evidence on one order.
 	maxCells = 1 << 13
-	// reportEvery is the shortest time between two reports of evidence, reportEach the
-	// same for each entry; maxCellReports bounds the cells of one report.
-	reportEvery    = 250 * time.Millisecond
-	reportEach     = 5 * time.Millisecond
-	maxCellReports = 64
+	// minReportInterval is the shortest time between two reports of evidence, and
+	// reportIntervalPerEntry the shortest time per entry of the fleet. maxCellReports
+	// bounds the number of cells in one report.
+	minReportInterval      = 250 * time.Millisecond
+	reportIntervalPerEntry = 5 * time.Millisecond
+	maxCellReports         = 64
 )
 
-// Key says of which answers a Cell holds the counts.
+// CellKey identifies the answers counted in a Cell.
 type Key struct {
-	// Epoch is which part of the order's time they came in.
+	// Epoch is the epoch of the order in which the answers came.
 	Epoch int
 	Route string
-	// Endpoint is empty for the old version, all of whose endpoints are counted together.
+	// Endpoint is empty for the old version, whose endpoints are counted together.
 	Endpoint string
 }
 
 // Cell holds counts of answers.
 type Cell struct {
-	// Answers counts answers with a result, Failed those that failed.
+	// Answers counts the answers with a result, Failed those that failed.
 	Answers, Failed uint32
-	// First counts times to a first event, and LogFirst sums up the logarithms of how they
-	// compare with the old version's median of the route.
+	// FirstEvents counts times to the first event. LogFirstEvents is the sum of the
+	// logarithms of their ratios to the old version's median on the route.
 	First    uint32
 	LogFirst float64
-	// Paced and LogPaced are the same for times for each token.
+	// TokenTimes and LogTokenTimes are the same for times per token.
 	Paced    uint32
 	LogPaced float64
 }
@@ -49,112 +50,113 @@
 	c.LogPaced += o.LogPaced
 }
 
-// sub returns c without o, of which it is a later count.
-func (c Cell) sub(o Cell) Cell {
+// minus returns the difference between c and an earlier count o.
+func (c Cell) minus(o Cell) Cell {
 	return Cell{
 		c.Answers - o.Answers, c.Failed - o.Failed, c.First - o.First, c.LogFirst - o.LogFirst,
 		c.Paced - o.Paced, c.LogPaced - o.LogPaced,
 	}
 }
 
-// Kind is what a Sample tells.
-type Kind uint8
+// SampleKind is the kind of a Sample.
+type SampleKind uint8
 
-// The kinds.
+// Kinds of samples.
 const (
-	// Answered is an answer with a result, Failed one that failed.
-	Answered Kind = iota
+	// Succeeded is an answer with a result that is not a failure, Failed one that failed.
+	Answered SampleKind = iota
 	Failed
-	// FirstEvent is a time to the first event, and TokenTime one for each token after it.
+	// FirstEvent is a time to the first event, and TokenTime the time per token after it.
 	FirstEvent
 	TokenTime
 )
 
-// Sample is what one answer tells of its endpoint.
+// Sample is one observation of an answer at an endpoint.
 type Sample struct {
 	Pool, Version, Route, Endpoint string
-	Kind                           Kind
-	// Took is the time that a FirstEvent or TokenTime took. Unfinished is set if it had
-	// taken as long and was not over.
+	Kind                           SampleKind
+	// Elapsed is the time of a FirstEvent or TokenTime sample. Unfinished is set if the
+	// wait was given up after that time.
 	Took       time.Duration
 	Unfinished bool
 }
 
-// Observe takes in a sample. Without an open order only usual times are learnt.
-func (b *Book) Observe(now time.Duration, s Sample) {
-	if !b.Active() {
+// Observe records a sample. Without a running order it only updates the usual times.
+func (c *Book) Observe(now time.Duration, s Sample) {
+	if !c.Active() {
 		return
 	}
-	p := b.pool(s.Pool)
-	target := p.target() != "" && s.Version == p.r.Target
-	log, known := 0.0, true
+	p := c.pool(s.Pool)
+	isTarget := p.target() != "" && s.Version == p.rollout.Target
+	logRatio, known := 0.0, true
 	if s.Kind == FirstEvent || s.Kind == TokenTime {
-		log, known = p.compare(s, target)
+		logRatio, known = p.logRatio(s, isTarget)
 	}
-	if p.target() == "" || !known || !target && !p.service[s.Version] {
+	if p.target() == "" || !known || !isTarget && !p.inService[s.Version] {
 		return
 	}
-	r := p.r
+	r := p.rollout
 	k := Key{Epoch: r.epoch(now), Route: s.Route}
-	if target {
+	if isTarget {
 		k.Endpoint = s.Endpoint
 	}
-	var c Cell
+	var cell Cell
 	switch s.Kind {
 	case Answered:
-		c.Answers = 1
+		cell.Answers = 1
 	case Failed:
-		c.Answers, c.Failed = 1, 1
+		cell.Answers, cell.Failed = 1, 1
 	case FirstEvent:
-		c.First, c.LogFirst = 1, log
+		cell.First, cell.LogFirst = 1, logRatio
 	case TokenTime:
-		c.Paced, c.LogPaced = 1, log
+		cell.Paced, cell.LogPaced = 1, logRatio
 	}
-	if r.count(r.own, k, c) {
-		r.unsaid[k] = true
+	if r.addCell(r.ownCells, k, cell) {
+		r.unreportedCells[k] = true
 	}
 }
 
-// compare compares a time with the old version's median, which it is learnt for unless it is
-// the target's. It returns false if that is not known yet.
-func (p *pool) compare(s Sample, target bool) (log float64, known bool) {
-	u := p.routes[s.Route]
-	if u == nil {
-		u = new(baseline)
-		p.routes[s.Route] = u
+// logRatio returns the logarithm of the ratio of a time to the old version's median. It
+// updates the median unless the sample is from the target. known is false if too few times
+// have been observed.
+func (p *pool) logRatio(s Sample, isTarget bool) (ratio float64, known bool) {
+	base := p.baselines[s.Route]
+	if base == nil {
+		base = new(baseline)
+		p.baselines[s.Route] = base
 	}
-	m := &u.first
+	m := &base.firstEvent
 	if s.Kind == TokenTime {
-		m = &u.pace
+		m = &base.tokenTime
 	}
-	log, known = m.compare(s.Took)
+	ratio, known = m.logRatio(s.Took)
 	if s.Unfinished {
-		return log, known && log > 0
+		return ratio, known && ratio > 0
 	}
-	if !target {
+	if !isTarget {
 		m.observe(s.Took)
 	}
-	return log, known
+	return ratio, known
 }
 
-// baseline is how long answers of a route usually take.
-type baseline struct{ first, pace median }
+// baseline holds the usual times of a route.
+type baseline struct{ firstEvent, tokenTime median }
 
-// median follows the median of a series of times.
+// median estimates the median of a series of times.
 type median struct {
 	value float64
 	n     int
 }
 
 const (
-	// leastSeries is how many times it takes to know a median.
-	leastSeries = 8
-	// farthest bounds the logarithm of a comparison: ten times as long.
-	farthest = 2.3
-	// firstStep and lastStep are by which part one time moves a median, at first and
-	// once it is known.
-	firstStep = 0.3
-	lastStep  = 0.03
+	// minMedianSamples is the number of times needed to estimate a median.
+	minMedianSamples = 8
+	// maxLogRatio bounds the logarithm of a ratio to that of ten.
+	maxLogRatio = 2.3
+	// initialStep and finalStep are the relative steps by which one time moves a median, at
+	// first and once it is settled.
+	initialStep = 0.3
+	finalStep   = 0.03
 )
 
 func (m *median) observe(d time.Duration) {
@@ -164,7 +166,7 @@
 		m.value = v
 		return
 	}
-	step := 1 + max(firstStep/float64(m.n), lastStep)*2
+	step := 1 + max(initialStep/float64(m.n), finalStep)*2
 	if v > m.value {
 		m.value = min(m.value*step, v)
 	} else {
@@ -172,83 +174,87 @@
 	}
 }
 
-func (m *median) compare(d time.Duration) (log float64, known bool) {
-	if m.n < leastSeries {
+func (m *median) logRatio(d time.Duration) (ratio float64, known bool) {
+	if m.n < minMedianSamples {
 		return 0, false
 	}
-	return min(max(math.Log(max(float64(d), 1)/m.value), -farthest), farthest), true
+	return min(max(math.Log(max(float64(d), 1)/m.value), -maxLogRatio), maxLogRatio), true
 }
 
-// rollout is an order on its way.
+// rollout is an order and its progress.
 type rollout struct {
 	Order
-	// since is when it was given, as far as is known, begun when this entry began to count
-	// its requests.
-	since, begun time.Duration
-	// seen is set if this entry was running when the order was given: one that was not may
-	// have used its part of the slack before.
-	seen  bool
-	state State
-	ended time.Duration
-	// written is the state that the platform's object has, zero for none. What it had at
-	// replacedAt, when it was an earlier order's, does not count.
-	written    State
-	replacedAt int64
-	// moved is set once this entry sends nothing to the old version; said once peers may
-	// be told: their counts of its requests are as new as that by then.
-	moved, saying, said bool
-	movedAt             time.Duration
-	// doubtful is set while the target's answers are worse than the old version's, with
-	// less certainty than a verdict needs.
-	doubtful bool
-	// judgedOn is how many of the target's answers were judged last.
-	judgedOn int
-	// sent counts own requests at the target, reached those at the old version, byRoute
-	// the latter by route.
-	sent, reached int
-	byRoute       map[string]int
-	// own holds what this entry has seen, peers what each other entry told, all the sum.
-	own, all map[Key]Cell
-	peers    map[string]map[Key]Cell
-	unsaid   map[Key]bool
-	// others holds the peers that have moved.
-	others map[string]bool
-	// judged is when the evidence was last judged, told when the end was last written.
-	judged, told time.Duration
-	unreported   bool
+	// orderedAt is the time at which the order was given, as far as is known. countingSince
+	// is the time since which this entry has counted its requests.
+	orderedAt, countingSince time.Duration
+	// runningAtOrder is set if this entry was running when the order was given. Otherwise
+	// it may have used its share of the slack before a restart.
+	runningAtOrder bool
+	state          State
+	endedAt        time.Duration
+	// storedState is the state of the platform's object, or zero. A state stored at
+	// replacedRevision or before belongs to an earlier order and is ignored.
+	storedState      State
+	replacedRevision int64
+	// moved is set once this entry sends no more requests to the old version. movePending
+	// is set by the first tally after that, and moveReported by the next one, when the
+	// peers' counts of its requests include all those sent before the move.
+	moved, movePending, moveReported bool
+	movedAt                          time.Duration
+	// inDoubt is set while the target's answers are worse than the old version's, but not
+	// certainly enough to roll back.
+	inDoubt bool
+	// judgedAnswers is the number of the target's answers at the last judgement.
+	judgedAnswers int
+	// targetRequests counts this entry's requests to the target, oldRequests those to the
+	// old version, and oldByRoute the latter by route.
+	targetRequests, oldRequests int
+	oldByRoute                  map[string]int
+	// ownCells holds the counts of this entry, peerCells those reported by each peer, and
+	// allCells the sums. unreportedCells holds the keys of own cells that changed since
+	// they were last reported.
+	ownCells, allCells map[Key]Cell
+	peerCells          map[string]map[Key]Cell
+	unreportedCells    map[Key]bool
+	// movedPeers holds the peers that have moved.
+	movedPeers map[string]bool
+	// judgedAt is the time of the last judgement, and writtenAt the time at which a state
+	// was last returned for writing.
+	judgedAt, writtenAt time.Duration
+	orderUnreported     bool
 }
 
 func newRollout(o Order, now, age time.Duration) *rollout {
 	return &rollout{
-		Order: o, since: now - age, begun: now, state: Running, byRoute: make(map[string]int),
-		own: make(map[Key]Cell), all: make(map[Key]Cell), peers: make(map[string]map[Key]Cell),
-		unsaid: make(map[Key]bool), others: make(map[string]bool), unreported: true,
+		Order: o, orderedAt: now - age, countingSince: now, state: Running, oldByRoute: make(map[string]int),
+		ownCells: make(map[Key]Cell), allCells: make(map[Key]Cell), peerCells: make(map[string]map[Key]Cell),
+		unreportedCells: make(map[Key]bool), movedPeers: make(map[string]bool), orderUnreported: true,
 	}
 }
 
 func (r *rollout) epoch(now time.Duration) int {
-	return max(int((now-r.since)*epochs/max(r.Over, 1)), 0)
+	return max(int((now-r.orderedAt)*epochCount/max(r.Over, 1)), 0)
 }
 
-// count adds to a cell of own or of a peer's, and to the sum. It returns false if there
-// are too many cells.
-func (r *rollout) count(of map[Key]Cell, k Key, c Cell) bool {
-	sum, ok := r.all[k]
-	if !ok && len(r.all) >= maxCells {
+// addCell adds to a cell of this entry or of a peer, and to the sum. It returns false if
+// there are too many cells.
+func (r *rollout) addCell(cells map[Key]Cell, k Key, c Cell) bool {
+	sum, ok := r.allCells[k]
+	if !ok && len(r.allCells) >= maxCells {
 		return false
 	}
 	sum.add(c)
-	r.all[k] = sum
-	own := of[k]
-	own.add(c)
-	of[k] = own
+	r.allCells[k] = sum
+	cell := cells[k]
+	cell.add(c)
+	cells[k] = cell
 	return true
 }
 
-// answers counts the target's answers.
-func (r *rollout) answers() int {
+// targetAnswers returns the number of the target's answers.
+func (r *rollout) targetAnswers() int {
 	n := 0
-	for k, c := range r.all {
+	for k, c := range r.allCells {
 		if k.Endpoint != "" {
 			n += int(c.Answers)
 		}
@@ -256,101 +262,102 @@
 	return n
 }
 
-// Report is what an entry tells of an order.
+// Report is the state of an order at one entry, as sent to its peers.
 type Report struct {
 	Order Order
 	Age   time.Duration
 	State State
-	// Moved is set if the entry sends nothing to the old version any more.
+	// Moved is set if the entry sends no more requests to the old version.
 	Moved bool
 	Cells []CellReport
 }
 
-// CellReport is one cell, as this entry has counted it.
+// CellReport is one cell as counted by the reporting entry.
 type CellReport struct {
 	Key
 	Cell
 }
 
-// Reports returns what has changed since the last call, all of it if again is set.
-func (b *Book) Reports(now time.Duration, again bool, entries int) []Report {
+// Reports returns what has changed since the last call, or everything if resend is set.
+func (c *Book) Reports(now time.Duration, resend bool, entries int) []Report {
 	var out []Report
-	due := now-b.reported >= max(reportEvery, time.Duration(entries)*reportEach)
-	for _, p := range b.pools {
-		r := p.r
+	due := now-c.reportedAt >= max(minReportInterval, time.Duration(entries)*reportIntervalPerEntry)
+	for _, p := range c.pools {
+		r := p.rollout
 		if r == nil {
 			continue
 		}
-		said := r.said
-		// The requests that were sent before the move are in the tally before this one.
-		r.said, r.saying = r.saying, r.moved
-		if again {
-			for k := range r.own {
-				r.unsaid[k] = true
+		moveReported := r.moveReported
+		// The requests sent before the move were counted in the previous tally.
+		r.moveReported, r.movePending = r.movePending, r.moved
+		if resend {
+			for k := range r.ownCells {
+				r.unreportedCells[k] = true
 			}
 		}
-		if !again && !r.unreported && said == r.said && (!due || len(r.unsaid) == 0) {
+		if !resend && !r.orderUnreported && moveReported == r.moveReported && (!due || len(r.unreportedCells) == 0) {
 			continue
 		}
-		r.unreported = false
-		rep := Report{Order: r.Order, Age: max(now-r.since, 0), State: r.state, Moved: r.said}
-		if due || again {
-			rep.Cells = r.cells()
+		r.orderUnreported = false
+		rep := Report{Order: r.Order, Age: max(now-r.orderedAt, 0), State: r.state, Moved: r.moveReported}
+		if due || resend {
+			rep.Cells = r.takeUnreportedCells()
 		}
 		out = append(out, rep)
 	}
 	if due {
-		b.reported = now
+		c.reportedAt = now
 	}
 	return out
 }
 
-// cells returns cells that the peers have not been told of, maxCellReports at most.
-func (r *rollout) cells() []CellReport {
+// takeUnreportedCells returns the cells not yet reported, at most maxCellReports.
+func (r *rollout) takeUnreportedCells() []CellReport {
 	var out []CellReport
-	for k := range r.unsaid {
+	for k := range r.unreportedCells {
 		if len(out) == maxCellReports {
 			break
 		}
-		out = append(out, CellReport{k, r.own[k]})
-		delete(r.unsaid, k)
+		out = append(out, CellReport{k, r.ownCells[k]})
+		delete(r.unreportedCells, k)
 	}
 	return out
 }
 
-// Merge takes in a peer's report.
-func (b *Book) Merge(now time.Duration, peer string, rep Report) {
-	b.Order(now, rep.Order, rep.Age)
-	p := b.pools[rep.Order.Pool]
-	if p == nil || p.r == nil || !p.r.same(rep.Order) {
+// Merge merges a peer's report.
+func (c *Book) Merge(now time.Duration, peer string, rep Report) {
+	c.Order(now, rep.Order, rep.Age)
+	p := c.pools[rep.Order.Pool]
+	if p == nil || p.rollout == nil || !p.rollout.sameOrder(rep.Order) {
 		return
 	}
-	r := p.r
-	// Bad prevails until the store has decided.
-	if rep.State == RolledBack && r.written != Complete || rep.State == Complete && r.state == Running {
-		b.adopt(now, p, rep.State, "told by "+peer)
+	r := p.rollout
+	// RolledBack takes precedence until the store has decided.
+	if rep.State == RolledBack && r.storedState != Complete || rep.State == Complete && r.state == Running {
+		c.adoptState(now, p, rep.State, "told by "+peer)
 	}
 	if rep.Moved {
-		r.others[peer] = true
+		r.movedPeers[peer] = true
 	}
-	told := r.peers[peer]
-	if told == nil {
-		told = make(map[Key]Cell)
-		r.peers[peer] = told
+	peerCells := r.peerCells[peer]
+	if peerCells == nil {
+		peerCells = make(map[Key]Cell)
+		r.peerCells[peer] = peerCells
 	}
-	for _, c := range rep.Cells {
-		if c.Answers >= told[c.Key].Answers && c.First >= told[c.Key].First && c.Paced >= told[c.Key].Paced {
-			r.count(told, c.Key, c.Cell.sub(told[c.Key]))
+	for _, cell := range rep.Cells {
+		if cell.Answers >= peerCells[cell.Key].Answers && cell.First >= peerCells[cell.Key].First && cell.Paced >= peerCells[cell.Key].Paced {
+			r.addCell(peerCells, cell.Key, cell.Cell.minus(peerCells[cell.Key]))
 		}
 	}
 }
 
-// Restarted notes that a peer counts from zero: what it told before stays evidence.
-func (b *Book) Restarted(peer string) {
-	for _, p := range b.pools {
-		if p.r != nil {
-			delete(p.r.peers, peer)
-			delete(p.r.others, peer)
+// ResetPeer records that a peer was restarted and counts from zero. What it reported before
+// remains part of the evidence.
+func (c *Book) Restarted(peer string) {
+	for _, p := range c.pools {
+		if p.rollout != nil {
+			delete(p.rollout.peerCells, peer)
+			delete(p.rollout.movedPeers, peer)
 		}
 	}
 }
--- a/core/canary/model_test.go
+++ b/core/canary/model_test.go
@@ -13,39 +13,40 @@
 )
 
 var (
-	schedules = flag.Int("canary.schedules", 33, "how many schedules of the fleet model are played")
-	firstSeed = flag.Uint64("canary.first", 1, "seed of the first of them")
+	modelRuns = flag.Int("canary.schedules", 33, "number of runs of the fleet model")
+	firstSeed = flag.Uint64("canary.first", 1, "seed of the first run")
 )
 
 const (
-	modelOver   = 12 * time.Second
-	modelStep   = 10 * time.Millisecond
-	modelDelay  = 100 * time.Millisecond
-	modelReact  = 5 * time.Second
-	modelBad    = 50
-	modelEnd    = 60 * time.Second
-	modelWarm   = 6 * time.Second
-	modelLonger = 8 * time.Second
+	orderDuration      = 12 * time.Second
+	modelStep          = 10 * time.Millisecond
+	reportDelay        = 100 * time.Millisecond
+	maxReaction        = 5 * time.Second
+	reactionBadAnswers = 50
+	maxModelTime       = 60 * time.Second
+	orderAt            = 6 * time.Second
+	observedAfterEnd   = 8 * time.Second
 )
 
-// badness is how a version is bad. The zero badness is a good one.
-type badness struct {
-	// fails is the part of its answers that fail, slow the part that takes times as long.
-	fails, slow, times float64
-	// from is when it begins, route the one route that it is on, -1 for all; loaded is set if
-	// it shows on full endpoints only.
-	from   time.Duration
-	route  int
-	loaded bool
+// fault describes what is wrong with a version. The zero fault is that of a good version.
+type fault struct {
+	// failShare is the share of its answers that fail. slowShare is the share that takes
+	// slowFactor times as long.
+	failShare, slowShare, slowFactor float64
+	// from is the time after the order at which the fault begins. route is the only route
+	// affected, or -1 for all. loadedOnly is set if only loaded endpoints are affected.
+	from       time.Duration
+	route      int
+	loadedOnly bool
 }
 
-func (b badness) good() bool { return b.fails == 0 && b.slow == 0 }
+func (f fault) isNone() bool { return f.failShare == 0 && f.slowShare == 0 }
 
 // modelRoute is a route of the model's pool.
 type modelRoute struct {
-	share, errs float64
-	first       time.Duration
-	tokens      int
+	share, errorShare float64
+	firstEvent        time.Duration
+	tokens            int
 }
 
 var modelRoutes = []modelRoute{
@@ -59,89 +60,90 @@
 type modelEndpoint struct {
 	id, version string
 	speed       float64
-	// grey is set while it fails greyPart of its requests whatever its version.
+	// Between greyFrom and greyTo the endpoint fails greyFailShare of its requests,
+	// whatever its version.
 	greyFrom, greyTo time.Duration
-	has              int
+	running          int
 }
 
 const (
-	greyPart   = 0.4
-	modelSlots = 9
+	greyFailShare = 0.4
+	modelSlots    = 9
 )
 
-// fleet is one schedule of the model: entries with views of their own before endpoints of
-// two versions, with restarts, cuts and endpoints in trouble.
-type fleet struct {
-	rnd     *rand.Rand
-	rate    float64
-	bad     badness
-	now     time.Duration
-	books   []*Book
-	cut     []time.Duration
-	old     []*modelEndpoint
-	target  []*modelEndpoint
-	events  map[time.Duration][]func()
-	store   State
-	ended   time.Duration
-	asked   int
-	exposed int
-	badAt   []time.Duration
-	lastAt  time.Duration
-	running map[string]int
-	why     string
-	// troubles is set if entries restart and are cut off.
-	troubles bool
-	spread   Spread
+// modelFleet is one run of the model: entries, each with its own state, send requests to
+// endpoints of two versions, while entries are restarted or cut off and endpoints fail.
+type modelFleet struct {
+	rnd                 *rand.Rand
+	rate                float64
+	fault               fault
+	now                 time.Duration
+	controllers         []*Book
+	cutUntil            []time.Duration
+	oldEndpoints        []*modelEndpoint
+	targetEndpoints     []*modelEndpoint
+	events              map[time.Duration][]func()
+	storedState         State
+	endedAt             time.Duration
+	requestsInTime      int
+	targetInTime        int
+	badAnswersAt        []time.Duration
+	lastTargetRequestAt time.Duration
+	running             map[string]int
+	endDetails          string
+	// entryFaults is set if entries are restarted and cut off.
+	entryFaults bool
+	spread      Spread
 }
 
-func newFleet(seed uint64, entries, endpoints int, rate float64, bad badness, troubles bool) *fleet {
-	f := &fleet{
-		rnd: rand.New(rand.NewPCG(seed, 7)), rate: rate, bad: bad, events: make(map[time.Duration][]func()), running: make(map[string]int),
-		cut: make([]time.Duration, entries), troubles: troubles,
+func newModelFleet(seed uint64, entries, endpoints int, rate float64, fault fault, entryFaults bool) *modelFleet {
+	f := &modelFleet{
+		rnd: rand.New(rand.NewPCG(seed, 7)), rate: rate, fault: fault, events: make(map[time.Duration][]func()), running: make(map[string]int),
+		cutUntil: make([]time.Duration, entries), entryFaults: entryFaults,
 	}
 	add := func(version string) (out []*modelEndpoint) {
 		for i := range endpoints {
 			e := &modelEndpoint{id: fmt.Sprint(version, "-", i), version: version, speed: []float64{0.55, 1, 2.8}[f.rnd.IntN(3)]}
 			if f.rnd.Float64() < 0.15 {
-				e.greyFrom = time.Duration(f.rnd.Float64() * float64(modelOver))
+				e.greyFrom = time.Duration(f.rnd.Float64() * float64(orderDuration))
 				e.greyTo = e.greyFrom + 4*time.Second
 			}
 			out = append(out, e)
 		}
 		return out
 	}
-	f.old, f.target = add("v1"), add("v2")
-	f.spread = spreadOf(f.old)
+	f.oldEndpoints, f.targetEndpoints = add("v1"), add("v2")
+	f.spread = spreadOf(f.oldEndpoints)
 	for range entries {
-		b := f.newBook()
-		b.List(0, "p", map[string]int{"v1": len(f.old)})
-		f.books = append(f.books, b)
+		c := f.newController()
+		c.List(0, "p", map[string]int{"v1": len(f.oldEndpoints)})
+		f.controllers = append(f.controllers, c)
 	}
 	return f
 }
 
-func (f *fleet) newBook() *Book {
-	b := New(Rule{Share: 0.1, Slack: 50})
-	b.Read(0)
-	return b
+func (f *modelFleet) newController() *Book {
+	c := New(Rule{Share: 0.1, Slack: 50})
+	c.Read(0)
+	return c
 }
 
-// spreadOf returns how unlike endpoints are, each of which is chosen as the faster one of two.
+// spreadOf returns how much endpoints differ if each request goes to the faster one of two.
 func spreadOf(all []*modelEndpoint) Spread {
 	n := float64(len(all))
-	uniform, chosen, squares := 0.0, 0.0, 0.0
+	uniform, fasterOfTwo, squares := 0.0, 0.0, 0.0
 	for _, e := range all {
 		l := math.Log(e.speed)
 		uniform += l / n
 		squares += l * l / n
 		for _, o := range all {
-			chosen += math.Log(min(e.speed, o.speed)) / n / n
+			fasterOfTwo += math.Log(min(e.speed, o.speed)) / n / n
 		}
 	}
-	return Spread{Shift: uniform - chosen, Deviation: math.Sqrt(max(squares-uniform*uniform, 0))}
+	return Spread{Shift: uniform - fasterOfTwo, Deviation: math.Sqrt(max(squares-uniform*uniform, 0))}
 }
 
-func (f *fleet) at(t time.Duration, do func()) {
+func (f *modelFleet) schedule(t time.Duration, do func()) {
 	t = (t + modelStep - 1) / modelStep * modelStep
 	f.events[max(t, f.now+modelStep)] = append(f.events[max(t, f.now+modelStep)], do)
 }
@@ -153,17 +155,17 @@
 	return 0
 }
 
-func (f *fleet) order() Order {
-	return Order{Pool: "p", Target: "v2", Over: modelOver, Created: 1, Revision: 1}
+func (f *modelFleet) order() Order {
+	return Order{Pool: "p", Target: "v2", Over: orderDuration, Created: 1, Revision: 1}
 }
 
-func (f *fleet) play() {
-	start := modelWarm
-	for f.now = 0; f.now < modelEnd && (f.now < start || f.ended == 0 || f.now < f.ended+modelLonger && f.now < start+modelOver); f.now += modelStep {
+func (f *modelFleet) run() {
+	start := orderAt
+	for f.now = 0; f.now < maxModelTime && (f.now < start || f.endedAt == 0 || f.now < f.endedAt+observedAfterEnd && f.now < start+orderDuration); f.now += modelStep {
 		if f.now == start {
-			for _, b := range f.books {
-				b.Order(f.now, f.order(), 0)
-				b.List(f.now, "p", map[string]int{"v1": len(f.old), "v2": len(f.target)})
+			for _, c := range f.controllers {
+				c.Order(f.now, f.order(), 0)
+				c.List(f.now, "p", map[string]int{"v1": len(f.oldEndpoints), "v2": len(f.targetEndpoints)})
 			}
 		}
 		for _, do := range f.events[f.now] {
@@ -172,57 +174,57 @@
 		delete(f.events, f.now)
 		n := f.rate * modelStep.Seconds()
 		for range int(n) + chance(f.rnd, n-math.Floor(n)) {
-			f.request(f.rnd.IntN(len(f.books)))
+			f.request(f.rnd.IntN(len(f.controllers)))
 		}
-		for i, b := range f.books {
+		for i, c := range f.controllers {
 			if f.now%(250*time.Millisecond) == time.Duration(i)*modelStep%(250*time.Millisecond) {
-				f.tell(i, b)
+				f.sendReports(i, c)
 			}
 			if f.now%(100*time.Millisecond) == time.Duration(i)*modelStep%(100*time.Millisecond) {
-				f.tick(i, b)
+				f.tick(i, c)
 			}
 		}
-		if f.troubles && f.now > start && f.rnd.Float64() < 0.002 {
-			f.strike()
+		if f.entryFaults && f.now > start && f.rnd.Float64() < 0.002 {
+			f.injectEntryFault()
 		}
 	}
 }
 
-// strike restarts an entry, or cuts it off.
-func (f *fleet) strike() {
-	i := f.rnd.IntN(len(f.books))
+// injectEntryFault restarts an entry or cuts it off.
+func (f *modelFleet) injectEntryFault() {
+	i := f.rnd.IntN(len(f.controllers))
 	if f.rnd.Float64() < 0.5 {
-		f.cut[i] = f.now + time.Duration(f.rnd.Float64()*float64(3*time.Second))
+		f.cutUntil[i] = f.now + time.Duration(f.rnd.Float64()*float64(3*time.Second))
 		return
 	}
-	b := f.newBook()
-	b.Order(f.now, f.order(), 0)
-	b.List(f.now, "p", map[string]int{"v1": len(f.old), "v2": len(f.target)})
-	b.Written(f.now, "p", "v2", f.store, 2)
-	f.books[i] = b
-	for j, o := range f.books {
+	c := f.newController()
+	c.Order(f.now, f.order(), 0)
+	c.List(f.now, "p", map[string]int{"v1": len(f.oldEndpoints), "v2": len(f.targetEndpoints)})
+	c.Written(f.now, "p", "v2", f.storedState, 2)
+	f.controllers[i] = c
+	for j, o := range f.controllers {
 		if j != i {
 			o.Restarted(fmt.Sprint(i))
 		}
 	}
-	for j := range f.books {
-		if j != i && f.cut[j] < f.now {
-			for _, r := range f.books[j].Reports(f.now, true, 0) {
-				b.Merge(f.now, fmt.Sprint(j), r)
+	for j := range f.controllers {
+		if j != i && f.cutUntil[j] < f.now {
+			for _, r := range f.controllers[j].Reports(f.now, true, 0) {
+				c.Merge(f.now, fmt.Sprint(j), r)
 			}
 		}
 	}
 }
 
-func (f *fleet) tell(i int, b *Book) {
-	for _, r := range b.Reports(f.now, false, len(f.books)) {
-		for j := range f.books {
+func (f *modelFleet) sendReports(i int, c *Book) {
+	for _, r := range c.Reports(f.now, false, len(f.controllers)) {
+		for j := range f.controllers {
 			if j == i {
 				continue
 			}
-			to := f.books[j]
-			f.at(f.now+modelDelay, func() {
-				if f.books[j] == to && f.cut[i] < f.now && f.cut[j] < f.now {
+			to := f.controllers[j]
+			f.schedule(f.now+reportDelay, func() {
+				if f.controllers[j] == to && f.cutUntil[i] < f.now && f.cutUntil[j] < f.now {
 					to.Merge(f.now, fmt.Sprint(i), r)
 				}
 			})
@@ -230,34 +232,34 @@
 	}
 }
 
-func (f *fleet) tick(i int, b *Book) {
+func (f *modelFleet) tick(i int, c *Book) {
 	var peers []string
-	for j := range f.books {
-		if j != i && f.cut[j] < f.now && f.cut[i] < f.now {
+	for j := range f.controllers {
+		if j != i && f.cutUntil[j] < f.now && f.cutUntil[i] < f.now {
 			peers = append(peers, fmt.Sprint(j))
 		}
 	}
-	writes := b.Tick(f.now, Fleet{
+	writes := c.Tick(f.now, Fleet{
 		Peers: peers, Rank: i,
 		Left:    func(string, string) int { return f.running["v1"] },
 		Spread:  func(string) Spread { return f.spread },
 		Longest: func(string) time.Duration { return 8 * time.Second },
 	})
 	for _, w := range writes {
-		if f.cut[i] >= f.now {
+		if f.cutUntil[i] >= f.now {
 			continue
 		}
-		if f.store != Complete && f.store != RolledBack {
-			f.store = w.State
+		if f.storedState != Complete && f.storedState != RolledBack {
+			f.storedState = w.State
 			if w.State != Running {
-				f.ended, f.why = f.now, fmt.Sprintf("%+v moved %v answers %d left %d", b.pools["p"].r.judge(len(f.target), f.spread), b.pools["p"].r.movedAt-modelWarm, b.pools["p"].r.answers(), f.running["v1"])
+				f.endedAt, f.endDetails = f.now, fmt.Sprintf("%+v moved %v answers %d left %d", c.pools["p"].rollout.judge(len(f.targetEndpoints), f.spread), c.pools["p"].rollout.movedAt-orderAt, c.pools["p"].rollout.targetAnswers(), f.running["v1"])
 			}
 		}
-		s := f.store
-		for j := range f.books {
-			to := f.books[j]
-			f.at(f.now+2*modelStep, func() {
-				if f.cut[j] < f.now {
+		s := f.storedState
+		for j := range f.controllers {
+			to := f.controllers[j]
+			f.schedule(f.now+2*modelStep, func() {
+				if f.cutUntil[j] < f.now {
 					to.Written(f.now, "p", "v2", s, 3)
 				}
 			})
@@ -265,39 +267,39 @@
 	}
 }
 
-func (f *fleet) request(i int) {
-	b := f.books[i]
-	x, route := f.rnd.Float64(), 0
-	for route < len(modelRoutes)-1 && x > modelRoutes[route].share {
-		x -= modelRoutes[route].share
+func (f *modelFleet) request(i int) {
+	c := f.controllers[i]
+	draw, route := f.rnd.Float64(), 0
+	for route < len(modelRoutes)-1 && draw > modelRoutes[route].share {
+		draw -= modelRoutes[route].share
 		route++
 	}
 	r := &modelRoutes[route]
 	name := fmt.Sprint("r", route)
-	inTime := f.now >= modelWarm && f.now < modelWarm+modelOver
+	inTime := f.now >= orderAt && f.now < orderAt+orderDuration
 	if inTime {
-		f.asked++
+		f.requestsInTime++
 	}
 	tokens := min(int(float64(r.tokens)*math.Exp(f.rnd.NormFloat64())*0.6), 1200)
-	takes := r.first + time.Duration(tokens)*5*time.Millisecond
+	duration := r.firstEvent + time.Duration(tokens)*5*time.Millisecond
 	var e *modelEndpoint
 	trial := false
-	if b.Use("p", "v2") == Trial && b.Take(f.now, "p", Request{Route: name, Takes: takes, Entries: len(f.books), Random: f.rnd.Float64()}) {
-		turn := b.Turn(f.now, "p", len(f.target))
-		for k := range f.target {
-			if c := f.target[(turn+k)%len(f.target)]; c.has < modelSlots {
-				e, trial = c, true
+	if c.Use("p", "v2") == Trial && c.Take(f.now, "p", Request{Route: name, Takes: duration, Entries: len(f.controllers), Random: f.rnd.Float64()}) {
+		turn := c.Turn(f.now, "p", len(f.targetEndpoints))
+		for k := range f.targetEndpoints {
+			if candidate := f.targetEndpoints[(turn+k)%len(f.targetEndpoints)]; candidate.running < modelSlots {
+				e, trial = candidate, true
 				break
 			}
 		}
 		if e == nil {
-			b.Return("p", "v2")
+			c.Return("p", "v2")
 		}
 	}
 	if e == nil {
-		pick := f.old
-		if b.Use("p", "v1") != Service {
-			pick = f.target
+		pick := f.oldEndpoints
+		if c.Use("p", "v1") != Service {
+			pick = f.targetEndpoints
 		}
 		e = pick[f.rnd.IntN(len(pick))]
 		if o := pick[f.rnd.IntN(len(pick))]; o.speed < e.speed {
@@ -305,94 +307,97 @@
 		}
 	}
 	if e.version == "v2" {
-		f.lastAt = f.now
+		f.lastTargetRequestAt = f.now
 		if inTime {
-			f.exposed++
+			f.targetInTime++
 		}
 	}
-	f.serve(b, e, r, route, name, tokens, trial)
+	f.serve(c, e, r, route, name, tokens, trial)
 }
 
-func (f *fleet) serve(b *Book, e *modelEndpoint, r *modelRoute, route int, name string, tokens int, trial bool) {
-	failed, slow := f.rnd.Float64() < r.errs, 1.0
+func (f *modelFleet) serve(c *Book, e *modelEndpoint, r *modelRoute, route int, name string, tokens int, trial bool) {
+	failed, slowFactor := f.rnd.Float64() < r.errorShare, 1.0
 	if f.now >= e.greyFrom && f.now < e.greyTo {
-		failed = failed || f.rnd.Float64() < greyPart
+		failed = failed || f.rnd.Float64() < greyFailShare
 	}
-	isBad := false
-	if v := f.bad; e.version == "v2" && f.now >= modelWarm+v.from && (v.route < 0 || v.route == route) && (!v.loaded || e.has >= modelSlots/2) {
-		if f.rnd.Float64() < v.fails {
-			failed, isBad = true, true
+	isFaulty := false
+	if v := f.fault; e.version == "v2" && f.now >= orderAt+v.from && (v.route < 0 || v.route == route) && (!v.loadedOnly || e.running >= modelSlots/2) {
+		if f.rnd.Float64() < v.failShare {
+			failed, isFaulty = true, true
 		}
-		if f.rnd.Float64() < v.slow {
-			slow, isBad = v.times, true
+		if f.rnd.Float64() < v.slowShare {
+			slowFactor, isFaulty = v.slowFactor, true
 		}
 	}
-	load := 1 + 0.03*float64(min(e.has, modelSlots))
-	first := time.Duration(float64(r.first) * e.speed * slow * load * math.Exp(f.rnd.NormFloat64()*0.4))
-	pace := time.Duration(5 * float64(time.Millisecond) * e.speed * slow * load)
+	load := 1 + 0.03*float64(min(e.running, modelSlots))
+	firstEvent := time.Duration(float64(r.firstEvent) * e.speed * slowFactor * load * math.Exp(f.rnd.NormFloat64()*0.4))
+	tokenTime := time.Duration(5 * float64(time.Millisecond) * e.speed * slowFactor * load)
 	sample := Sample{Pool: "p", Version: e.version, Route: name, Endpoint: e.id}
-	e.has++
+	e.running++
 	f.running[e.version]++
 	if !trial && e.version == "v1" {
-		b.Reached("p", name)
+		c.Reached("p", name)
 	}
-	f.at(f.now+first, func() {
+	f.schedule(f.now+firstEvent, func() {
 		s := sample
-		s.Kind, s.Took = FirstEvent, first
-		b.Observe(f.now, s)
+		s.Kind, s.Took = FirstEvent, firstEvent
+		c.Observe(f.now, s)
 	})
-	end := first + time.Duration(tokens)*pace
+	end := firstEvent + time.Duration(tokens)*tokenTime
 	if failed {
-		end = first
+		end = firstEvent
 	}
-	f.at(f.now+end, func() {
-		e.has--
+	f.schedule(f.now+end, func() {
+		e.running--
 		f.running[e.version]--
-		if isBad {
-			f.badAt = append(f.badAt, f.now)
+		if isFaulty {
+			f.badAnswersAt = append(f.badAnswersAt, f.now)
 		}
 		s := sample
 		if failed {
 			s.Kind = Failed
-			b.Observe(f.now, s)
+			c.Observe(f.now, s)
 			return
 		}
-		b.Observe(f.now, s)
+		c.Observe(f.now, s)
 		if tokens > 5 {
-			s.Kind, s.Took = TokenTime, pace
-			b.Observe(f.now, s)
+			s.Kind, s.Took = TokenTime, tokenTime
+			c.Observe(f.now, s)
 		}
 	})
 }
 
-// over returns by how much the target's requests exceed what the rule allows.
-func (f *fleet) over() float64 { return float64(f.exposed) - 0.1*float64(f.asked) - 50 }
+// excessRequests returns by how much the target's requests exceed the limit.
+func (f *modelFleet) excessRequests() float64 {
+	return float64(f.targetInTime) - 0.1*float64(f.requestsInTime) - 50
+}
 
-// late returns how long after the 50th bad answer the last request was sent to the target.
-func (f *fleet) late() time.Duration {
-	if len(f.badAt) < modelBad {
+// reactionTime returns the time from the 50th bad answer to the last request sent to the
+// target.
+func (f *modelFleet) reactionTime() time.Duration {
+	if len(f.badAnswersAt) < reactionBadAnswers {
 		return 0
 	}
-	return f.lastAt - f.badAt[modelBad-1]
+	return f.lastTargetRequestAt - f.badAnswersAt[reactionBadAnswers-1]
 }
 
-type modelKind struct {
-	name string
-	bad  badness
+type faultKind struct {
+	name  string
+	fault fault
 }
 
-var modelKinds = []modelKind{
-	{"good", badness{route: -1}},
-	{"fails 0.1", badness{fails: 0.1, route: -1}},
-	{"fails 0.2", badness{fails: 0.2, route: -1}},
-	{"fails 0.4", badness{fails: 0.4, route: -1}},
-	{"fails 0.4, half way", badness{fails: 0.4, route: -1, from: modelOver / 2}},
-	{"fails 0.4, one route", badness{fails: 0.4, route: 2}},
-	{"fails 0.4, under load", badness{fails: 0.4, route: -1, loaded: true}},
-	{"slow 3", badness{slow: 1, times: 3, route: -1}},
-	{"slow 4, part 0.4", badness{slow: 0.4, times: 4, route: -1}},
-	{"slow 5, half way", badness{slow: 1, times: 5, route: -1, from: modelOver / 2}},
-	{"slow 4, one route", badness{slow: 1, times: 4, route: 1}},
+var faultKinds = []faultKind{
+	{"good", fault{route: -1}},
+	{"fails 0.1", fault{failShare: 0.1, route: -1}},
+	{"fails 0.2", fault{failShare: 0.2, route: -1}},
+	{"fails 0.4", fault{failShare: 0.4, route: -1}},
+	{"fails 0.4, half way", fault{failShare: 0.4, route: -1, from: orderDuration / 2}},
+	{"fails 0.4, one route", fault{failShare: 0.4, route: 2}},
+	{"fails 0.4, under load", fault{failShare: 0.4, route: -1, loadedOnly: true}},
+	{"slow 3", fault{slowShare: 1, slowFactor: 3, route: -1}},
+	{"slow 4, part 0.4", fault{slowShare: 0.4, slowFactor: 4, route: -1}},
+	{"slow 5, half way", fault{slowShare: 1, slowFactor: 5, route: -1, from: orderDuration / 2}},
+	{"slow 4, one route", fault{slowShare: 1, slowFactor: 4, route: 1}},
 }
 
 var modelSizes = []struct {
@@ -400,56 +405,56 @@
 	rate               float64
 }{{1, 6, 40}, {5, 12, 80}, {25, 46, 370}}
 
-// schedule is one play of the model.
-type schedule struct {
+// modelRun is one run of the model with its seed and parameters.
+type modelRun struct {
 	seed uint64
 	name string
-	kind modelKind
-	*fleet
+	kind faultKind
+	*modelFleet
 }
 
-// playAll plays all schedules that are wanted and has each one checked.
-func playAll(check func(s schedule)) {
+// runModels runs the model with all seeds and calls check for each run.
+func runModels(check func(s modelRun)) {
 	var wg sync.WaitGroup
 	seeds := make(chan uint64)
 	for range 3 {
 		wg.Go(func() {
 			for seed := range seeds {
-				k := modelKinds[seed%uint64(len(modelKinds))]
-				size := modelSizes[seed/uint64(len(modelKinds))%uint64(len(modelSizes))]
-				f := newFleet(seed, size.entries, size.endpoints, size.rate, k.bad, seed%2 == 0 && size.entries > 1)
-				f.play()
-				check(schedule{seed, fmt.Sprintf("%2d entries, %s", size.entries, k.name), k, f})
+				k := faultKinds[seed%uint64(len(faultKinds))]
+				size := modelSizes[seed/uint64(len(faultKinds))%uint64(len(modelSizes))]
+				f := newModelFleet(seed, size.entries, size.endpoints, size.rate, k.fault, seed%2 == 0 && size.entries > 1)
+				f.run()
+				check(modelRun{seed, fmt.Sprintf("%2d entries, %s", size.entries, k.name), k, f})
 			}
 		})
 	}
-	for i := range uint64(*schedules) {
+	for i := range uint64(*modelRuns) {
 		seeds <- *firstSeed + i
 	}
 	close(seeds)
 	wg.Wait()
 }
 
-// TestFleetsKeepTheShare plays fleets of entries with views of their own, under restarts and
-// cuts, before versions of every kind. Guards against a bad version that gets more than its
-// share of the requests, and against orders without an end.
-func TestFleetsKeepTheShare(t *testing.T) {
+// TestFleetsKeepTrialShare runs fleets with restarts, partitions and versions with all
+// kinds of faults. A bad version must not receive more than its share of the requests, and
+// every order must end.
+func TestFleetsKeepTrialShare(t *testing.T) {
 	type result struct {
 		rolledBack, complete, inTime int
 		share                        float64
-		late, took                   time.Duration
+		reaction, duration           time.Duration
 	}
 	var mu sync.Mutex
 	results := make(map[string]*result)
-	playAll(func(s schedule) {
-		if s.over() > 0 {
-			t.Errorf("seed %d, %s: %d of %d requests at the target", s.seed, s.name, s.exposed, s.asked)
+	runModels(func(s modelRun) {
+		if s.excessRequests() > 0 {
+			t.Errorf("seed %d, %s: %d of %d requests at the target", s.seed, s.name, s.targetInTime, s.requestsInTime)
 		}
-		if s.store != Complete && s.store != RolledBack {
-			t.Errorf("seed %d, %s: no end", s.seed, s.name)
+		if s.storedState != Complete && s.storedState != RolledBack {
+			t.Errorf("seed %d, %s: the order has not ended", s.seed, s.name)
 		}
-		if s.kind.bad.good() && s.store == RolledBack {
-			t.Logf("seed %d, %s: rolled back after %v: %s", s.seed, s.name, s.ended-modelWarm, s.why)
+		if s.kind.fault.isNone() && s.storedState == RolledBack {
+			t.Logf("seed %d, %s: rolled back after %v: %s", s.seed, s.name, s.endedAt-orderAt, s.endDetails)
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -458,33 +463,33 @@
 			r = new(result)
 			results[s.name] = r
 		}
-		switch s.store {
+		switch s.storedState {
 		case RolledBack:
 			r.rolledBack++
 		case Complete:
 			r.complete++
-			r.inTime += int(one(s.ended <= modelWarm+modelOver))
+			r.inTime += int(asUint(s.endedAt <= orderAt+orderDuration))
 		}
-		r.share = max(r.share, float64(s.exposed)/float64(max(s.asked, 1)))
-		r.late, r.took = max(r.late, s.late()), max(r.took, s.ended-modelWarm)
+		r.share = max(r.share, float64(s.targetInTime)/float64(max(s.requestsInTime, 1)))
+		r.reaction, r.duration = max(r.reaction, s.reactionTime()), max(r.duration, s.endedAt-orderAt)
 	})
 	for _, name := range slices.Sorted(maps.Keys(results)) {
 		r := results[name]
 		t.Logf("%-33s rolled back %d, complete %d (%d in time); at most %.3f of the requests, %v after the 50th bad answer, %v to the end",
-			name, r.rolledBack, r.complete, r.inTime, r.share, r.late, r.took)
+			name, r.rolledBack, r.complete, r.inTime, r.share, r.reaction, r.duration)
 	}
 }
 
-// Guards against requests that are sent to a version long after its 50th bad answer.
+// A version must not receive requests long after its 50th bad answer.
 func TestBadVersionGetsNothingMore(t *testing.T) {
-	playAll(func(s schedule) {
-		if !s.kind.bad.good() && s.late() > modelReact {
-			t.Errorf("seed %d, %s: a request %v after the 50th bad answer", s.seed, s.name, s.late())
+	runModels(func(s modelRun) {
+		if !s.kind.fault.isNone() && s.reactionTime() > maxReaction {
+			t.Errorf("seed %d, %s: a request %v after the 50th bad answer", s.seed, s.name, s.reactionTime())
 		}
 	})
 }
 
-func one(b bool) uint32 {
+func asUint(b bool) uint32 {
 	if b {
 		return 1
 	}
--- a/core/canary/share.go
+++ b/core/canary/share.go
@@ -3,146 +3,150 @@
 import "time"
 
 const (
-	// trialAnswers is how many answers of the target are wanted before the deadline. For
-	// that between leastTrial and mostTrial of what may be sent to it are sent; the rest is
-	// kept for the move.
-	trialAnswers = 250
-	leastTrial   = 0.3
-	mostTrial    = 0.6
-	// pauseAnswers is how many answers of the target it takes to pause the trial.
-	pauseAnswers = 40
-	// safePart is the part of the share, and slackPart that of the slack, which is used
-	// at all: entries may count a request for the other side of a bound in time.
-	safePart  = 0.9
-	slackPart = 0.5
-	// maxRoutePart bounds the part of a route's requests that are sent to the target.
-	maxRoutePart = 0.3
-	// leastReached is how many requests it takes to know an entry's rate.
-	leastReached = 10
-	// moveTime is the time before the deadline from which on requests that would outlast
-	// it go to the target, leastMove the part of the time that is left for a verdict.
-	moveTime  = 4 * time.Second
-	leastMove = 0.5
-	// reserveTime is the time before the deadline for which the share is kept that all
-	// requests would take.
-	reserveTime = 450 * time.Millisecond
+	// wantedTrialAnswers is the number of answers of the target that are wanted before the
+	// deadline. To get them, between minTrialShare and maxTrialShare of the allowed
+	// requests are sent to the target before the move; the rest is kept for the move.
+	wantedTrialAnswers = 250
+	minTrialShare      = 0.3
+	maxTrialShare      = 0.6
+	// minPauseAnswers is the number of answers of the target needed to pause the trial.
+	minPauseAnswers = 40
+	// usedShare is the part of the share, and usedSlack the part of the slack, that is used
+	// at all, because entries may count a request on the wrong side of a time limit.
+	usedShare = 0.9
+	usedSlack = 0.5
+	// maxRouteShare bounds the share of a route's requests that are sent to the target.
+	maxRouteShare = 0.3
+	// minRateRequests is the number of requests needed to estimate an entry's request rate.
+	minRateRequests = 10
+	// maxMoveLead is the longest time before the deadline at which requests that would
+	// outlast the deadline start to go to the target. It is at most maxMoveLeadShare of the
+	// order's duration, which leaves the rest for a verdict.
+	maxMoveLead      = 4 * time.Second
+	maxMoveLeadShare = 0.5
+	// reservedTime is the time before the deadline for which the share is reserved, enough
+	// for all requests to go to the target.
+	reservedTime = 450 * time.Millisecond
 )
 
-// Request is what admission to a trial needs to know of a request.
+// Request describes a request for admission to a trial.
 type Request struct {
 	Route string
-	// Takes is how long the request is expected to run.
+	// ExpectedDuration is how long the request is expected to run.
 	Takes time.Duration
-	// Entries is how many entries share the slack.
+	// Entries is the number of entries that share the slack.
 	Entries int
 	// Random is a random number in [0, 1).
 	Random float64
 }
 
-// Take decides whether a request goes to the target of its pool's order, and counts it
-// there if it does.
-func (b *Book) Take(now time.Duration, pool string, q Request) bool {
-	p := b.pools[pool]
+// AdmitToTrial decides whether a request goes to the target of its pool's order, and counts
+// it if so.
+func (c *Book) Take(now time.Duration, pool string, q Request) bool {
+	p := c.pools[pool]
 	if p == nil || p.target() == "" {
 		return false
 	}
-	r := p.r
-	if r.moved || r.paused() || !b.allowed(r, q.Entries, 1) || !p.wanted(now, b.rule, q) {
+	r := p.rollout
+	if r.moved || r.isPaused() || !c.isAllowed(r, q.Entries, 1) || !p.isWanted(now, c.limit, q) {
 		return false
 	}
-	r.sent++
+	r.targetRequests++
 	return true
 }
 
-// allowed reports whether so many more requests may go to the target.
-func (b *Book) allowed(r *rollout, entries int, more float64) bool {
-	return float64(r.sent)+more <= b.allowance(r, entries)
+// isAllowed reports whether the given number of additional requests may go to the target.
+func (c *Book) isAllowed(r *rollout, entries int, added float64) bool {
+	return float64(r.targetRequests)+added <= c.allowance(r, entries)
 }
 
-func (b *Book) allowance(r *rollout, entries int) float64 {
-	return safePart*b.rule.Share*float64(r.reached+r.sent) + r.slack(b.rule, entries)
+func (c *Book) allowance(r *rollout, entries int) float64 {
+	return usedShare*c.limit.Share*float64(r.oldRequests+r.targetRequests) + r.ownSlack(c.limit, entries)
 }
 
-// slack is this entry's part of the slack.
-func (r *rollout) slack(rule Rule, entries int) float64 {
-	if !r.seen {
+// ownSlack returns this entry's share of the slack.
+func (r *rollout) ownSlack(limit Rule, entries int) float64 {
+	if !r.runningAtOrder {
 		return 0
 	}
-	return slackPart * rule.Slack / float64(max(entries, 1))
+	return usedSlack * limit.Slack / float64(max(entries, 1))
 }
 
-func (p *pool) wanted(now time.Duration, rule Rule, q Request) bool {
-	r := p.r
-	rate := r.rate(now)
-	slack := r.slack(rule, q.Entries)
-	if r.moving(now) && now+q.Takes > r.deadline() {
-		reserve := rate * reserveTime.Seconds()
-		return float64(r.sent)+1+reserve <= safePart*rule.Share*float64(r.reached+r.sent)+slack
+func (p *pool) isWanted(now time.Duration, limit Rule, q Request) bool {
+	r := p.rollout
+	rate := r.requestRate(now)
+	slack := r.ownSlack(limit, q.Entries)
+	if r.isMoving(now) && now+q.Takes > r.deadline() {
+		reserved := rate * reservedTime.Seconds()
+		return float64(r.targetRequests)+1+reserved <= usedShare*limit.Share*float64(r.oldRequests+r.targetRequests)+slack
 	}
-	all := max(rate*r.Over.Seconds(), 1)
-	most := safePart*rule.Share + slack/all
-	part := min(max(trialAnswers/(all*float64(max(q.Entries, 1))), leastTrial*most), mostTrial*most)
-	if n := r.byRoute[q.Route]; n > 0 {
-		part = min(part*float64(r.reached)/float64(n*len(r.byRoute)), maxRoutePart)
+	totalRequests := max(rate*r.Over.Seconds(), 1)
+	maxShare := usedShare*limit.Share + slack/totalRequests
+	share := min(max(wantedTrialAnswers/(totalRequests*float64(max(q.Entries, 1))), minTrialShare*maxShare), maxTrialShare*maxShare)
+	if n := r.oldByRoute[q.Route]; n > 0 {
+		share = min(share*float64(r.oldRequests)/float64(n*len(r.oldByRoute)), maxRouteShare)
 	}
-	return q.Random < part
+	return q.Random < share
 }
 
-// Reached counts a request that reached an endpoint of the old version.
-func (b *Book) Reached(pool, route string) {
-	if p := b.pools[pool]; p != nil && p.target() != "" {
-		p.r.reached++
-		p.r.byRoute[route]++
+// RecordOldRequest counts a request that reached an endpoint of the old version.
+func (c *Book) Reached(pool, route string) {
+	if p := c.pools[pool]; p != nil && p.target() != "" {
+		p.rollout.oldRequests++
+		p.rollout.oldByRoute[route]++
 	}
 }
 
-// Return takes back a request that Take admitted and that did not reach the target.
-func (b *Book) Return(pool, target string) {
-	if p := b.pools[pool]; p != nil && p.target() == target && p.r.sent > 0 {
-		p.r.sent--
+// ReturnTrial uncounts a request that AdmitToTrial admitted and that did not reach the
+// target.
+func (c *Book) Return(pool, target string) {
+	if p := c.pools[pool]; p != nil && p.target() == target && p.rollout.targetRequests > 0 {
+		p.rollout.targetRequests--
 	}
 }
 
-// paused reports whether the target gets nothing until its answers look better: a version
-// that is in doubt for longer than it takes to know it is mostly bad.
-func (r *rollout) paused() bool { return r.doubtful && r.judgedOn >= pauseAnswers }
+// isPaused reports whether the target receives no requests until its answers look better. A
+// version that is still in doubt after minPauseAnswers answers is usually bad.
+func (r *rollout) isPaused() bool { return r.inDoubt && r.judgedAnswers >= minPauseAnswers }
 
-func (r *rollout) deadline() time.Duration { return r.since + r.Over }
+func (r *rollout) deadline() time.Duration { return r.orderedAt + r.Over }
 
-// moving reports whether requests that would outlast the deadline go to the target.
-func (r *rollout) moving(now time.Duration) bool {
-	lead := min(moveTime, time.Duration(leastMove*float64(r.Over)))
-	return now >= r.deadline()-lead && r.judgedOn >= leastAnswers && !r.doubtful
+// isMoving reports whether requests that would outlast the deadline go to the target.
+func (r *rollout) isMoving(now time.Duration) bool {
+	lead := min(maxMoveLead, time.Duration(maxMoveLeadShare*float64(r.Over)))
+	return now >= r.deadline()-lead && r.judgedAnswers >= minTargetAnswers && !r.inDoubt
 }
 
-// covered reports whether the share covers all requests until the deadline.
-func (b *Book) covered(now time.Duration, r *rollout, entries int) bool {
-	left := r.deadline() - now
-	if left <= 0 {
+// shareCoversRest reports whether the share allows all requests until the deadline to go to
+// the target.
+func (c *Book) shareCoversRest(now time.Duration, r *rollout, entries int) bool {
+	timeLeft := r.deadline() - now
+	if timeLeft <= 0 {
 		return true
 	}
-	if r.reached < leastReached {
-		// An entry that has just started does not know its rate.
+	if r.oldRequests < minRateRequests {
+		// An entry that has just started does not know its request rate.
 		return false
 	}
-	rate := r.rate(now)
-	return b.allowed(r, entries, rate*left.Seconds())
+	rate := r.requestRate(now)
+	return c.isAllowed(r, entries, rate*timeLeft.Seconds())
 }
 
-// rate returns how many requests a second this entry sends to the pool.
-func (r *rollout) rate(now time.Duration) float64 {
-	return float64(r.reached+r.sent) / max((now-r.begun).Seconds(), 0.5)
+// requestRate returns the number of requests per second that this entry sends to the pool.
+func (r *rollout) requestRate(now time.Duration) float64 {
+	return float64(r.oldRequests+r.targetRequests) / max((now-r.countingSince).Seconds(), 0.5)
 }
 
-// Turn returns which of n endpoints of the target is to be filled first.
-func (b *Book) Turn(now time.Duration, pool string, n int) int {
-	p := b.pools[pool]
-	if p == nil || p.r == nil || n == 0 {
+// PreferredEndpoint returns the index of the target's endpoint, of n, that is to be filled
+// first.
+func (c *Book) Turn(now time.Duration, pool string, n int) int {
+	p := c.pools[pool]
+	if p == nil || p.rollout == nil || n == 0 {
 		return 0
 	}
-	return int((now-p.r.since)*turns/max(p.r.Over, 1)) % n
+	return int((now-p.rollout.orderedAt)*preferenceTurns/max(p.rollout.Over, 1)) % n
 }
 
-// turns is how many endpoints are filled first, one after the other, within the time of
-// an order.
-const turns = 24
+// preferenceTurns is the number of turns within the duration of an order. In each turn
+// another endpoint is preferred.
+const preferenceTurns = 24
--- a/core/canary/verdict.go
+++ b/core/canary/verdict.go
@@ -6,26 +6,29 @@
 )
 
 const (
-	// sure is the evidence at which a version is bad, in nats: a good one reaches it with
-	// a probability of one in 3,000 in one test. doubt is the same for one that is not put
-	// in force at the deadline, one in 20: a good version ordered again costs less than a
-	// bad one in force.
-	sure  = 8
-	doubt = 3
-	// leastAnswers is how many answers of the target it takes to put it in force.
-	leastAnswers = 20
-	// leastOld is how many answers of the old version a comparison on a route needs.
-	leastOld = 20
-	// judgeEvery is the time between two judgements for each judgeCells cells of evidence,
-	// writeAgain that after which an end is written again that has not been seen in the
-	// store.
-	judgeEvery = 200 * time.Millisecond
-	judgeCells = 1000
-	writeAgain = time.Second
-	// writeEach is how much later than the entry before it an entry writes.
-	writeEach = 150 * time.Millisecond
-	// smooth widens what the old version makes expected: endpoints differ.
-	smooth = 1.2
+	// rollbackNats is the evidence, in nats, at which a version is rolled back. A good
+	// version reaches it with a probability of one in 3,000 in one test. doubtNats is the
+	// evidence at which a version is not put in service at the deadline. A good version
+	// reaches it with a probability of one in 20, but ordering it again costs less than
+	// putting a bad one in service.
+	rollbackNats = 8
+	doubtNats    = 3
+	// minTargetAnswers is the number of answers of the target needed to put it in service.
+	minTargetAnswers = 20
+	// minOldSamples is the number of samples of the old version needed for a comparison on
+	// a route.
+	minOldSamples = 20
+	// judgeInterval is the time between two judgements. It is added once more for every
+	// cellsPerJudgeInterval cells of evidence. rewriteInterval is the time after which an
+	// end is written again if it has not been seen in the store.
+	judgeInterval         = 200 * time.Millisecond
+	cellsPerJudgeInterval = 1000
+	rewriteInterval       = time.Second
+	// writeDelayPerRank is how much later an entry writes than the entry before it.
+	writeDelayPerRank = 150 * time.Millisecond
+	// expectedMargin is the factor by which the failures expected from the old version are
+	// increased, because endpoints differ.
+	expectedMargin = 1.2
 )
 
 // Finding is the strongest evidence against a version.
@@ -33,46 +36,47 @@
 	Measure string
 	// Route is empty for all routes together.
 	Route string
-	// Answers counts the target's answers that were compared. Bad is how many of them failed,
-	// or the sum of the logarithms of their times, and Expected what the old version makes
-	// expected of it.
+	// Answers counts the compared answers of the target. Bad is the number of them that
+	// failed, or the sum of the logarithms of their times. Expected is the value of Bad
+	// expected from the old version's answers.
 	Answers       int
 	Bad, Expected float64
 	// Nats is the strength of the evidence.
 	Nats float64
 }
 
-// Spread is how unlike the old version's endpoints are by themselves, in logarithms of the
-// time that work takes there.
+// Spread describes how much the old version's endpoints differ, as logarithms of the time
+// that the same work takes.
 type Spread struct {
-	// Shift is by how much their mean exceeds that of the requests, which go to the fast
-	// ones; Deviation is the standard deviation.
+	// Shift is by how much the endpoints' mean exceeds the mean of the requests, most of
+	// which go to fast endpoints. Deviation is the standard deviation between endpoints.
 	Shift, Deviation float64
 }
 
-// Measures of badness.
+// Measures of comparison.
 const (
-	measureFailed = "failed"
-	measureFirst  = "time to the first event"
-	measurePace   = "time for each token"
+	measureFailed     = "failed"
+	measureFirstEvent = "time to the first event"
+	measureTokenTime  = "time for each token"
 )
 
-// judge returns the strongest evidence against the target, which so many endpoints have.
+// judge returns the strongest evidence against the target, which has the given number of
+// endpoints.
 func (r *rollout) judge(targets int, spread Spread) Finding {
 	var worst Finding
-	last := 0
+	lastEpoch := 0
 	routes := map[string]bool{"": true}
-	for k := range r.all {
-		last = max(last, k.Epoch)
+	for k := range r.allCells {
+		lastEpoch = max(lastEpoch, k.Epoch)
 		routes[k.Route] = true
 	}
-	for from := 0; from <= last; from++ {
-		c := r.evidence(from)
+	for firstEpoch := 0; firstEpoch <= lastEpoch; firstEpoch++ {
+		e := r.evidenceSince(firstEpoch)
 		for route := range routes {
 			for _, f := range []Finding{
-				c.failures(route, targets),
-				c.delays(measureFirst, route, targets, spread, firstDeviation, func(c Cell) (float64, float64) { return float64(c.First), c.LogFirst }),
-				c.delays(measurePace, route, targets, spread, paceDeviation, func(c Cell) (float64, float64) { return float64(c.Paced), c.LogPaced }),
+				e.testFailures(route, targets),
+				e.testTimes(measureFirstEvent, route, targets, spread, firstEventDeviation, func(c Cell) (float64, float64) { return float64(c.First), c.LogFirst }),
+				e.testTimes(measureTokenTime, route, targets, spread, tokenTimeDeviation, func(c Cell) (float64, float64) { return float64(c.Paced), c.LogPaced }),
 			} {
 				if f.Nats > worst.Nats {
 					worst = f
@@ -83,56 +87,57 @@
 	return worst
 }
 
-// evidence holds cells since an epoch: the old version's by route, the target's by
-// endpoint and route.
+// evidence holds the sums of all cells since an epoch: for the old version by route, for
+// the target by endpoint and route.
 type evidence struct {
 	old    map[string]Cell
 	target map[string]map[string]Cell
 }
 
-func (r *rollout) evidence(epoch int) evidence {
+func (r *rollout) evidenceSince(epoch int) evidence {
 	e := evidence{old: make(map[string]Cell), target: make(map[string]map[string]Cell)}
-	for k, c := range r.all {
+	for k, c := range r.allCells {
 		if k.Epoch < epoch {
 			continue
 		}
-		of := e.old
+		cells := e.old
 		if k.Endpoint != "" {
-			if of = e.target[k.Endpoint]; of == nil {
-				of = make(map[string]Cell)
-				e.target[k.Endpoint] = of
+			if cells = e.target[k.Endpoint]; cells == nil {
+				cells = make(map[string]Cell)
+				e.target[k.Endpoint] = cells
 			}
 		}
-		sum := of[k.Route]
+		sum := cells[k.Route]
 		sum.add(c)
-		of[k.Route] = sum
+		cells[k.Route] = sum
 	}
 	return e
 }
 
-// side is what one endpoint of the target has: samples, their sum, and what the old version
-// makes expected of it.
-type side struct{ n, sum, expected float64 }
+// sampleSum describes the samples of one endpoint of the target: their number, their sum,
+// and the sum expected from the old version.
+type sampleSum struct{ n, sum, expected float64 }
 
-func (s side) excess() float64 { return s.sum - s.expected }
+func (s sampleSum) excess() float64 { return s.sum - s.expected }
 
-func (s side) mean() float64 { return s.excess() / s.n }
+func (s sampleSum) meanExcess() float64 { return s.excess() / s.n }
 
-func (s side) plus(o side, sign float64) side {
-	return side{n: s.n + sign*o.n, sum: s.sum + sign*o.sum, expected: s.expected + sign*o.expected}
+func (s sampleSum) plus(o sampleSum, sign float64) sampleSum {
+	return sampleSum{n: s.n + sign*o.n, sum: s.sum + sign*o.sum, expected: s.expected + sign*o.expected}
 }
 
-// sides returns the endpoints of the target with samples on a route, on any if it is empty.
-// of returns the number of samples of a cell and their sum, expect what one sample is
-// expected to add by the old version's on its route.
-func (e evidence) sides(route string, of func(Cell) (n, sum float64), expect func(n, sum float64) float64) []side {
-	var out []side
+// byEndpoint returns the sums of the target's endpoints that have samples on a route, or on
+// any route if it is empty. samplesOf returns the number and the sum of the samples in a
+// cell. expect returns the expected value of one sample, given the number and the sum of
+// the old version's samples on its route.
+func (e evidence) byEndpoint(route string, samplesOf func(Cell) (n, sum float64), expect func(n, sum float64) float64) []sampleSum {
+	var out []sampleSum
 	for _, routes := range e.target {
-		var all side
-		for on, c := range routes {
-			oldN, oldSum := of(e.old[on])
-			if n, sum := of(c); (route == "" || on == route) && n > 0 && oldN >= leastOld {
-				all = all.plus(side{n, sum, n * expect(oldN, oldSum)}, 1)
+		var all sampleSum
+		for cellRoute, c := range routes {
+			oldN, oldSum := samplesOf(e.old[cellRoute])
+			if n, sum := samplesOf(c); (route == "" || cellRoute == route) && n > 0 && oldN >= minOldSamples {
+				all = all.plus(sampleSum{n, sum, n * expect(oldN, oldSum)}, 1)
 			}
 		}
 		if all.n > 0 {
@@ -142,17 +147,18 @@
 	return out
 }
 
-// failures tests the share of failed answers. The worst endpoint's are left out, and each of
-// the others counts for a part of the evidence at most: endpoints have troubles of their
-// own. A target of one endpoint cannot be told from its trouble.
-func (e evidence) failures(route string, targets int) Finding {
-	sides := e.sides(route, func(c Cell) (float64, float64) { return float64(c.Answers), float64(c.Failed) },
-		func(n, sum float64) float64 { return max((sum+1)/(n+2), failFloor) })
-	var sum, worst side
-	worse := 0
-	for _, s := range sides {
+// testFailures tests the share of failed answers. It leaves out the worst endpoint and
+// bounds the evidence from each of the others, because single endpoints can have faults
+// unrelated to the version. If the target has only one endpoint, the two cannot be
+// distinguished.
+func (e evidence) testFailures(route string, targets int) Finding {
+	endpoints := e.byEndpoint(route, func(c Cell) (float64, float64) { return float64(c.Answers), float64(c.Failed) },
+		func(n, sum float64) float64 { return max((sum+1)/(n+2), minExpectedFailures) })
+	var sum, worst sampleSum
+	aboveExpected := 0
+	for _, s := range endpoints {
 		if s.excess() > 0 {
-			worse++
+			aboveExpected++
 		}
 		if s.excess() > worst.excess() {
 			worst = s
@@ -161,44 +167,44 @@
 	}
 	if targets > 1 {
 		sum = sum.plus(worst, -1)
-		worse--
+		aboveExpected--
 	}
 	f := Finding{Measure: measureFailed, Route: route, Answers: int(sum.n), Bad: sum.sum, Expected: sum.expected}
-	if sum.n == 0 || sum.mean() < failEffect {
+	if sum.n == 0 || sum.meanExcess() < minFailureExcess {
 		return f
 	}
-	each := max(failEach, sure/float64(max(targets-1, 1)))
-	f.Nats = min(sum.n*divergence(sum.sum/sum.n, min(smooth*sum.expected/sum.n, 0.95)), each*float64(max(worse, 0)))
+	maxNatsEach := max(maxEndpointNats, rollbackNats/float64(max(targets-1, 1)))
+	f.Nats = min(sum.n*divergence(sum.sum/sum.n, min(expectedMargin*sum.expected/sum.n, 0.95)), maxNatsEach*float64(max(aboveExpected, 0)))
 	return f
 }
 
-// delays tests the mean logarithm of times, by endpoint: they differ by more than their
-// requests do. The slowest endpoint is left out.
-func (e evidence) delays(name, route string, targets int, spread Spread, within float64, of func(Cell) (n, sum float64)) Finding {
-	sides := e.sides(route, of, func(n, sum float64) float64 { return sum/n + spread.Shift })
+// testTimes tests the mean logarithm of times by endpoint, because endpoints differ more
+// than the requests at one endpoint. It leaves out the slowest endpoint.
+func (e evidence) testTimes(measure, route string, targets int, spread Spread, sampleDeviation float64, samplesOf func(Cell) (n, sum float64)) Finding {
+	endpoints := e.byEndpoint(route, samplesOf, func(n, sum float64) float64 { return sum/n + spread.Shift })
 	total, weight, worstWeight := 0.0, 0.0, 0.0
-	worst := side{n: 1, sum: math.Inf(-1)}
-	between := max(spread.Deviation, leastDeviation)
-	f := Finding{Measure: name, Route: route}
-	for _, s := range sides {
-		// The weight is that of a mean of so many samples of an endpoint.
-		w := 1 / (between*between + within*within/s.n)
-		total += w * s.mean()
-		weight += w
-		if s.mean() > worst.mean() {
-			worst, worstWeight = s, w
+	worst := sampleSum{n: 1, sum: math.Inf(-1)}
+	endpointDeviation := max(spread.Deviation, minEndpointDeviation)
+	f := Finding{Measure: measure, Route: route}
+	for _, s := range endpoints {
+		// The weight is the inverse variance of the mean of the endpoint's samples.
+		endpointWeight := 1 / (endpointDeviation*endpointDeviation + sampleDeviation*sampleDeviation/s.n)
+		total += endpointWeight * s.meanExcess()
+		weight += endpointWeight
+		if s.meanExcess() > worst.meanExcess() {
+			worst, worstWeight = s, endpointWeight
 		}
 		f.Answers += int(s.n)
 		f.Bad += s.sum
 		f.Expected += s.expected
 	}
-	left := len(sides)
-	if targets > 1 && left > 0 {
-		total -= worstWeight * worst.mean()
+	remaining := len(endpoints)
+	if targets > 1 && remaining > 0 {
+		total -= worstWeight * worst.meanExcess()
 		weight -= worstWeight
-		left--
+		remaining--
 	}
-	if left == 0 || total/weight < delayEffect {
+	if remaining == 0 || total/weight < minTimeExcess {
 		return f
 	}
 	f.Nats = total * total / weight / 2
@@ -206,22 +212,23 @@
 }
 
 const (
-	// failFloor is the least share of failures that is expected, failEffect by how much a bad
-	// version exceeds what is expected, and failEach the most evidence that one endpoint may
-	// give, in nats.
-	failFloor  = 0.02
-	failEffect = 0.05
-	failEach   = 4
-	// delayEffect is the same in logarithms of times. leastDeviation is the least deviation
-	// between endpoints, firstDeviation and paceDeviation are those of the times at one
+	// minExpectedFailures is the smallest share of failures expected of any version.
+	// minFailureExcess is by how much a bad version's share exceeds the expected one.
+	// maxEndpointNats bounds the evidence from one endpoint, in nats.
+	minExpectedFailures = 0.02
+	minFailureExcess    = 0.05
+	maxEndpointNats     = 4
+	// minTimeExcess is by how much a bad version's mean logarithm of times exceeds the
+	// expected one. minEndpointDeviation is the smallest standard deviation between
+	// endpoints; firstEventDeviation and tokenTimeDeviation are those of the times at one
 	// endpoint.
-	delayEffect    = 0.3
-	leastDeviation = 0.2
-	firstDeviation = 0.8
-	paceDeviation  = 0.4
+	minTimeExcess        = 0.3
+	minEndpointDeviation = 0.2
+	firstEventDeviation  = 0.8
+	tokenTimeDeviation   = 0.4
 )
 
-// divergence is the relative entropy of a share p to a share q, in nats.
+// divergence returns the relative entropy of a share p to a share q, in nats.
 func divergence(p, q float64) float64 {
 	if p <= q {
 		return 0
@@ -233,99 +240,101 @@
 	return d
 }
 
-// Fleet is what a judgement needs to know beside the evidence.
+// Fleet describes the state outside the controller that Tick needs.
 type Fleet struct {
-	// Peers are the other entries that are heard, Rank how many of them come before this
-	// one by name.
+	// Peers are the other entries that can be reached. Rank is the number of them that come
+	// before this one by name.
 	Peers []string
 	Rank  int
-	// Left returns how many requests all entries have at endpoints of a pool that are not
-	// of a version.
+	// OldRequests returns the number of requests that all entries have at endpoints of a
+	// pool that are not of the given version.
 	Left func(pool, version string) int
-	// Spread returns how unlike a pool's endpoints in service are.
+	// Spread returns how much the endpoints in service of a pool differ.
 	Spread func(pool string) Spread
-	// Longest returns the longest time that a request of a pool may run.
+	// MaxRequestTime returns the longest time that a request of a pool may run.
 	Longest func(pool string) time.Duration
 }
 
-// Write is a state of an order that is to be written to the store.
+// StateWrite is a state of an order that is to be written to the store.
 type Write struct {
 	Order Order
 	State State
 }
 
-// Tick judges the orders and returns what is to be written now.
-func (b *Book) Tick(now time.Duration, f Fleet) []Write {
+// Tick judges the orders and returns the states that are to be written now.
+func (c *Book) Tick(now time.Duration, f Fleet) []Write {
 	var out []Write
-	for _, p := range b.pools {
-		r := p.r
+	for _, p := range c.pools {
+		r := p.rollout
 		if r == nil {
 			continue
 		}
 		if r.state == Running {
-			b.advance(now, p, f)
+			c.advanceOrder(now, p, f)
 		}
-		if w, ok := r.write(now, f.Rank); ok {
+		if w, ok := r.nextWrite(now, f.Rank); ok {
 			out = append(out, w)
 		}
 	}
 	return out
 }
 
-// write returns what is to be written, one entry after the other so that mostly one does.
-func (r *rollout) write(now time.Duration, rank int) (Write, bool) {
-	if r.written == r.state {
+// nextWrite returns the state to write now, if any. The entries write one after the other,
+// so that usually only one of them does.
+func (r *rollout) nextWrite(now time.Duration, rank int) (Write, bool) {
+	if r.storedState == r.state {
 		return Write{}, false
 	}
-	since := r.since
+	since := r.orderedAt
 	if r.state != Running {
-		since = r.ended
+		since = r.endedAt
 	}
-	if now-since < time.Duration(rank)*writeEach || r.told > since && now-r.told < writeAgain {
+	if now-since < time.Duration(rank)*writeDelayPerRank || r.writtenAt > since && now-r.writtenAt < rewriteInterval {
 		return Write{}, false
 	}
-	r.told = now
+	r.writtenAt = now
 	return Write{r.Order, r.state}, true
 }
 
-// advance judges one order and moves it on.
-func (b *Book) advance(now time.Duration, p *pool, f Fleet) {
-	r := p.r
-	if now-r.judged >= judgeEvery*time.Duration(1+len(r.all)/judgeCells) {
-		r.judged = now
-		found := r.judge(p.listed[r.Target], f.Spread(p.name))
-		r.doubtful, r.judgedOn = found.Nats >= doubt, r.answers()
-		if found.Nats >= sure {
-			b.end(now, p, RolledBack, "bad", found)
+// advanceOrder judges one order and updates its state.
+func (c *Book) advanceOrder(now time.Duration, p *pool, f Fleet) {
+	r := p.rollout
+	if now-r.judgedAt >= judgeInterval*time.Duration(1+len(r.allCells)/cellsPerJudgeInterval) {
+		r.judgedAt = now
+		finding := r.judge(p.endpointCounts[r.Target], f.Spread(p.name))
+		r.inDoubt, r.judgedAnswers = finding.Nats >= doubtNats, r.targetAnswers()
+		if finding.Nats >= rollbackNats {
+			c.endOrder(now, p, RolledBack, "bad", finding)
 			return
 		}
-		if !r.moved && now >= r.deadline() && (r.doubtful || r.answers() < leastAnswers) {
-			if p.serves() {
-				b.end(now, p, RolledBack, "in doubt at the deadline", found)
+		if !r.moved && now >= r.deadline() && (r.inDoubt || r.targetAnswers() < minTargetAnswers) {
+			if p.hasService() {
+				c.endOrder(now, p, RolledBack, "in doubt at the deadline", finding)
 			} else {
-				b.end(now, p, Complete, "no other version is left", found)
+				c.endOrder(now, p, Complete, "no other version is left", finding)
 			}
 			return
 		}
 	}
-	if !r.moved && r.moving(now) && b.covered(now, r, len(f.Peers)+1) {
+	if !r.moved && r.isMoving(now) && c.shareCoversRest(now, r, len(f.Peers)+1) {
 		r.moved, r.movedAt = true, now
-		b.dirty = true
-		b.changes = append(b.changes, Change{Order: r.Order, State: r.state, Age: now - r.since, Why: "moved", Moved: true})
+		c.rolesChanged = true
+		c.changes = append(c.changes, Change{Order: r.Order, State: r.state, Age: now - r.orderedAt, Why: "moved", Moved: true})
 	}
 	if !r.moved {
 		return
 	}
-	gone := now-r.movedAt > f.Longest(p.name)
-	if gone || r.allMoved(f.Peers) && f.Left(p.name, r.Target) == 0 {
-		b.end(now, p, Complete, "good", Finding{Answers: r.answers()})
+	timedOut := now-r.movedAt > f.Longest(p.name)
+	if timedOut || r.allPeersMoved(f.Peers) && f.Left(p.name, r.Target) == 0 {
+		c.endOrder(now, p, Complete, "good", Finding{Answers: r.targetAnswers()})
 	}
 }
 
-// allMoved reports whether all peers have told that they send nothing to the old version.
-func (r *rollout) allMoved(peers []string) bool {
+// allPeersMoved reports whether all peers have reported that they send no more requests to
+// the old version.
+func (r *rollout) allPeersMoved(peers []string) bool {
 	for _, name := range peers {
-		if !r.others[name] {
+		if !r.movedPeers[name] {
 			return false
 		}
 	}
