--- a/core/fresh/entry_test.go
+++ b/core/fresh/entry_test.go
@@ -6,165 +6,166 @@
 	"lycheepond/core/relay"
 )
 
-// rules are those by which entries follow the list.
-type rules struct {
-	// bound is within how long a change must be in force.
-	bound time.Duration
-	// follow begins to follow the list.
+// strategy defines how entries follow the list.
+type strategy struct {
+	// maxAge is the time within which a change must be in use.
+	maxAge time.Duration
+	// follow starts to follow the list.
 	follow func(e *entry)
-	// hurry is set if evidence is told at once.
-	hurry bool
+	// sendAtOnce is set if evidence is sent without waiting for the next tally.
+	sendAtOnce bool
 }
 
 const (
-	// callTime bounds a call to the store that does not wait and waitExtra what one
-	// may take beyond its wait.
-	callTime  = 2 * time.Second
-	waitExtra = 1500 * time.Millisecond
-	// retellShare is the part of the bound between two tellings of what others
-	// showed.
-	retellShare = 0.3
+	// callTimeout is the timeout of a call to the store that does not wait for changes.
+	// waitTimeoutMargin is the timeout of a waiting call beyond its wait.
+	callTimeout       = 2 * time.Second
+	waitTimeoutMargin = 1500 * time.Millisecond
+	// resendShare is the share of the maximum age between two tallies with evidence from
+	// other entries.
+	resendShare = 0.3
 )
 
-// entry is one entry: what it knows, whom it hears and how it tells.
+// entry simulates one entry: its state, its links and its tallies.
 type entry struct {
-	w  *world
-	n  int
-	id relay.Entry
-	// stops counts what keeps it from running and life its starts.
-	stops, life int
-	// revision is what it has in force, and book what it knows of that.
+	w     *world
+	index int
+	id    relay.Entry
+	// stopCount counts the faults that keep the entry from running, and incarnation its
+	// starts.
+	stopCount, incarnation int
+	// revision is the revision in use, and tracker the entry's knowledge about it.
 	revision int
-	book     Book
-	// looks counts the calls of its own that were evidence, own is set while the
-	// others have to be told of one. told is the mark of the claim that they were told
-	// last, at toldAt.
-	looks, told uint32
-	own         bool
-	toldAt      time.Duration
-
-	peers   []*peer
-	plan    relay.Plan
-	planned string
-	passing []passing
-	// seq counts its tallies, the last of which left at sent; turn is the number of
-	// its next tick and turned when the last one was.
-	seq, turn    int
-	sent, turned time.Duration
+	tracker  Book
+	// checks counts the entry's own calls that were evidence. ownClaimUnsent is set while
+	// the others have to be sent the claim of one of them. sentCheckID is the check ID of
+	// the claim last sent, at claimSentAt.
+	checks, sentCheckID uint32
+	ownClaimUnsent      bool
+	claimSentAt         time.Duration
+
+	peers     []*peer
+	plan      relay.Plan
+	planKey   string
+	toForward []forwardedTally
+	// seq is the number of the last tally, which was sent at tallySentAt. nextTick is the
+	// number of the next tick, and lastTickAt the time of the last one.
+	seq, nextTick           int
+	tallySentAt, lastTickAt time.Duration
 }
 
-func (e *entry) alive() bool { return e.stops == 0 }
+func (e *entry) isRunning() bool { return e.stopCount == 0 }
 
-// start starts an entry that knows nothing.
+// start starts the entry without any knowledge.
 func (e *entry) start() {
 	w := e.w
-	*e = entry{w: w, n: e.n, id: e.id, life: e.life + 1, planned: "none", sent: w.now - w.upTo(w.alive())}
-	for range w.all {
-		e.peers = append(e.peers, &peer{broke: never, lacksUs: never, behind: never, last: tally{life: -1}})
+	*e = entry{w: w, index: e.index, id: e.id, incarnation: e.incarnation + 1, planKey: "none", tallySentAt: w.now - w.randomUpTo(w.heartbeatInterval())}
+	for range w.entries {
+		e.peers = append(e.peers, &peer{linkBrokenAt: never, reportedLackAt: never, behindSince: never, lastTally: tally{incarnation: -1}})
 	}
-	w.rules.follow(e)
-	e.tickIn(w.upTo(tellEvery))
+	w.strategy.follow(e)
+	e.scheduleTick(w.randomUpTo(minTickInterval))
 }
 
-// stop ends an entry; its links break at once.
+// stop stops the entry and breaks its links immediately.
 func (e *entry) stop() {
-	if e.stops++; e.stops > 1 {
+	if e.stopCount++; e.stopCount > 1 {
 		return
 	}
-	for i, other := range e.w.all {
-		if i != e.n {
-			e.unlink(other)
-			other.unlink(e)
+	for i, other := range e.w.entries {
+		if i != e.index {
+			e.closeLink(other)
+			other.closeLink(e)
 		}
 	}
 }
 
-// resume starts an entry again.
+// resume starts the entry again if no other fault keeps it from running.
 func (e *entry) resume() {
-	if e.stops--; e.stops == 0 {
+	if e.stopCount--; e.stopCount == 0 {
 		e.start()
 	}
 }
 
-// later runs something in d from now unless the entry has ended by then.
-func (e *entry) later(d time.Duration, run func()) {
-	life := e.life
+// after calls run after d unless the entry has been stopped by then.
+func (e *entry) after(d time.Duration, run func()) {
+	incarnation := e.incarnation
 	e.w.after(d, func() {
-		if e.alive() && e.life == life {
+		if e.isRunning() && e.incarnation == incarnation {
 			run()
 		}
 	})
 }
 
-// heard names the other entries that are heard.
-func (e *entry) heard() []string {
+// reachableNames returns the names of the reachable entries.
+func (e *entry) reachableNames() []string {
 	var out []string
 	for i, p := range e.peers {
-		if p.reached {
-			out = append(out, e.w.all[i].id.Name)
+		if p.reachable {
+			out = append(out, e.w.entries[i].id.Name)
 		}
 	}
 	return out
 }
 
-// learn takes in what the store or a peer told.
-func (e *entry) learn(revision int) { e.revision = max(e.revision, revision) }
-
-// looked notes that a call which was sent at a time and answered at once showed
-// that there is nothing newer than revision.
-func (e *entry) looked(revision int, sent time.Duration) {
-	e.learn(revision)
-	e.looks++
-	mark := Mark(e.id.Name, e.looks)
-	before, _ := e.book.Known(int64(e.revision))
-	e.book.Looked(Claim{Revision: int64(revision), At: sent, Mark: mark})
-	after, _ := e.book.Known(int64(e.revision))
-	if after.At-before.At < (Rule{e.w.rules.bound}).Step() {
+// learnRevision records a revision received from the store or a peer.
+func (e *entry) learnRevision(revision int) { e.revision = max(e.revision, revision) }
+
+// recordCheck records that a call sent at the given time and answered immediately showed
+// that revision is the newest one.
+func (e *entry) recordCheck(revision int, sentAt time.Duration) {
+	e.learnRevision(revision)
+	e.checks++
+	checkID := Mark(e.id.Name, e.checks)
+	before, _ := e.tracker.Known(int64(e.revision))
+	e.tracker.Looked(Claim{Revision: int64(revision), At: sentAt, Mark: checkID})
+	after, _ := e.tracker.Known(int64(e.revision))
+	if after.At-before.At < (Rule{e.w.strategy.maxAge}).Step() {
 		return
 	}
-	e.own = true
-	if e.w.rules.hurry {
-		e.tickIn(max(0, e.turned+tellEvery-e.w.now))
+	e.ownClaimUnsent = true
+	if e.w.strategy.sendAtOnce {
+		e.scheduleTick(max(0, e.lastTickAt+minTickInterval-e.w.now))
 	}
 }
 
-// hear takes in what a peer's tally says of what it knows.
-func (e *entry) hear(p *peer, t *tally) {
-	if t.at == never {
+// mergeClaim merges the claim in a peer's tally.
+func (e *entry) mergeClaim(p *peer, t *tally) {
+	if t.sentAt == never {
 		return
 	}
-	late, ok := p.way.Late(e.w.now, t.at)
-	if !ok || !t.claims {
+	extraDelay, ok := p.delay.Late(e.w.now, t.sentAt)
+	if !ok || !t.hasClaim {
 		return
 	}
-	before, _ := e.book.Known(int64(e.revision))
-	e.book.Told(Told(e.w.now, late, t.at-t.claim.At, int64(t.revision), t.claim.Mark))
-	after, _ := e.book.Known(int64(e.revision))
-	if after.At-before.At >= (Rule{e.w.rules.bound}).Step() && e.w.rules.hurry && e.plan.Hub() {
-		e.later(max(0, e.turned+tellEvery-e.w.now), e.pass)
+	before, _ := e.tracker.Known(int64(e.revision))
+	e.tracker.Told(Told(e.w.now, extraDelay, t.sentAt-t.claim.At, int64(t.revision), t.claim.Mark))
+	after, _ := e.tracker.Known(int64(e.revision))
+	if after.At-before.At >= (Rule{e.w.strategy.maxAge}).Step() && e.w.strategy.sendAtOnce && e.plan.Hub() {
+		e.after(max(0, e.lastTickAt+minTickInterval-e.w.now), e.forwardTallies)
 	}
 }
 
-// claim adds to a tally what is to be told of what this entry knows.
-func (e *entry) claim(t *tally) {
-	c, ok := e.book.Best(int64(e.revision))
-	again := e.w.now-e.toldAt >= time.Duration(retellShare*float64(e.w.rules.bound))
-	if ok && (e.own || c.Mark != e.told && again) {
-		t.claim, t.claims = c, true
-		e.own, e.told, e.toldAt = false, c.Mark, e.w.now
+// addClaim adds the entry's claim to a tally if it is to be sent.
+func (e *entry) addClaim(t *tally) {
+	c, ok := e.tracker.Best(int64(e.revision))
+	resendDue := e.w.now-e.claimSentAt >= time.Duration(resendShare*float64(e.w.strategy.maxAge))
+	if ok && (e.ownClaimUnsent || c.Mark != e.sentCheckID && resendDue) {
+		t.claim, t.hasClaim = c, true
+		e.ownClaimUnsent, e.sentCheckID, e.claimSentAt = false, c.Mark, e.w.now
 	}
 }
 
-// backOff is how long a caller waits after so many calls that failed.
+// backOff returns the wait after the given number of failed calls.
 func (w *world) backOff(failed int) time.Duration {
 	pause := min(100*time.Millisecond<<min(failed-1, 8), 800*time.Millisecond)
 	return time.Duration((0.5 + w.rnd.Float64()/2) * float64(pause))
 }
 
-// gather is for how long an entry gathers changes before it asks for more.
-func (e *entry) gather() time.Duration {
+// gatherTime returns how long the entry collects changes before it calls for more.
+func (e *entry) gatherTime() time.Duration {
 	if e.plan.Led() {
-		return time.Duration(0.4 * float64(e.w.rules.bound))
+		return time.Duration(0.4 * float64(e.w.strategy.maxAge))
 	}
-	return min(time.Duration(len(e.heard())+1)*10*time.Millisecond, 200*time.Millisecond)
+	return min(time.Duration(len(e.reachableNames())+1)*10*time.Millisecond, 200*time.Millisecond)
 }
--- a/core/fresh/figures_test.go
+++ b/core/fresh/figures_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// BenchmarkFigures counts, in fleets of several sizes, what docs/design/platform.md
-// tells of one list: calls to the store a second, the worst age of what an entry
-// knows, and how long a change takes that the store told none of the calls that
-// waited.
+// BenchmarkFigures measures, for fleets of several sizes, the figures in
+// docs/design/platform.md for one list: calls to the store per second, the largest age of
+// an entry's knowledge, and the time until a change is in use that the store reported to
+// none of the waiting calls.
 func BenchmarkFigures(b *testing.B) {
 	for _, n := range []int{5, 30, 100, 300} {
-		for name, r := range map[string]rules{"waits": waitsOnly(bound), "looks": withLooks(bound)} {
+		for name, s := range map[string]strategy{"waits": waitingOnly(maxAge), "looks": withChecks(maxAge)} {
 			for _, outage := range []bool{false, true} {
 				b.Run(fmt.Sprintf("entries=%d/%s/outage=%v", n, name, outage), func(b *testing.B) {
 					zones := max(1, n/10)
 					for range b.N {
-						calls, worst := r.count(zones, n/zones, outage)
+						calls, worst := s.measureCalls(zones, n/zones, outage)
 						b.ReportMetric(calls, "calls/s")
 						b.ReportMetric(worst.Seconds(), "s-age")
-						b.ReportMetric(r.missed(zones, n/zones, outage).Seconds(), "s-missed")
+						b.ReportMetric(s.measureMissedChange(zones, n/zones, outage).Seconds(), "s-missed")
 					}
 				})
 			}
@@ -29,49 +29,50 @@
 }
 
 const (
-	// counted is for how long calls are counted, and settled when the fleet has met.
-	counted = 20 * time.Second
-	settled = 10 * time.Second
+	// countTime is the time over which calls are counted, and settleTime the time after
+	// which all entries have links.
+	countTime  = 20 * time.Second
+	settleTime = 10 * time.Second
 )
 
-// fleet returns one that has met and, if there is to be one, has seen the store
-// down for two seconds until now.
-func (r rules) fleet(zones, each int, outage bool) *world {
-	w := newWorld(zones, each, 1, r)
-	w.play(settled)
+// settledWorld returns a world whose entries have links. If outage is set, the store has
+// just been down for two seconds.
+func (s strategy) settledWorld(zones, entriesPerZone int, outage bool) *world {
+	w := newWorld(zones, entriesPerZone, 1, s)
+	w.runUntil(settleTime)
 	if outage {
-		w.begin(trouble{Kind: down, For: 2000})
-		w.play(w.now + 2*time.Second + time.Millisecond)
+		w.startFault(fault{Kind: faultDown, DurationMS: 2000})
+		w.runUntil(w.now + 2*time.Second + time.Millisecond)
 	}
 	return w
 }
 
-// count returns the calls a second from then on, and the worst age of what an entry
-// knows once a second has passed.
-func (r rules) count(zones, each int, outage bool) (calls float64, worst time.Duration) {
-	w := r.fleet(zones, each, outage)
-	begin, made := w.now, w.store.calls
-	for w.now < begin+counted {
-		w.play(w.now + checkEach)
-		for _, e := range w.all {
-			if c, ok := e.book.Known(int64(e.revision)); ok && w.now > begin+time.Second {
+// measureCalls returns the number of calls per second from then on, and the largest age of
+// an entry's knowledge after the first second.
+func (s strategy) measureCalls(zones, entriesPerZone int, outage bool) (calls float64, worst time.Duration) {
+	w := s.settledWorld(zones, entriesPerZone, outage)
+	begin, callsBefore := w.now, w.store.callCount
+	for w.now < begin+countTime {
+		w.runUntil(w.now + propertyInterval)
+		for _, e := range w.entries {
+			if c, ok := e.tracker.Known(int64(e.revision)); ok && w.now > begin+time.Second {
 				worst = max(worst, w.now-c.At)
 			}
 		}
 	}
-	return float64(w.store.calls-made) / counted.Seconds(), worst
+	return float64(w.store.callCount-callsBefore) / countTime.Seconds(), worst
 }
 
-// missed returns how long after it was made a change is in force everywhere which the
-// store has told none of the calls that waited.
-func (r rules) missed(zones, each int, outage bool) time.Duration {
-	w := r.fleet(zones, each, outage)
-	w.play(w.now + time.Second)
-	w.begin(trouble{Kind: forgets, For: 200})
-	w.play(w.now + 100*time.Millisecond)
-	w.change()
-	for made := w.now; ; w.play(w.now + checkEach) {
-		if took := w.now - made; w.inForce() || took > time.Minute {
+// measureMissedChange returns the time until a change is in use at all entries that the
+// store reported to none of the waiting calls.
+func (s strategy) measureMissedChange(zones, entriesPerZone int, outage bool) time.Duration {
+	w := s.settledWorld(zones, entriesPerZone, outage)
+	w.runUntil(w.now + time.Second)
+	w.startFault(fault{Kind: faultForgetsCalls, DurationMS: 200})
+	w.runUntil(w.now + 100*time.Millisecond)
+	w.makeChange()
+	for changedAt := w.now; ; w.runUntil(w.now + propertyInterval) {
+		if took := w.now - changedAt; w.inForce() || took > time.Minute {
 			return took
 		}
 	}
@@ -79,7 +80,7 @@
 
 // inForce reports whether all entries have the newest revision.
 func (w *world) inForce() bool {
-	for _, e := range w.all {
+	for _, e := range w.entries {
 		if e.revision != w.store.revision {
 			return false
 		}
--- a/core/fresh/fresh.go
+++ b/core/fresh/fresh.go
@@ -1,15 +1,15 @@
-// Package fresh decides how an entry knows that what it holds of the platform's
-// lists is the newest, how old that knowledge is, and when to look again.
+// Package fresh determines whether an entry holds the newest revision of the platform's
+// lists, how old that knowledge is, and when to check it again.
 //
-// A call that waits for changes is evidence of nothing while it waits: the
-// platform may have forgotten it. Evidence is a call that was answered at once,
-// as of the moment when it was sent. One entry's evidence serves all: it tells
-// the others how old it is, and who holds the same revision, or a newer one,
-// knows as much. So one look in a while serves the whole fleet, and if whoever
-// should look is dead, cut off or slow, the next in order does.
+// A call that waits for changes proves nothing while it waits, because the platform may
+// have forgotten it. Only a call that is answered immediately, called a check, is evidence,
+// as of the time at which it was sent. One entry's check serves all entries: it sends the
+// others the age of its evidence, and an entry that holds the same revision or a newer one
+// can rely on it. A check from time to time is therefore enough for the whole fleet. If the
+// entry that should check is dead, cut off or slow, the next one in order does it.
 //
-// Times are of the caller's own monotonic clock, since any moment that it
-// chooses. The package uses no network, clock or random source.
+// Times are readings of the caller's own monotonic clock, from any origin. The package uses
+// no network, clock or random source.
 package fresh
 
 import (
@@ -19,49 +19,49 @@
 	"time"
 )
 
-// Claim says that Revision held every change that was made up to At.
+// Claim states that Revision contains every change made up to At.
 type Claim struct {
 	Revision int64
 	At       time.Duration
-	// Mark tells one look from another: all who hold the same claim derive the
-	// same order from it. Claims of the same moment take on the lowest of theirs.
+	// CheckID identifies the check. All entries that hold the same claim derive the same
+	// order from it. Claims of about the same time take the lowest of their IDs.
 	Mark uint32
 }
 
-// maxClaims bounds the claims of newer revisions that wait for these to arrive.
-// While a list changes all the time an entry is a few revisions behind others.
+// maxClaims bounds the claims kept for revisions that have not arrived yet. While a list
+// changes constantly, an entry is a few revisions behind others.
 const maxClaims = 8
 
-// Book holds what an entry knows about one list. The zero Book knows nothing.
+// Tracker tracks an entry's knowledge of one list. The zero Tracker knows nothing.
 type Book struct {
-	// own is the last look of this entry itself.
-	own    Claim
-	looked bool
-	// claims holds those of which none is both older and of a newer revision than
-	// another, by revision.
+	// ownCheck is the claim from this entry's own last check, valid if hasChecked is set.
+	ownCheck   Claim
+	hasChecked bool
+	// claims is ordered by revision. None of them is both older and of a newer revision
+	// than another.
 	claims []Claim
 }
 
-// together is by how much the times of claims may differ that count as one: all
-// entries that look at the same moment have a claim of their own, and a peer's is
-// older by Allowance and its way.
-const together = 150 * time.Millisecond
+// sameCheckTolerance is the largest difference in time between claims that are treated as
+// one. Entries that check at the same moment have a claim each, and a peer's claim appears
+// older by RelayAllowance and its delay.
+const sameCheckTolerance = 150 * time.Millisecond
 
-// same gives claims that count as one the same mark, the lowest, so that all who
-// hear of them derive the same order.
-func (b *Book) same(c Claim) Claim {
+// unifyCheckIDs gives all claims of about the same time the lowest of their IDs, so that
+// all entries that receive them derive the same order.
+func (t *Book) unifyCheckIDs(c Claim) Claim {
 	var near []*Claim
-	note := func(o *Claim) {
-		if max(o.At-c.At, c.At-o.At) <= together {
+	addIfNear := func(o *Claim) {
+		if max(o.At-c.At, c.At-o.At) <= sameCheckTolerance {
 			near = append(near, o)
 			c.Mark = min(c.Mark, o.Mark)
 		}
 	}
-	for i := range b.claims {
-		note(&b.claims[i])
+	for i := range t.claims {
+		addIfNear(&t.claims[i])
 	}
-	if b.looked {
-		note(&b.own)
+	if t.hasChecked {
+		addIfNear(&t.ownCheck)
 	}
 	for _, o := range near {
 		o.Mark = c.Mark
@@ -69,127 +69,133 @@
 	return c
 }
 
-// Looked takes in the answer of a look of this entry's own.
-func (b *Book) Looked(c Claim) {
-	c = b.same(c)
-	if !b.looked || c.At > b.own.At {
-		b.own, b.looked = c, true
+// RecordCheck records the result of this entry's own check.
+func (t *Book) Looked(c Claim) {
+	c = t.unifyCheckIDs(c)
+	if !t.hasChecked || c.At > t.ownCheck.At {
+		t.ownCheck, t.hasChecked = c, true
 	}
-	b.Told(c)
+	t.Told(c)
 }
 
-// Told takes in a peer's claim. Its At must not be later than true: see Way.
-func (b *Book) Told(c Claim) {
-	c = b.same(c)
+// MergeClaim merges a peer's claim. Its At must not be later than the true time; see
+// DelayEstimator.
+func (t *Book) Told(c Claim) {
+	c = t.unifyCheckIDs(c)
 	covered := func(c, by Claim) bool { return by.Revision <= c.Revision && by.At >= c.At }
-	if slices.ContainsFunc(b.claims, func(o Claim) bool { return covered(c, o) }) {
+	if slices.ContainsFunc(t.claims, func(o Claim) bool { return covered(c, o) }) {
 		return
 	}
-	b.claims = slices.DeleteFunc(b.claims, func(o Claim) bool { return covered(o, c) })
-	i, _ := slices.BinarySearchFunc(b.claims, c, func(a, b Claim) int { return cmp.Compare(a.Revision, b.Revision) })
-	b.claims = slices.Insert(b.claims, i, c)
-	if len(b.claims) > maxClaims {
-		// The first is the one in force, which Best keeps alone.
-		b.claims = slices.Delete(b.claims, 1, 2)
+	t.claims = slices.DeleteFunc(t.claims, func(o Claim) bool { return covered(o, c) })
+	i, _ := slices.BinarySearchFunc(t.claims, c, func(a, b Claim) int { return cmp.Compare(a.Revision, b.Revision) })
+	t.claims = slices.Insert(t.claims, i, c)
+	if len(t.claims) > maxClaims {
+		// The first claim is for the revision in use, and BestClaim keeps no other such
+		// claim.
+		t.claims = slices.Delete(t.claims, 1, 2)
 	}
 }
 
-// Best returns the latest claim that holds for whoever has revision in force;
-// ok is false if there is none. It is what the entry may tell others. A revision
-// in force never becomes lower.
-func (b *Book) Best(revision int64) (c Claim, ok bool) {
+// BestClaim returns the latest claim that holds for an entry with the given revision in
+// use, and which it may send to others. ok is false if there is none. The revision in use
+// must never decrease.
+func (t *Book) Best(revision int64) (c Claim, ok bool) {
 	n := 0
-	for n < len(b.claims) && b.claims[n].Revision <= revision {
+	for n < len(t.claims) && t.claims[n].Revision <= revision {
 		n++
 	}
 	if n == 0 {
 		return Claim{}, false
 	}
-	// The last of them is the latest, and those before it serve nothing any more.
-	b.claims = slices.Delete(b.claims, 0, n-1)
-	return b.claims[0], true
+	// The last of these claims is the latest. The earlier ones are no longer needed.
+	t.claims = slices.Delete(t.claims, 0, n-1)
+	return t.claims[0], true
 }
 
-// Known is Best or, if that is later, the entry's own last look: what this told
-// is taken in, though it need not be in force, as when removals are held back.
-func (b *Book) Known(revision int64) (c Claim, ok bool) {
-	c, ok = b.Best(revision)
-	if b.looked && (!ok || b.own.At > c.At) {
-		return b.own, true
+// LatestClaim returns the claim of BestClaim or, if that is later, of the entry's own last
+// check. The result of the check has been received but need not be in use, for example
+// while removals are deferred.
+func (t *Book) Known(revision int64) (c Claim, ok bool) {
+	c, ok = t.Best(revision)
+	if t.hasChecked && (!ok || t.ownCheck.At > c.At) {
+		return t.ownCheck, true
 	}
 	return c, ok
 }
 
 const (
-	// lookShare is the part of the bound after which the fleet looks again, and
-	// stepShare that by which the next in order looks later: the time in which one
-	// entry's look reaches the others.
-	lookShare = 0.2
-	stepShare = 0.1
-	// steps is how many look one after the other before all others do within a
-	// further step. Then no entry that can call the platform is older than
-	// lookShare + (steps+1)*stepShare of the bound, 0.6, and a call's time.
-	steps = 3
-	// aloneShare is the part of the bound after which an entry looks that hears no
-	// other: nobody looks before or after it.
-	aloneShare = 0.5
+	// firstCheckShare is the share of the maximum age after which the first entry checks
+	// again. stepShare is the share after which the next one in order does, the time in
+	// which a check's result reaches the other entries.
+	firstCheckShare = 0.2
+	stepShare       = 0.1
+	// sequentialChecks is the number of entries that check one after the other before all
+	// others do so within one further step. No entry that can call the platform then has
+	// knowledge older than 0.6 of the maximum age, which is firstCheckShare +
+	// (sequentialChecks+1)*stepShare, and the time of a call.
+	sequentialChecks = 3
+	// soloCheckShare is the share of the maximum age after which an entry checks that
+	// reaches no other entry, as no other one checks before or after it.
+	soloCheckShare = 0.5
 )
 
-// Rule says when to look. Bound is the age that knowledge must not exceed.
+// Policy determines when entries check. MaxAge is the age that knowledge must not exceed.
 type Rule struct {
 	Bound time.Duration
 }
 
-// share returns a part of the bound.
-func (r Rule) share(part float64) time.Duration { return time.Duration(part * float64(r.Bound)) }
+// shareOfMaxAge returns a share of the maximum age.
+func (p Rule) shareOfMaxAge(share float64) time.Duration {
+	return time.Duration(share * float64(p.Bound))
+}
 
-// First returns how old a claim is at least when anybody looks again: before that
-// nobody needs to know its rank.
-func (r Rule) First() time.Duration { return r.share(lookShare) }
+// FirstCheckAge returns the age of a claim at which the first entry checks again. Before
+// that, no entry needs its rank.
+func (p Rule) First() time.Duration { return p.shareOfMaxAge(firstCheckShare) }
 
-// Step returns the time in which a look should reach the other entries.
-func (r Rule) Step() time.Duration { return r.share(stepShare) }
+// StepTime returns the time in which the result of a check should reach the other entries.
+func (p Rule) Step() time.Duration { return p.shareOfMaxAge(stepShare) }
 
-// Due returns the age of the latest claim at which an entry looks that is the
-// rank-th, from zero, of heard entries, itself included.
-func (r Rule) Due(rank, heard int) time.Duration {
-	if heard <= 1 {
-		return r.share(aloneShare)
+// CheckAge returns the age of the latest claim at which an entry checks, given its rank,
+// from zero, and the number of reachable entries, itself included.
+func (p Rule) Due(rank, reachable int) time.Duration {
+	if reachable <= 1 {
+		return p.shareOfMaxAge(soloCheckShare)
 	}
-	due := r.First() + time.Duration(min(rank, steps))*r.Step()
-	if late := heard - steps; rank > steps && late > 0 {
-		due += r.Step() * time.Duration(rank-steps) / time.Duration(late)
+	age := p.First() + time.Duration(min(rank, sequentialChecks))*p.Step()
+	if remaining := reachable - sequentialChecks; rank > sequentialChecks && remaining > 0 {
+		age += p.Step() * time.Duration(rank-sequentialChecks) / time.Duration(remaining)
 	}
-	return due
+	return age
 }
 
-// Old reports whether knowledge of that age is older than the bound.
-func (r Rule) Old(age time.Duration) bool { return age > r.Bound }
+// IsTooOld reports whether knowledge of the given age exceeds the maximum age.
+func (p Rule) Old(age time.Duration) bool { return age > p.Bound }
 
-// Rank returns the place of self, from zero, in the order in which the heard
-// entries look again after the look that had mark. It does not matter whether
-// heard names self.
-func Rank(self string, heard []string, mark uint32) int {
-	own, n := order(self, mark), 0
-	for _, name := range heard {
+// Rank returns the rank of self, from zero, in the order in which the reachable entries
+// check again after the check with the given ID. reachable may or may not include self.
+func Rank(self string, reachable []string, checkID uint32) int {
+	ownKey, rank := orderKey(self, checkID), 0
+	for _, name := range reachable {
 		if name == self {
 			continue
 		}
-		if o := order(name, mark); o < own || o == own && name < self {
-			n++
+		if key := orderKey(name, checkID); key < ownKey || key == ownKey && name < self {
+			rank++
 		}
 	}
-	return n
+	return rank
 }
 
-// Mark returns the mark of an entry's n-th look.
-func Mark(self string, n uint32) uint32 { return order(self, n) }
+// NewCheckID returns the ID of an entry's n-th check.
+func Mark(self string, n uint32) uint32 { return orderKey(self, n) }
 
-func order(name string, mark uint32) uint32 {
+func orderKey(name string, checkID uint32) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
-	h.Write([]byte{byte(mark >> 24), byte(mark >> 16), byte(mark >> 8), byte(mark)})
-	// The last bytes of FNV reach only the low bits: mix them into all.
+	h.Write([]byte{byte(checkID >> 24), byte(checkID >> 16), byte(checkID >> 8), byte(checkID)})
+	// The last bytes hashed by FNV affect only the low bits, so they are mixed into all
+	// bits.
 	x := h.Sum32()
 	x ^= x >> 16
 	x *= 0x7feb352d
--- a/core/fresh/looker_test.go
+++ b/core/fresh/looker_test.go
@@ -3,176 +3,179 @@
 import "time"
 
 const (
-	// longestWait is the longest that a call waits beside looks.
-	longestWait = 24 * time.Second
-	// lookLimit is how long a look may take, maxReadings bounds the first readings
-	// beside each other and pollLook is how often it is checked whether a look is due.
-	lookLimit   = bound * 3 / 10
-	maxReadings = 2
-	pollLook    = 50 * time.Millisecond
+	// maxWait is the longest wait of a call for changes, with checks in parallel.
+	maxWait = 24 * time.Second
+	// checkTimeout is the timeout of a check. maxListCalls bounds the parallel calls for
+	// the first list. pollInterval is the interval at which the checker tests whether a
+	// check is due.
+	checkTimeout = maxAge * 3 / 10
+	maxListCalls = 2
+	pollInterval = 50 * time.Millisecond
 )
 
-// looker follows the list by calls that wait and by looks beside them, like
-// entry/follow.
-type looker struct {
+// checker follows the list with waiting calls and parallel checks, like entry/follow.
+type checker struct {
 	e *entry
-	// failed counts the calls that failed since one went well, which was sent at
-	// well; nothing is asked before retry.
-	failed      int
-	well, retry time.Duration
-	since       int
-	// listed is set once the list was read, lost while the history since then is
-	// gone, looking while a look is in flight. waiting is the call that waits, and next
-	// when the next one is sent.
-	listed, lost, looking bool
-	next                  time.Duration
-	waiting               *call
-	// readings counts the first readings in flight, and turn the times at which one
-	// was planned.
-	readings, turn int
+	// failedCalls counts the failed calls since the last success, whose call was sent at
+	// lastSuccessSentAt. No call is sent before retryAt.
+	failedCalls                int
+	lastSuccessSentAt, retryAt time.Duration
+	sinceRevision              int
+	// listed is set once the list has been read. historyLost is set while the changes since
+	// sinceRevision are no longer available. checking is set while a check is in flight.
+	// waitingCall is the waiting call, and nextWaitAt the time for the next one.
+	listed, historyLost, checking bool
+	nextWaitAt                    time.Duration
+	waitingCall                   *call
+	// listCalls counts the calls for the first list in flight. listAttempt is the number of
+	// the last scheduled attempt.
+	listCalls, listAttempt int
 }
 
-func withLooks(bound time.Duration) rules {
-	return rules{bound: bound, hurry: true, follow: func(e *entry) {
-		f := &looker{e: e}
-		f.list()
-		e.later(e.w.upTo(pollLook), f.poll)
+func withChecks(maxAge time.Duration) strategy {
+	return strategy{maxAge: maxAge, sendAtOnce: true, follow: func(e *entry) {
+		c := &checker{e: e}
+		c.requestList()
+		e.after(e.w.randomUpTo(pollInterval), c.poll)
 	}}
 }
 
-func (f *looker) poll() {
-	f.send()
-	f.e.later(pollLook, f.poll)
+func (c *checker) poll() {
+	c.sendDue()
+	c.e.after(pollInterval, c.poll)
 }
 
-func (f *looker) list() {
-	e, sent := f.e, f.e.w.now
-	if f.readings < maxReadings {
-		f.readings++
-		e.w.ask(e, whole, 0, callTime, func(a answer) {
-			f.readings--
+func (c *checker) requestList() {
+	e, sentAt := c.e, c.e.w.now
+	if c.listCalls < maxListCalls {
+		c.listCalls++
+		e.w.startCall(e, wholeList, 0, callTimeout, func(a answer) {
+			c.listCalls--
 			switch {
-			case f.listed:
+			case c.listed:
 			case a.failed:
-				f.bad()
-				f.listIn(f.retry - e.w.now)
+				c.recordFailure()
+				c.scheduleList(c.retryAt - e.w.now)
 			default:
-				f.good(sent)
-				f.since, f.listed, f.next = a.revision, true, e.w.now
-				e.looked(a.revision, sent)
-				f.send()
+				c.recordSuccess(sentAt)
+				c.sinceRevision, c.listed, c.nextWaitAt = a.revision, true, e.w.now
+				e.recordCheck(a.revision, sentAt)
+				c.sendDue()
 			}
 		})
 	}
-	f.listIn(lookLimit)
+	c.scheduleList(checkTimeout)
 }
 
-// listIn has the list asked for in d, unless it has come.
-func (f *looker) listIn(d time.Duration) {
-	f.turn++
-	turn := f.turn
-	f.e.later(d, func() {
-		if !f.listed && f.turn == turn {
-			f.list()
+// scheduleList requests the list after d, unless it has arrived or another attempt has been
+// scheduled by then.
+func (c *checker) scheduleList(d time.Duration) {
+	c.listAttempt++
+	attempt := c.listAttempt
+	c.e.after(d, func() {
+		if !c.listed && c.listAttempt == attempt {
+			c.requestList()
 		}
 	})
 }
 
-func (f *looker) good(sent time.Duration) { f.failed, f.well = 0, max(f.well, sent) }
+func (c *checker) recordSuccess(sentAt time.Duration) {
+	c.failedCalls, c.lastSuccessSentAt = 0, max(c.lastSuccessSentAt, sentAt)
+}
 
-func (f *looker) bad() {
-	f.failed++
-	f.retry = f.e.w.now + f.e.w.backOff(f.failed)
+func (c *checker) recordFailure() {
+	c.failedCalls++
+	c.retryAt = c.e.w.now + c.e.w.backOff(c.failedCalls)
 }
 
-// send sends the calls that are due.
-func (f *looker) send() {
-	now := f.e.w.now
-	if !f.listed {
+// sendDue sends the calls that are due.
+func (c *checker) sendDue() {
+	now := c.e.w.now
+	if !c.listed {
 		return
 	}
-	if f.failed == 0 && !f.lost && f.waiting == nil && now >= f.next {
-		wait := time.Duration(float64(longestWait) * (1 - 0.5*f.e.w.rnd.Float64()))
-		f.waiting = f.call(f.since, true, wait, wait+waitExtra)
+	if c.failedCalls == 0 && !c.historyLost && c.waitingCall == nil && now >= c.nextWaitAt {
+		wait := time.Duration(float64(maxWait) * (1 - 0.5*c.e.w.rnd.Float64()))
+		c.waitingCall = c.startCall(c.sinceRevision, true, wait, wait+waitTimeoutMargin)
 	}
-	if f.due(now) {
-		f.looking = true
-		f.call(whole, false, 0, lookLimit)
+	if c.isCheckDue(now) {
+		c.checking = true
+		c.startCall(wholeList, false, 0, checkTimeout)
 	}
 }
 
-func (f *looker) due(now time.Duration) bool {
-	rule := Rule{f.e.w.rules.bound}
+func (c *checker) isCheckDue(now time.Duration) bool {
+	policy := Rule{c.e.w.strategy.maxAge}
 	switch {
-	case f.looking:
+	case c.checking:
 		return false
-	case f.failed > 0:
-		return now >= f.retry
-	case f.lost:
+	case c.failedCalls > 0:
+		return now >= c.retryAt
+	case c.historyLost:
 		return true
 	}
-	c, ok := f.e.book.Known(int64(f.e.revision))
-	if !ok || now-c.At < rule.First() {
+	claim, ok := c.e.tracker.Known(int64(c.e.revision))
+	if !ok || now-claim.At < policy.First() {
 		return !ok
 	}
-	heard := f.e.heard()
-	return now-c.At >= rule.Due(Rank(f.e.id.Name, heard, c.Mark), len(heard)+1)
+	reachable := c.e.reachableNames()
+	return now-claim.At >= policy.Due(Rank(c.e.id.Name, reachable, claim.Mark), len(reachable)+1)
 }
 
-func (f *looker) call(ask int, waits bool, wait, limit time.Duration) *call {
-	e, sent, since := f.e, f.e.w.now, f.since
-	var c *call
-	c = e.w.ask(e, ask, wait, limit, func(a answer) {
-		if !waits || c == f.waiting {
-			f.take(a, waits, since, sent)
-			f.send()
+func (c *checker) startCall(from int, waits bool, wait, timeout time.Duration) *call {
+	e, sentAt, sinceRevision := c.e, c.e.w.now, c.sinceRevision
+	var started *call
+	started = e.w.startCall(e, from, wait, timeout, func(a answer) {
+		if !waits || started == c.waitingCall {
+			c.handleAnswer(a, waits, sinceRevision, sentAt)
+			c.sendDue()
 		}
 	})
-	return c
+	return started
 }
 
-// restart gives up the call that waits and sends the next one after a pause.
-func (f *looker) restart(pause time.Duration) {
-	if f.waiting != nil {
-		f.waiting.over = true
+// restartWaiting abandons the waiting call and sends the next one after a pause.
+func (c *checker) restartWaiting(pause time.Duration) {
+	if c.waitingCall != nil {
+		c.waitingCall.ended = true
 	}
-	f.waiting, f.next = nil, f.e.w.now+pause
+	c.waitingCall, c.nextWaitAt = nil, c.e.w.now+pause
 }
 
-func (f *looker) take(a answer, waits bool, since int, sent time.Duration) {
+func (c *checker) handleAnswer(a answer, waits bool, sinceRevision int, sentAt time.Duration) {
 	if waits {
-		f.restart(0)
+		c.restartWaiting(0)
 	} else {
-		f.looking = false
+		c.checking = false
 	}
 	if a.failed {
-		if sent >= f.well {
-			f.bad()
+		if sentAt >= c.lastSuccessSentAt {
+			c.recordFailure()
 		}
 		return
 	}
-	if a.history {
-		f.good(sent)
-		if since == f.since {
-			f.lost = true
-			f.restart(0)
+	if a.historyLost {
+		c.recordSuccess(sentAt)
+		if sinceRevision == c.sinceRevision {
+			c.historyLost = true
+			c.restartWaiting(0)
 		}
 		return
 	}
-	if f.failed > 0 {
-		f.restart(0)
+	if c.failedCalls > 0 {
+		c.restartWaiting(0)
 	}
-	f.good(sent)
+	c.recordSuccess(sentAt)
 	switch {
-	case waits && since != f.since, !waits && a.revision < f.since:
-		// Another answer has told more.
+	case waits && sinceRevision != c.sinceRevision, !waits && a.revision < c.sinceRevision:
+		// Another answer was newer.
 		return
-	case a.revision > f.since:
-		f.since = a.revision
-		f.e.looked(a.revision, sent)
-		f.restart(f.e.gather())
+	case a.revision > c.sinceRevision:
+		c.sinceRevision = a.revision
+		c.e.recordCheck(a.revision, sentAt)
+		c.restartWaiting(c.e.gatherTime())
 	case !waits:
-		f.e.looked(f.since, sent)
+		c.e.recordCheck(c.sinceRevision, sentAt)
 	}
-	f.lost = f.lost && waits
+	c.historyLost = c.historyLost && waits
 }
--- a/core/fresh/model_test.go
+++ b/core/fresh/model_test.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// bound is the configured one of the model, the shortest in use.
+	// maxAge is the configured maximum age in the model, the shortest in use.
 	//
-	// A change must be in force within it, counted from its acknowledgement or, if
-	// that is later, from when the entry could learn of it: from when on it has
-	// reached the store without a break, or has been joined to one entry that has.
-	// A store that is silent, refuses all or loses answers cannot be reached. One
-	// that forgets or holds back calls for changes, drops its history, is slow or cuts off some
-	// entries can, so none of that excuses anything. By its own looks an entry is no
-	// older than 0.6 of the bound and a call; what is left is for what others tell.
-	bound = 2 * time.Second
-	// checkEach is how often the property is checked.
-	checkEach = 20 * time.Millisecond
+	// A change must be in use within this time, counted from its acknowledgement or, if
+	// that is later, from the time since which the entry could learn of it: since it has
+	// been able to reach the store without a break, or has been connected to an entry that
+	// could. A store that is silent, refuses all calls or loses answers cannot be reached.
+	// A store that forgets or holds back calls for changes, drops its history, is slow or
+	// cuts off some entries can be reached, so these faults excuse nothing. With its own
+	// checks an entry's knowledge is no older than 0.6 of the maximum age and a call; the
+	// rest is left for the distribution to others.
+	maxAge = 2 * time.Second
+	// propertyInterval is the interval at which the property is tested.
+	propertyInterval = 20 * time.Millisecond
 )
 
-var seeds = flag.Int("seeds", 3, "seeds that each of the shortest schedules is played with")
+var seeds = flag.Int("seeds", 3, "number of seeds with which each of the shortest schedules is run")
 
-// The schedules of a plain run are few and always the same; flags of the command
-// line have more played, and others.
+// A plain run plays a few schedules that are always the same. Command-line flags can select
+// more and others.
 func init() {
 	for name, value := range map[string]string{"rapid.checks": "20", "rapid.seed": "1", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -36,119 +37,119 @@
 	}
 }
 
-// broken plays a schedule and says where the property does not hold.
-func broken(s schedule, r rules) string {
-	w := newWorld(s.Zones, s.Each, s.Seed, r)
+// findViolation plays a schedule and describes the first violation of the property, if any.
+func findViolation(s schedule, strategy strategy) string {
+	w := newWorld(s.Zones, s.EntriesPerZone, s.Seed, strategy)
 	last := 0
-	for _, at := range s.Changes {
+	for _, at := range s.ChangesMS {
 		last = max(last, at)
-		w.after(time.Duration(at)*time.Millisecond, w.change)
+		w.after(time.Duration(at)*time.Millisecond, w.makeChange)
 	}
-	for _, t := range s.Troubles {
-		last = max(last, t.At+t.For)
-		w.after(time.Duration(t.At)*time.Millisecond, func() { w.begin(t) })
+	for _, f := range s.Faults {
+		last = max(last, f.AtMS+f.DurationMS)
+		w.after(time.Duration(f.AtMS)*time.Millisecond, func() { w.startFault(f) })
 	}
-	end := time.Duration(last)*time.Millisecond + 2*r.bound
+	end := time.Duration(last)*time.Millisecond + 2*strategy.maxAge
 	for w.now < end {
-		w.play(w.now + checkEach)
-		for _, e := range w.all {
-			if why := w.old(e); why != "" {
-				return why
+		w.runUntil(w.now + propertyInterval)
+		for _, e := range w.entries {
+			if violation := w.violation(e); violation != "" {
+				return violation
 			}
 		}
 	}
 	return ""
 }
 
-// old says what is wrong with what an entry knows. One that knows nothing decides
-// nothing by it.
-func (w *world) old(e *entry) string {
-	if !e.alive() || e.revision == 0 || e.revision == w.store.revision {
+// violation describes what is wrong with an entry's knowledge, if anything. An entry
+// without a list makes no decisions from it.
+func (w *world) violation(e *entry) string {
+	if !e.isRunning() || e.revision == 0 || e.revision == w.store.revision {
 		return ""
 	}
-	made, since := w.store.made[e.revision], w.could(e)
-	if claim, ok := e.book.Known(int64(e.revision)); ok && claim.At > made {
-		return fmt.Sprintf("%v: %s claims to know all at %v but lacks a change made at %v", w.now, e.id.Name, claim.At, made)
+	changedAt, reachableSince := w.store.changedAt[e.revision], w.storeReachableSince(e)
+	if claim, ok := e.tracker.Known(int64(e.revision)); ok && claim.At > changedAt {
+		return fmt.Sprintf("%v: %s claims to know all changes made by %v but lacks one made at %v", w.now, e.id.Name, claim.At, changedAt)
 	}
-	if since == never || w.now <= max(made, since)+w.rules.bound {
+	if reachableSince == never || w.now <= max(changedAt, reachableSince)+w.strategy.maxAge {
 		return ""
 	}
-	return fmt.Sprintf("%v: %s lacks a change made at %v, and could know it since %v", w.now, e.id.Name, made, since)
+	return fmt.Sprintf("%v: %s lacks a change made at %v, and could have learned of it since %v", w.now, e.id.Name, changedAt, reachableSince)
 }
 
-// No entry that can reach the store, or another entry that does, is older than
-// the bound, whatever becomes of waiting calls, history, links and entries; and
-// none takes what it knows for newer than it is.
-func TestNoEntryIsOlderThanTheBound(t *testing.T) {
+// The knowledge of an entry that can reach the store, or another entry that can, must never
+// exceed the maximum age, whatever happens to waiting calls, history, links and entries. No
+// entry may consider its knowledge newer than it is.
+func TestKnowledgeIsNeverOlderThanMaxAge(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		s := schedules().Draw(t, "schedule")
-		if why := broken(s, withLooks(bound)); why != "" {
-			t.Fatal(why)
+		s := genSchedule().Draw(t, "schedule")
+		if violation := findViolation(s, withChecks(maxAge)); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
 
-// Entries that only wait for changes are too old soon: else the model shows
+// Entries that only wait for changes must violate the property, or the model would prove
 // nothing.
-func TestEntriesThatOnlyWaitAreTooOld(t *testing.T) {
+func TestWaitingCallsAloneExceedMaxAge(t *testing.T) {
 	t.Parallel()
-	all := schedules()
-	// Those before the first are passed over: it is the 44th.
+	all := genSchedule()
+	// The first schedule that shows a violation is the 44th, so earlier ones are skipped.
 	for n := 40; n < 1000; n++ {
-		if why := broken(all.Example(n), waitsOnly(bound)); why != "" {
-			t.Logf("schedule %d: %s", n, why)
+		if violation := findViolation(all.Example(n), waitingOnly(maxAge)); violation != "" {
+			t.Logf("schedule %d: %s", n, violation)
 			return
 		}
 	}
-	t.Error("no schedule of 1000 shows it")
+	t.Error("no schedule of 1000 shows a violation")
 }
 
-// shortest are the shortest schedules on which entries were too old. Which of them
-// depends on the seed.
-var shortest = []struct {
+// shortestSchedules holds the shortest schedules on which knowledge was too old. Each of
+// them shows this with some seeds only.
+var shortestSchedules = []struct {
 	name string
 	schedule
 }{
-	{"a change while the store forgets who waits", schedule{
-		Zones: 1, Each: 12, Changes: []int{5000}, Troubles: []trouble{{Kind: forgets, At: 4900, For: 200}},
+	{"change while the store forgets waiting calls", schedule{
+		Zones: 1, EntriesPerZone: 12, ChangesMS: []int{5000}, Faults: []fault{{Kind: faultForgetsCalls, AtMS: 4900, DurationMS: 200}},
 	}},
-	{"all wait in step after an outage", schedule{
-		Zones: 4, Each: 7, Changes: []int{6500}, Troubles: []trouble{{Kind: down, At: 1000, For: 3000}, {Kind: forgets, At: 6400, For: 200}},
+	{"all waiting calls start together after an outage", schedule{
+		Zones: 4, EntriesPerZone: 7, ChangesMS: []int{6500}, Faults: []fault{{Kind: faultDown, AtMS: 1000, DurationMS: 3000}, {Kind: faultForgetsCalls, AtMS: 6400, DurationMS: 200}},
 	}},
-	{"calls that a short silence swallowed", schedule{
-		Zones: 1, Each: 6, Changes: []int{5788}, Troubles: []trouble{{Kind: silent, At: 5787, For: 50}},
+	{"calls lost in a short silence", schedule{
+		Zones: 1, EntriesPerZone: 6, ChangesMS: []int{5788}, Faults: []fault{{Kind: faultSilent, AtMS: 5787, DurationMS: 50}},
 	}},
-	{"a long silence of a small fleet", schedule{
-		Zones: 1, Each: 5, Changes: []int{1}, Troubles: []trouble{{Kind: silent, At: 1, For: 4236}},
+	{"long silence with a small fleet", schedule{
+		Zones: 1, EntriesPerZone: 5, ChangesMS: []int{1}, Faults: []fault{{Kind: faultSilent, AtMS: 1, DurationMS: 4236}},
 	}},
-	{"a silence in which all look at the same time", schedule{
-		Zones: 1, Each: 20, Changes: []int{1349, 1352}, Troubles: []trouble{{Kind: silent, At: 1351, For: 1827}},
+	{"silence in which all check at the same time", schedule{
+		Zones: 1, EntriesPerZone: 20, ChangesMS: []int{1349, 1352}, Faults: []fault{{Kind: faultSilent, AtMS: 1351, DurationMS: 1827}},
 	}},
-	{"a list that is asked for as the store falls silent", schedule{
-		Zones: 2, Each: 5, Changes: []int{1}, Troubles: []trouble{{Kind: silent, At: 1, For: 50}, {Kind: refuses, At: 713, For: 639, Who: 0x100}},
+	{"list requested as the store falls silent", schedule{
+		Zones: 2, EntriesPerZone: 5, ChangesMS: []int{1}, Faults: []fault{{Kind: faultSilent, AtMS: 1, DurationMS: 50}, {Kind: faultRefusesEntries, AtMS: 713, DurationMS: 639, EntryBits: 0x100}},
 	}},
 	{"calls for changes are held back", schedule{
-		Zones: 1, Each: 5, Changes: []int{3500}, Troubles: []trouble{{Kind: holds, At: 3000, For: 4000}},
+		Zones: 1, EntriesPerZone: 5, ChangesMS: []int{3500}, Faults: []fault{{Kind: faultHoldsCalls, AtMS: 3000, DurationMS: 4000}},
 	}},
 	{"calls for changes are held back and cut", schedule{
-		Zones: 2, Each: 6, Changes: []int{3}, Troubles: []trouble{{Kind: holds, At: 0, For: 1134}},
+		Zones: 2, EntriesPerZone: 6, ChangesMS: []int{3}, Faults: []fault{{Kind: faultHoldsCalls, AtMS: 0, DurationMS: 1134}},
 	}},
-	{"the same in a larger fleet", schedule{
-		Zones: 3, Each: 10, Changes: []int{5500}, Troubles: []trouble{{Kind: holds, At: 5000, For: 4000}},
+	{"calls for changes are held back in a larger fleet", schedule{
+		Zones: 3, EntriesPerZone: 10, ChangesMS: []int{5500}, Faults: []fault{{Kind: faultHoldsCalls, AtMS: 5000, DurationMS: 4000}},
 	}},
-	{"tallies of a peer that began with a late one", schedule{
-		Zones: 4, Each: 7, Changes: []int{4500}, Troubles: []trouble{{Kind: down, At: 1000, For: 3000}, {Kind: forgets, At: 4400, For: 200, How: true}},
+	{"first tally of a peer is late", schedule{
+		Zones: 4, EntriesPerZone: 7, ChangesMS: []int{4500}, Faults: []fault{{Kind: faultDown, AtMS: 1000, DurationMS: 3000}, {Kind: faultForgetsCalls, AtMS: 4400, DurationMS: 200, Variant: true}},
 	}},
 }
 
 func TestShortestSchedules(t *testing.T) {
-	for _, tc := range shortest {
+	for _, tc := range shortestSchedules {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			for tc.Seed = 0; tc.Seed < uint64(*seeds); tc.Seed++ {
-				if why := broken(tc.schedule, withLooks(bound)); why != "" {
-					t.Fatalf("seed %d: %s", tc.Seed, why)
+				if violation := findViolation(tc.schedule, withChecks(maxAge)); violation != "" {
+					t.Fatalf("seed %d: %s", tc.Seed, violation)
 				}
 			}
 		})
--- a/core/fresh/net_test.go
+++ b/core/fresh/net_test.go
@@ -6,297 +6,299 @@
 	"lycheepond/core/relay"
 )
 
-// What follows is how entries tell each other, with the times of entry/mesh: a
-// tally of each in 250 ms at most, through hubs when there are many; links that
-// are given up and made anew; versions passed on in turns to those that lag
-// behind.
+// The network model follows entry/mesh: each entry sends a tally at least every 250 ms,
+// through hubs if there are many entries. Links time out and are made again. Entries send
+// revisions in turn to peers that lag behind.
 const (
-	tellEvery    = 25 * time.Millisecond
-	tellEach     = 5 * time.Millisecond
-	tellPerEntry = 2500 * time.Microsecond
-	heardTimes   = 4
-	hubMargin    = 200 * time.Millisecond
-	brokeFor     = 2 * time.Second
-	lackFor      = 3 * time.Second
-	unlinkAfter  = 3 * time.Second
-	// linkSilent is after how long a link that went silent is given up, redial how
-	// long it takes at most to try again.
-	linkSilent  = 900 * time.Millisecond
-	redial      = 800 * time.Millisecond
-	peerWay     = 20 * time.Millisecond
-	passOnAfter = 150 * time.Millisecond
+	minTickInterval       = 25 * time.Millisecond
+	tickTimePerLink       = 5 * time.Millisecond
+	heartbeatTimePerEntry = 2500 * time.Microsecond
+	maxMissedHeartbeats   = 4
+	muteMargin            = 200 * time.Millisecond
+	brokenLinkTime        = 2 * time.Second
+	lackReportTime        = 3 * time.Second
+	idleLinkTimeout       = 3 * time.Second
+	// linkTimeout is the time after which a silent link is closed, and maxRedialTime the
+	// longest time until it is dialed again.
+	linkTimeout       = 900 * time.Millisecond
+	maxRedialTime     = 800 * time.Millisecond
+	maxPeerLatency    = 20 * time.Millisecond
+	sendRevisionDelay = 150 * time.Millisecond
 )
 
-// peer is what an entry knows of another one, and its link to it.
+// peer is an entry's state of another entry and of the link to it.
 type peer struct {
-	heard, direct, broke, lacksUs, behind time.Duration
-	way                                   Way
-	// reached is set while it counts as heard; accepted while it has a link here.
-	reached, accepted bool
-	last              tally
-	// told is set if the plan has this entry tell it; up while there is a link to it, dialling while one is made.
-	told, up, fresh, passed, dialling bool
-	needed                            time.Duration
+	heardAt, heardDirectlyAt, linkBrokenAt, reportedLackAt, behindSince time.Duration
+	delay                                                               Way
+	// reachable is set while tallies of the peer arrive. hasInboundLink is set while the
+	// peer has a link to this entry.
+	reachable, hasInboundLink bool
+	lastTally                 tally
+	// linkPlanned is set if the plan has a link to the peer. linkUp is set while there is
+	// one, and dialing while one is being made.
+	linkPlanned, linkUp, linkNew, allForwarded, dialing bool
+	linkNeededAt                                        time.Duration
 }
 
-// tally is what an entry tells of itself: what it knows and how old that is.
+// tally is the periodic report of an entry's state.
 type tally struct {
-	origin   *entry
-	life     int
-	seq      int
-	revision int
-	lacks    []int
-	// at is when it was told, never if it comes from another entry's memory; claim,
-	// if it has one, is what the sender knows its revision by.
-	at     time.Duration
-	claims bool
-	claim  Claim
+	origin      *entry
+	incarnation int
+	seq         int
+	revision    int
+	unreachable []int
+	// sentAt is the time at which the tally was sent, or never if a hub sends a copy that
+	// it has kept. If hasClaim is set, claim is the sender's evidence for its revision.
+	sentAt   time.Duration
+	hasClaim bool
+	claim    Claim
 }
 
-// passing is a tally that a hub passes on.
-type passing struct {
+// forwardedTally is a tally that a hub forwards.
+type forwardedTally struct {
 	tally
 	from relay.Source
 }
 
-func (w *world) alive() time.Duration {
-	return max(250*time.Millisecond, time.Duration(len(w.all))*tellPerEntry)
+func (w *world) heartbeatInterval() time.Duration {
+	return max(250*time.Millisecond, time.Duration(len(w.entries))*heartbeatTimePerEntry)
 }
 
-func (w *world) joined(a, b *entry) bool { return a.alive() && b.alive() && w.apart[a.n][b.n] == 0 }
+func (w *world) connected(a, b *entry) bool {
+	return a.isRunning() && b.isRunning() && w.cutCounts[a.index][b.index] == 0
+}
 
-// send carries something to another entry, unless they are apart.
-func (w *world) send(from, to *entry, take func()) {
-	if !w.joined(from, to) {
+// send delivers a message to another entry unless they are cut off from each other.
+func (w *world) send(from, to *entry, deliver func()) {
+	if !w.connected(from, to) {
 		return
 	}
-	life := to.life
-	w.after(time.Millisecond+w.upTo(peerWay), func() {
-		if to.alive() && to.life == life && w.apart[from.n][to.n] == 0 {
-			take()
+	incarnation := to.incarnation
+	w.after(time.Millisecond+w.randomUpTo(maxPeerLatency), func() {
+		if to.isRunning() && to.incarnation == incarnation && w.cutCounts[from.index][to.index] == 0 {
+			deliver()
 		}
 	})
 }
 
-// tickIn has the next round of what an entry tells in d, however soon or late
-// the one planned is.
-func (e *entry) tickIn(d time.Duration) {
-	e.turn++
-	turn := e.turn
-	e.later(d, func() {
-		if e.turn == turn {
+// scheduleTick schedules the next tick after d, and cancels the one scheduled before.
+func (e *entry) scheduleTick(d time.Duration) {
+	e.nextTick++
+	tick := e.nextTick
+	e.after(d, func() {
+		if e.nextTick == tick {
 			e.tick()
 		}
 	})
 }
 
-// tick is one round of what an entry tells.
+// tick runs one round of the entry's periodic work.
 func (e *entry) tick() {
 	w := e.w
-	e.turned = w.now
-	e.expire()
-	e.adjust()
-	e.tell()
-	e.pass()
-	e.passOn()
+	e.lastTickAt = w.now
+	e.expirePeers()
+	e.updatePlan()
+	e.sendTally()
+	e.forwardTallies()
+	e.sendRevisions()
 	links := 0
 	for _, p := range e.peers {
-		if p.up {
+		if p.linkUp {
 			links++
 		}
 	}
-	pause := max(tellEvery, time.Duration(links)*tellEach)
+	pause := max(minTickInterval, time.Duration(links)*tickTimePerLink)
 	if !e.plan.Hub() {
-		pause = max(pause, time.Duration(len(w.all))*tellPerEntry)
+		pause = max(pause, time.Duration(len(w.entries))*heartbeatTimePerEntry)
 	}
-	e.tickIn(min(pause, w.alive()))
+	e.scheduleTick(min(pause, w.heartbeatInterval()))
 }
 
-func (e *entry) expire() {
+func (e *entry) expirePeers() {
 	for _, p := range e.peers {
-		if p.reached && e.w.now-p.heard > heardTimes*e.w.alive() {
-			p.reached = false
+		if p.reachable && e.w.now-p.heardAt > maxMissedHeartbeats*e.w.heartbeatInterval() {
+			p.reachable = false
 		}
 	}
 }
 
-// mute reports whether a peer tells nothing over its own link.
-func (e *entry) mute(p *peer) bool {
-	if p.accepted {
-		return e.w.now-p.direct > e.w.alive()+hubMargin
+// isMute reports whether the peer sends nothing over its own link.
+func (e *entry) isMute(p *peer) bool {
+	if p.hasInboundLink {
+		return e.w.now-p.heardDirectlyAt > e.w.heartbeatInterval()+muteMargin
 	}
-	return p.broke != never && e.w.now-p.broke < brokeFor
+	return p.linkBrokenAt != never && e.w.now-p.linkBrokenAt < brokenLinkTime
 }
 
-// adjust makes the plan and the links that it needs.
-func (e *entry) adjust() {
+// updatePlan updates the plan and the links that it requires.
+func (e *entry) updatePlan() {
 	w := e.w
-	var heard []relay.Entry
+	var reachable []relay.Entry
 	key := make([]byte, len(e.peers))
 	for i, p := range e.peers {
-		if p.reached {
-			heard = append(heard, w.all[i].id)
+		if p.reachable {
+			reachable = append(reachable, w.entries[i].id)
 			key[i] = 1
-			if e.mute(p) {
+			if e.isMute(p) {
 				key[i] = 2
 			}
 		}
 	}
-	if string(key) != e.planned {
-		e.planned = string(key)
-		e.plan = relay.New(e.id, len(w.all), heard, func(o relay.Entry) bool { return key[w.number[o.Name]] == 1 })
-		for i, o := range w.all {
-			e.peers[i].told = e.plan.Tells(e.id, o.id)
+	if string(key) != e.planKey {
+		e.planKey = string(key)
+		e.plan = relay.New(e.id, len(w.entries), reachable, func(o relay.Entry) bool { return key[w.indexOf[o.Name]] == 1 })
+		for i, o := range w.entries {
+			e.peers[i].linkPlanned = e.plan.Tells(e.id, o.id)
 		}
 	}
 	for i, p := range e.peers {
-		if i == e.n {
+		if i == e.index {
 			continue
 		}
-		if !p.reached || p.told || p.lacksUs != never && w.now-p.lacksUs < lackFor {
-			p.needed = w.now
-			e.dial(w.all[i], p)
-		} else if p.up && w.now-p.needed > unlinkAfter {
-			e.unlink(w.all[i])
+		if !p.reachable || p.linkPlanned || p.reportedLackAt != never && w.now-p.reportedLackAt < lackReportTime {
+			p.linkNeededAt = w.now
+			e.dial(w.entries[i], p)
+		} else if p.linkUp && w.now-p.linkNeededAt > idleLinkTimeout {
+			e.closeLink(w.entries[i])
 		}
 	}
 }
 
-// dial makes a link, at the second try if the first came to nothing.
+// dial makes a link, with a second attempt if the first one fails.
 func (e *entry) dial(to *entry, p *peer) {
-	if p.up || p.dialling {
+	if p.linkUp || p.dialing {
 		return
 	}
-	p.dialling = true
+	p.dialing = true
 	w := e.w
-	try := time.Millisecond + w.upTo(peerWay)
-	if !w.joined(e, to) {
-		try = redial/2 + w.upTo(redial/2)
+	dialTime := time.Millisecond + w.randomUpTo(maxPeerLatency)
+	if !w.connected(e, to) {
+		dialTime = maxRedialTime/2 + w.randomUpTo(maxRedialTime/2)
 	}
-	e.later(try, func() {
-		p.dialling = false
-		if w.joined(e, to) {
-			p.up, p.fresh, p.passed = true, true, false
-			other := to.peers[e.n]
-			other.accepted, other.direct = true, w.now
+	e.after(dialTime, func() {
+		p.dialing = false
+		if w.connected(e, to) {
+			p.linkUp, p.linkNew, p.allForwarded = true, true, false
+			other := to.peers[e.index]
+			other.hasInboundLink, other.heardDirectlyAt = true, w.now
 		}
 	})
 }
 
-// unlink ends the link to another entry, if there is one.
-func (e *entry) unlink(to *entry) {
-	if e.peers[to.n].up {
-		e.peers[to.n].up = false
-		other := to.peers[e.n]
-		other.accepted, other.broke = false, e.w.now
+// closeLink closes the link to another entry, if there is one.
+func (e *entry) closeLink(to *entry) {
+	if e.peers[to.index].linkUp {
+		e.peers[to.index].linkUp = false
+		other := to.peers[e.index]
+		other.hasInboundLink, other.linkBrokenAt = false, e.w.now
 	}
 }
 
-// tell sends this entry's tally over all links when it is due, and at once over
-// new ones.
-func (e *entry) tell() {
+// sendTally sends this entry's tally over all links if it is due, and over new links
+// immediately.
+func (e *entry) sendTally() {
 	w := e.w
-	t := tally{origin: e, life: e.life, revision: e.revision, at: w.now}
-	e.claim(&t)
-	due := t.claims || w.now-e.sent >= w.alive()
+	t := tally{origin: e, incarnation: e.incarnation, revision: e.revision, sentAt: w.now}
+	e.addClaim(&t)
+	due := t.hasClaim || w.now-e.tallySentAt >= w.heartbeatInterval()
 	for i, p := range e.peers {
-		if i != e.n && !p.reached {
-			t.lacks = append(t.lacks, i)
+		if i != e.index && !p.reachable {
+			t.unreachable = append(t.unreachable, i)
 		}
 	}
 	if due {
-		e.sent = w.now
+		e.tallySentAt = w.now
 		e.seq++
 	}
 	t.seq = e.seq
 	for i, p := range e.peers {
-		if p.up && (due || p.fresh) {
-			p.fresh = false
-			to := w.all[i]
-			w.send(e, to, func() { to.take(t, relay.Direct) })
+		if p.linkUp && (due || p.linkNew) {
+			p.linkNew = false
+			to := w.entries[i]
+			w.send(e, to, func() { to.receiveTally(t, relay.Direct) })
 		}
 	}
 }
 
-// take takes in a tally.
-func (e *entry) take(t tally, from relay.Source) {
-	p, now := e.peers[t.origin.n], e.w.now
+// receiveTally handles a received tally.
+func (e *entry) receiveTally(t tally, from relay.Source) {
+	p, now := e.peers[t.origin.index], e.w.now
 	if t.origin == e {
 		return
 	}
 	if from == relay.Direct {
-		p.direct = now
+		p.heardDirectlyAt = now
 	}
-	for _, n := range t.lacks {
-		if n == e.n {
-			p.lacksUs = now
+	for _, n := range t.unreachable {
+		if n == e.index {
+			p.reportedLackAt = now
 		}
 	}
-	if p.reached && p.last.life == t.life && t.seq <= p.last.seq || t.life < p.last.life {
+	if p.reachable && p.lastTally.incarnation == t.incarnation && t.seq <= p.lastTally.seq || t.incarnation < p.lastTally.incarnation {
 		return
 	}
-	if p.last.life != t.life {
-		p.way = Way{}
+	if p.lastTally.incarnation != t.incarnation {
+		p.delay = Way{}
 	}
-	p.heard, p.reached, p.last = now, true, t
-	e.hear(p, &t)
+	p.heardAt, p.reachable, p.lastTally = now, true, t
+	e.mergeClaim(p, &t)
 	if e.plan.Hub() && from != relay.Within {
-		e.passing = append(e.passing, passing{t, from})
+		e.toForward = append(e.toForward, forwardedTally{t, from})
 	}
 }
 
-// pass passes on what a hub has heard, and all that it knows to those that begin
-// to hear it.
-func (e *entry) pass() {
-	w, kept := e.w, e.passing
-	e.passing = nil
+// forwardTallies forwards the tallies that a hub has received, and all known tallies over
+// links on which forwarding begins.
+func (e *entry) forwardTallies() {
+	w, newTallies := e.w, e.toForward
+	e.toForward = nil
 	if !e.plan.Hub() {
 		return
 	}
 	for i, p := range e.peers {
-		to := w.all[i]
-		leads := p.up && !p.fresh && p.told && e.plan.Hub()
-		out := kept
-		if leads && !p.passed {
-			out = e.whole()
+		to := w.entries[i]
+		forwards := p.linkUp && !p.linkNew && p.linkPlanned && e.plan.Hub()
+		out := newTallies
+		if forwards && !p.allForwarded {
+			out = e.allTallies()
 		}
-		p.passed = leads
+		p.allForwarded = forwards
 		var tallies []tally
-		for _, k := range out {
-			if leads && e.plan.Passes(k.origin.id, k.from, to.id) {
-				tallies = append(tallies, k.tally)
+		for _, f := range out {
+			if forwards && e.plan.Passes(f.origin.id, f.from, to.id) {
+				tallies = append(tallies, f.tally)
 			}
 		}
 		if len(tallies) > 0 {
-			w.send(e, to, func() { to.unpack(e, tallies) })
+			w.send(e, to, func() { to.receiveForwarded(e, tallies) })
 		}
 	}
 }
 
-func (e *entry) whole() []passing {
-	var out []passing
+func (e *entry) allTallies() []forwardedTally {
+	var out []forwardedTally
 	for i, p := range e.peers {
-		if !p.reached {
+		if !p.reachable {
 			continue
 		}
 		from := relay.Direct
-		if !e.plan.Near(e.w.all[i].id) {
+		if !e.plan.Near(e.w.entries[i].id) {
 			from = relay.Between
 		}
-		t := p.last
-		t.claims, t.at = false, never
-		out = append(out, passing{t, from})
+		t := p.lastTally
+		t.hasClaim, t.sentAt = false, never
+		out = append(out, forwardedTally{t, from})
 	}
 	return out
 }
 
-func (e *entry) unpack(hub *entry, tallies []tally) {
-	e.peers[hub.n].direct = e.w.now
+func (e *entry) receiveForwarded(hub *entry, tallies []tally) {
+	e.peers[hub.index].heardDirectlyAt = e.w.now
 	from := relay.Between
 	if e.plan.Near(hub.id) {
 		from = relay.Within
 	}
 	for _, t := range tallies {
-		e.take(t, from)
+		e.receiveTally(t, from)
 	}
 }
--- a/core/fresh/schedule_test.go
+++ b/core/fresh/schedule_test.go
@@ -11,171 +11,172 @@
 	"lycheepond/core/relay"
 )
 
-// The troubles of a schedule.
+// Kinds of faults.
 const (
-	// forgets makes the store forget the calls that wait and those that begin to
-	// wait: they hear nothing of changes, and how says whether they are cut a second
-	// later or left waiting.
-	forgets = iota
-	// holds makes it hold back all calls for changes, short ones too, while it takes
-	// changes and is read as ever; each is cut after a second.
-	holds
-	// drops makes it lose its history, again at each change.
-	drops
-	// down makes it refuse all calls, silent answer none; both forget those that
-	// wait, and all entries come back at once.
-	down
-	silent
-	slow
-	// lossy makes it lose half of the answers.
-	lossy
-	// refuses makes it refuse some entries, or answer them nothing.
-	refuses
-	// cut parts some entries from the others, and how says whether from the store
-	// too.
-	cut
-	// kill ends some entries, which are started again at its end.
-	kill
-	kinds
+	// faultForgetsCalls makes the store forget the calls that wait or start to wait, so
+	// that they receive no changes. If Variant is set, they are cut off a second later,
+	// otherwise they are left waiting.
+	faultForgetsCalls = iota
+	// faultHoldsCalls makes the store hold back all calls for changes, including those with
+	// short waits, while it accepts changes and reads as usual. Each call is cut off after
+	// a second.
+	faultHoldsCalls
+	// faultDropsHistory makes the store lose its history, and again with each change.
+	faultDropsHistory
+	// faultDown makes the store refuse all calls, and faultSilent answer none. Both make it
+	// forget waiting calls, and all entries reconnect at the same time.
+	faultDown
+	faultSilent
+	faultSlow
+	// faultLossy makes the store lose half of the answers.
+	faultLossy
+	// faultRefusesEntries makes the store refuse some entries or, if Variant is set, not
+	// answer them.
+	faultRefusesEntries
+	// faultPartition cuts off some entries from the others and, if Variant is set, from the
+	// store.
+	faultPartition
+	// faultKillsEntries stops some entries, which are started again at its end.
+	faultKillsEntries
+	faultKinds
 )
 
-// trouble is one trouble from At on for For, both in milliseconds.
-type trouble struct {
-	Kind, At, For int
-	// Who says by its bits which entries it concerns.
-	Who uint32
-	How bool
+// fault is one fault of the given duration.
+type fault struct {
+	Kind, AtMS, DurationMS int
+	// EntryBits selects the affected entries by its bits.
+	EntryBits uint32
+	Variant   bool
 }
 
-// schedule is all that happens in a run; Changes are the times of changes in
-// milliseconds.
+// schedule is the input of one run. ChangesMS holds the times of changes, in milliseconds.
 type schedule struct {
-	Zones, Each int
-	Changes     []int
-	Troubles    []trouble
-	Seed        uint64
+	Zones, EntriesPerZone int
+	ChangesMS             []int
+	Faults                []fault
+	Seed                  uint64
 }
 
 const (
-	// span is the time in which troubles and changes begin, in milliseconds, and
-	// nearly how close one may be drawn to another.
-	span   = 15000
-	nearly = 300
+	// scheduleSpanMS is the time in which faults and changes begin, and maxOffsetMS the
+	// largest offset of a time drawn close to another one, both in milliseconds.
+	scheduleSpanMS = 15000
+	maxOffsetMS    = 300
 )
 
-func schedules() *rapid.Generator[schedule] {
+func genSchedule() *rapid.Generator[schedule] {
 	return rapid.Custom(func(t *rapid.T) schedule {
 		zones := rapid.IntRange(1, 4).Draw(t, "zones")
-		s := schedule{Zones: zones, Each: rapid.IntRange((4+zones)/zones, 30/zones).Draw(t, "each")}
-		for range rapid.IntRange(0, 6).Draw(t, "troubles") {
-			begin := moment(t, s.Troubles)
-			s.Troubles = append(s.Troubles, trouble{
-				Kind: rapid.IntRange(0, kinds-1).Draw(t, "kind"), At: begin, For: rapid.IntRange(50, 6000).Draw(t, "for"),
-				Who: rapid.Uint32().Draw(t, "who"), How: rapid.Bool().Draw(t, "how"),
+		s := schedule{Zones: zones, EntriesPerZone: rapid.IntRange((4+zones)/zones, 30/zones).Draw(t, "entries per zone")}
+		for range rapid.IntRange(0, 6).Draw(t, "faults") {
+			atMS := drawTimeMS(t, s.Faults)
+			s.Faults = append(s.Faults, fault{
+				Kind: rapid.IntRange(0, faultKinds-1).Draw(t, "kind"), AtMS: atMS, DurationMS: rapid.IntRange(50, 6000).Draw(t, "duration"),
+				EntryBits: rapid.Uint32().Draw(t, "entry bits"), Variant: rapid.Bool().Draw(t, "variant"),
 			})
 		}
 		for range rapid.IntRange(1, 6).Draw(t, "changes") {
-			s.Changes = append(s.Changes, moment(t, s.Troubles))
+			s.ChangesMS = append(s.ChangesMS, drawTimeMS(t, s.Faults))
 		}
 		s.Seed = rapid.Uint64Range(0, 1<<16).Draw(t, "seed")
 		return s
 	})
 }
 
-// moment draws a time, often one beside the begin or the end of a trouble.
-func moment(t *rapid.T, troubles []trouble) int {
-	n := rapid.IntRange(0, 2*len(troubles)).Draw(t, "near")
+// drawTimeMS draws a time, often one close to the beginning or the end of a fault.
+func drawTimeMS(t *rapid.T, faults []fault) int {
+	n := rapid.IntRange(0, 2*len(faults)).Draw(t, "near")
 	if n == 0 {
-		return rapid.IntRange(0, span).Draw(t, "at")
+		return rapid.IntRange(0, scheduleSpanMS).Draw(t, "at")
 	}
-	beside := troubles[(n-1)/2]
+	nearby := faults[(n-1)/2]
 	if n%2 == 0 {
-		beside.At += beside.For
+		nearby.AtMS += nearby.DurationMS
 	}
-	return max(0, beside.At+rapid.IntRange(-nearly, nearly).Draw(t, "beside"))
+	return max(0, nearby.AtMS+rapid.IntRange(-maxOffsetMS, maxOffsetMS).Draw(t, "offset"))
 }
 
-// newWorld returns a fleet all of whose entries start now.
-func newWorld(zones, each int, seed uint64, r rules) *world {
-	w := &world{rnd: rand.New(rand.NewPCG(seed, 1)), rules: r, number: make(map[string]int)}
-	n := zones * each
+// newWorld returns a world whose entries all start now.
+func newWorld(zones, entriesPerZone int, seed uint64, strategy strategy) *world {
+	w := &world{rnd: rand.New(rand.NewPCG(seed, 1)), strategy: strategy, indexOf: make(map[string]int)}
+	n := zones * entriesPerZone
 	w.store.refuses = make([]int, n)
-	w.store.mute = make([]int, n)
-	w.store.revision, w.store.made = 1, []time.Duration{0}
+	w.store.ignores = make([]int, n)
+	w.store.revision, w.store.changedAt = 1, []time.Duration{0}
 	for i := range n {
 		id := relay.Entry{Name: fmt.Sprintf("e-%03d", i), Zone: fmt.Sprintf("z%d", i%zones)}
-		w.number[id.Name] = i
-		w.all = append(w.all, &entry{w: w, n: i, id: id})
-		w.apart = append(w.apart, make([]int, n))
-		w.since = append(w.since, make([]time.Duration, n))
+		w.indexOf[id.Name] = i
+		w.entries = append(w.entries, &entry{w: w, index: i, id: id})
+		w.cutCounts = append(w.cutCounts, make([]int, n))
+		w.reachableSince = append(w.reachableSince, make([]time.Duration, n))
 		for j := range n {
-			w.since[i][j] = never
+			w.reachableSince[i][j] = never
 		}
 	}
-	for _, e := range w.all {
+	for _, e := range w.entries {
 		e.start()
 	}
-	w.reckon()
+	w.updateReachableSince()
 	return w
 }
 
-// begin begins a trouble; its end comes by itself.
-func (w *world) begin(t trouble) {
-	s, who := &w.store, w.whom(t.Who)
-	var count []*int
-	switch t.Kind {
-	case forgets:
-		count = append(count, &s.forgets)
-		if t.How {
-			count = append(count, &s.cuts)
+// startFault starts a fault and schedules its end.
+func (w *world) startFault(f fault) {
+	s, affected := &w.store, w.selectEntries(f.EntryBits)
+	var counts []*int
+	switch f.Kind {
+	case faultForgetsCalls:
+		counts = append(counts, &s.forgets)
+		if f.Variant {
+			counts = append(counts, &s.cuts)
 		}
-	case holds:
-		count = append(count, &s.holds)
-	case drops:
-		count, s.floor = append(count, &s.drops), s.revision
-	case down:
-		count = append(count, &s.down)
-	case silent:
-		count = append(count, &s.silent)
-	case slow:
-		count = append(count, &s.slow)
-	case lossy:
-		count = append(count, &s.lossy)
-	case refuses:
-		count = w.turnAway(who, t.How)
-	case cut:
-		count = w.part(who)
-		if t.How {
-			count = append(count, w.turnAway(who, true)...)
+	case faultHoldsCalls:
+		counts = append(counts, &s.holds)
+	case faultDropsHistory:
+		counts, s.oldestRevision = append(counts, &s.drops), s.revision
+	case faultDown:
+		counts = append(counts, &s.down)
+	case faultSilent:
+		counts = append(counts, &s.silent)
+	case faultSlow:
+		counts = append(counts, &s.slow)
+	case faultLossy:
+		counts = append(counts, &s.lossy)
+	case faultRefusesEntries:
+		counts = w.refusalCounts(affected, f.Variant)
+	case faultPartition:
+		counts = w.partitionCounts(affected)
+		if f.Variant {
+			counts = append(counts, w.refusalCounts(affected, true)...)
 		}
 	}
-	for _, c := range count {
+	for _, c := range counts {
 		*c++
 	}
-	if t.Kind == kill {
-		for _, e := range who {
+	if f.Kind == faultKillsEntries {
+		for _, e := range affected {
 			e.stop()
 		}
 	}
-	w.disturb(t)
-	w.reckon()
-	w.after(time.Duration(t.For)*time.Millisecond, func() {
-		for _, c := range count {
+	w.breakCallsAndLinks(f)
+	w.updateReachableSince()
+	w.after(time.Duration(f.DurationMS)*time.Millisecond, func() {
+		for _, c := range counts {
 			*c--
 		}
-		if t.Kind == kill {
-			for _, e := range who {
+		if f.Kind == faultKillsEntries {
+			for _, e := range affected {
 				e.resume()
 			}
 		}
-		w.reckon()
+		w.updateReachableSince()
 	})
 }
 
-// whom returns the entries that the bits name.
-func (w *world) whom(bits uint32) []*entry {
+// selectEntries returns the entries selected by the bits.
+func (w *world) selectEntries(bits uint32) []*entry {
 	var out []*entry
-	for i, e := range w.all {
+	for i, e := range w.entries {
 		if bits>>(i%32)&1 == 1 {
 			out = append(out, e)
 		}
@@ -183,55 +184,55 @@
 	return out
 }
 
-func (w *world) turnAway(who []*entry, mute bool) []*int {
+func (w *world) refusalCounts(affected []*entry, silently bool) []*int {
 	var out []*int
-	for _, e := range who {
-		if mute {
-			out = append(out, &w.store.mute[e.n])
+	for _, e := range affected {
+		if silently {
+			out = append(out, &w.store.ignores[e.index])
 		} else {
-			out = append(out, &w.store.refuses[e.n])
+			out = append(out, &w.store.refuses[e.index])
 		}
 	}
 	return out
 }
 
-// part returns the counts of the links between some entries and the others.
-func (w *world) part(who []*entry) []*int {
-	in := make([]bool, len(w.all))
-	for _, e := range who {
-		in[e.n] = true
+// partitionCounts returns the cut counts between some entries and the others.
+func (w *world) partitionCounts(affected []*entry) []*int {
+	isolated := make([]bool, len(w.entries))
+	for _, e := range affected {
+		isolated[e.index] = true
 	}
 	var out []*int
-	for i := range w.all {
-		for j := range w.all {
-			if in[i] != in[j] {
-				out = append(out, &w.apart[i][j])
+	for i := range w.entries {
+		for j := range w.entries {
+			if isolated[i] != isolated[j] {
+				out = append(out, &w.cutCounts[i][j])
 			}
 		}
 	}
 	return out
 }
 
-// disturb does to calls and links what a trouble does at its begin.
-func (w *world) disturb(t trouble) {
-	who := w.whom(t.Who)
+// breakCallsAndLinks applies the immediate effects of a fault to calls and links.
+func (w *world) breakCallsAndLinks(f fault) {
+	affected := w.selectEntries(f.EntryBits)
 	for _, c := range w.store.waiting {
-		mine := slices.Contains(who, c.from)
+		isAffected := slices.Contains(affected, c.from)
 		switch {
-		case t.Kind == forgets, t.Kind == holds:
-			w.forget(c)
-		case t.Kind == silent, t.Kind == refuses && t.How && mine, t.Kind == cut && t.How && mine:
-			c.deaf, c.lost = true, true
-		case t.Kind == down, t.Kind == refuses && mine:
+		case f.Kind == faultForgetsCalls, f.Kind == faultHoldsCalls:
+			w.forgetCall(c)
+		case f.Kind == faultSilent, f.Kind == faultRefusesEntries && f.Variant && isAffected, f.Kind == faultPartition && f.Variant && isAffected:
+			c.forgotten, c.unanswerable = true, true
+		case f.Kind == faultDown, f.Kind == faultRefusesEntries && isAffected:
 			c.end(answer{failed: true})
 		}
 	}
-	if t.Kind == cut {
-		w.after(linkSilent, func() {
-			for _, a := range w.all {
-				for _, b := range w.all {
-					if w.apart[a.n][b.n] > 0 {
-						a.unlink(b)
+	if f.Kind == faultPartition {
+		w.after(linkTimeout, func() {
+			for _, a := range w.entries {
+				for _, b := range w.entries {
+					if w.cutCounts[a.index][b.index] > 0 {
+						a.closeLink(b)
 					}
 				}
 			}
@@ -239,52 +240,53 @@
 	}
 }
 
-// reckon notes from when on each entry could learn through each.
-func (w *world) reckon() {
+// updateReachableSince updates the times since which each entry can reach the store through
+// each other one.
+func (w *world) updateReachableSince() {
 	s := &w.store
-	part := w.parts()
-	for i, e := range w.all {
-		for j, via := range w.all {
-			can := e.alive() && via.alive() && part[i] == part[j] &&
-				s.down+s.silent+s.lossy+s.refuses[j]+s.mute[j] == 0
+	partition := w.partitions()
+	for i, e := range w.entries {
+		for j, via := range w.entries {
+			reachable := e.isRunning() && via.isRunning() && partition[i] == partition[j] &&
+				s.down+s.silent+s.lossy+s.refuses[j]+s.ignores[j] == 0
 			switch {
-			case !can:
-				w.since[i][j] = never
-			case w.since[i][j] == never:
-				w.since[i][j] = w.now
+			case !reachable:
+				w.reachableSince[i][j] = never
+			case w.reachableSince[i][j] == never:
+				w.reachableSince[i][j] = w.now
 			}
 		}
 	}
 }
 
-// parts numbers the parts of the fleet that are apart from each other.
-func (w *world) parts() []int {
-	part := make([]int, len(w.all))
-	for i := range w.all {
-		if part[i] > 0 {
+// partitions returns the number of each entry's partition.
+func (w *world) partitions() []int {
+	partition := make([]int, len(w.entries))
+	for i := range w.entries {
+		if partition[i] > 0 {
 			continue
 		}
-		part[i] = i + 1
+		partition[i] = i + 1
 		for next := []int{i}; len(next) > 0; next = next[1:] {
-			for j := range w.all {
-				if part[j] == 0 && w.joined(w.all[next[0]], w.all[j]) {
-					part[j] = i + 1
+			for j := range w.entries {
+				if partition[j] == 0 && w.connected(w.entries[next[0]], w.entries[j]) {
+					partition[j] = i + 1
 					next = append(next, j)
 				}
 			}
 		}
 	}
-	return part
+	return partition
 }
 
-// could returns since when an entry could learn from the store, never if it
-// cannot.
-func (w *world) could(e *entry) time.Duration {
-	first := never
-	for _, at := range w.since[e.n] {
-		if at != never && (first == never || at < first) {
-			first = at
+// storeReachableSince returns the time since which an entry could learn from the store, or
+// never if it cannot.
+func (w *world) storeReachableSince(e *entry) time.Duration {
+	earliest := never
+	for _, at := range w.reachableSince[e.index] {
+		if at != never && (earliest == never || at < earliest) {
+			earliest = at
 		}
 	}
-	return first
+	return earliest
 }
--- a/core/fresh/waiter_test.go
+++ b/core/fresh/waiter_test.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// waiter follows the list by calls that wait, and by nothing else: each waits for
-// 300 ms for each entry that is heard, 0.6 of the bound at least and 8 s at most.
+// waiter follows the list with waiting calls only. Each waits for 300 ms per reachable
+// entry, at least 0.6 of the maximum age and at most 8 s.
 type waiter struct {
 	e *entry
-	// known is set once the list was read, since is from where it follows and
-	// failed counts the calls that failed since one went well.
-	known         bool
-	since, failed int
+	// listed is set once the list has been read. sinceRevision is the revision from which
+	// it is followed. failedCalls counts the failed calls since the last success.
+	listed                     bool
+	sinceRevision, failedCalls int
 }
 
-func waitsOnly(bound time.Duration) rules {
-	return rules{bound: bound, follow: func(e *entry) { (&waiter{e: e}).ask() }}
+func waitingOnly(maxAge time.Duration) strategy {
+	return strategy{maxAge: maxAge, follow: func(e *entry) { (&waiter{e: e}).sendCall() }}
 }
 
-func (f *waiter) ask() {
-	e, sent := f.e, f.e.w.now
-	if !f.known {
-		e.w.ask(e, whole, 0, callTime, func(a answer) { f.take(a, sent) })
+func (f *waiter) sendCall() {
+	e, sentAt := f.e, f.e.w.now
+	if !f.listed {
+		e.w.startCall(e, wholeList, 0, callTimeout, func(a answer) { f.handleAnswer(a, sentAt) })
 		return
 	}
-	wait := max(time.Duration(len(e.heard())+1)*300*time.Millisecond, time.Duration(0.6*float64(e.w.rules.bound)))
+	wait := max(time.Duration(len(e.reachableNames())+1)*300*time.Millisecond, time.Duration(0.6*float64(e.w.strategy.maxAge)))
 	wait = time.Duration(float64(min(wait, 8*time.Second)) * (1 - 0.3*e.w.rnd.Float64()))
-	e.w.ask(e, f.since, wait, wait+waitExtra, func(a answer) { f.take(a, sent) })
+	e.w.startCall(e, f.sinceRevision, wait, wait+waitTimeoutMargin, func(a answer) { f.handleAnswer(a, sentAt) })
 }
 
-func (f *waiter) take(a answer, sent time.Duration) {
+func (f *waiter) handleAnswer(a answer, sentAt time.Duration) {
 	e := f.e
 	if a.failed {
-		f.failed++
-		e.later(e.w.backOff(f.failed), f.ask)
+		f.failedCalls++
+		e.after(e.w.backOff(f.failedCalls), f.sendCall)
 		return
 	}
 	pause := time.Duration(0)
-	if a.news && f.known {
-		pause = e.gather()
+	if a.changed && f.listed {
+		pause = e.gatherTime()
 	}
-	if a.news {
-		e.looked(a.revision, sent)
+	if a.changed {
+		e.recordCheck(a.revision, sentAt)
 	}
-	f.failed, f.known, f.since = 0, !a.history, max(f.since, a.revision)
-	e.later(pause, f.ask)
+	f.failedCalls, f.listed, f.sinceRevision = 0, !a.historyLost, max(f.sinceRevision, a.revision)
+	e.after(pause, f.sendCall)
 }
--- a/core/fresh/way.go
+++ b/core/fresh/way.go
@@ -3,55 +3,58 @@
 import "time"
 
 const (
-	// Allowance is what a tally may take on its quickest way, through two hubs
-	// that pass it on at their next turn: a peer's claim counts as that much older.
+	// RelayAllowance is the time that a tally may take on its fastest route, through two
+	// hubs that forward it at their next tick. A peer's claim counts as older by this time.
 	Allowance = 100 * time.Millisecond
-	// drift is by how much two clocks may part in a given time: several times what
-	// clocks that are adjusted to others do.
-	drift = 0.001
+	// maxClockDrift is the largest relative drift between two clocks, several times that of
+	// synchronized clocks.
+	maxClockDrift = 0.001
 )
 
 const (
-	// enough is how many tallies a way is known by: the first ones may all have come
-	// by a slow way, as those that were held up and then arrive together do. Each
-	// tally of a peer counts, so that it is two seconds at the usual four a second.
-	enough = 8
-	// apart is the time in which only one counts: several that are read within it
-	// came together.
-	apart = 10 * time.Millisecond
+	// minTallies is the number of tallies needed for an estimate. The first ones may all
+	// have been delayed, for example when they were held up and then arrived together. All
+	// tallies of a peer count, so at the usual four per second the estimate takes two
+	// seconds.
+	minTallies = 8
+	// minTallyGap is the time within which only one tally counts, because tallies read
+	// within it arrived together.
+	minTallyGap = 10 * time.Millisecond
 )
 
-// Way tells how long tallies of one process were on their way, from the readings
-// of the process's clock that they carry: an entry that was stopped, or a link
-// that stood still, hands over tallies that are seconds old, and the claims in
-// them are as much older. The zero Way has seen none.
+// DelayEstimator estimates the delay of the tallies of one process from the sending times
+// in them, which are readings of the process's own clock. A process that was paused, or a
+// link that was stuck, delivers tallies that are seconds old, and the claims in them are
+// older by that time. The zero DelayEstimator has seen no tallies.
 type Way struct {
-	// seen counts those that came apart, the last of them at last.
-	seen int
-	last time.Duration
-	// least is the smallest difference between the clocks on arrival, and at when
-	// it was seen; valid if seen is not zero.
-	least, at time.Duration
+	// tallyCount counts the tallies that did not arrive together with another one. The last
+	// of them arrived at lastCountedAt.
+	tallyCount    int
+	lastCountedAt time.Duration
+	// minOffset is the smallest difference between the clocks on arrival, seen at
+	// minOffsetAt. Both are valid if tallyCount is not zero.
+	minOffset, minOffsetAt time.Duration
 }
 
-// Late takes in that a tally arrived at now which left when its sender's clock
-// said told. It returns by how much longer it took than the quickest; ok is false
-// while there are too few to know how long the quickest takes.
-func (w *Way) Late(now, told time.Duration) (late time.Duration, ok bool) {
-	diff := now - told
-	least := w.least + time.Duration(drift*float64(now-w.at))
-	if w.seen == 0 || diff <= least {
-		w.least, w.at, least = diff, now, diff
+// ExtraDelay records that a tally arrived at now and was sent when the sender's clock read
+// sentAt. It returns by how much its delay exceeded that of the fastest tally. ok is false
+// while too few tallies have been seen to know the fastest delay.
+func (d *Way) Late(now, sentAt time.Duration) (extra time.Duration, ok bool) {
+	offset := now - sentAt
+	minOffset := d.minOffset + time.Duration(maxClockDrift*float64(now-d.minOffsetAt))
+	if d.tallyCount == 0 || offset <= minOffset {
+		d.minOffset, d.minOffsetAt, minOffset = offset, now, offset
 	}
-	if w.seen == 0 || now-w.last >= apart {
-		w.seen++
-		w.last = now
+	if d.tallyCount == 0 || now-d.lastCountedAt >= minTallyGap {
+		d.tallyCount++
+		d.lastCountedAt = now
 	}
-	return diff - least, w.seen >= enough
+	return offset - minOffset, d.tallyCount >= minTallies
 }
 
-// Told returns a peer's claim as it holds here: the peer said that its revision
-// was the newest age before it told so, and the tally came late by so much.
-func Told(now, late, age time.Duration, revision int64, mark uint32) Claim {
-	return Claim{Revision: revision, At: now - late - age - Allowance, Mark: mark}
+// PeerClaim converts a peer's claim to this entry's clock. The peer stated that its
+// revision was the newest one at the given age before it sent the tally, whose extra delay
+// is extraDelay.
+func Told(now, extraDelay, age time.Duration, revision int64, checkID uint32) Claim {
+	return Claim{Revision: revision, At: now - extraDelay - age - Allowance, Mark: checkID}
 }
--- a/core/fresh/world_test.go
+++ b/core/fresh/world_test.go
@@ -7,66 +7,67 @@
 )
 
 const (
-	// storeWay is the longest way of a call to the store or of its answer while
-	// all is well, and slowWay while the store is slow: sixty times as long.
-	storeWay = 5 * time.Millisecond
-	slowWay  = 300 * time.Millisecond
-	// heldFor is how long a store that forgets waiting calls leaves them alone
-	// before it cuts them, if it does.
-	heldFor = time.Second
+	// maxStoreLatency is the largest latency of a call to the store, with its answer,
+	// without faults. maxSlowLatency applies while the store is slow and is sixty times as
+	// large.
+	maxStoreLatency = 5 * time.Millisecond
+	maxSlowLatency  = 300 * time.Millisecond
+	// holdTime is the time after which a store that has forgotten or holds back a call cuts
+	// it off, if it does.
+	holdTime = time.Second
 )
 
-// world is a fleet and its store on simulated time.
+// world simulates a fleet and its store, on simulated time.
 type world struct {
-	now   time.Duration
-	queue queue
-	rnd   *rand.Rand
-	rules rules
-	store store
-	all   []*entry
-	// number holds the entries' numbers by name.
-	number map[string]int
-	// apart counts what cuts a pair of entries; both orders are kept.
-	apart [][]int
-	// since holds from when on an entry could learn through another one, itself
-	// included, without a break; never means that it cannot.
-	since [][]time.Duration
+	now      time.Duration
+	queue    eventQueue
+	rnd      *rand.Rand
+	strategy strategy
+	store    store
+	entries  []*entry
+	// indexOf holds the index of each entry by name.
+	indexOf map[string]int
+	// cutCounts counts the faults that cut off each pair of entries, in both orders.
+	cutCounts [][]int
+	// reachableSince holds the time since which an entry could learn through another one,
+	// or itself, without a break. never means that it cannot.
+	reachableSince [][]time.Duration
 }
 
 const never = time.Duration(-1)
 
 type event struct {
 	at  time.Duration
-	n   int
+	seq int
 	run func()
 }
 
-type queue struct {
+type eventQueue struct {
 	events []event
-	n      int
+	seq    int
 }
 
-func (q *queue) Len() int { return len(q.events) }
-func (q *queue) Less(i, j int) bool {
+func (q *eventQueue) Len() int { return len(q.events) }
+func (q *eventQueue) Less(i, j int) bool {
 	a, b := q.events[i], q.events[j]
-	return a.at < b.at || a.at == b.at && a.n < b.n
+	return a.at < b.at || a.at == b.at && a.seq < b.seq
 }
-func (q *queue) Swap(i, j int) { q.events[i], q.events[j] = q.events[j], q.events[i] }
-func (q *queue) Push(x any)    { q.events = append(q.events, x.(event)) }
-func (q *queue) Pop() any {
+func (q *eventQueue) Swap(i, j int) { q.events[i], q.events[j] = q.events[j], q.events[i] }
+func (q *eventQueue) Push(x any)    { q.events = append(q.events, x.(event)) }
+func (q *eventQueue) Pop() any {
 	last := q.events[len(q.events)-1]
 	q.events = q.events[:len(q.events)-1]
 	return last
 }
 
-// after runs something in d from now.
+// after calls run after d.
 func (w *world) after(d time.Duration, run func()) {
-	w.queue.n++
-	heap.Push(&w.queue, event{w.now + d, w.queue.n, run})
+	w.queue.seq++
+	heap.Push(&w.queue, event{w.now + d, w.queue.seq, run})
 }
 
-// play runs all that happens before end.
-func (w *world) play(end time.Duration) {
+// runUntil runs all events before end.
+func (w *world) runUntil(end time.Duration) {
 	for len(w.queue.events) > 0 && w.queue.events[0].at < end {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
@@ -75,134 +76,136 @@
 	w.now = end
 }
 
-// upTo returns a random time.
-func (w *world) upTo(d time.Duration) time.Duration { return time.Duration(w.rnd.Int64N(int64(d) + 1)) }
+// randomUpTo returns a random duration of at most d.
+func (w *world) randomUpTo(d time.Duration) time.Duration {
+	return time.Duration(w.rnd.Int64N(int64(d) + 1))
+}
 
-// store is the platform's store with its troubles, each a count of what causes
-// it.
+// store simulates the platform's store. Each fault has a count of its causes.
 type store struct {
-	// revision counts changes; made holds when each was acknowledged.
-	revision int
-	made     []time.Duration
-	// floor is the oldest revision from which changes are still known.
-	floor   int
-	waiting []*call
-	// calls counts all that were made.
-	calls int
+	// revision counts changes, and changedAt holds the time at which each was acknowledged.
+	revision  int
+	changedAt []time.Duration
+	// oldestRevision is the oldest revision since which the changes are still known.
+	oldestRevision int
+	waiting        []*call
+	// callCount counts all calls.
+	callCount int
 
 	down, silent, slow, lossy, forgets, cuts, drops, holds int
-	// refuses and mute count by entry what has it alone refused or not answered.
-	refuses, mute []int
+	// refuses and ignores count, by entry, the faults that make the store refuse it or not
+	// answer it.
+	refuses, ignores []int
 }
 
-// call is one call of an entry.
+// call is one call of an entry to the store.
 type call struct {
-	from *entry
-	life int
-	done func(answer)
-	// since and until are those of a waiting call.
-	since int
-	until time.Duration
-	// deaf is set once the store has forgotten it, lost once it will never be
-	// answered and over once it has ended.
-	deaf, lost, over bool
-}
-
-// answer is what a call came to.
+	from        *entry
+	incarnation int
+	done        func(answer)
+	// sinceRevision and until are those of a waiting call.
+	sinceRevision int
+	until         time.Duration
+	// forgotten is set once the store has forgotten the call, unanswerable once it will
+	// never be answered, and ended once it has ended.
+	forgotten, unanswerable, ended bool
+}
+
+// answer is the result of a call.
 type answer struct {
-	// failed is set if there was none or a refusal, history if the changes asked
-	// for are gone; else revision is what is known, and news whether it is newer
-	// than asked for.
-	failed, history, news bool
-	revision              int
+	// failed is set if there was no answer or a refusal, historyLost if the requested
+	// changes are no longer available. Otherwise revision is the newest one, and changed is
+	// set if it is newer than sinceRevision.
+	failed, historyLost, changed bool
+	revision                     int
 }
 
-// end hands the answer to a call, once, unless the entry has ended meanwhile.
+// end completes a call with an answer, once, unless the entry has been stopped meanwhile.
 func (c *call) end(a answer) {
-	if c.over {
+	if c.ended {
 		return
 	}
-	c.over = true
-	if c.from.alive() && c.from.life == c.life {
+	c.ended = true
+	if c.from.isRunning() && c.from.incarnation == c.incarnation {
 		c.done(a)
 	}
 }
 
-// whole stands for the whole list instead of the changes since a revision.
-const whole = -1
+// wholeList requests the whole list instead of the changes since a revision.
+const wholeList = -1
 
-// ask calls the store for an entry, which gives up after limit.
-func (w *world) ask(from *entry, since int, wait, limit time.Duration, done func(answer)) *call {
-	w.store.calls++
-	c := &call{from: from, life: from.life, done: done, since: since}
-	w.after(limit, func() { c.end(answer{failed: true}) })
-	w.after(w.way()/2, func() { w.arrive(c, wait) })
+// startCall calls the store for an entry, with the given timeout.
+func (w *world) startCall(from *entry, sinceRevision int, wait, timeout time.Duration, done func(answer)) *call {
+	w.store.callCount++
+	c := &call{from: from, incarnation: from.incarnation, done: done, sinceRevision: sinceRevision}
+	w.after(timeout, func() { c.end(answer{failed: true}) })
+	w.after(w.randomLatency()/2, func() { w.handleCall(c, wait) })
 	return c
 }
 
-func (w *world) way() time.Duration {
+func (w *world) randomLatency() time.Duration {
 	if w.store.slow > 0 {
-		return slowWay/2 + w.upTo(slowWay/2)
+		return maxSlowLatency/2 + w.randomUpTo(maxSlowLatency/2)
 	}
-	return time.Millisecond + w.upTo(storeWay)
+	return time.Millisecond + w.randomUpTo(maxStoreLatency)
 }
 
-func (w *world) arrive(c *call, wait time.Duration) {
+func (w *world) handleCall(c *call, wait time.Duration) {
 	s := &w.store
 	switch {
-	case c.over || s.silent+s.mute[c.from.n] > 0:
-	case s.down > 0 || s.refuses[c.from.n] > 0:
+	case c.ended || s.silent+s.ignores[c.from.index] > 0:
+	case s.down > 0 || s.refuses[c.from.index] > 0:
 		w.reply(c, answer{failed: true})
-	case c.since != whole && s.holds > 0:
-		w.after(heldFor, func() { w.reply(c, answer{failed: true}) })
-	case c.since != whole && c.since < s.floor:
-		w.reply(c, answer{history: true})
-	case c.since < s.revision:
-		w.reply(c, answer{revision: s.revision, news: true})
+	case c.sinceRevision != wholeList && s.holds > 0:
+		w.after(holdTime, func() { w.reply(c, answer{failed: true}) })
+	case c.sinceRevision != wholeList && c.sinceRevision < s.oldestRevision:
+		w.reply(c, answer{historyLost: true})
+	case c.sinceRevision < s.revision:
+		w.reply(c, answer{revision: s.revision, changed: true})
 	default:
 		c.until = w.now + wait
 		s.waiting = append(s.waiting, c)
-		w.after(wait, func() { w.reply(c, answer{revision: c.since}) })
+		w.after(wait, func() { w.reply(c, answer{revision: c.sinceRevision}) })
 		if s.forgets > 0 {
-			w.forget(c)
+			w.forgetCall(c)
 		}
 	}
 }
 
-// reply sends an answer, which a store in trouble may lose.
+// reply sends an answer, which a faulty store may lose.
 func (w *world) reply(c *call, a answer) {
 	s := &w.store
-	if c.lost || s.silent+s.mute[c.from.n] > 0 || s.lossy > 0 && w.rnd.IntN(2) == 0 {
+	if c.unanswerable || s.silent+s.ignores[c.from.index] > 0 || s.lossy > 0 && w.rnd.IntN(2) == 0 {
 		return
 	}
-	w.after(w.way()/2, func() { c.end(a) })
+	w.after(w.randomLatency()/2, func() { c.end(a) })
 }
 
-// change makes a change, which waiting calls hear unless they were forgotten.
-func (w *world) change() {
+// makeChange makes a change and reports it to waiting calls that are not forgotten.
+func (w *world) makeChange() {
 	s := &w.store
 	s.revision++
-	s.made = append(s.made, w.now)
+	s.changedAt = append(s.changedAt, w.now)
 	if s.drops > 0 {
-		s.floor = s.revision
+		s.oldestRevision = s.revision
 	}
 	waiting := s.waiting
 	s.waiting = nil
 	for _, c := range waiting {
 		switch {
-		case c.over || c.until <= w.now:
-		case c.deaf:
+		case c.ended || c.until <= w.now:
+		case c.forgotten:
 			s.waiting = append(s.waiting, c)
 		default:
-			w.reply(c, answer{revision: s.revision, news: true})
+			w.reply(c, answer{revision: s.revision, changed: true})
 		}
 	}
 }
 
-// forget makes a waiting call deaf; it is cut later or left waiting.
-func (w *world) forget(c *call) {
-	c.deaf = true
+// forgetCall makes the store forget a waiting call, which is cut off later or left waiting.
+func (w *world) forgetCall(c *call) {
+	c.forgotten = true
 	if w.store.cuts+w.store.holds > 0 {
-		w.after(heldFor, func() { w.reply(c, answer{failed: true}) })
+		w.after(holdTime, func() { w.reply(c, answer{failed: true}) })
 	}
 }
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -103,7 +103,7 @@
 		h.Write([]byte(name))
 		h.Write([]byte{0})
 		h.Write([]byte(e.Name))
-		if score := spread.Bits(h.Sum64()); hub == "" || score > maxScore {
+		if score := spread.Mix(h.Sum64()); hub == "" || score > maxScore {
 			hub, maxScore = name, score
 		}
 	}
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -1,15 +1,14 @@
-// Package roster keeps the instance list of an entry through the platform's
-// outages.
+// Package roster keeps an entry's instance list through outages of the platform.
 //
-// The load it answers is an outage of the platform during which endpoints
-// cannot renew their entries. When the platform returns, the entries of living
-// endpoints are removed and written again within a second or two. An entry that
-// believed each removal at once would have nobody to send to just then, and
-// refuse everything. So a removal that comes right after an outage is believed
-// only once its endpoint had time to write itself in again; in calm it is
-// believed at once, because endpoints that leave must get nothing new.
+// During an outage, endpoints cannot renew their list items. When the platform returns, it
+// removes the items of living endpoints, and the endpoints write them again within one or
+// two seconds. An entry that applied each removal immediately would have no endpoints
+// during that time and would refuse everything. Removals right after an outage are
+// therefore deferred until the endpoints have had time to write their items again. At other
+// times removals are applied immediately, because endpoints that leave must not receive new
+// requests.
 //
-// It uses no network, clock or random source. One goroutine owns a Book.
+// The package uses no network, clock or random source. A Tracker is owned by one goroutine.
 package roster
 
 import (
@@ -21,133 +20,132 @@
 )
 
 const (
-	// settle is how long after an outage removals are in doubt: entries ran out
-	// during it, so they stand in the platform's first answers. A removal that
-	// comes later is of an endpoint that left after the outage, and sending on
-	// to it would hit it as it ends.
-	settle = 500 * time.Millisecond
-	// doubt is how long after an outage its removals are held back. The platform
-	// says that living endpoints are back within about two seconds.
-	doubt = 2200 * time.Millisecond
-	// shortOutage is how long the platform may be away without entries of
-	// living endpoints running out: they outlive two lost heartbeats.
-	shortOutage = time.Second
+	// deferWindow is the time after an outage in which removals are deferred. Items that
+	// expired during the outage are missing from the platform's first answers. A later
+	// removal is of an endpoint that left after the outage, and requests sent to it would
+	// fail when it stops.
+	deferWindow = 500 * time.Millisecond
+	// deferTime is the time after an outage until which removals are deferred. According to
+	// the platform, living endpoints are listed again within about two seconds.
+	deferTime = 2200 * time.Millisecond
+	// maxHarmlessOutage is the longest outage in which no items of living endpoints expire.
+	// Items outlive two lost heartbeats.
+	maxHarmlessOutage = time.Second
 )
 
-// Book is the instance list. Its zero value is empty.
+// Tracker tracks the instance list. The zero value is an empty list.
 type Book struct {
 	endpoints map[string]route.Endpoint
-	// removed holds when the removal of an endpoint is to be believed.
-	removed  map[string]time.Duration
-	revision int64
-	// sure is the revision before the first of the removals that are held back.
-	sure int64
-	// away is set while the platform does not answer, since when stands in
-	// since.
-	away  bool
-	since time.Duration
-	// back is the end of the last outage that was not short; valid if wasAway.
-	back    time.Duration
-	wasAway bool
+	// removalDueAt holds the time at which each deferred removal is to be applied.
+	removalDueAt map[string]time.Duration
+	revision     int64
+	// revisionBeforeDeferred is the revision before the first deferred removal.
+	revisionBeforeDeferred int64
+	// platformAway is set while the platform does not answer, since awaySince.
+	platformAway bool
+	awaySince    time.Duration
+	// backAt is the end of the last outage longer than maxHarmlessOutage, valid if
+	// hadOutage is set.
+	backAt    time.Duration
+	hadOutage bool
 }
 
-// Away notes that the platform does not answer.
-func (b *Book) Away(now time.Duration) {
-	if !b.away {
-		b.away, b.since = true, now
+// RecordOutage records that the platform does not answer.
+func (t *Book) Away(now time.Duration) {
+	if !t.platformAway {
+		t.platformAway, t.awaySince = true, now
 	}
 }
 
-// Back notes that the platform answers.
-func (b *Book) Back(now time.Duration) {
-	if b.away && now-b.since > shortOutage {
-		b.wasAway, b.back = true, now
+// RecordRecovery records that the platform answers.
+func (t *Book) Back(now time.Duration) {
+	if t.platformAway && now-t.awaySince > maxHarmlessOutage {
+		t.hadOutage, t.backAt = true, now
 	}
-	b.away = false
+	t.platformAway = false
 }
 
-// List takes in the whole list at a revision.
-func (b *Book) List(now time.Duration, revision int64, all []route.Endpoint) {
-	b.init()
-	named := make(map[string]bool, len(all))
+// ReplaceAll replaces the list by the one of the given revision.
+func (t *Book) List(now time.Duration, revision int64, all []route.Endpoint) {
+	t.init()
+	listed := make(map[string]bool, len(all))
 	for _, e := range all {
-		named[e.ID] = true
-		b.endpoints[e.ID] = e
-		delete(b.removed, e.ID)
+		listed[e.ID] = true
+		t.endpoints[e.ID] = e
+		delete(t.removalDueAt, e.ID)
 	}
-	for id := range b.endpoints {
-		if !named[id] {
-			b.remove(now, id)
+	for id := range t.endpoints {
+		if !listed[id] {
+			t.removeOrDefer(now, id)
 		}
 	}
-	b.revision = max(b.revision, revision)
+	t.revision = max(t.revision, revision)
 }
 
-// Set takes in a new or changed endpoint.
-func (b *Book) Set(revision int64, e route.Endpoint) {
-	b.init()
-	b.endpoints[e.ID] = e
-	delete(b.removed, e.ID)
-	b.revision = max(b.revision, revision)
+// Set adds or replaces an endpoint.
+func (t *Book) Set(revision int64, e route.Endpoint) {
+	t.init()
+	t.endpoints[e.ID] = e
+	delete(t.removalDueAt, e.ID)
+	t.revision = max(t.revision, revision)
 }
 
-// Remove takes in that an endpoint is no longer listed.
-func (b *Book) Remove(now time.Duration, revision int64, id string) {
-	b.init()
-	if _, ok := b.endpoints[id]; ok {
-		b.remove(now, id)
+// Remove records that an endpoint is no longer listed.
+func (t *Book) Remove(now time.Duration, revision int64, id string) {
+	t.init()
+	if _, ok := t.endpoints[id]; ok {
+		t.removeOrDefer(now, id)
 	}
-	b.revision = max(b.revision, revision)
+	t.revision = max(t.revision, revision)
 }
 
-func (b *Book) remove(now time.Duration, id string) {
-	if !b.wasAway || now-b.back > settle {
-		delete(b.endpoints, id)
-		delete(b.removed, id)
+func (t *Book) removeOrDefer(now time.Duration, id string) {
+	if !t.hadOutage || now-t.backAt > deferWindow {
+		delete(t.endpoints, id)
+		delete(t.removalDueAt, id)
 		return
 	}
-	if len(b.removed) == 0 {
-		b.sure = b.revision
+	if len(t.removalDueAt) == 0 {
+		t.revisionBeforeDeferred = t.revision
 	}
-	if _, ok := b.removed[id]; !ok {
-		b.removed[id] = b.back + doubt
+	if _, ok := t.removalDueAt[id]; !ok {
+		t.removalDueAt[id] = t.backAt + deferTime
 	}
 }
 
-// Due carries out removals whose doubt is over and reports whether there were
+// ApplyDeferred applies the deferred removals that are due and reports whether there were
 // any.
-func (b *Book) Due(now time.Duration) bool {
-	n := len(b.removed)
-	for id, at := range b.removed {
-		if now >= at {
-			delete(b.removed, id)
-			delete(b.endpoints, id)
+func (t *Book) Due(now time.Duration) bool {
+	n := len(t.removalDueAt)
+	for id, dueAt := range t.removalDueAt {
+		if now >= dueAt {
+			delete(t.removalDueAt, id)
+			delete(t.endpoints, id)
 		}
 	}
-	return len(b.removed) < n
+	return len(t.removalDueAt) < n
 }
 
-// Doubtful reports whether removals are held back.
-func (b *Book) Doubtful() bool { return len(b.removed) > 0 }
+// HasDeferred reports whether removals are deferred.
+func (t *Book) Doubtful() bool { return len(t.removalDueAt) > 0 }
 
-// Roster returns the list in force, ordered by ID. While removals are held back
-// it has the revision from before them: under a newer one it would pass for
-// newer knowledge among entries that have believed the removals, and bring
-// endpoints that have left back into use there.
-func (b *Book) Roster() route.Roster {
-	r := route.Roster{Revision: b.revision}
-	if b.Doubtful() {
-		r.Revision = b.sure
+// Roster returns the current list, ordered by ID. While removals are deferred, it has the
+// revision from before the first of them. With a newer revision, entries that have applied
+// the removals would treat it as a newer list and use endpoints again that have left.
+func (t *Book) Roster() route.Roster {
+	r := route.Roster{Revision: t.revision}
+	if t.Doubtful() {
+		r.Revision = t.revisionBeforeDeferred
 	}
-	for _, e := range b.endpoints {
+	for _, e := range t.endpoints {
 		r.Endpoints = append(r.Endpoints, e)
 	}
 	slices.SortFunc(r.Endpoints, func(x, y route.Endpoint) int { return cmp.Compare(x.ID, y.ID) })
 	return r
 }
 
-func (b *Book) init() {
-	if b.endpoints == nil {
-		b.endpoints, b.removed = make(map[string]route.Endpoint), make(map[string]time.Duration)
+func (t *Book) init() {
+	if t.endpoints == nil {
+		t.endpoints, t.removalDueAt = make(map[string]route.Endpoint), make(map[string]time.Duration)
 	}
 }
--- a/core/shard/shard.go
+++ b/core/shard/shard.go
@@ -209,6 +209,6 @@
 		h.Write([]byte(n))
 		h.Write([]byte{0})
 	}
-	x := spread.Bits(h.Sum64()) * 0xc4ceb9fe1a85ec53
+	x := spread.Mix(h.Sum64()) * 0xc4ceb9fe1a85ec53
 	return x ^ x>>33
 }
