--- a/core/admit/admit.go
+++ b/core/admit/admit.go
@@ -104,7 +104,7 @@
 	Why  Why
 }
 
-// Reason is the reason for which a request was refused.
+// Reason says why a request was refused.
 type Why uint8
 
 // Reasons.
@@ -123,7 +123,7 @@
 var reasonNames = [...]string{"admitted", "no endpoint", "full", "late", "too long"}
 
 // String returns the reason as it appears in logs.
-func (w Why) String() string { return reasonNames[w] }
+func (r Why) String() string { return reasonNames[r] }
 
 const (
 	// topTierWaitShare and lowestTierWaitShare are the longest predicted waits in an
@@ -243,11 +243,11 @@
 
 // maxSlotWait returns the longest predicted wait for a slot at which r is still admitted.
 func (r Request) maxSlotWait() time.Duration {
-	top, last := topTierWaitShare, lowestTierWaitShare
+	top, lowest := topTierWaitShare, lowestTierWaitShare
 	if r.Counted {
-		top, last = topTierExactWaitShare, lowestTierExactWaitShare
+		top, lowest = topTierExactWaitShare, lowestTierExactWaitShare
 	}
-	return scale(r.Target, top-(top-last)*float64(r.Rank)/float64(max(r.Ranks-1, 1)))
+	return scale(r.Target, top-(top-lowest)*float64(r.Rank)/float64(max(r.Ranks-1, 1)))
 }
 
 // FreeSlots returns the number of slots that appear to be free. Slots of unusable endpoints
--- a/core/admit/admit_test.go
+++ b/core/admit/admit_test.go
@@ -135,7 +135,7 @@
 	}
 	e.Pace = l.Pace("e")
 	if got := e.slotWait(Request{}); got < 27*time.Millisecond || got > 33*time.Millisecond {
-		t.Errorf("predicts a wait of %v where it was 30ms each time", got)
+		t.Errorf("predicts a wait of %v, want about 30ms", got)
 	}
 }
 
@@ -179,7 +179,7 @@
 func TestFreeSlotsIgnoresFailedEndpoints(t *testing.T) {
 	es := []Endpoint{{Usable: true, Slots: 7, Requests: 5}, {Slots: 7}, {Usable: true, Slots: 7, Requests: 9}}
 	if got := Free(es); got != 2 {
-		t.Errorf("%d slots look free, want 2", got)
+		t.Errorf("%d slots appear free, want 2", got)
 	}
 }
 
@@ -189,22 +189,22 @@
 	full := Endpoint{Near: true, Usable: true, Slots: 10, Limit: Limit{Limited: true, Rate: 2, NextAllowed: 400 * time.Millisecond}}
 	r := Request{Target: time.Second, Due: time.Second, Left: time.Minute, Avoid: -1, Ranks: 1}
 	for name, others := range map[string][]Endpoint{
-		"alone": nil, "beside one that failed": {{Slots: 10}}, "beside a full one": {{Usable: true, Slots: 1, Requests: 50, Output: 50000, Pace: Pace{PerOutputToken: time.Second}}},
+		"alone": nil, "next to a failed one": {{Slots: 10}}, "next to a full one": {{Usable: true, Slots: 1, Requests: 50, Output: 50000, Pace: Pace{PerOutputToken: time.Second}}},
 	} {
 		dec := Decide(r, append([]Endpoint{full}, others...))
 		if dec.Endpoint >= 0 || dec.Why != Full {
 			t.Errorf("%s: sent to %d, %v", name, dec.Endpoint, dec.Why)
 		}
 		if name == "alone" && (dec.Retry != full.NextAllowed || dec.Turn.Round(time.Millisecond) != 500*time.Millisecond) {
-			t.Errorf("come back after %v, a turn each %v", dec.Retry, dec.Turn)
+			t.Errorf("retry after %v, slot interval %v", dec.Retry, dec.Turn)
 		}
 	}
-	room := full
-	room.Allowed, room.NextAllowed = 1, 0
-	if dec := Decide(r, []Endpoint{room}); dec.Endpoint != 0 {
-		t.Errorf("an endpoint with a token is not used: %v", dec.Why)
+	available := full
+	available.Allowed, available.NextAllowed = 1, 0
+	if dec := Decide(r, []Endpoint{available}); dec.Endpoint != 0 {
+		t.Errorf("an endpoint below its rate limit is not used: %v", dec.Why)
 	}
-	if free, slots := Free([]Endpoint{full, room}), Slots([]Endpoint{full, room}); free != 1 || slots != 1 {
+	if free, slots := Free([]Endpoint{full, available}), Slots([]Endpoint{full, available}); free != 1 || slots != 1 {
 		t.Errorf("%d of %d slots are free, want 1 of 1", free, slots)
 	}
 }
--- a/core/await/await_test.go
+++ b/core/await/await_test.go
@@ -12,8 +12,8 @@
 	"lycheepond/core/route"
 )
 
-func priority(tier int, due time.Duration) await.Place {
-	return await.Place{Tier: route.Tier{Route: tier}, Due: due}
+func priority(tier int, targetAt time.Duration) await.Place {
+	return await.Place{Tier: route.Tier{Route: tier}, Due: targetAt}
 }
 
 func ExampleLine() {
@@ -113,10 +113,10 @@
 
 func TestContention(t *testing.T) {
 	for _, tt := range []struct {
-		name    string
-		crowd   await.Crowd
-		blocked bool
-		part    float64
+		name       string
+		contention await.Crowd
+		blocked    bool
+		share      float64
 	}{
 		{"alone", await.Crowd{Own: 1, Free: 2}, false, 1},
 		{"nothing free, no other requests", await.Crowd{Own: 1}, false, 1},
@@ -124,18 +124,18 @@
 		{"higher tiers need all free slots", await.Crowd{First: 3, Own: 1, Free: 2}, true, 0},
 		{"higher tiers leave half of the slots", await.Crowd{First: 2, Own: 1, Free: 4}, false, 0.5},
 	} {
-		if got := tt.crowd.Blocked(); got != tt.blocked {
+		if got := tt.contention.Blocked(); got != tt.blocked {
 			t.Errorf("%s: blocked %v", tt.name, got)
 		}
-		if got := tt.crowd.Part(); got != tt.part {
-			t.Errorf("%s: share %v, want %v", tt.name, got, tt.part)
+		if got := tt.contention.Part(); got != tt.share {
+			t.Errorf("%s: share %v, want %v", tt.name, got, tt.share)
 		}
 	}
 }
 
 // A caller whose request needs nearly all the time left until its target gains nothing by
 // waiting. It must be refused at once.
-func TestMaxWaitWhenTargetIsClose(t *testing.T) {
+func TestMaxWaitIsBoundedByTarget(t *testing.T) {
 	const target = 400 * time.Millisecond
 	if got := await.Patience(target, target, 50*time.Millisecond); got != 40*time.Millisecond {
 		t.Errorf("with the whole target left: %v", got)
@@ -152,9 +152,9 @@
 // a tier, a short request must go before a long one with a slightly earlier target.
 func TestShortRequestsGoFirstWithinTier(t *testing.T) {
 	var q await.Line[string]
-	add := func(name string, tier int, due, work time.Duration) {
-		p := priority(tier, due)
-		p.Work = work
+	add := func(name string, tier int, targetAt, holdTime time.Duration) {
+		p := priority(tier, targetAt)
+		p.Work = holdTime
 		q.Add(name, p)
 	}
 	add("long", 1, 500*time.Millisecond, 4*time.Second)
--- a/core/fresh/figures_test.go
+++ b/core/fresh/figures_test.go
@@ -12,7 +12,7 @@
 // none of the waiting calls.
 func BenchmarkFigures(b *testing.B) {
 	for _, n := range []int{5, 30, 100, 300} {
-		for name, s := range map[string]strategy{"waits": waitingOnly(maxAge), "looks": withChecks(maxAge)} {
+		for name, s := range map[string]strategy{"waits": waitingOnly(maxAge), "checks": withChecks(maxAge)} {
 			for _, outage := range []bool{false, true} {
 				b.Run(fmt.Sprintf("entries=%d/%s/outage=%v", n, name, outage), func(b *testing.B) {
 					zones := max(1, n/10)
@@ -72,14 +72,14 @@
 	w.runUntil(w.now + 100*time.Millisecond)
 	w.makeChange()
 	for changedAt := w.now; ; w.runUntil(w.now + propertyInterval) {
-		if took := w.now - changedAt; w.inForce() || took > time.Minute {
+		if took := w.now - changedAt; w.allUpToDate() || took > time.Minute {
 			return took
 		}
 	}
 }
 
-// inForce reports whether all entries have the newest revision.
-func (w *world) inForce() bool {
+// allUpToDate reports whether all entries have the newest revision.
+func (w *world) allUpToDate() bool {
 	for _, e := range w.entries {
 		if e.revision != w.store.revision {
 			return false
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -1,4 +1,4 @@
-// Package limit enforces rate limits stated by endpoints over all entries together.
+// Package limit enforces, over all entries together, the rate limits that endpoints state.
 //
 // An overloaded endpoint states in its answers how many requests per second it accepts in
 // total. If each entry enforced the limit separately, the endpoint would receive a multiple
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -20,9 +20,8 @@
 const initialBurstShare = 0.5
 
 // minWait is the shortest time that a refused caller is told to wait, the time in which
-// entries receive each other's totals. It is the same for all callers: longer waits for
-// later callers leave free what is earned meanwhile, 2 to 4 in 100 units of what the
-// callers could use.
+// entries receive each other's totals. It is the same for all callers. Longer waits for
+// later callers would leave unused 2 to 4 in 100 of the units that the callers could use.
 const minWait = 30 * time.Millisecond
 
 // Limit is what one customer may use.
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -18,11 +18,11 @@
 }
 
 // countDeliveries distributes a tally of one entry over the links of the plans, without the
-// entries in cut, and returns how often each entry receives it.
-func countDeliveries(all []Entry, origin Entry, cut map[string]bool) map[string]int {
+// unreachable entries, and returns how often each entry receives it.
+func countDeliveries(all []Entry, origin Entry, unreachable map[string]bool) map[string]int {
 	plans := make(map[string]Plan)
 	for _, e := range all {
-		plans[e.Name] = New(e, len(all), all, func(o Entry) bool { return !cut[o.Name] })
+		plans[e.Name] = New(e, len(all), all, func(o Entry) bool { return !unreachable[o.Name] })
 	}
 	deliveries := make(map[string]int)
 	type step struct {
@@ -35,7 +35,7 @@
 		next = next[1:]
 		p := plans[s.at.Name]
 		for _, to := range all {
-			if to == s.at || cut[to.Name] {
+			if to == s.at || unreachable[to.Name] {
 				continue
 			}
 			originSends := s.at == origin && p.Tells(origin, to)
@@ -61,19 +61,19 @@
 // a circle.
 func TestEveryEntryReceivesEachTallyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := fleet(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 20).Draw(t, "each"))
-		cut := make(map[string]bool)
-		for range rapid.IntRange(0, len(all)/2).Draw(t, "away") {
-			cut[rapid.SampledFrom(all).Draw(t, "entry").Name] = true
+		all := fleet(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 20).Draw(t, "entries per zone"))
+		unreachable := make(map[string]bool)
+		for range rapid.IntRange(0, len(all)/2).Draw(t, "unreachable") {
+			unreachable[rapid.SampledFrom(all).Draw(t, "entry").Name] = true
 		}
 		for _, origin := range all {
-			if cut[origin.Name] {
+			if unreachable[origin.Name] {
 				continue
 			}
-			deliveries := countDeliveries(all, origin, cut)
+			deliveries := countDeliveries(all, origin, unreachable)
 			for _, e := range all {
 				want := 1
-				if cut[e.Name] || e == origin {
+				if unreachable[e.Name] || e == origin {
 					want = 0
 				}
 				if deliveries[e.Name] != want {
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -20,7 +20,7 @@
 	Resumable bool
 	// Public is set if requests need no key.
 	Public bool
-	// Timeout is the longest time that a caller may have to wait for the complete answer.
+	// Timeout is the longest time that a request may keep its caller waiting.
 	Timeout time.Duration
 	// Target is the time within which the answer, or its first event, is wanted.
 	Target time.Duration
--- a/core/shard/shard.go
+++ b/core/shard/shard.go
@@ -37,10 +37,10 @@
 	// minOwnerCapacityShare is the smallest capacity of an owner as a share of the largest
 	// capacity. Smaller entries would answer slowly.
 	minOwnerCapacityShare = 0.5
-	// minFreeSlotShare is a share of the slots of the own zone's shards. Other shards are
-	// considered if no more slots than this are free in the own zone or, if no shard has a
-	// free slot, if more requests than this wait there.
-	minFreeSlotShare = 1.0 / 16
+	// crowdedShare determines when the own zone is crowded, as a share of its slots: if no
+	// more slots than this are free or, when no shard has a free slot, if more requests
+	// than this wait.
+	crowdedShare = 1.0 / 16
 )
 
 // HasOwners reports whether shards have owners in a fleet with the given number of entries.
@@ -144,9 +144,9 @@
 // shards. totalFreeSlots is the number of free slots of all shards.
 func (l Load) isCrowded(totalFreeSlots int) bool {
 	if totalFreeSlots > 0 {
-		return float64(l.Free) <= minFreeSlotShare*float64(l.Slots)
+		return float64(l.Free) <= crowdedShare*float64(l.Slots)
 	}
-	return float64(l.Ahead) > minFreeSlotShare*float64(l.Slots)
+	return float64(l.Ahead) > crowdedShare*float64(l.Slots)
 }
 
 // weight returns the relative share of requests to send to the shard. totalFreeSlots is the
@@ -157,7 +157,7 @@
 	}
 	// Small differences between short queues are ignored. Otherwise many entries would
 	// choose the one shard where nothing waited a moment ago.
-	return float64(l.Slots) / (1 + minFreeSlotShare*float64(l.Slots) + float64(l.Ahead))
+	return float64(l.Slots) / (1 + crowdedShare*float64(l.Slots) + float64(l.Ahead))
 }
 
 // Choose returns the index of the shard whose owner to ask for a placement, for an entry of
--- a/core/shard/shard_test.go
+++ b/core/shard/shard_test.go
@@ -48,7 +48,7 @@
 		entries := fleet(3, 4, 0)
 		k := shard.Key{N: uint16(rapid.IntRange(0, 20).Draw(t, "shard"))}
 		before := shard.Owner("p", k, entries)
-		removed := rapid.IntRange(0, len(entries)-1).Draw(t, "gone")
+		removed := rapid.IntRange(0, len(entries)-1).Draw(t, "removed")
 		remaining := append(append([]relay.Entry(nil), entries[:removed]...), entries[removed+1:]...)
 		if after := shard.Owner("p", k, remaining); after != before && entries[removed].Name != before {
 			t.Fatalf("%s leaves and the shard moves from %s to %s", entries[removed].Name, before, after)
