--- a/core/admit/admit.go
+++ b/core/admit/admit.go
@@ -19,7 +19,7 @@
 // Endpoint is what the entry knows about one endpoint when it places a request.
 type Endpoint struct {
 	// SameZone is set if the endpoint is in the entry's own availability zone.
-	Near bool
+	SameZone bool
 	// Usable is false if the endpoint failed recently or is silent.
 	Usable bool
 	// Slots is the number of requests that the endpoint serves at once.
@@ -27,30 +27,30 @@
 	// Requests, PromptTokens and OutputTokens sum up the unfinished work that all entries
 	// have sent to the endpoint: the number of requests, the prompt tokens of those without
 	// a first event, and the output tokens still expected.
-	Requests, Prompt, Output int
+	Requests, PromptTokens, OutputTokens int
 	// KVTokensNeeded is the memory, in tokens, that those requests will need; KVTokens is
 	// the engine's total. Zero means unknown.
-	Tokens, Memory int
-	Pace           Pace
+	KVTokensNeeded, KVTokens int
+	Pace                     Pace
 	// Bias is a number from 0 to 1 that differs between entries. The smaller it is, the
 	// more this entry prefers the endpoint.
-	Apart float64
+	Bias float64
 	// YieldSlots is set if free slots at the endpoint are left to requests that wait at
 	// other entries.
-	Yield bool
-	Limit
+	YieldSlots bool
+	RateLimit
 }
 
 // RateLimit is a limit on the rate of requests to an endpoint. The zero RateLimit means no
 // limit.
-type Limit struct {
+type RateLimit struct {
 	// Limited is set if the endpoint accepts at most RequestsPerSecond requests per second.
 	// AllowedNow is the number of requests that may be sent now. If it is zero,
 	// NextAllowedIn is the time until the next one may be sent.
-	Limited     bool
-	Rate        float64
-	Allowed     int
-	NextAllowed time.Duration
+	Limited           bool
+	RequestsPerSecond float64
+	AllowedNow        int
+	NextAllowedIn     time.Duration
 }
 
 // Pace describes how fast an endpoint works.
@@ -71,22 +71,22 @@
 type Request struct {
 	// TierRank is the index of the request's tier among the tiers in use, zero for the
 	// highest.
-	Rank int
+	TierRank int
 	// TierCount is the number of tiers in use.
-	Ranks int
+	TierCount int
 	// PromptTokens and OutputTokens are zero for plain services.
-	Prompt, Output int
+	PromptTokens, OutputTokens int
 	// Target is the time within which the first event of such a request is wanted.
 	// UntilTarget is the part of it that is left. UntilDeadline is the time left until the
 	// answer must be complete.
-	Target, Due, Left time.Duration
+	Target, UntilTarget, UntilDeadline time.Duration
 	// AvoidEndpoint is the index of an endpoint where this request has failed, or -1.
-	Avoid int
+	AvoidEndpoint int
 	// OthersFirst is set if other queued requests must be served before this one.
-	Behind bool
+	OthersFirst bool
 	// ExactCounts is set if the decider counts all requests at the endpoints as they start
 	// and end, and knows all requests that wait for them.
-	Counted bool
+	ExactCounts bool
 }
 
 // Decision is the outcome of Decide.
@@ -95,21 +95,21 @@
 	Endpoint int
 	// FirstEvent is the predicted time to the first event at the best endpoint. SlotWait is
 	// the part of it spent waiting for a slot.
-	First, Wait time.Duration
+	FirstEvent, SlotWait time.Duration
 	// RetryAfter is the time until there should be room for a refused request.
-	Retry time.Duration
+	RetryAfter time.Duration
 	// SlotInterval is, for a refused request, the average time between two slots becoming
 	// free, over all endpoints.
-	Turn time.Duration
-	Why  Why
+	SlotInterval time.Duration
+	Reason       Reason
 }
 
 // Reason says why a request was refused.
-type Why uint8
+type Reason uint8
 
 // Reasons.
 const (
-	Admitted Why = iota
+	Admitted Reason = iota
 	// NoEndpoint means that no endpoint is known or usable.
 	NoEndpoint
 	// Full means that the wait for a slot would be too long.
@@ -123,7 +123,7 @@
 var reasonNames = [...]string{"admitted", "no endpoint", "full", "late", "too long"}
 
 // String returns the reason as it appears in logs.
-func (r Why) String() string { return reasonNames[r] }
+func (r Reason) String() string { return reasonNames[r] }
 
 const (
 	// topTierWaitShare and lowestTierWaitShare are the longest predicted waits in an
@@ -171,7 +171,7 @@
 	var cheapest, cheapestRefused candidate
 	for i := range endpoints {
 		e := &endpoints[i]
-		if i == r.Avoid && len(endpoints) > 1 || skipUnusable && !e.Usable {
+		if i == r.AvoidEndpoint && len(endpoints) > 1 || skipUnusable && !e.Usable {
 			continue
 		}
 		c := e.evaluate(r)
@@ -184,13 +184,13 @@
 	}
 	switch {
 	case cheapest.set:
-		return Decision{Endpoint: cheapest.endpoint, First: cheapest.firstEvent, Wait: cheapest.slotWait}
+		return Decision{Endpoint: cheapest.endpoint, FirstEvent: cheapest.firstEvent, SlotWait: cheapest.slotWait}
 	case !cheapestRefused.set:
-		return Decision{Endpoint: -1, Retry: noEndpointRetryAfter, Why: NoEndpoint}
+		return Decision{Endpoint: -1, RetryAfter: noEndpointRetryAfter, Reason: NoEndpoint}
 	}
 	return Decision{
-		Endpoint: -1, First: cheapestRefused.firstEvent, Wait: cheapestRefused.slotWait, Retry: max(cheapestRefused.excess, minRetryAfter),
-		Turn: slotInterval(endpoints), Why: cheapestRefused.reason,
+		Endpoint: -1, FirstEvent: cheapestRefused.firstEvent, SlotWait: cheapestRefused.slotWait, RetryAfter: max(cheapestRefused.excess, minRetryAfter),
+		SlotInterval: slotInterval(endpoints), Reason: cheapestRefused.reason,
 	}
 }
 
@@ -204,7 +204,7 @@
 	firstEvent, slotWait time.Duration
 	// reason says why the request is not sent there. excess is how much the prediction
 	// exceeds the limit.
-	reason Why
+	reason Reason
 	excess time.Duration
 }
 
@@ -218,24 +218,24 @@
 func (e *Endpoint) evaluate(r Request) candidate {
 	c := candidate{set: true, firstEvent: e.PredictFirstEvent(r), slotWait: e.slotWait(r)}
 	c.cost = c.firstEvent + e.extraCost(r)
-	mostlyFree := !r.Behind && e.mostlyFree()
-	if e.Limited && e.Allowed <= 0 {
-		c.reason, c.excess, c.slotWait = Full, e.NextAllowed, max(c.slotWait, e.NextAllowed)
+	mostlyFree := !r.OthersFirst && e.mostlyFree()
+	if e.Limited && e.AllowedNow <= 0 {
+		c.reason, c.excess, c.slotWait = Full, e.NextAllowedIn, max(c.slotWait, e.NextAllowedIn)
 		return c
 	}
-	if r.Counted && e.Requests >= maxExactLoad*max(e.Slots, 1) {
+	if r.ExactCounts && e.Requests >= maxExactLoad*max(e.Slots, 1) {
 		c.reason, c.excess = Full, c.slotWait
 		return c
 	}
-	if excess := c.slotWait - r.maxSlotWait(); r.Behind || (excess > 0 || e.Yield) && !mostlyFree {
+	if excess := c.slotWait - r.maxSlotWait(); r.OthersFirst || (excess > 0 || e.YieldSlots) && !mostlyFree {
 		c.reason, c.excess = Full, excess
 		return c
 	}
-	if excess := c.firstEvent - r.Due; excess > 0 && !mostlyFree {
+	if excess := c.firstEvent - r.UntilTarget; excess > 0 && !mostlyFree {
 		c.reason, c.excess = Late, excess
 		return c
 	}
-	if c.firstEvent+scale(time.Duration(r.Output)*e.Pace.PerOutputToken, minOutputShare) > r.Left {
+	if c.firstEvent+scale(time.Duration(r.OutputTokens)*e.Pace.PerOutputToken, minOutputShare) > r.UntilDeadline {
 		c.reason, c.excess = TooLong, c.firstEvent
 	}
 	return c
@@ -244,16 +244,16 @@
 // maxSlotWait returns the longest predicted wait for a slot at which r is still admitted.
 func (r Request) maxSlotWait() time.Duration {
 	top, lowest := topTierWaitShare, lowestTierWaitShare
-	if r.Counted {
+	if r.ExactCounts {
 		top, lowest = topTierExactWaitShare, lowestTierExactWaitShare
 	}
-	return scale(r.Target, top-(top-lowest)*float64(r.Rank)/float64(max(r.Ranks-1, 1)))
+	return scale(r.Target, top-(top-lowest)*float64(r.TierRank)/float64(max(r.TierCount-1, 1)))
 }
 
 // FreeSlots returns the number of slots that appear to be free. Slots of unusable endpoints
 // do not count: no queued request can use them, and counting them would let lower tiers
 // pass requests that wait.
-func Free(endpoints []Endpoint) int {
+func FreeSlots(endpoints []Endpoint) int {
 	n := 0
 	for i := range endpoints {
 		if e := &endpoints[i]; e.Usable {
@@ -268,14 +268,14 @@
 func (e *Endpoint) freeSlots() int {
 	n := max(e.Slots-e.Requests, 0)
 	if e.Limited {
-		n = min(n, e.Allowed)
+		n = min(n, e.AllowedNow)
 	}
 	return n
 }
 
 // UsableSlots returns the number of slots of the usable endpoints, without those that a
 // rate limit keeps empty.
-func Slots(endpoints []Endpoint) int {
+func UsableSlots(endpoints []Endpoint) int {
 	n := 0
 	for i := range endpoints {
 		e := &endpoints[i]
@@ -302,7 +302,7 @@
 		if e.Requests > 0 {
 			endpointRate = float64(max(e.Slots, 1)) / (float64(e.meanHoldTime()) * e.Pace.waitFactor())
 		}
-		if rateLimit := e.Rate / float64(time.Second); e.Limited && (e.Requests == 0 || rateLimit < endpointRate) {
+		if rateLimit := e.RequestsPerSecond / float64(time.Second); e.Limited && (e.Requests == 0 || rateLimit < endpointRate) {
 			endpointRate = rateLimit
 		}
 		slotsPerNanosecond += endpointRate
@@ -317,7 +317,7 @@
 
 func anyUsable(r Request, endpoints []Endpoint) bool {
 	for i := range endpoints {
-		if i != r.Avoid && endpoints[i].Usable {
+		if i != r.AvoidEndpoint && endpoints[i].Usable {
 			return true
 		}
 	}
--- a/core/admit/admit_test.go
+++ b/core/admit/admit_test.go
@@ -10,13 +10,13 @@
 }
 
 func testRequest() Request {
-	return Request{Prompt: 6000, Output: 400, Target: time.Second, Due: time.Second, Left: 15 * time.Second, Avoid: -1}
+	return Request{PromptTokens: 6000, OutputTokens: 400, Target: time.Second, UntilTarget: time.Second, UntilDeadline: 15 * time.Second, AvoidEndpoint: -1}
 }
 
 func TestDecidePrefersLeastLoaded(t *testing.T) {
 	es := []Endpoint{
-		{Usable: true, Slots: 9, Requests: 9, Output: 1800, Pace: testPace()},
-		{Usable: true, Slots: 9, Requests: 2, Output: 400, Pace: testPace()},
+		{Usable: true, Slots: 9, Requests: 9, OutputTokens: 1800, Pace: testPace()},
+		{Usable: true, Slots: 9, Requests: 2, OutputTokens: 400, Pace: testPace()},
 		{Slots: 9, Pace: testPace()},
 	}
 	if d := Decide(testRequest(), es); d.Endpoint != 1 {
@@ -29,9 +29,9 @@
 func TestLowerTiersAreRefusedFirst(t *testing.T) {
 	refused := [3]int{}
 	for depth := range 40 {
-		e := Endpoint{Usable: true, Slots: 9, Requests: 9 + depth, Output: (9 + depth) * 150, Pace: testPace()}
+		e := Endpoint{Usable: true, Slots: 9, Requests: 9 + depth, OutputTokens: (9 + depth) * 150, Pace: testPace()}
 		for rank := range refused {
-			r := Request{Rank: rank, Ranks: len(refused), Prompt: 600, Output: 200, Target: time.Second, Due: time.Second, Left: 12 * time.Second, Avoid: -1}
+			r := Request{TierRank: rank, TierCount: len(refused), PromptTokens: 600, OutputTokens: 200, Target: time.Second, UntilTarget: time.Second, UntilDeadline: 12 * time.Second, AvoidEndpoint: -1}
 			if Decide(r, []Endpoint{e}).Endpoint < 0 {
 				refused[rank]++
 			}
@@ -48,12 +48,12 @@
 // At the start of a burst only short waits have been learned, and an owner predicts no wait
 // at all. Engine queues must not grow with the burst.
 func TestExactCountsBoundQueueDespiteLearnedWait(t *testing.T) {
-	e := Endpoint{Usable: true, Slots: 7, Output: 7 * 50, Pace: testPace()}
+	e := Endpoint{Usable: true, Slots: 7, OutputTokens: 7 * 50, Pace: testPace()}
 	e.Pace.WaitFactor = minWaitFactor
-	r := Request{Ranks: 3, Prompt: 600, Output: 50, Target: time.Second, Due: time.Second, Left: 12 * time.Second, Avoid: -1, Counted: true}
+	r := Request{TierCount: 3, PromptTokens: 600, OutputTokens: 50, Target: time.Second, UntilTarget: time.Second, UntilDeadline: 12 * time.Second, AvoidEndpoint: -1, ExactCounts: true}
 	for Decide(r, []Endpoint{e}).Endpoint >= 0 && e.Requests < 100 {
 		e.Requests++
-		e.Output += r.Output
+		e.OutputTokens += r.OutputTokens
 	}
 	if e.Requests > 2*e.Slots {
 		t.Errorf("%d requests at an engine of %d slots", e.Requests, e.Slots)
@@ -63,15 +63,15 @@
 // A refused caller that returns after RetryAfter must be admitted if the queue has drained
 // as predicted.
 func TestRetryAfterMatchesQueueDrainTime(t *testing.T) {
-	e := Endpoint{Usable: true, Slots: 9, Requests: 30, Output: 30 * 200, Pace: testPace()}
+	e := Endpoint{Usable: true, Slots: 9, Requests: 30, OutputTokens: 30 * 200, Pace: testPace()}
 	d := Decide(testRequest(), []Endpoint{e})
-	if d.Why != Full || d.Retry < 500*time.Millisecond {
+	if d.Reason != Full || d.RetryAfter < 500*time.Millisecond {
 		t.Fatalf("%+v", d)
 	}
 	each := e.Pace.FirstEvent + 200*e.Pace.PerOutputToken
-	e.Requests -= int(d.Retry*9/each) + 1
+	e.Requests -= int(d.RetryAfter*9/each) + 1
 	e.Requests = max(e.Requests, 0)
-	e.Output = e.Requests * 200
+	e.OutputTokens = e.Requests * 200
 	if d := Decide(testRequest(), []Endpoint{e}); d.Endpoint < 0 {
 		t.Errorf("refused again: %+v", d)
 	}
@@ -83,15 +83,15 @@
 	if d := Decide(testRequest(), []Endpoint{{Slots: 9, Pace: testPace()}}); d.Endpoint != 0 {
 		t.Errorf("%+v", d)
 	}
-	if d := Decide(testRequest(), nil); d.Why != NoEndpoint || d.Retry == 0 {
+	if d := Decide(testRequest(), nil); d.Reason != NoEndpoint || d.RetryAfter == 0 {
 		t.Errorf("%+v", d)
 	}
 }
 
 func TestAnswerThatCannotEndInTimeIsRefused(t *testing.T) {
 	r := testRequest()
-	r.Output = 8000
-	if d := Decide(r, []Endpoint{{Usable: true, Slots: 9, Pace: testPace()}}); d.Why != TooLong {
+	r.OutputTokens = 8000
+	if d := Decide(r, []Endpoint{{Usable: true, Slots: 9, Pace: testPace()}}); d.Reason != TooLong {
 		t.Errorf("%+v", d)
 	}
 }
@@ -100,7 +100,7 @@
 // Refusing it would refuse it on every retry, although most such answers end in time.
 func TestAnswerThatMayEndInTimeIsAdmitted(t *testing.T) {
 	r := testRequest()
-	r.Output = 3500
+	r.OutputTokens = 3500
 	if d := Decide(r, []Endpoint{{Usable: true, Slots: 9, Pace: testPace()}}); d.Endpoint != 0 {
 		t.Errorf("%+v", d)
 	}
@@ -109,10 +109,10 @@
 func TestLearnerLearnsPacePerEndpoint(t *testing.T) {
 	l := NewLearner()
 	for range 60 {
-		l.First("slow", 6000, 20*time.Millisecond+6000*60*time.Microsecond)
-		l.First("fast", 6000, 20*time.Millisecond+6000*10*time.Microsecond)
-		l.Output("slow", 100, 1400*time.Millisecond)
-		l.Output("fast", 100, 300*time.Millisecond)
+		l.ObserveFirstEvent("slow", 6000, 20*time.Millisecond+6000*60*time.Microsecond)
+		l.ObserveFirstEvent("fast", 6000, 20*time.Millisecond+6000*10*time.Microsecond)
+		l.ObserveOutput("slow", 100, 1400*time.Millisecond)
+		l.ObserveOutput("fast", 100, 300*time.Millisecond)
 	}
 	slow, fast := l.Pace("slow"), l.Pace("fast")
 	if slow.PerPromptToken < 50*time.Microsecond || fast.PerPromptToken > 15*time.Microsecond {
@@ -128,10 +128,10 @@
 // requests for which there is room.
 func TestLearnerCorrectsPredictedWaits(t *testing.T) {
 	l := NewLearner()
-	e := Endpoint{Usable: true, Slots: 9, Requests: 12, Output: 12 * 200}
+	e := Endpoint{Usable: true, Slots: 9, Requests: 12, OutputTokens: 12 * 200}
 	for range 300 {
 		e.Pace = l.Pace("e")
-		l.Waited(e.slotWait(Request{}), 30*time.Millisecond)
+		l.ObserveWait(e.slotWait(Request{}), 30*time.Millisecond)
 	}
 	e.Pace = l.Pace("e")
 	if got := e.slotWait(Request{}); got < 27*time.Millisecond || got > 33*time.Millisecond {
@@ -143,13 +143,13 @@
 // Refusing it would refuse it on every retry although there is room.
 func TestLongPromptIsAdmittedWhenMostSlotsAreFree(t *testing.T) {
 	r := testRequest()
-	r.Prompt = 80000
-	e := Endpoint{Usable: true, Slots: 9, Requests: 3, Output: 300, Pace: testPace()}
+	r.PromptTokens = 80000
+	e := Endpoint{Usable: true, Slots: 9, Requests: 3, OutputTokens: 300, Pace: testPace()}
 	if d := Decide(r, []Endpoint{e}); d.Endpoint != 0 {
 		t.Errorf("%+v", d)
 	}
-	e.Requests, e.Output = 9, 900
-	if d := Decide(r, []Endpoint{e}); d.Endpoint >= 0 || d.Why != Late {
+	e.Requests, e.OutputTokens = 9, 900
+	if d := Decide(r, []Endpoint{e}); d.Endpoint >= 0 || d.Reason != Late {
 		t.Errorf("at a full endpoint: %+v", d)
 	}
 }
@@ -162,10 +162,10 @@
 	slow.FirstEvent, slow.PerPromptToken = 5*slow.FirstEvent, 5*slow.PerPromptToken
 	quick.WaitFactor = 0.6
 	es := []Endpoint{
-		{Usable: true, Slots: 7, Requests: 7, Output: 7 * 200, Pace: quick},
-		{Usable: true, Slots: 7, Requests: 6, Output: 6 * 200, Pace: slow},
+		{Usable: true, Slots: 7, Requests: 7, OutputTokens: 7 * 200, Pace: quick},
+		{Usable: true, Slots: 7, Requests: 6, OutputTokens: 6 * 200, Pace: slow},
 	}
-	r := Request{Rank: 2, Ranks: 3, Prompt: 500, Output: 280, Target: 400 * time.Millisecond, Due: 400 * time.Millisecond, Left: 15 * time.Second, Avoid: -1}
+	r := Request{TierRank: 2, TierCount: 3, PromptTokens: 500, OutputTokens: 280, Target: 400 * time.Millisecond, UntilTarget: 400 * time.Millisecond, UntilDeadline: 15 * time.Second, AvoidEndpoint: -1}
 	if quick, slow := es[0].PredictFirstEvent(r), es[1].PredictFirstEvent(r); quick >= slow {
 		t.Fatalf("first event after %v at the full endpoint, %v at the other", quick, slow)
 	}
@@ -178,7 +178,7 @@
 // that queued requests leave to lower tiers.
 func TestFreeSlotsIgnoresFailedEndpoints(t *testing.T) {
 	es := []Endpoint{{Usable: true, Slots: 7, Requests: 5}, {Slots: 7}, {Usable: true, Slots: 7, Requests: 9}}
-	if got := Free(es); got != 2 {
+	if got := FreeSlots(es); got != 2 {
 		t.Errorf("%d slots appear free, want 2", got)
 	}
 }
@@ -186,25 +186,25 @@
 // An endpoint's rate limit must hold even if the endpoint is in the same zone, is the only
 // usable one, or has free slots.
 func TestRateLimitedEndpointIsNotUsed(t *testing.T) {
-	full := Endpoint{Near: true, Usable: true, Slots: 10, Limit: Limit{Limited: true, Rate: 2, NextAllowed: 400 * time.Millisecond}}
-	r := Request{Target: time.Second, Due: time.Second, Left: time.Minute, Avoid: -1, Ranks: 1}
+	full := Endpoint{SameZone: true, Usable: true, Slots: 10, RateLimit: RateLimit{Limited: true, RequestsPerSecond: 2, NextAllowedIn: 400 * time.Millisecond}}
+	r := Request{Target: time.Second, UntilTarget: time.Second, UntilDeadline: time.Minute, AvoidEndpoint: -1, TierCount: 1}
 	for name, others := range map[string][]Endpoint{
-		"alone": nil, "next to a failed one": {{Slots: 10}}, "next to a full one": {{Usable: true, Slots: 1, Requests: 50, Output: 50000, Pace: Pace{PerOutputToken: time.Second}}},
+		"alone": nil, "next to a failed one": {{Slots: 10}}, "next to a full one": {{Usable: true, Slots: 1, Requests: 50, OutputTokens: 50000, Pace: Pace{PerOutputToken: time.Second}}},
 	} {
 		dec := Decide(r, append([]Endpoint{full}, others...))
-		if dec.Endpoint >= 0 || dec.Why != Full {
-			t.Errorf("%s: sent to %d, %v", name, dec.Endpoint, dec.Why)
+		if dec.Endpoint >= 0 || dec.Reason != Full {
+			t.Errorf("%s: sent to %d, %v", name, dec.Endpoint, dec.Reason)
 		}
-		if name == "alone" && (dec.Retry != full.NextAllowed || dec.Turn.Round(time.Millisecond) != 500*time.Millisecond) {
-			t.Errorf("retry after %v, slot interval %v", dec.Retry, dec.Turn)
+		if name == "alone" && (dec.RetryAfter != full.NextAllowedIn || dec.SlotInterval.Round(time.Millisecond) != 500*time.Millisecond) {
+			t.Errorf("retry after %v, slot interval %v", dec.RetryAfter, dec.SlotInterval)
 		}
 	}
 	available := full
-	available.Allowed, available.NextAllowed = 1, 0
+	available.AllowedNow, available.NextAllowedIn = 1, 0
 	if dec := Decide(r, []Endpoint{available}); dec.Endpoint != 0 {
-		t.Errorf("an endpoint below its rate limit is not used: %v", dec.Why)
+		t.Errorf("an endpoint below its rate limit is not used: %v", dec.Reason)
 	}
-	if free, slots := Free([]Endpoint{full, available}), Slots([]Endpoint{full, available}); free != 1 || slots != 1 {
+	if free, slots := FreeSlots([]Endpoint{full, available}), UsableSlots([]Endpoint{full, available}); free != 1 || slots != 1 {
 		t.Errorf("%d of %d slots are free, want 1 of 1", free, slots)
 	}
 }
--- a/core/admit/learn.go
+++ b/core/admit/learn.go
@@ -68,7 +68,7 @@
 // ObserveWait records how long a request waited for a slot, if a wait was predicted. The
 // factor is learned per pool, because it depends on how the lengths of answers vary and not
 // on the endpoint.
-func (l *Learner) Waited(predicted, actual time.Duration) {
+func (l *Learner) ObserveWait(predicted, actual time.Duration) {
 	if predicted <= 0 {
 		return
 	}
@@ -79,7 +79,7 @@
 // PaceSpread returns by how much the mean logarithm of the endpoints' paces exceeds that of
 // the pool, to which fast endpoints contribute more, and their standard deviation. ok is
 // false if too few endpoints have observations.
-func (l *Learner) Spread(ids []string, engines bool) (shift, deviation float64, ok bool) {
+func (l *Learner) PaceSpread(ids []string, engines bool) (shift, deviation float64, ok bool) {
 	logPace := func(p *Pace) float64 {
 		if engines {
 			return math.Log(max(float64(p.PerOutputToken), 1))
@@ -106,7 +106,7 @@
 
 // ObserveFirstEvent records the time to the first event of a request that found a free
 // slot. promptTokens counts all prompt tokens that were to be read, including its own.
-func (l *Learner) First(id string, promptTokens int, took time.Duration) {
+func (l *Learner) ObserveFirstEvent(id string, promptTokens int, took time.Duration) {
 	p := l.paceOf(id)
 	if promptTokens < longPromptTokens {
 		fixedPart := took - time.Duration(promptTokens)*p.PerPromptToken
@@ -120,7 +120,7 @@
 }
 
 // ObserveOutput records the time taken by the tokens after the first event.
-func (l *Learner) Output(id string, tokens int, took time.Duration) {
+func (l *Learner) ObserveOutput(id string, tokens int, took time.Duration) {
 	if tokens <= 0 {
 		return
 	}
--- a/core/admit/predict.go
+++ b/core/admit/predict.go
@@ -4,11 +4,11 @@
 
 // PredictFirstEvent predicts the time to the first event of r.
 func (e *Endpoint) PredictFirstEvent(r Request) time.Duration {
-	return e.Pace.FirstEvent + e.slotWait(r) + time.Duration(e.Prompt+r.Prompt)*e.Pace.PerPromptToken
+	return e.Pace.FirstEvent + e.slotWait(r) + time.Duration(e.PromptTokens+r.PromptTokens)*e.Pace.PerPromptToken
 }
 
 // HoldTime predicts how long a request with the given token counts holds its slot.
-func (p Pace) Work(promptTokens, outputTokens int) time.Duration {
+func (p Pace) HoldTime(promptTokens, outputTokens int) time.Duration {
 	return p.FirstEvent + time.Duration(promptTokens)*p.PerPromptToken + time.Duration(outputTokens)*p.PerOutputToken
 }
 
@@ -25,7 +25,7 @@
 
 // meanHoldTime predicts how much longer a running request holds its slot on average.
 func (e *Endpoint) meanHoldTime() time.Duration {
-	return e.Pace.FirstEvent + time.Duration(e.Output/e.Requests)*e.Pace.PerOutputToken
+	return e.Pace.FirstEvent + time.Duration(e.OutputTokens/e.Requests)*e.Pace.PerOutputToken
 }
 
 func (p Pace) waitFactor() float64 {
@@ -38,20 +38,20 @@
 // memoryWait predicts how long r waits for memory while there are free slots. An engine
 // that runs out of memory discards prompts that it has already processed.
 func (e *Endpoint) memoryWait(r Request) time.Duration {
-	if e.Memory == 0 || e.Requests == 0 || e.Tokens+r.Prompt+r.Output <= e.Memory {
+	if e.KVTokens == 0 || e.Requests == 0 || e.KVTokensNeeded+r.PromptTokens+r.OutputTokens <= e.KVTokens {
 		return 0
 	}
-	return time.Duration(e.Output/e.Requests) * e.Pace.PerOutputToken
+	return time.Duration(e.OutputTokens/e.Requests) * e.Pace.PerOutputToken
 }
 
 // extraCost returns the cost of an endpoint besides its time to the first event.
 func (e *Endpoint) extraCost(r Request) time.Duration {
-	cost := time.Duration(outputWeight * float64(r.Output) * float64(e.Pace.PerOutputToken))
-	if !e.Near {
+	cost := time.Duration(outputWeight * float64(r.OutputTokens) * float64(e.Pace.PerOutputToken))
+	if !e.SameZone {
 		cost += crossZoneCost
 	}
 	if !e.mostlyFree() {
-		cost += scale(maxBiasCost, e.Apart)
+		cost += scale(maxBiasCost, e.Bias)
 	}
 	return cost
 }
--- a/core/await/await.go
+++ b/core/await/await.go
@@ -20,24 +20,24 @@
 )
 
 // Queue holds the requests of one pool that wait at one entry. The zero value is empty.
-type Line[T any] struct {
+type Queue[T any] struct {
 	// requests is sorted by Priority.Compare, then by arrival.
-	requests []*Wait[T]
+	requests []*Request[T]
 	seq      uint64
 }
 
 // Priority determines a request's position in a queue: the highest tier first, then the
 // earliest target.
-type Place struct {
+type Priority struct {
 	Tier route.Tier
 	// TargetAt is the time at which the request's first event is wanted.
-	Due time.Duration
+	TargetAt time.Duration
 	// HoldTime is how long the request is expected to hold its slot.
-	Work time.Duration
+	HoldTime time.Duration
 }
 
 // Compare orders priorities, the first to be served first.
-func (p Place) Compare(o Place) int {
+func (p Priority) Compare(o Priority) int {
 	return cmp.Or(p.Tier.Compare(o.Tier), cmp.Compare(p.orderKey(), o.orderKey()))
 }
 
@@ -46,35 +46,37 @@
 const holdTimeWeight = 1.25
 
 // orderKey orders the requests of one tier, the smallest first.
-func (p Place) orderKey() time.Duration { return p.Due + time.Duration(holdTimeWeight*float64(p.Work)) }
+func (p Priority) orderKey() time.Duration {
+	return p.TargetAt + time.Duration(holdTimeWeight*float64(p.HoldTime))
+}
 
 // Request is one queued request.
-type Wait[T any] struct {
+type Request[T any] struct {
 	// Value is the owner's data about the request.
 	Value    T
-	priority Place
+	priority Priority
 	// seq breaks ties by order of arrival.
 	seq uint64
 }
 
 // Priority returns the request's priority.
-func (r *Wait[T]) Priority() Place { return r.priority }
+func (r *Request[T]) Priority() Priority { return r.priority }
 
-func compare[T any](a, b *Wait[T]) int {
+func compare[T any](a, b *Request[T]) int {
 	return cmp.Or(a.priority.Compare(b.priority), cmp.Compare(a.seq, b.seq))
 }
 
 // Add puts a request into the queue.
-func (q *Line[T]) Add(v T, p Place) *Wait[T] {
+func (q *Queue[T]) Add(v T, p Priority) *Request[T] {
 	q.seq++
-	r := &Wait[T]{Value: v, priority: p, seq: q.seq}
+	r := &Request[T]{Value: v, priority: p, seq: q.seq}
 	i, _ := slices.BinarySearchFunc(q.requests, r, compare)
 	q.requests = slices.Insert(q.requests, i, r)
 	return r
 }
 
 // Remove takes a request out of the queue and reports whether it was queued.
-func (q *Line[T]) Remove(r *Wait[T]) bool {
+func (q *Queue[T]) Remove(r *Request[T]) bool {
 	i, ok := slices.BinarySearchFunc(q.requests, r, compare)
 	if ok {
 		q.requests = slices.Delete(q.requests, i, i+1)
@@ -83,19 +85,19 @@
 }
 
 // Len returns the number of queued requests.
-func (q *Line[T]) Len() int { return len(q.requests) }
+func (q *Queue[T]) Len() int { return len(q.requests) }
 
 // CountAhead returns the number of requests ahead of one that is added now with the given
 // priority.
-func (q *Line[T]) Ahead(p Place) int {
-	n, _ := slices.BinarySearchFunc(q.requests, &Wait[T]{priority: p, seq: q.seq + 1}, compare)
+func (q *Queue[T]) CountAhead(p Priority) int {
+	n, _ := slices.BinarySearchFunc(q.requests, &Request[T]{priority: p, seq: q.seq + 1}, compare)
 	return n
 }
 
 // SendInOrder calls send for the queued requests in order. send returns whether it has sent
 // the request, which is then removed from the queue, and whether to go on with the next
 // one.
-func (q *Line[T]) Offer(send func(r *Wait[T]) (sent, more bool)) {
+func (q *Queue[T]) SendInOrder(send func(r *Request[T]) (sent, more bool)) {
 	for i := 0; i < len(q.requests); {
 		sent, more := send(q.requests[i])
 		if sent {
--- a/core/await/share.go
+++ b/core/await/share.go
@@ -21,33 +21,33 @@
 
 // MaxWait returns the longest time that a request may wait in a queue. serviceTime is the
 // time from sending it to its first event, and untilTarget is what is left of its target.
-func Patience(target, untilTarget, serviceTime time.Duration) time.Duration {
+func MaxWait(target, untilTarget, serviceTime time.Duration) time.Duration {
 	return min(untilTarget-serviceTime, time.Duration(maxWaitShare*float64(target)))
 }
 
 // Contention describes the requests that compete for the free slots of a pool at all
 // entries, as far as they have reported them.
-type Crowd struct {
+type Contention struct {
 	// HigherTier and SameTier count the requests of higher tiers and of the same tier that
 	// wait at other entries.
-	First, Beside int
+	HigherTier, SameTier int
 	// OwnSameTier counts the requests of the same tier that wait at this entry, including
 	// the one to be sent.
-	Own int
+	OwnSameTier int
 	// FreeSlots is the number of slots that appear to be free.
-	Free int
+	FreeSlots int
 }
 
 // Blocked reports whether the requests of higher tiers need all free slots.
-func (c Crowd) Blocked() bool { return c.First > c.Free }
+func (c Contention) Blocked() bool { return c.HigherTier > c.FreeSlots }
 
 // Share returns the share of the free slots that is meant for this entry's requests. If
 // each entry took every free slot it learned of, a freed slot would be taken by all entries
 // with queued requests, while the engine serves only one.
-func (c Crowd) Part() float64 {
-	share := float64(c.Own) / float64(max(c.Own+c.Beside, 1))
-	if c.First > 0 {
-		share *= float64(max(c.Free-c.First, 0)) / float64(max(c.Free, 1))
+func (c Contention) Share() float64 {
+	share := float64(c.OwnSameTier) / float64(max(c.OwnSameTier+c.SameTier, 1))
+	if c.HigherTier > 0 {
+		share *= float64(max(c.FreeSlots-c.HigherTier, 0)) / float64(max(c.FreeSlots, 1))
 	}
 	return share
 }
@@ -55,12 +55,12 @@
 // Draw returns a number from 0 to 1 for an entry and an endpoint, which changes every
 // DrawInterval. An entry takes a free slot of the endpoint if the number is below the
 // entry's share, so on average one entry takes it.
-func Lot(entry, endpoint string, now time.Duration) float64 {
+func Draw(entry, endpoint string, now time.Duration) float64 {
 	return hashToUnit(entry, endpoint, binary.LittleEndian.AppendUint64(nil, uint64(now/DrawInterval)))
 }
 
 // FixedDraw returns a number from 0 to 1 that depends only on the entry and the endpoint.
-func Apart(entry, endpoint string) float64 { return hashToUnit(entry, endpoint, nil) }
+func FixedDraw(entry, endpoint string) float64 { return hashToUnit(entry, endpoint, nil) }
 
 // hashToUnit returns a number from 0 to 1 for an entry, an endpoint and a round.
 func hashToUnit(entry, endpoint string, round []byte) float64 {
--- a/core/canary/canary.go
+++ b/core/canary/canary.go
@@ -20,7 +20,7 @@
 
 // Limit bounds the requests that may be sent to a new version, which may turn out to be
 // bad.
-type Rule struct {
+type Limit struct {
 	// Share is the largest share of a pool's requests between order and deadline, and Slack
 	// a number of additional requests, both over all entries. With a Share of zero there
 	// are no rollouts, and the endpoints of all versions are in service.
@@ -31,17 +31,17 @@
 type Order struct {
 	Pool, Target string
 	// Duration is the time that the operator allows for the rollout.
-	Over time.Duration
+	Duration time.Duration
 	// CreateRevision and Revision are revisions of the platform. CreateRevision is that of
 	// the first order with this name. Revision is one at which the platform held this
 	// order; of two orders for a pool, the one with the higher Revision is the later one.
-	Created, Revision int64
+	CreateRevision, Revision int64
 }
 
 // sameOrder reports whether o and p are the same order, possibly seen at different
 // revisions.
 func (o Order) sameOrder(p Order) bool {
-	return o.Pool == p.Pool && o.Target == p.Target && o.Over == p.Over && o.Created == p.Created
+	return o.Pool == p.Pool && o.Target == p.Target && o.Duration == p.Duration && o.CreateRevision == p.CreateRevision
 }
 
 // State is the state of an order.
@@ -63,21 +63,21 @@
 func (s State) String() string { return stateNames[s] }
 
 // Role is what the endpoints of a version are used for.
-type Use uint8
+type Role uint8
 
 // Roles.
 const (
 	// InService endpoints accept any request of the pool.
-	Service Use = iota
+	InService Role = iota
 	// OnTrial endpoints accept the requests that AdmitToTrial admits.
-	Trial
+	OnTrial
 	// OutOfService endpoints accept no requests.
 	OutOfService
 )
 
 // Controller tracks the orders and versions of all pools at one entry.
-type Book struct {
-	limit Rule
+type Controller struct {
+	limit Limit
 	pools map[string]*pool
 	// ordersKnown is set once all orders as of some time have been read.
 	ordersKnown bool
@@ -111,39 +111,39 @@
 	// Age is the time since the order.
 	Age time.Duration
 	// Reason says what caused the change. Finding is the evidence for it.
-	Why     string
+	Reason  string
 	Finding Finding
 	// Moved is set when this entry stops sending requests to the old version.
 	Moved bool
 }
 
 // New returns a controller without orders.
-func New(limit Rule) *Book {
-	return &Book{limit: limit, pools: make(map[string]*pool), ordersKnown: limit.Share <= 0}
+func New(limit Limit) *Controller {
+	return &Controller{limit: limit, pools: make(map[string]*pool), ordersKnown: limit.Share <= 0}
 }
 
 // Active reports whether rollouts are enabled.
-func (c *Book) Active() bool { return c.limit.Share > 0 }
+func (c *Controller) Active() bool { return c.limit.Share > 0 }
 
 // OrdersKnown reports whether the orders are known.
-func (c *Book) Known() bool { return c.ordersKnown }
+func (c *Controller) OrdersKnown() bool { return c.ordersKnown }
 
 // TakeRolesChanged reports whether the roles of versions may have changed since the last
 // call.
-func (c *Book) Changed() bool {
+func (c *Controller) TakeRolesChanged() bool {
 	changed := c.rolesChanged
 	c.rolesChanged = false
 	return changed
 }
 
 // TakeChanges returns the changes since the last call.
-func (c *Book) Changes() []Change {
+func (c *Controller) TakeChanges() []Change {
 	changes := c.changes
 	c.changes = nil
 	return changes
 }
 
-func (c *Book) pool(name string) *pool {
+func (c *Controller) pool(name string) *pool {
 	p := c.pools[name]
 	if p == nil {
 		p = &pool{
@@ -156,7 +156,7 @@
 }
 
 // SetVersions sets the number of endpoints of each version of a pool.
-func (c *Book) List(now time.Duration, pool string, versions map[string]int) {
+func (c *Controller) SetVersions(now time.Duration, pool string, versions map[string]int) {
 	if !c.Active() {
 		return
 	}
@@ -234,7 +234,7 @@
 }
 
 // AwaitsOrders reports whether endpoints are unused until the orders are read.
-func (c *Book) Unsure() bool {
+func (c *Controller) AwaitsOrders() bool {
 	for _, p := range c.pools {
 		if len(p.undecidedSince) > 0 {
 			return true
@@ -244,7 +244,7 @@
 }
 
 // RecordOrdersRead records that all orders as of a time are known.
-func (c *Book) Read(asOf time.Duration) {
+func (c *Controller) RecordOrdersRead(asOf time.Duration) {
 	first := !c.ordersKnown
 	c.ordersKnown = true
 	for _, p := range c.pools {
@@ -256,34 +256,34 @@
 }
 
 // RoleOf returns the role of the endpoints of a version.
-func (c *Book) Use(pool, version string) Use {
+func (c *Controller) RoleOf(pool, version string) Role {
 	p := c.pools[pool]
 	if !c.Active() || p == nil {
-		return Service
+		return InService
 	}
 	r := p.rollout
 	switch {
 	case r != nil && r.state == Running && version == r.Target:
 		if r.moved {
-			return Service
+			return InService
 		}
-		return Trial
+		return OnTrial
 	case p.refused[version] || r != nil && r.state == Running && r.moved:
 		return OutOfService
 	case p.inService[version]:
-		return Service
+		return InService
 	}
 	return OutOfService
 }
 
 // HasOpenOrder reports whether a pool has a running order.
-func (c *Book) Open(pool string) bool {
+func (c *Controller) HasOpenOrder(pool string) bool {
 	p := c.pools[pool]
 	return p != nil && p.target() != ""
 }
 
 // AddOrder records an order. age is the time since it was given, as far as is known.
-func (c *Book) Order(now time.Duration, o Order, age time.Duration) {
+func (c *Controller) AddOrder(now time.Duration, o Order, age time.Duration) {
 	if !c.Active() || o.Target == "" {
 		return
 	}
@@ -323,7 +323,7 @@
 }
 
 // CancelOrder records that the platform has no order for a pool at a revision.
-func (c *Book) Cancel(now time.Duration, pool string, revision int64) {
+func (c *Controller) CancelOrder(now time.Duration, pool string, revision int64) {
 	p := c.pools[pool]
 	if p == nil || p.rollout == nil || p.rollout.Revision > revision {
 		return
@@ -340,7 +340,7 @@
 
 // MergeStored records the state that the platform has stored for an order at a revision, or
 // zero if it has none that can be read. A stored end of an order is final.
-func (c *Book) Written(now time.Duration, pool, target string, s State, revision int64) {
+func (c *Controller) MergeStored(now time.Duration, pool, target string, s State, revision int64) {
 	p := c.pools[pool]
 	if p == nil || p.rollout == nil {
 		return
@@ -357,14 +357,14 @@
 }
 
 // adoptState ends an order that has ended elsewhere.
-func (c *Book) adoptState(now time.Duration, p *pool, s State, reason string) {
+func (c *Controller) adoptState(now time.Duration, p *pool, s State, reason string) {
 	if p.rollout.state != s {
 		c.endOrder(now, p, s, reason, Finding{})
 	}
 }
 
 // endOrder ends an order.
-func (c *Book) endOrder(now time.Duration, p *pool, s State, reason string, f Finding) {
+func (c *Controller) endOrder(now time.Duration, p *pool, s State, reason string, f Finding) {
 	r := p.rollout
 	r.state, r.endedAt = s, now
 	switch s {
@@ -393,6 +393,6 @@
 	c.recordChange(now, r, reason, f)
 }
 
-func (c *Book) recordChange(now time.Duration, r *rollout, reason string, f Finding) {
-	c.changes = append(c.changes, Change{Order: r.Order, State: r.state, Age: now - r.orderedAt, Why: reason, Finding: f})
+func (c *Controller) recordChange(now time.Duration, r *rollout, reason string, f Finding) {
+	c.changes = append(c.changes, Change{Order: r.Order, State: r.state, Age: now - r.orderedAt, Reason: reason, Finding: f})
 }
--- a/core/canary/canary_test.go
+++ b/core/canary/canary_test.go
@@ -10,40 +10,40 @@
 
 // newTestController returns a controller that knows version v1 of pool p and an order of v2
 // over 10 s, given at 1 s.
-func newTestController() *Book {
-	c := New(Rule{Share: 0.1, Slack: 50})
-	c.Read(0)
-	c.List(0, "p", map[string]int{"v1": 4})
-	c.Order(second, order("v2", 10), 0)
-	c.List(second, "p", map[string]int{"v1": 4, "v2": 4})
+func newTestController() *Controller {
+	c := New(Limit{Share: 0.1, Slack: 50})
+	c.RecordOrdersRead(0)
+	c.SetVersions(0, "p", map[string]int{"v1": 4})
+	c.AddOrder(second, order("v2", 10), 0)
+	c.SetVersions(second, "p", map[string]int{"v1": 4, "v2": 4})
 	return c
 }
 
 func order(target string, revision int64) Order {
-	return Order{Pool: "p", Target: target, Over: 10 * second, Created: 10, Revision: revision}
+	return Order{Pool: "p", Target: target, Duration: 10 * second, CreateRevision: 10, Revision: revision}
 }
 
 // singleEntry is a fleet of one entry without requests at the old version.
 var singleEntry = Fleet{
-	Left:    func(string, string) int { return 0 },
-	Longest: func(string) time.Duration { return 15 * second },
-	Spread:  func(string) Spread { return Spread{Deviation: 0.2} },
+	OldRequests:    func(string, string) int { return 0 },
+	MaxRequestTime: func(string) time.Duration { return 15 * second },
+	Spread:         func(string) Spread { return Spread{Deviation: 0.2} },
 }
 
 // sendLoad sends ten requests every 100 ms between two times. Those at the target fail if
 // targetFails returns true. It returns the last state to be written and the number of
 // requests sent to the target.
-func sendLoad(c *Book, from, to time.Duration, targetFails func(n int) bool) (last State, sent int) {
+func sendLoad(c *Controller, from, to time.Duration, targetFails func(n int) bool) (last State, sent int) {
 	n := 0
 	for now := from; now < to; now += 100 * time.Millisecond {
 		for i := range 10 {
 			n++
 			s := Sample{Pool: "p", Version: "v1", Route: "r", Endpoint: fmt.Sprint("e", i%4)}
-			if c.Use("p", "v1") != Service || c.pools["p"].endpointCounts["v2"] > 0 && c.Take(now, "p", Request{Route: "r", Takes: 50 * time.Millisecond, Entries: 1, Random: float64(n%17) / 17}) {
+			if c.RoleOf("p", "v1") != InService || c.pools["p"].endpointCounts["v2"] > 0 && c.AdmitToTrial(now, "p", Request{Route: "r", ExpectedDuration: 50 * time.Millisecond, Entries: 1, Random: float64(n%17) / 17}) {
 				s.Version = "v2"
 				sent++
 			} else {
-				c.Reached("p", "r")
+				c.RecordOldRequest("p", "r")
 			}
 			if s.Version == "v2" && targetFails(n) {
 				s.Kind = Failed
@@ -62,16 +62,16 @@
 func TestGoodVersionCompletes(t *testing.T) {
 	c := newTestController()
 	last, _ := sendLoad(c, second, 12*second, neverFails)
-	if last != Complete || c.Use("p", "v2") != Service || c.Use("p", "v1") != OutOfService {
-		t.Errorf("the order is %v, v1 %v, v2 %v", last, c.Use("p", "v1"), c.Use("p", "v2"))
+	if last != Complete || c.RoleOf("p", "v2") != InService || c.RoleOf("p", "v1") != OutOfService {
+		t.Errorf("the order is %v, v1 %v, v2 %v", last, c.RoleOf("p", "v1"), c.RoleOf("p", "v2"))
 	}
 }
 
 func TestBadVersionIsRolledBack(t *testing.T) {
 	c := newTestController()
 	last, sent := sendLoad(c, second, 12*second, func(n int) bool { return n%3 == 0 })
-	if last != RolledBack || c.Use("p", "v2") != OutOfService || c.Use("p", "v1") != Service {
-		t.Errorf("the order is %v, v1 %v, v2 %v", last, c.Use("p", "v1"), c.Use("p", "v2"))
+	if last != RolledBack || c.RoleOf("p", "v2") != OutOfService || c.RoleOf("p", "v1") != InService {
+		t.Errorf("the order is %v, v1 %v, v2 %v", last, c.RoleOf("p", "v1"), c.RoleOf("p", "v2"))
 	}
 	if sent > 60 {
 		t.Errorf("%d of 1,100 requests were sent to the target", sent)
@@ -89,8 +89,8 @@
 		c.Observe(second, Sample{Pool: "p", Version: "v2", Route: "r", Endpoint: fmt.Sprint("e", n%5), Kind: SampleKind(1 - min(n%4, 1))})
 	}
 	c.Tick(2*second, singleEntry)
-	if c.Use("p", "v2") != Trial {
-		t.Errorf("v2 is %v after failing as often as v1", c.Use("p", "v2"))
+	if c.RoleOf("p", "v2") != OnTrial {
+		t.Errorf("v2 is %v after failing as often as v1", c.RoleOf("p", "v2"))
 	}
 }
 
@@ -108,51 +108,51 @@
 		c.Observe(second, s)
 	}
 	c.Tick(2*second, singleEntry)
-	if c.Use("p", "v2") != Trial {
-		t.Errorf("v2 is %v because of one endpoint that fails", c.Use("p", "v2"))
+	if c.RoleOf("p", "v2") != OnTrial {
+		t.Errorf("v2 is %v because of one endpoint that fails", c.RoleOf("p", "v2"))
 	}
 }
 
 // A bad version must be rolled back even if it has only one endpoint.
 func TestBadVersionWithOneEndpointIsRolledBack(t *testing.T) {
-	for name, s := range map[string]Sample{"fails": {Kind: Failed}, "slow": {Kind: FirstEvent, Took: second}} {
-		c := New(Rule{Share: 0.1, Slack: 50})
-		c.Read(0)
-		c.List(0, "p", map[string]int{"v1": 4})
-		c.Order(second, order("v2", 10), 0)
-		c.List(second, "p", map[string]int{"v1": 4, "v2": 1})
+	for name, s := range map[string]Sample{"fails": {Kind: Failed}, "slow": {Kind: FirstEvent, Elapsed: second}} {
+		c := New(Limit{Share: 0.1, Slack: 50})
+		c.RecordOrdersRead(0)
+		c.SetVersions(0, "p", map[string]int{"v1": 4})
+		c.AddOrder(second, order("v2", 10), 0)
+		c.SetVersions(second, "p", map[string]int{"v1": 4, "v2": 1})
 		for range 400 {
 			c.Observe(second, Sample{Pool: "p", Version: "v1", Route: "r"})
-			c.Observe(second, Sample{Pool: "p", Version: "v1", Route: "r", Kind: FirstEvent, Took: 50 * time.Millisecond})
+			c.Observe(second, Sample{Pool: "p", Version: "v1", Route: "r", Kind: FirstEvent, Elapsed: 50 * time.Millisecond})
 		}
 		for range 40 {
 			s.Pool, s.Version, s.Route, s.Endpoint = "p", "v2", "r", "e"
 			c.Observe(second, s)
 		}
 		c.Tick(2*second, singleEntry)
-		if c.Use("p", "v2") != OutOfService {
-			t.Errorf("%s: v2 is %v", name, c.Use("p", "v2"))
+		if c.RoleOf("p", "v2") != OutOfService {
+			t.Errorf("%s: v2 is %v", name, c.RoleOf("p", "v2"))
 		}
 	}
 }
 
 func TestOrderWithoutEndpointsIsRolledBack(t *testing.T) {
-	c := New(Rule{Share: 0.1, Slack: 50})
-	c.Read(0)
-	c.List(0, "p", map[string]int{"v1": 4})
-	c.Order(second, order("v2", 10), 0)
-	if last, _ := sendLoad(c, second, 12*second, neverFails); last != RolledBack || c.Use("p", "v1") != Service {
-		t.Errorf("the order is %v, v1 %v", last, c.Use("p", "v1"))
+	c := New(Limit{Share: 0.1, Slack: 50})
+	c.RecordOrdersRead(0)
+	c.SetVersions(0, "p", map[string]int{"v1": 4})
+	c.AddOrder(second, order("v2", 10), 0)
+	if last, _ := sendLoad(c, second, 12*second, neverFails); last != RolledBack || c.RoleOf("p", "v1") != InService {
+		t.Errorf("the order is %v, v1 %v", last, c.RoleOf("p", "v1"))
 	}
 }
 
 func TestOrderOfVersionInServiceCompletes(t *testing.T) {
-	c := New(Rule{Share: 0.1, Slack: 50})
-	c.Read(0)
-	c.List(0, "p", map[string]int{"v1": 4})
-	c.Order(second, order("v1", 10), 0)
-	if c.Use("p", "v1") != Service {
-		t.Fatalf("v1 is %v", c.Use("p", "v1"))
+	c := New(Limit{Share: 0.1, Slack: 50})
+	c.RecordOrdersRead(0)
+	c.SetVersions(0, "p", map[string]int{"v1": 4})
+	c.AddOrder(second, order("v1", 10), 0)
+	if c.RoleOf("p", "v1") != InService {
+		t.Fatalf("v1 is %v", c.RoleOf("p", "v1"))
 	}
 	if last, _ := sendLoad(c, second, 2*second, neverFails); last != Complete {
 		t.Errorf("the order is %v", last)
@@ -163,31 +163,31 @@
 // requests before the orders are read, and must receive requests afterwards if there is no
 // order.
 func TestUnknownVersionWaitsForOrders(t *testing.T) {
-	c := New(Rule{Share: 0.1, Slack: 50})
-	c.Read(0)
-	c.List(0, "p", map[string]int{"v1": 4})
-	c.List(5*second, "p", map[string]int{"v1": 4, "v2": 1})
-	c.Read(4 * second)
-	if c.Use("p", "v2") != OutOfService || !c.Unsure() {
-		t.Errorf("v2 is %v before the orders were read", c.Use("p", "v2"))
+	c := New(Limit{Share: 0.1, Slack: 50})
+	c.RecordOrdersRead(0)
+	c.SetVersions(0, "p", map[string]int{"v1": 4})
+	c.SetVersions(5*second, "p", map[string]int{"v1": 4, "v2": 1})
+	c.RecordOrdersRead(4 * second)
+	if c.RoleOf("p", "v2") != OutOfService || !c.AwaitsOrders() {
+		t.Errorf("v2 is %v before the orders were read", c.RoleOf("p", "v2"))
 	}
-	c.Read(6 * second)
-	if c.Use("p", "v2") != Service || c.Unsure() {
-		t.Errorf("v2 is %v after the orders were read", c.Use("p", "v2"))
+	c.RecordOrdersRead(6 * second)
+	if c.RoleOf("p", "v2") != InService || c.AwaitsOrders() {
+		t.Errorf("v2 is %v after the orders were read", c.RoleOf("p", "v2"))
 	}
 }
 
 // A version must not be put in service because its order is removed or replaced.
 func TestVersionOfRemovedOrderIsOutOfService(t *testing.T) {
-	for name, remove := range map[string]func(c *Book){
-		"removed":  func(c *Book) { c.Cancel(2*second, "p", 11) },
-		"replaced": func(c *Book) { c.Order(2*second, order("v3", 11), 0) },
+	for name, remove := range map[string]func(c *Controller){
+		"removed":  func(c *Controller) { c.CancelOrder(2*second, "p", 11) },
+		"replaced": func(c *Controller) { c.AddOrder(2*second, order("v3", 11), 0) },
 	} {
 		c := newTestController()
 		remove(c)
-		c.Read(3 * second)
-		if c.Use("p", "v2") != OutOfService || c.Use("p", "v1") != Service {
-			t.Errorf("%s: v1 is %v, v2 %v", name, c.Use("p", "v1"), c.Use("p", "v2"))
+		c.RecordOrdersRead(3 * second)
+		if c.RoleOf("p", "v2") != OutOfService || c.RoleOf("p", "v1") != InService {
+			t.Errorf("%s: v1 is %v, v2 %v", name, c.RoleOf("p", "v1"), c.RoleOf("p", "v2"))
 		}
 	}
 }
@@ -197,17 +197,17 @@
 func TestSameTargetCanBeOrderedAgain(t *testing.T) {
 	c := newTestController()
 	sendLoad(c, second, 6*second, func(n int) bool { return n%2 == 0 })
-	c.Written(6*second, "p", "v2", RolledBack, 12)
+	c.MergeStored(6*second, "p", "v2", RolledBack, 12)
 	again := order("v2", 14)
-	again.Over = 20 * second
-	c.Order(7*second, again, 0)
-	c.Written(7*second, "p", "v2", RolledBack, 14)
-	if c.Use("p", "v2") != Trial {
-		t.Errorf("v2 is %v after it was ordered again", c.Use("p", "v2"))
+	again.Duration = 20 * second
+	c.AddOrder(7*second, again, 0)
+	c.MergeStored(7*second, "p", "v2", RolledBack, 14)
+	if c.RoleOf("p", "v2") != OnTrial {
+		t.Errorf("v2 is %v after it was ordered again", c.RoleOf("p", "v2"))
 	}
-	c.Written(8*second, "p", "v2", RolledBack, 15)
-	if c.Use("p", "v2") != OutOfService {
-		t.Errorf("v2 is %v after its end was stored", c.Use("p", "v2"))
+	c.MergeStored(8*second, "p", "v2", RolledBack, 15)
+	if c.RoleOf("p", "v2") != OutOfService {
+		t.Errorf("v2 is %v after its end was stored", c.RoleOf("p", "v2"))
 	}
 }
 
@@ -216,31 +216,31 @@
 func TestStoredStateTakesPrecedence(t *testing.T) {
 	c := newTestController()
 	sendLoad(c, second, 12*second, neverFails)
-	c.Written(12*second, "p", "v2", RolledBack, 20)
-	if c.Use("p", "v2") != OutOfService || c.Use("p", "v1") != Service {
-		t.Errorf("v1 is %v, v2 %v", c.Use("p", "v1"), c.Use("p", "v2"))
+	c.MergeStored(12*second, "p", "v2", RolledBack, 20)
+	if c.RoleOf("p", "v2") != OutOfService || c.RoleOf("p", "v1") != InService {
+		t.Errorf("v1 is %v, v2 %v", c.RoleOf("p", "v1"), c.RoleOf("p", "v2"))
 	}
 }
 
 // An entry that starts after an order was rolled back must not use the version again.
 func TestEntryStartedAfterOrderEnded(t *testing.T) {
-	c := New(Rule{Share: 0.1, Slack: 50})
-	c.Order(0, order("v2", 12), 0)
-	c.Written(0, "p", "v2", RolledBack, 12)
-	c.Read(0)
-	c.List(second, "p", map[string]int{"v1": 4, "v2": 4})
-	if c.Use("p", "v2") != OutOfService || c.Use("p", "v1") != Service {
-		t.Errorf("v1 is %v, v2 %v", c.Use("p", "v1"), c.Use("p", "v2"))
+	c := New(Limit{Share: 0.1, Slack: 50})
+	c.AddOrder(0, order("v2", 12), 0)
+	c.MergeStored(0, "p", "v2", RolledBack, 12)
+	c.RecordOrdersRead(0)
+	c.SetVersions(second, "p", map[string]int{"v1": 4, "v2": 4})
+	if c.RoleOf("p", "v2") != OutOfService || c.RoleOf("p", "v1") != InService {
+		t.Errorf("v1 is %v, v2 %v", c.RoleOf("p", "v1"), c.RoleOf("p", "v2"))
 	}
 }
 
 // An entry that starts during an order must not estimate the requests in the order's whole
 // duration from those sent since its start. It would move too early and exceed its share.
 func TestEntryStartedDuringOrderKeepsShare(t *testing.T) {
-	c := New(Rule{Share: 0.1, Slack: 50})
-	c.Read(0)
-	c.Order(8*second, order("v2", 10), 7*second)
-	c.List(8*second, "p", map[string]int{"v1": 4, "v2": 4})
+	c := New(Limit{Share: 0.1, Slack: 50})
+	c.RecordOrdersRead(0)
+	c.AddOrder(8*second, order("v2", 10), 7*second)
+	c.SetVersions(8*second, "p", map[string]int{"v1": 4, "v2": 4})
 	for n := range 100 {
 		c.Observe(8*second, Sample{Pool: "p", Version: "v2", Route: "r", Endpoint: fmt.Sprint("e", n%4)})
 	}
@@ -248,10 +248,10 @@
 	for now := 8 * second; now < 11*second; now += 50 * time.Millisecond {
 		c.Tick(now, singleEntry)
 		all++
-		if c.Use("p", "v1") != Service || c.Take(now, "p", Request{Route: "r", Takes: second, Entries: 1, Random: 0.99}) {
+		if c.RoleOf("p", "v1") != InService || c.AdmitToTrial(now, "p", Request{Route: "r", ExpectedDuration: second, Entries: 1, Random: 0.99}) {
 			sent++
 		} else {
-			c.Reached("p", "r")
+			c.RecordOldRequest("p", "r")
 		}
 	}
 	if float64(sent) > 0.1*float64(all)+1 {
@@ -266,10 +266,10 @@
 	for range entries {
 		c := newTestController()
 		for range requestsPerEntry {
-			if c.Take(2*second, "p", Request{Route: "r", Entries: entries}) {
+			if c.AdmitToTrial(2*second, "p", Request{Route: "r", Entries: entries}) {
 				sent++
 			} else {
-				c.Reached("p", "r")
+				c.RecordOldRequest("p", "r")
 			}
 		}
 	}
@@ -298,14 +298,14 @@
 }
 
 func BenchmarkObserveWithoutOrder(b *testing.B) {
-	c := New(Rule{Share: 0.1, Slack: 50})
-	c.Read(0)
-	c.List(0, "p", map[string]int{"v1": 4})
+	c := New(Limit{Share: 0.1, Slack: 50})
+	c.RecordOrdersRead(0)
+	c.SetVersions(0, "p", map[string]int{"v1": 4})
 	for b.Loop() {
-		if c.Open("p") {
+		if c.HasOpenOrder("p") {
 			b.Fatal("an order is open")
 		}
-		c.Observe(second, Sample{Pool: "p", Version: "v1", Route: "r", Endpoint: "e", Kind: FirstEvent, Took: time.Millisecond})
+		c.Observe(second, Sample{Pool: "p", Version: "v1", Route: "r", Endpoint: "e", Kind: FirstEvent, Elapsed: time.Millisecond})
 		c.Observe(second, Sample{Pool: "p", Version: "v1", Route: "r", Endpoint: "e"})
 	}
 }
--- a/core/canary/evidence.go
+++ b/core/canary/evidence.go
@@ -20,7 +20,7 @@
 )
 
 // CellKey identifies the answers counted in a Cell.
-type Key struct {
+type CellKey struct {
 	// Epoch is the epoch of the order in which the answers came.
 	Epoch int
 	Route string
@@ -34,27 +34,27 @@
 	Answers, Failed uint32
 	// FirstEvents counts times to the first event. LogFirstEvents is the sum of the
 	// logarithms of their ratios to the old version's median on the route.
-	First    uint32
-	LogFirst float64
+	FirstEvents    uint32
+	LogFirstEvents float64
 	// TokenTimes and LogTokenTimes are the same for times per token.
-	Paced    uint32
-	LogPaced float64
+	TokenTimes    uint32
+	LogTokenTimes float64
 }
 
 func (c *Cell) add(o Cell) {
 	c.Answers += o.Answers
 	c.Failed += o.Failed
-	c.First += o.First
-	c.LogFirst += o.LogFirst
-	c.Paced += o.Paced
-	c.LogPaced += o.LogPaced
+	c.FirstEvents += o.FirstEvents
+	c.LogFirstEvents += o.LogFirstEvents
+	c.TokenTimes += o.TokenTimes
+	c.LogTokenTimes += o.LogTokenTimes
 }
 
 // minus returns the difference between c and an earlier count o.
 func (c Cell) minus(o Cell) Cell {
 	return Cell{
-		c.Answers - o.Answers, c.Failed - o.Failed, c.First - o.First, c.LogFirst - o.LogFirst,
-		c.Paced - o.Paced, c.LogPaced - o.LogPaced,
+		c.Answers - o.Answers, c.Failed - o.Failed, c.FirstEvents - o.FirstEvents, c.LogFirstEvents - o.LogFirstEvents,
+		c.TokenTimes - o.TokenTimes, c.LogTokenTimes - o.LogTokenTimes,
 	}
 }
 
@@ -64,7 +64,7 @@
 // Kinds of samples.
 const (
 	// Succeeded is an answer with a result that is not a failure, Failed one that failed.
-	Answered SampleKind = iota
+	Succeeded SampleKind = iota
 	Failed
 	// FirstEvent is a time to the first event, and TokenTime the time per token after it.
 	FirstEvent
@@ -77,12 +77,12 @@
 	Kind                           SampleKind
 	// Elapsed is the time of a FirstEvent or TokenTime sample. Unfinished is set if the
 	// wait was given up after that time.
-	Took       time.Duration
+	Elapsed    time.Duration
 	Unfinished bool
 }
 
 // Observe records a sample. Without a running order it only updates the usual times.
-func (c *Book) Observe(now time.Duration, s Sample) {
+func (c *Controller) Observe(now time.Duration, s Sample) {
 	if !c.Active() {
 		return
 	}
@@ -96,20 +96,20 @@
 		return
 	}
 	r := p.rollout
-	k := Key{Epoch: r.epoch(now), Route: s.Route}
+	k := CellKey{Epoch: r.epoch(now), Route: s.Route}
 	if isTarget {
 		k.Endpoint = s.Endpoint
 	}
 	var cell Cell
 	switch s.Kind {
-	case Answered:
+	case Succeeded:
 		cell.Answers = 1
 	case Failed:
 		cell.Answers, cell.Failed = 1, 1
 	case FirstEvent:
-		cell.First, cell.LogFirst = 1, logRatio
+		cell.FirstEvents, cell.LogFirstEvents = 1, logRatio
 	case TokenTime:
-		cell.Paced, cell.LogPaced = 1, logRatio
+		cell.TokenTimes, cell.LogTokenTimes = 1, logRatio
 	}
 	if r.addCell(r.ownCells, k, cell) {
 		r.unreportedCells[k] = true
@@ -129,12 +129,12 @@
 	if s.Kind == TokenTime {
 		m = &base.tokenTime
 	}
-	ratio, known = m.logRatio(s.Took)
+	ratio, known = m.logRatio(s.Elapsed)
 	if s.Unfinished {
 		return ratio, known && ratio > 0
 	}
 	if !isTarget {
-		m.observe(s.Took)
+		m.observe(s.Elapsed)
 	}
 	return ratio, known
 }
@@ -213,9 +213,9 @@
 	// ownCells holds the counts of this entry, peerCells those reported by each peer, and
 	// allCells the sums. unreportedCells holds the keys of own cells that changed since
 	// they were last reported.
-	ownCells, allCells map[Key]Cell
-	peerCells          map[string]map[Key]Cell
-	unreportedCells    map[Key]bool
+	ownCells, allCells map[CellKey]Cell
+	peerCells          map[string]map[CellKey]Cell
+	unreportedCells    map[CellKey]bool
 	// movedPeers holds the peers that have moved.
 	movedPeers map[string]bool
 	// judgedAt is the time of the last judgement, and writtenAt the time at which a state
@@ -227,18 +227,18 @@
 func newRollout(o Order, now, age time.Duration) *rollout {
 	return &rollout{
 		Order: o, orderedAt: now - age, countingSince: now, state: Running, oldByRoute: make(map[string]int),
-		ownCells: make(map[Key]Cell), allCells: make(map[Key]Cell), peerCells: make(map[string]map[Key]Cell),
-		unreportedCells: make(map[Key]bool), movedPeers: make(map[string]bool), orderUnreported: true,
+		ownCells: make(map[CellKey]Cell), allCells: make(map[CellKey]Cell), peerCells: make(map[string]map[CellKey]Cell),
+		unreportedCells: make(map[CellKey]bool), movedPeers: make(map[string]bool), orderUnreported: true,
 	}
 }
 
 func (r *rollout) epoch(now time.Duration) int {
-	return max(int((now-r.orderedAt)*epochCount/max(r.Over, 1)), 0)
+	return max(int((now-r.orderedAt)*epochCount/max(r.Duration, 1)), 0)
 }
 
 // addCell adds to a cell of this entry or of a peer, and to the sum. It returns false if
 // there are too many cells.
-func (r *rollout) addCell(cells map[Key]Cell, k Key, c Cell) bool {
+func (r *rollout) addCell(cells map[CellKey]Cell, k CellKey, c Cell) bool {
 	sum, ok := r.allCells[k]
 	if !ok && len(r.allCells) >= maxCells {
 		return false
@@ -274,12 +274,12 @@
 
 // CellReport is one cell as counted by the reporting entry.
 type CellReport struct {
-	Key
+	CellKey
 	Cell
 }
 
 // Reports returns what has changed since the last call, or everything if resend is set.
-func (c *Book) Reports(now time.Duration, resend bool, entries int) []Report {
+func (c *Controller) Reports(now time.Duration, resend bool, entries int) []Report {
 	var out []Report
 	due := now-c.reportedAt >= max(minReportInterval, time.Duration(entries)*reportIntervalPerEntry)
 	for _, p := range c.pools {
@@ -325,8 +325,8 @@
 }
 
 // Merge merges a peer's report.
-func (c *Book) Merge(now time.Duration, peer string, rep Report) {
-	c.Order(now, rep.Order, rep.Age)
+func (c *Controller) Merge(now time.Duration, peer string, rep Report) {
+	c.AddOrder(now, rep.Order, rep.Age)
 	p := c.pools[rep.Order.Pool]
 	if p == nil || p.rollout == nil || !p.rollout.sameOrder(rep.Order) {
 		return
@@ -341,19 +341,19 @@
 	}
 	peerCells := r.peerCells[peer]
 	if peerCells == nil {
-		peerCells = make(map[Key]Cell)
+		peerCells = make(map[CellKey]Cell)
 		r.peerCells[peer] = peerCells
 	}
 	for _, cell := range rep.Cells {
-		if cell.Answers >= peerCells[cell.Key].Answers && cell.First >= peerCells[cell.Key].First && cell.Paced >= peerCells[cell.Key].Paced {
-			r.addCell(peerCells, cell.Key, cell.Cell.minus(peerCells[cell.Key]))
+		if cell.Answers >= peerCells[cell.CellKey].Answers && cell.FirstEvents >= peerCells[cell.CellKey].FirstEvents && cell.TokenTimes >= peerCells[cell.CellKey].TokenTimes {
+			r.addCell(peerCells, cell.CellKey, cell.Cell.minus(peerCells[cell.CellKey]))
 		}
 	}
 }
 
 // ResetPeer records that a peer was restarted and counts from zero. What it reported before
 // remains part of the evidence.
-func (c *Book) Restarted(peer string) {
+func (c *Controller) ResetPeer(peer string) {
 	for _, p := range c.pools {
 		if p.rollout != nil {
 			delete(p.rollout.peerCells, peer)
--- a/core/canary/model_test.go
+++ b/core/canary/model_test.go
@@ -78,7 +78,7 @@
 	rate                float64
 	fault               fault
 	now                 time.Duration
-	controllers         []*Book
+	controllers         []*Controller
 	cutUntil            []time.Duration
 	oldEndpoints        []*modelEndpoint
 	targetEndpoints     []*modelEndpoint
@@ -116,15 +116,15 @@
 	f.spread = spreadOf(f.oldEndpoints)
 	for range entries {
 		c := f.newController()
-		c.List(0, "p", map[string]int{"v1": len(f.oldEndpoints)})
+		c.SetVersions(0, "p", map[string]int{"v1": len(f.oldEndpoints)})
 		f.controllers = append(f.controllers, c)
 	}
 	return f
 }
 
-func (f *modelFleet) newController() *Book {
-	c := New(Rule{Share: 0.1, Slack: 50})
-	c.Read(0)
+func (f *modelFleet) newController() *Controller {
+	c := New(Limit{Share: 0.1, Slack: 50})
+	c.RecordOrdersRead(0)
 	return c
 }
 
@@ -156,7 +156,7 @@
 }
 
 func (f *modelFleet) order() Order {
-	return Order{Pool: "p", Target: "v2", Over: orderDuration, Created: 1, Revision: 1}
+	return Order{Pool: "p", Target: "v2", Duration: orderDuration, CreateRevision: 1, Revision: 1}
 }
 
 func (f *modelFleet) run() {
@@ -164,8 +164,8 @@
 	for f.now = 0; f.now < maxModelTime && (f.now < start || f.endedAt == 0 || f.now < f.endedAt+observedAfterEnd && f.now < start+orderDuration); f.now += modelStep {
 		if f.now == start {
 			for _, c := range f.controllers {
-				c.Order(f.now, f.order(), 0)
-				c.List(f.now, "p", map[string]int{"v1": len(f.oldEndpoints), "v2": len(f.targetEndpoints)})
+				c.AddOrder(f.now, f.order(), 0)
+				c.SetVersions(f.now, "p", map[string]int{"v1": len(f.oldEndpoints), "v2": len(f.targetEndpoints)})
 			}
 		}
 		for _, do := range f.events[f.now] {
@@ -198,13 +198,13 @@
 		return
 	}
 	c := f.newController()
-	c.Order(f.now, f.order(), 0)
-	c.List(f.now, "p", map[string]int{"v1": len(f.oldEndpoints), "v2": len(f.targetEndpoints)})
-	c.Written(f.now, "p", "v2", f.storedState, 2)
+	c.AddOrder(f.now, f.order(), 0)
+	c.SetVersions(f.now, "p", map[string]int{"v1": len(f.oldEndpoints), "v2": len(f.targetEndpoints)})
+	c.MergeStored(f.now, "p", "v2", f.storedState, 2)
 	f.controllers[i] = c
 	for j, o := range f.controllers {
 		if j != i {
-			o.Restarted(fmt.Sprint(i))
+			o.ResetPeer(fmt.Sprint(i))
 		}
 	}
 	for j := range f.controllers {
@@ -216,7 +216,7 @@
 	}
 }
 
-func (f *modelFleet) sendReports(i int, c *Book) {
+func (f *modelFleet) sendReports(i int, c *Controller) {
 	for _, r := range c.Reports(f.now, false, len(f.controllers)) {
 		for j := range f.controllers {
 			if j == i {
@@ -232,7 +232,7 @@
 	}
 }
 
-func (f *modelFleet) tick(i int, c *Book) {
+func (f *modelFleet) tick(i int, c *Controller) {
 	var peers []string
 	for j := range f.controllers {
 		if j != i && f.cutUntil[j] < f.now && f.cutUntil[i] < f.now {
@@ -241,9 +241,9 @@
 	}
 	writes := c.Tick(f.now, Fleet{
 		Peers: peers, Rank: i,
-		Left:    func(string, string) int { return f.running["v1"] },
-		Spread:  func(string) Spread { return f.spread },
-		Longest: func(string) time.Duration { return 8 * time.Second },
+		OldRequests:    func(string, string) int { return f.running["v1"] },
+		Spread:         func(string) Spread { return f.spread },
+		MaxRequestTime: func(string) time.Duration { return 8 * time.Second },
 	})
 	for _, w := range writes {
 		if f.cutUntil[i] >= f.now {
@@ -260,7 +260,7 @@
 			to := f.controllers[j]
 			f.schedule(f.now+2*modelStep, func() {
 				if f.cutUntil[j] < f.now {
-					to.Written(f.now, "p", "v2", s, 3)
+					to.MergeStored(f.now, "p", "v2", s, 3)
 				}
 			})
 		}
@@ -284,8 +284,8 @@
 	duration := r.firstEvent + time.Duration(tokens)*5*time.Millisecond
 	var e *modelEndpoint
 	trial := false
-	if c.Use("p", "v2") == Trial && c.Take(f.now, "p", Request{Route: name, Takes: duration, Entries: len(f.controllers), Random: f.rnd.Float64()}) {
-		turn := c.Turn(f.now, "p", len(f.targetEndpoints))
+	if c.RoleOf("p", "v2") == OnTrial && c.AdmitToTrial(f.now, "p", Request{Route: name, ExpectedDuration: duration, Entries: len(f.controllers), Random: f.rnd.Float64()}) {
+		turn := c.PreferredEndpoint(f.now, "p", len(f.targetEndpoints))
 		for k := range f.targetEndpoints {
 			if candidate := f.targetEndpoints[(turn+k)%len(f.targetEndpoints)]; candidate.running < modelSlots {
 				e, trial = candidate, true
@@ -293,12 +293,12 @@
 			}
 		}
 		if e == nil {
-			c.Return("p", "v2")
+			c.ReturnTrial("p", "v2")
 		}
 	}
 	if e == nil {
 		pick := f.oldEndpoints
-		if c.Use("p", "v1") != Service {
+		if c.RoleOf("p", "v1") != InService {
 			pick = f.targetEndpoints
 		}
 		e = pick[f.rnd.IntN(len(pick))]
@@ -315,7 +315,7 @@
 	f.serve(c, e, r, route, name, tokens, trial)
 }
 
-func (f *modelFleet) serve(c *Book, e *modelEndpoint, r *modelRoute, route int, name string, tokens int, trial bool) {
+func (f *modelFleet) serve(c *Controller, e *modelEndpoint, r *modelRoute, route int, name string, tokens int, trial bool) {
 	failed, slowFactor := f.rnd.Float64() < r.errorShare, 1.0
 	if f.now >= e.greyFrom && f.now < e.greyTo {
 		failed = failed || f.rnd.Float64() < greyFailShare
@@ -336,11 +336,11 @@
 	e.running++
 	f.running[e.version]++
 	if !trial && e.version == "v1" {
-		c.Reached("p", name)
+		c.RecordOldRequest("p", name)
 	}
 	f.schedule(f.now+firstEvent, func() {
 		s := sample
-		s.Kind, s.Took = FirstEvent, firstEvent
+		s.Kind, s.Elapsed = FirstEvent, firstEvent
 		c.Observe(f.now, s)
 	})
 	end := firstEvent + time.Duration(tokens)*tokenTime
@@ -361,7 +361,7 @@
 		}
 		c.Observe(f.now, s)
 		if tokens > 5 {
-			s.Kind, s.Took = TokenTime, tokenTime
+			s.Kind, s.Elapsed = TokenTime, tokenTime
 			c.Observe(f.now, s)
 		}
 	})
--- a/core/canary/share.go
+++ b/core/canary/share.go
@@ -33,7 +33,7 @@
 type Request struct {
 	Route string
 	// ExpectedDuration is how long the request is expected to run.
-	Takes time.Duration
+	ExpectedDuration time.Duration
 	// Entries is the number of entries that share the slack.
 	Entries int
 	// Random is a random number in [0, 1).
@@ -42,7 +42,7 @@
 
 // AdmitToTrial decides whether a request goes to the target of its pool's order, and counts
 // it if so.
-func (c *Book) Take(now time.Duration, pool string, q Request) bool {
+func (c *Controller) AdmitToTrial(now time.Duration, pool string, q Request) bool {
 	p := c.pools[pool]
 	if p == nil || p.target() == "" {
 		return false
@@ -56,31 +56,31 @@
 }
 
 // isAllowed reports whether the given number of additional requests may go to the target.
-func (c *Book) isAllowed(r *rollout, entries int, added float64) bool {
+func (c *Controller) isAllowed(r *rollout, entries int, added float64) bool {
 	return float64(r.targetRequests)+added <= c.allowance(r, entries)
 }
 
-func (c *Book) allowance(r *rollout, entries int) float64 {
+func (c *Controller) allowance(r *rollout, entries int) float64 {
 	return usedShare*c.limit.Share*float64(r.oldRequests+r.targetRequests) + r.ownSlack(c.limit, entries)
 }
 
 // ownSlack returns this entry's share of the slack.
-func (r *rollout) ownSlack(limit Rule, entries int) float64 {
+func (r *rollout) ownSlack(limit Limit, entries int) float64 {
 	if !r.runningAtOrder {
 		return 0
 	}
 	return usedSlack * limit.Slack / float64(max(entries, 1))
 }
 
-func (p *pool) isWanted(now time.Duration, limit Rule, q Request) bool {
+func (p *pool) isWanted(now time.Duration, limit Limit, q Request) bool {
 	r := p.rollout
 	rate := r.requestRate(now)
 	slack := r.ownSlack(limit, q.Entries)
-	if r.isMoving(now) && now+q.Takes > r.deadline() {
+	if r.isMoving(now) && now+q.ExpectedDuration > r.deadline() {
 		reserved := rate * reservedTime.Seconds()
 		return float64(r.targetRequests)+1+reserved <= usedShare*limit.Share*float64(r.oldRequests+r.targetRequests)+slack
 	}
-	totalRequests := max(rate*r.Over.Seconds(), 1)
+	totalRequests := max(rate*r.Duration.Seconds(), 1)
 	maxShare := usedShare*limit.Share + slack/totalRequests
 	share := min(max(wantedTrialAnswers/(totalRequests*float64(max(q.Entries, 1))), minTrialShare*maxShare), maxTrialShare*maxShare)
 	if n := r.oldByRoute[q.Route]; n > 0 {
@@ -90,7 +90,7 @@
 }
 
 // RecordOldRequest counts a request that reached an endpoint of the old version.
-func (c *Book) Reached(pool, route string) {
+func (c *Controller) RecordOldRequest(pool, route string) {
 	if p := c.pools[pool]; p != nil && p.target() != "" {
 		p.rollout.oldRequests++
 		p.rollout.oldByRoute[route]++
@@ -99,7 +99,7 @@
 
 // ReturnTrial uncounts a request that AdmitToTrial admitted and that did not reach the
 // target.
-func (c *Book) Return(pool, target string) {
+func (c *Controller) ReturnTrial(pool, target string) {
 	if p := c.pools[pool]; p != nil && p.target() == target && p.rollout.targetRequests > 0 {
 		p.rollout.targetRequests--
 	}
@@ -109,17 +109,17 @@
 // version that is still in doubt after minPauseAnswers answers is usually bad.
 func (r *rollout) isPaused() bool { return r.inDoubt && r.judgedAnswers >= minPauseAnswers }
 
-func (r *rollout) deadline() time.Duration { return r.orderedAt + r.Over }
+func (r *rollout) deadline() time.Duration { return r.orderedAt + r.Duration }
 
 // isMoving reports whether requests that would outlast the deadline go to the target.
 func (r *rollout) isMoving(now time.Duration) bool {
-	lead := min(maxMoveLead, time.Duration(maxMoveLeadShare*float64(r.Over)))
+	lead := min(maxMoveLead, time.Duration(maxMoveLeadShare*float64(r.Duration)))
 	return now >= r.deadline()-lead && r.judgedAnswers >= minTargetAnswers && !r.inDoubt
 }
 
 // shareCoversRest reports whether the share allows all requests until the deadline to go to
 // the target.
-func (c *Book) shareCoversRest(now time.Duration, r *rollout, entries int) bool {
+func (c *Controller) shareCoversRest(now time.Duration, r *rollout, entries int) bool {
 	timeLeft := r.deadline() - now
 	if timeLeft <= 0 {
 		return true
@@ -139,12 +139,12 @@
 
 // PreferredEndpoint returns the index of the target's endpoint, of n, that is to be filled
 // first.
-func (c *Book) Turn(now time.Duration, pool string, n int) int {
+func (c *Controller) PreferredEndpoint(now time.Duration, pool string, n int) int {
 	p := c.pools[pool]
 	if p == nil || p.rollout == nil || n == 0 {
 		return 0
 	}
-	return int((now-p.rollout.orderedAt)*preferenceTurns/max(p.rollout.Over, 1)) % n
+	return int((now-p.rollout.orderedAt)*preferenceTurns/max(p.rollout.Duration, 1)) % n
 }
 
 // preferenceTurns is the number of turns within the duration of an order. In each turn
--- a/core/canary/verdict.go
+++ b/core/canary/verdict.go
@@ -75,8 +75,8 @@
 		for route := range routes {
 			for _, f := range []Finding{
 				e.testFailures(route, targets),
-				e.testTimes(measureFirstEvent, route, targets, spread, firstEventDeviation, func(c Cell) (float64, float64) { return float64(c.First), c.LogFirst }),
-				e.testTimes(measureTokenTime, route, targets, spread, tokenTimeDeviation, func(c Cell) (float64, float64) { return float64(c.Paced), c.LogPaced }),
+				e.testTimes(measureFirstEvent, route, targets, spread, firstEventDeviation, func(c Cell) (float64, float64) { return float64(c.FirstEvents), c.LogFirstEvents }),
+				e.testTimes(measureTokenTime, route, targets, spread, tokenTimeDeviation, func(c Cell) (float64, float64) { return float64(c.TokenTimes), c.LogTokenTimes }),
 			} {
 				if f.Nats > worst.Nats {
 					worst = f
@@ -248,22 +248,22 @@
 	Rank  int
 	// OldRequests returns the number of requests that all entries have at endpoints of a
 	// pool that are not of the given version.
-	Left func(pool, version string) int
+	OldRequests func(pool, version string) int
 	// Spread returns how much the endpoints in service of a pool differ.
 	Spread func(pool string) Spread
 	// MaxRequestTime returns the longest time that a request of a pool may run.
-	Longest func(pool string) time.Duration
+	MaxRequestTime func(pool string) time.Duration
 }
 
 // StateWrite is a state of an order that is to be written to the store.
-type Write struct {
+type StateWrite struct {
 	Order Order
 	State State
 }
 
 // Tick judges the orders and returns the states that are to be written now.
-func (c *Book) Tick(now time.Duration, f Fleet) []Write {
-	var out []Write
+func (c *Controller) Tick(now time.Duration, f Fleet) []StateWrite {
+	var out []StateWrite
 	for _, p := range c.pools {
 		r := p.rollout
 		if r == nil {
@@ -281,23 +281,23 @@
 
 // nextWrite returns the state to write now, if any. The entries write one after the other,
 // so that usually only one of them does.
-func (r *rollout) nextWrite(now time.Duration, rank int) (Write, bool) {
+func (r *rollout) nextWrite(now time.Duration, rank int) (StateWrite, bool) {
 	if r.storedState == r.state {
-		return Write{}, false
+		return StateWrite{}, false
 	}
 	since := r.orderedAt
 	if r.state != Running {
 		since = r.endedAt
 	}
 	if now-since < time.Duration(rank)*writeDelayPerRank || r.writtenAt > since && now-r.writtenAt < rewriteInterval {
-		return Write{}, false
+		return StateWrite{}, false
 	}
 	r.writtenAt = now
-	return Write{r.Order, r.state}, true
+	return StateWrite{r.Order, r.state}, true
 }
 
 // advanceOrder judges one order and updates its state.
-func (c *Book) advanceOrder(now time.Duration, p *pool, f Fleet) {
+func (c *Controller) advanceOrder(now time.Duration, p *pool, f Fleet) {
 	r := p.rollout
 	if now-r.judgedAt >= judgeInterval*time.Duration(1+len(r.allCells)/cellsPerJudgeInterval) {
 		r.judgedAt = now
@@ -319,13 +319,13 @@
 	if !r.moved && r.isMoving(now) && c.shareCoversRest(now, r, len(f.Peers)+1) {
 		r.moved, r.movedAt = true, now
 		c.rolesChanged = true
-		c.changes = append(c.changes, Change{Order: r.Order, State: r.state, Age: now - r.orderedAt, Why: "moved", Moved: true})
+		c.changes = append(c.changes, Change{Order: r.Order, State: r.state, Age: now - r.orderedAt, Reason: "moved", Moved: true})
 	}
 	if !r.moved {
 		return
 	}
-	timedOut := now-r.movedAt > f.Longest(p.name)
-	if timedOut || r.allPeersMoved(f.Peers) && f.Left(p.name, r.Target) == 0 {
+	timedOut := now-r.movedAt > f.MaxRequestTime(p.name)
+	if timedOut || r.allPeersMoved(f.Peers) && f.OldRequests(p.name, r.Target) == 0 {
 		c.endOrder(now, p, Complete, "good", Finding{Answers: r.targetAnswers()})
 	}
 }
--- a/core/fresh/entry_test.go
+++ b/core/fresh/entry_test.go
@@ -36,7 +36,7 @@
 	stopCount, incarnation int
 	// revision is the revision in use, and tracker the entry's knowledge about it.
 	revision int
-	tracker  Book
+	tracker  Tracker
 	// checks counts the entry's own calls that were evidence. ownClaimUnsent is set while
 	// the others have to be sent the claim of one of them. sentCheckID is the check ID of
 	// the claim last sent, at claimSentAt.
@@ -116,11 +116,11 @@
 func (e *entry) recordCheck(revision int, sentAt time.Duration) {
 	e.learnRevision(revision)
 	e.checks++
-	checkID := Mark(e.id.Name, e.checks)
-	before, _ := e.tracker.Known(int64(e.revision))
-	e.tracker.Looked(Claim{Revision: int64(revision), At: sentAt, Mark: checkID})
-	after, _ := e.tracker.Known(int64(e.revision))
-	if after.At-before.At < (Rule{e.w.strategy.maxAge}).Step() {
+	checkID := NewCheckID(e.id.Name, e.checks)
+	before, _ := e.tracker.LatestClaim(int64(e.revision))
+	e.tracker.RecordCheck(Claim{Revision: int64(revision), At: sentAt, CheckID: checkID})
+	after, _ := e.tracker.LatestClaim(int64(e.revision))
+	if after.At-before.At < (Policy{e.w.strategy.maxAge}).StepTime() {
 		return
 	}
 	e.ownClaimUnsent = true
@@ -134,25 +134,25 @@
 	if t.sentAt == never {
 		return
 	}
-	extraDelay, ok := p.delay.Late(e.w.now, t.sentAt)
+	extraDelay, ok := p.delay.ExtraDelay(e.w.now, t.sentAt)
 	if !ok || !t.hasClaim {
 		return
 	}
-	before, _ := e.tracker.Known(int64(e.revision))
-	e.tracker.Told(Told(e.w.now, extraDelay, t.sentAt-t.claim.At, int64(t.revision), t.claim.Mark))
-	after, _ := e.tracker.Known(int64(e.revision))
-	if after.At-before.At >= (Rule{e.w.strategy.maxAge}).Step() && e.w.strategy.sendAtOnce && e.plan.Hub() {
+	before, _ := e.tracker.LatestClaim(int64(e.revision))
+	e.tracker.MergeClaim(PeerClaim(e.w.now, extraDelay, t.sentAt-t.claim.At, int64(t.revision), t.claim.CheckID))
+	after, _ := e.tracker.LatestClaim(int64(e.revision))
+	if after.At-before.At >= (Policy{e.w.strategy.maxAge}).StepTime() && e.w.strategy.sendAtOnce && e.plan.IsHub() {
 		e.after(max(0, e.lastTickAt+minTickInterval-e.w.now), e.forwardTallies)
 	}
 }
 
 // addClaim adds the entry's claim to a tally if it is to be sent.
 func (e *entry) addClaim(t *tally) {
-	c, ok := e.tracker.Best(int64(e.revision))
+	c, ok := e.tracker.BestClaim(int64(e.revision))
 	resendDue := e.w.now-e.claimSentAt >= time.Duration(resendShare*float64(e.w.strategy.maxAge))
-	if ok && (e.ownClaimUnsent || c.Mark != e.sentCheckID && resendDue) {
+	if ok && (e.ownClaimUnsent || c.CheckID != e.sentCheckID && resendDue) {
 		t.claim, t.hasClaim = c, true
-		e.ownClaimUnsent, e.sentCheckID, e.claimSentAt = false, c.Mark, e.w.now
+		e.ownClaimUnsent, e.sentCheckID, e.claimSentAt = false, c.CheckID, e.w.now
 	}
 }
 
@@ -164,7 +164,7 @@
 
 // gatherTime returns how long the entry collects changes before it calls for more.
 func (e *entry) gatherTime() time.Duration {
-	if e.plan.Led() {
+	if e.plan.FollowsHub() {
 		return time.Duration(0.4 * float64(e.w.strategy.maxAge))
 	}
 	return min(time.Duration(len(e.reachableNames())+1)*10*time.Millisecond, 200*time.Millisecond)
--- a/core/fresh/figures_test.go
+++ b/core/fresh/figures_test.go
@@ -55,7 +55,7 @@
 	for w.now < begin+countTime {
 		w.runUntil(w.now + propertyInterval)
 		for _, e := range w.entries {
-			if c, ok := e.tracker.Known(int64(e.revision)); ok && w.now > begin+time.Second {
+			if c, ok := e.tracker.LatestClaim(int64(e.revision)); ok && w.now > begin+time.Second {
 				worst = max(worst, w.now-c.At)
 			}
 		}
--- a/core/fresh/fresh.go
+++ b/core/fresh/fresh.go
@@ -25,7 +25,7 @@
 	At       time.Duration
 	// CheckID identifies the check. All entries that hold the same claim derive the same
 	// order from it. Claims of about the same time take the lowest of their IDs.
-	Mark uint32
+	CheckID uint32
 }
 
 // maxClaims bounds the claims kept for revisions that have not arrived yet. While a list
@@ -33,7 +33,7 @@
 const maxClaims = 8
 
 // Tracker tracks an entry's knowledge of one list. The zero Tracker knows nothing.
-type Book struct {
+type Tracker struct {
 	// ownCheck is the claim from this entry's own last check, valid if hasChecked is set.
 	ownCheck   Claim
 	hasChecked bool
@@ -49,12 +49,12 @@
 
 // unifyCheckIDs gives all claims of about the same time the lowest of their IDs, so that
 // all entries that receive them derive the same order.
-func (t *Book) unifyCheckIDs(c Claim) Claim {
+func (t *Tracker) unifyCheckIDs(c Claim) Claim {
 	var near []*Claim
 	addIfNear := func(o *Claim) {
 		if max(o.At-c.At, c.At-o.At) <= sameCheckTolerance {
 			near = append(near, o)
-			c.Mark = min(c.Mark, o.Mark)
+			c.CheckID = min(c.CheckID, o.CheckID)
 		}
 	}
 	for i := range t.claims {
@@ -64,23 +64,23 @@
 		addIfNear(&t.ownCheck)
 	}
 	for _, o := range near {
-		o.Mark = c.Mark
+		o.CheckID = c.CheckID
 	}
 	return c
 }
 
 // RecordCheck records the result of this entry's own check.
-func (t *Book) Looked(c Claim) {
+func (t *Tracker) RecordCheck(c Claim) {
 	c = t.unifyCheckIDs(c)
 	if !t.hasChecked || c.At > t.ownCheck.At {
 		t.ownCheck, t.hasChecked = c, true
 	}
-	t.Told(c)
+	t.MergeClaim(c)
 }
 
 // MergeClaim merges a peer's claim. Its At must not be later than the true time; see
 // DelayEstimator.
-func (t *Book) Told(c Claim) {
+func (t *Tracker) MergeClaim(c Claim) {
 	c = t.unifyCheckIDs(c)
 	covered := func(c, by Claim) bool { return by.Revision <= c.Revision && by.At >= c.At }
 	if slices.ContainsFunc(t.claims, func(o Claim) bool { return covered(c, o) }) {
@@ -99,7 +99,7 @@
 // BestClaim returns the latest claim that holds for an entry with the given revision in
 // use, and which it may send to others. ok is false if there is none. The revision in use
 // must never decrease.
-func (t *Book) Best(revision int64) (c Claim, ok bool) {
+func (t *Tracker) BestClaim(revision int64) (c Claim, ok bool) {
 	n := 0
 	for n < len(t.claims) && t.claims[n].Revision <= revision {
 		n++
@@ -115,8 +115,8 @@
 // LatestClaim returns the claim of BestClaim or, if that is later, of the entry's own last
 // check. The result of the check has been received but need not be in use, for example
 // while removals are deferred.
-func (t *Book) Known(revision int64) (c Claim, ok bool) {
-	c, ok = t.Best(revision)
+func (t *Tracker) LatestClaim(revision int64) (c Claim, ok bool) {
+	c, ok = t.BestClaim(revision)
 	if t.hasChecked && (!ok || t.ownCheck.At > c.At) {
 		return t.ownCheck, true
 	}
@@ -140,37 +140,37 @@
 )
 
 // Policy determines when entries check. MaxAge is the age that knowledge must not exceed.
-type Rule struct {
-	Bound time.Duration
+type Policy struct {
+	MaxAge time.Duration
 }
 
 // shareOfMaxAge returns a share of the maximum age.
-func (p Rule) shareOfMaxAge(share float64) time.Duration {
-	return time.Duration(share * float64(p.Bound))
+func (p Policy) shareOfMaxAge(share float64) time.Duration {
+	return time.Duration(share * float64(p.MaxAge))
 }
 
 // FirstCheckAge returns the age of a claim at which the first entry checks again. Before
 // that, no entry needs its rank.
-func (p Rule) First() time.Duration { return p.shareOfMaxAge(firstCheckShare) }
+func (p Policy) FirstCheckAge() time.Duration { return p.shareOfMaxAge(firstCheckShare) }
 
 // StepTime returns the time in which the result of a check should reach the other entries.
-func (p Rule) Step() time.Duration { return p.shareOfMaxAge(stepShare) }
+func (p Policy) StepTime() time.Duration { return p.shareOfMaxAge(stepShare) }
 
 // CheckAge returns the age of the latest claim at which an entry checks, given its rank,
 // from zero, and the number of reachable entries, itself included.
-func (p Rule) Due(rank, reachable int) time.Duration {
+func (p Policy) CheckAge(rank, reachable int) time.Duration {
 	if reachable <= 1 {
 		return p.shareOfMaxAge(soloCheckShare)
 	}
-	age := p.First() + time.Duration(min(rank, sequentialChecks))*p.Step()
+	age := p.FirstCheckAge() + time.Duration(min(rank, sequentialChecks))*p.StepTime()
 	if remaining := reachable - sequentialChecks; rank > sequentialChecks && remaining > 0 {
-		age += p.Step() * time.Duration(rank-sequentialChecks) / time.Duration(remaining)
+		age += p.StepTime() * time.Duration(rank-sequentialChecks) / time.Duration(remaining)
 	}
 	return age
 }
 
 // IsTooOld reports whether knowledge of the given age exceeds the maximum age.
-func (p Rule) Old(age time.Duration) bool { return age > p.Bound }
+func (p Policy) IsTooOld(age time.Duration) bool { return age > p.MaxAge }
 
 // Rank returns the rank of self, from zero, in the order in which the reachable entries
 // check again after the check with the given ID. reachable may or may not include self.
@@ -188,7 +188,7 @@
 }
 
 // NewCheckID returns the ID of an entry's n-th check.
-func Mark(self string, n uint32) uint32 { return orderKey(self, n) }
+func NewCheckID(self string, n uint32) uint32 { return orderKey(self, n) }
 
 func orderKey(name string, checkID uint32) uint32 {
 	h := fnv.New32a()
--- a/core/fresh/looker_test.go
+++ b/core/fresh/looker_test.go
@@ -105,7 +105,7 @@
 }
 
 func (c *checker) isCheckDue(now time.Duration) bool {
-	policy := Rule{c.e.w.strategy.maxAge}
+	policy := Policy{c.e.w.strategy.maxAge}
 	switch {
 	case c.checking:
 		return false
@@ -114,12 +114,12 @@
 	case c.historyLost:
 		return true
 	}
-	claim, ok := c.e.tracker.Known(int64(c.e.revision))
-	if !ok || now-claim.At < policy.First() {
+	claim, ok := c.e.tracker.LatestClaim(int64(c.e.revision))
+	if !ok || now-claim.At < policy.FirstCheckAge() {
 		return !ok
 	}
 	reachable := c.e.reachableNames()
-	return now-claim.At >= policy.Due(Rank(c.e.id.Name, reachable, claim.Mark), len(reachable)+1)
+	return now-claim.At >= policy.CheckAge(Rank(c.e.id.Name, reachable, claim.CheckID), len(reachable)+1)
 }
 
 func (c *checker) startCall(from int, waits bool, wait, timeout time.Duration) *call {
--- a/core/fresh/model_test.go
+++ b/core/fresh/model_test.go
@@ -68,7 +68,7 @@
 		return ""
 	}
 	changedAt, reachableSince := w.store.changedAt[e.revision], w.storeReachableSince(e)
-	if claim, ok := e.tracker.Known(int64(e.revision)); ok && claim.At > changedAt {
+	if claim, ok := e.tracker.LatestClaim(int64(e.revision)); ok && claim.At > changedAt {
 		return fmt.Sprintf("%v: %s claims to know all changes made by %v but lacks one made at %v", w.now, e.id.Name, claim.At, changedAt)
 	}
 	if reachableSince == never || w.now <= max(changedAt, reachableSince)+w.strategy.maxAge {
--- a/core/fresh/net_test.go
+++ b/core/fresh/net_test.go
@@ -29,7 +29,7 @@
 // peer is an entry's state of another entry and of the link to it.
 type peer struct {
 	heardAt, heardDirectlyAt, linkBrokenAt, reportedLackAt, behindSince time.Duration
-	delay                                                               Way
+	delay                                                               DelayEstimator
 	// reachable is set while tallies of the peer arrive. hasInboundLink is set while the
 	// peer has a link to this entry.
 	reachable, hasInboundLink bool
@@ -108,7 +108,7 @@
 		}
 	}
 	pause := max(minTickInterval, time.Duration(links)*tickTimePerLink)
-	if !e.plan.Hub() {
+	if !e.plan.IsHub() {
 		pause = max(pause, time.Duration(len(w.entries))*heartbeatTimePerEntry)
 	}
 	e.scheduleTick(min(pause, w.heartbeatInterval()))
@@ -148,7 +148,7 @@
 		e.planKey = string(key)
 		e.plan = relay.New(e.id, len(w.entries), reachable, func(o relay.Entry) bool { return key[w.indexOf[o.Name]] == 1 })
 		for i, o := range w.entries {
-			e.peers[i].linkPlanned = e.plan.Tells(e.id, o.id)
+			e.peers[i].linkPlanned = e.plan.HasLink(e.id, o.id)
 		}
 	}
 	for i, p := range e.peers {
@@ -238,11 +238,11 @@
 		return
 	}
 	if p.lastTally.incarnation != t.incarnation {
-		p.delay = Way{}
+		p.delay = DelayEstimator{}
 	}
 	p.heardAt, p.reachable, p.lastTally = now, true, t
 	e.mergeClaim(p, &t)
-	if e.plan.Hub() && from != relay.Within {
+	if e.plan.IsHub() && from != relay.OwnHub {
 		e.toForward = append(e.toForward, forwardedTally{t, from})
 	}
 }
@@ -252,12 +252,12 @@
 func (e *entry) forwardTallies() {
 	w, newTallies := e.w, e.toForward
 	e.toForward = nil
-	if !e.plan.Hub() {
+	if !e.plan.IsHub() {
 		return
 	}
 	for i, p := range e.peers {
 		to := w.entries[i]
-		forwards := p.linkUp && !p.linkNew && p.linkPlanned && e.plan.Hub()
+		forwards := p.linkUp && !p.linkNew && p.linkPlanned && e.plan.IsHub()
 		out := newTallies
 		if forwards && !p.allForwarded {
 			out = e.allTallies()
@@ -265,7 +265,7 @@
 		p.allForwarded = forwards
 		var tallies []tally
 		for _, f := range out {
-			if forwards && e.plan.Passes(f.origin.id, f.from, to.id) {
+			if forwards && e.plan.Forwards(f.origin.id, f.from, to.id) {
 				tallies = append(tallies, f.tally)
 			}
 		}
@@ -282,8 +282,8 @@
 			continue
 		}
 		from := relay.Direct
-		if !e.plan.Near(e.w.entries[i].id) {
-			from = relay.Between
+		if !e.plan.SameGroup(e.w.entries[i].id) {
+			from = relay.OtherHub
 		}
 		t := p.lastTally
 		t.hasClaim, t.sentAt = false, never
@@ -294,9 +294,9 @@
 
 func (e *entry) receiveForwarded(hub *entry, tallies []tally) {
 	e.peers[hub.index].heardDirectlyAt = e.w.now
-	from := relay.Between
-	if e.plan.Near(hub.id) {
-		from = relay.Within
+	from := relay.OtherHub
+	if e.plan.SameGroup(hub.id) {
+		from = relay.OwnHub
 	}
 	for _, t := range tallies {
 		e.receiveTally(t, from)
--- a/core/fresh/pass_test.go
+++ b/core/fresh/pass_test.go
@@ -29,7 +29,7 @@
 	w := e.w
 	to, ownKey, ahead := w.entries[peer].id, sendOrderKey(peer, e.index), 0
 	for i, o := range e.peers {
-		if i != peer && o.reachable && o.lastTally.revision >= e.revision && e.plan.Tells(w.entries[i].id, to) && sendOrderKey(peer, i) < ownKey {
+		if i != peer && o.reachable && o.lastTally.revision >= e.revision && e.plan.HasLink(w.entries[i].id, to) && sendOrderKey(peer, i) < ownKey {
 			ahead++
 		}
 	}
--- a/core/fresh/way.go
+++ b/core/fresh/way.go
@@ -5,7 +5,7 @@
 const (
 	// RelayAllowance is the time that a tally may take on its fastest route, through two
 	// hubs that forward it at their next tick. A peer's claim counts as older by this time.
-	Allowance = 100 * time.Millisecond
+	RelayAllowance = 100 * time.Millisecond
 	// maxClockDrift is the largest relative drift between two clocks, several times that of
 	// synchronized clocks.
 	maxClockDrift = 0.001
@@ -26,7 +26,7 @@
 // in them, which are readings of the process's own clock. A process that was paused, or a
 // link that was stuck, delivers tallies that are seconds old, and the claims in them are
 // older by that time. The zero DelayEstimator has seen no tallies.
-type Way struct {
+type DelayEstimator struct {
 	// tallyCount counts the tallies that did not arrive together with another one. The last
 	// of them arrived at lastCountedAt.
 	tallyCount    int
@@ -39,7 +39,7 @@
 // ExtraDelay records that a tally arrived at now and was sent when the sender's clock read
 // sentAt. It returns by how much its delay exceeded that of the fastest tally. ok is false
 // while too few tallies have been seen to know the fastest delay.
-func (d *Way) Late(now, sentAt time.Duration) (extra time.Duration, ok bool) {
+func (d *DelayEstimator) ExtraDelay(now, sentAt time.Duration) (extra time.Duration, ok bool) {
 	offset := now - sentAt
 	minOffset := d.minOffset + time.Duration(maxClockDrift*float64(now-d.minOffsetAt))
 	if d.tallyCount == 0 || offset <= minOffset {
@@ -55,6 +55,6 @@
 // PeerClaim converts a peer's claim to this entry's clock. The peer stated that its
 // revision was the newest one at the given age before it sent the tally, whose extra delay
 // is extraDelay.
-func Told(now, extraDelay, age time.Duration, revision int64, checkID uint32) Claim {
-	return Claim{Revision: revision, At: now - extraDelay - age - Allowance, Mark: checkID}
+func PeerClaim(now, extraDelay, age time.Duration, revision int64, checkID uint32) Claim {
+	return Claim{Revision: revision, At: now - extraDelay - age - RelayAllowance, CheckID: checkID}
 }
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -37,13 +37,13 @@
 type Share struct {
 	// RateShare is the share of the rate that this entry and its reachable peers may use
 	// together.
-	Part float64
+	RateShare float64
 	// Rank is the entry's rank among Entries entries, from zero. Entries is at least one.
 	Rank, Entries int
 }
 
 // Limiter tracks the rate limits of endpoints.
-type Book struct {
+type Limiter struct {
 	// endpoints has at most maxEndpoints elements.
 	endpoints map[string]*bucket
 }
@@ -68,12 +68,12 @@
 }
 
 // New returns a limiter without limits.
-func New() *Book { return &Book{endpoints: make(map[string]*bucket)} }
+func New() *Limiter { return &Limiter{endpoints: make(map[string]*bucket)} }
 
 // Observe records what an answer states about the endpoint's limit and reports whether the
 // limit changed. An answer without a limit ends the limit only if its request was sent
 // after the last answer that stated one, because answers may overtake each other.
-func (l *Book) Observe(now time.Duration, id string, sentAt time.Duration, rate float64, limited bool) (changed bool) {
+func (l *Limiter) Observe(now time.Duration, id string, sentAt time.Duration, rate float64, limited bool) (changed bool) {
 	k := l.endpoints[id]
 	if !limited && (k == nil || !k.limited || sentAt <= k.observedAt) {
 		return false
@@ -89,7 +89,7 @@
 }
 
 // addEndpoint returns the bucket of a new endpoint, or nil if there are too many endpoints.
-func (l *Book) addEndpoint(now time.Duration, id string) *bucket {
+func (l *Limiter) addEndpoint(now time.Duration, id string) *bucket {
 	if len(l.endpoints) >= maxEndpoints {
 		return nil
 	}
@@ -109,10 +109,10 @@
 }
 
 // Empty reports whether no endpoint is tracked.
-func (l *Book) Empty() bool { return len(l.endpoints) == 0 }
+func (l *Limiter) Empty() bool { return len(l.endpoints) == 0 }
 
 // Rate returns the limit of an endpoint in requests per second and whether it has one.
-func (l *Book) Rate(id string) (rate float64, ok bool) {
+func (l *Limiter) Rate(id string) (rate float64, ok bool) {
 	k := l.endpoints[id]
 	if k == nil || !k.limited {
 		return 0, false
@@ -122,7 +122,7 @@
 
 // Available returns the number of requests that may be sent to an endpoint now and, if it
 // is zero, the time until one may be sent.
-func (l *Book) Available(now time.Duration, id string, s Share) (n int, wait time.Duration) {
+func (l *Limiter) Available(now time.Duration, id string, s Share) (n int, wait time.Duration) {
 	k := l.endpoints[id]
 	if k == nil || !k.limited {
 		return math.MaxInt, 0
@@ -136,7 +136,7 @@
 }
 
 // fillRate returns the rate at which this entry fills a bucket, in tokens per second.
-func (s Share) fillRate(k *bucket) float64 { return k.rate * max(s.Part, 1e-3) }
+func (s Share) fillRate(k *bucket) float64 { return k.rate * max(s.RateShare, 1e-3) }
 
 func (k *bucket) refill(now time.Duration, s Share) {
 	if elapsed := now - k.filledAt; elapsed > 0 {
@@ -149,12 +149,12 @@
 }
 
 // Take records that a request is sent to an endpoint.
-func (l *Book) Take(id string) { l.spend(id, 1) }
+func (l *Limiter) Take(id string) { l.spend(id, 1) }
 
 // Return returns the token of a request that did not reach its endpoint.
-func (l *Book) Return(id string) { l.spend(id, -1) }
+func (l *Limiter) Return(id string) { l.spend(id, -1) }
 
-func (l *Book) spend(id string, n float64) {
+func (l *Limiter) spend(id string, n float64) {
 	if k := l.endpoints[id]; k != nil && k.limited {
 		k.sent += n
 		k.tokens -= n
@@ -163,7 +163,7 @@
 }
 
 // Retain drops all endpoints for which known returns false.
-func (l *Book) Keep(known func(id string) bool) {
+func (l *Limiter) Retain(known func(id string) bool) {
 	for id := range l.endpoints {
 		if !known(id) {
 			delete(l.endpoints, id)
@@ -186,7 +186,7 @@
 // Reports returns reports on the endpoints that changed since they were last reported, at
 // most maxReports. If resend is set, for a new peer, it also marks the limits under which
 // this entry has sent requests for reporting, over several calls if needed.
-func (l *Book) Reports(now time.Duration, resend bool) []Report {
+func (l *Limiter) Reports(now time.Duration, resend bool) []Report {
 	var out []Report
 	for id, k := range l.endpoints {
 		k.dirty = k.dirty || resend && k.limited && k.sent > 0
@@ -201,7 +201,7 @@
 
 // Merge merges a peer's report and reports whether the limit changed. The latest answer
 // determines the limit, whichever entry observed it.
-func (l *Book) Merge(now time.Duration, peer string, r Report) (changed bool) {
+func (l *Limiter) Merge(now time.Duration, peer string, r Report) (changed bool) {
 	k := l.endpoints[r.Endpoint]
 	added := k == nil
 	if added {
@@ -227,7 +227,7 @@
 }
 
 // Forget drops the counts of a peer that was restarted.
-func (l *Book) Forget(peer string) {
+func (l *Limiter) Forget(peer string) {
 	for _, k := range l.endpoints {
 		delete(k.peers, peer)
 	}
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -24,7 +24,7 @@
 	if !l.Observe(5*time.Second, "e", 4*time.Second, 0, false) {
 		t.Error("an answer without a limit does not end it")
 	}
-	if n, _ := l.Available(5*time.Second, "e", Share{Part: 1, Entries: 1}); n != math.MaxInt {
+	if n, _ := l.Available(5*time.Second, "e", Share{RateShare: 1, Entries: 1}); n != math.MaxInt {
 		t.Errorf("%d available without a limit", n)
 	}
 }
@@ -34,7 +34,7 @@
 func TestZeroLimitCanEnd(t *testing.T) {
 	l := New()
 	l.Observe(0, "e", 0, 0, true)
-	n, next := l.Available(0, "e", Share{Part: 1, Entries: 1})
+	n, next := l.Available(0, "e", Share{RateShare: 1, Entries: 1})
 	if n > 0 || next <= 0 || next > 10*time.Second {
 		t.Errorf("%d available, next after %v", n, next)
 	}
@@ -49,7 +49,7 @@
 	if len(l.endpoints) != maxEndpoints {
 		t.Errorf("%d endpoints", len(l.endpoints))
 	}
-	l.Keep(func(id string) bool { return id == "1" })
+	l.Retain(func(id string) bool { return id == "1" })
 	if _, ok := l.Rate("1"); !ok || len(l.endpoints) != 1 {
 		t.Errorf("%d endpoints are kept, the known one: %v", len(l.endpoints), ok)
 	}
@@ -66,7 +66,7 @@
 	rnd            *rand.Rand
 	delay          time.Duration
 	reportInterval time.Duration
-	limiters       []*Book
+	limiters       []*Limiter
 	// cutUntil is the time until which an entry is cut off from all others.
 	cutUntil  []time.Duration
 	inTransit []simReport
@@ -103,14 +103,14 @@
 func (s *sim) share(now time.Duration, i int) (Share, float64) {
 	n := len(s.limiters)
 	if !s.hasOwner {
-		return Share{Part: float64(s.reachable(now, i)) / float64(n), Rank: i, Entries: n}, s.demand
+		return Share{RateShare: float64(s.reachable(now, i)) / float64(n), Rank: i, Entries: n}, s.demand
 	}
 	const term, overlap = 13 * time.Second, 1500 * time.Millisecond
 	owner := int(now/term) % n
 	if i == owner || now%term < overlap && i == (owner+n-1)%n {
-		return Share{Part: 1, Entries: 1}, s.demand * float64(n)
+		return Share{RateShare: 1, Entries: 1}, s.demand * float64(n)
 	}
-	return Share{Part: 1 / float64(n), Entries: 1}, s.demand / 20
+	return Share{RateShare: 1 / float64(n), Entries: 1}, s.demand / 20
 }
 
 func (s *sim) run() {
--- a/core/logs/quarantine.go
+++ b/core/logs/quarantine.go
@@ -12,6 +12,6 @@
 		Info(l, EventQuarantineLifted, zap.Stringer("fingerprint", c.Fingerprint))
 		return
 	}
-	Warn(l, EventQuarantined, zap.Stringer("fingerprint", c.Fingerprint), zap.Duration("left", c.Left),
+	Warn(l, EventQuarantined, zap.Stringer("fingerprint", c.Fingerprint), zap.Duration("left", c.Duration),
 		zap.Int("quarantines", c.Quarantines), zap.Strings("endpoints", c.Endpoints), zap.Bool("local", c.Local))
 }
--- a/core/poison/fleet_test.go
+++ b/core/poison/fleet_test.go
@@ -14,7 +14,7 @@
 type simFleet struct {
 	rnd      *rand.Rand
 	now      time.Duration
-	trackers []*Book
+	trackers []*Tracker
 	// cutUntil is the time until which an entry is cut off from all others. connectedSince
 	// is the time since which it has been connected to them.
 	cutUntil, connectedSince []time.Duration
@@ -109,7 +109,7 @@
 		f.runs = append(f.runs, simRun{entry: entry, endpoint: i, id: f.endpointIDs[i], attempts: attempts, fingerprint: fingerprint, endsAt: f.now + time.Duration(50+f.rnd.IntN(100))*time.Millisecond*4})
 		return true
 	}
-	f.trackers[entry].NotRun(fingerprint)
+	f.trackers[entry].RecordNotRun(fingerprint)
 	return false
 }
 
@@ -133,14 +133,14 @@
 		tracker := f.trackers[r.entry]
 		switch {
 		case r.lostAt > 0 && f.now >= r.lostAt:
-			tracker.RunLost(f.now, r.fingerprint, r.id)
-			tracker.Crashed(f.now, r.id)
+			tracker.RecordLostRun(f.now, r.fingerprint, r.id)
+			tracker.RecordCrash(f.now, r.id)
 			f.storeChanges(tracker)
-			if r.attempts > 1 && !tracker.Suspect(f.now, r.fingerprint) {
+			if r.attempts > 1 && !tracker.IsSuspect(f.now, r.fingerprint) {
 				f.send(r.entry, r.fingerprint, r.attempts-1)
 			}
 		case r.lostAt == 0 && f.now >= r.endsAt:
-			tracker.Completed(f.now, r.fingerprint, r.id)
+			tracker.RecordCompleted(f.now, r.fingerprint, r.id)
 			if r.fingerprint == popularRequest && f.now > simDuration*2/3 {
 				f.popularServed++
 			}
@@ -151,10 +151,10 @@
 	f.exchangeReports()
 }
 
-func (f *simFleet) storeChanges(tracker *Book) {
-	for _, c := range tracker.Changes() {
+func (f *simFleet) storeChanges(tracker *Tracker) {
+	for _, c := range tracker.TakeChanges() {
 		if c.Local && !c.Released {
-			f.store[c.Fingerprint] = storedQuarantine{f.now, f.now + c.Left, c.Quarantines}
+			f.store[c.Fingerprint] = storedQuarantine{f.now, f.now + c.Duration, c.Quarantines}
 		} else if c.Local {
 			delete(f.store, c.Fingerprint)
 		}
--- a/core/poison/poison.go
+++ b/core/poison/poison.go
@@ -62,7 +62,7 @@
 )
 
 // Tracker tracks suspects.
-type Book struct {
+type Tracker struct {
 	// suspects has at most maxSuspects elements.
 	suspects map[Fingerprint]*suspect
 	// completed holds the time at which each request last completed.
@@ -121,8 +121,8 @@
 }
 
 // New returns an empty Tracker.
-func New() *Book {
-	return &Book{
+func New() *Tracker {
+	return &Tracker{
 		suspects:  make(map[Fingerprint]*suspect),
 		completed: recent.New[Fingerprint, time.Duration](maxCompleted),
 		endpoints: recent.New[string, endpoint](maxEndpoints),
@@ -131,7 +131,7 @@
 
 // Wait returns zero if a request may be sent now, else the time after which to retry. delay
 // returns how much later than the first entry this one may send a probe.
-func (t *Book) Wait(now time.Duration, f Fingerprint, delay func() time.Duration) time.Duration {
+func (t *Tracker) Wait(now time.Duration, f Fingerprint, delay func() time.Duration) time.Duration {
 	s := t.suspects[f]
 	if s == nil || s.quarantineCount == 0 {
 		return 0
@@ -150,7 +150,7 @@
 
 // Admit is like Wait, for a request that is sent if Admit returns zero. After a quarantine,
 // this request is the probe.
-func (t *Book) Admit(now time.Duration, f Fingerprint, delay func() time.Duration) time.Duration {
+func (t *Tracker) Admit(now time.Duration, f Fingerprint, delay func() time.Duration) time.Duration {
 	wait := t.Wait(now, f, delay)
 	if s := t.suspects[f]; wait == 0 && s != nil && s.quarantineCount > 0 {
 		s.probedAt, s.probing, s.dirty = now, true, true
@@ -159,7 +159,7 @@
 }
 
 // RecordNotRun records that an admitted request was not executed on any endpoint.
-func (t *Book) NotRun(f Fingerprint) {
+func (t *Tracker) RecordNotRun(f Fingerprint) {
 	if s := t.suspects[f]; s != nil && s.probing {
 		s.probing, s.probeAborted, s.dirty = false, true, true
 	}
@@ -167,13 +167,13 @@
 
 // IsSuspect reports whether the evidence against a request is strong enough to leave
 // retries to its caller.
-func (t *Book) Suspect(now time.Duration, f Fingerprint) bool {
+func (t *Tracker) IsSuspect(now time.Duration, f Fingerprint) bool {
 	s := t.suspects[f]
 	return s != nil && (now < s.quarantinedUntil || t.countEvidence(now, s, f) >= retryCrashLimit && !s.isProven(now))
 }
 
 // RecordLostRun records that a run broke off together with its connection.
-func (t *Book) RunLost(now time.Duration, f Fingerprint, id string) {
+func (t *Tracker) RecordLostRun(now time.Duration, f Fingerprint, id string) {
 	e := t.endpoints.Get(id)
 	if e.crashed {
 		t.addCrash(now, f, id)
@@ -193,7 +193,7 @@
 }
 
 // RecordCrash records that an endpoint has crashed.
-func (t *Book) Crashed(now time.Duration, id string) {
+func (t *Tracker) RecordCrash(now time.Duration, id string) {
 	e := t.endpoints.Get(id)
 	if e.crashed {
 		return
@@ -213,7 +213,7 @@
 
 // MayHaveCrashed reports whether runs were recently lost on an endpoint that is not known
 // to have crashed.
-func (t *Book) MayHaveCrashed(now time.Duration, id string) bool {
+func (t *Tracker) MayHaveCrashed(now time.Duration, id string) bool {
 	e := t.endpoints.Peek(id)
 	return e != nil && e.mayHaveCrashed(now)
 }
@@ -224,7 +224,7 @@
 
 // TakeUnverified calls f for each endpoint that may have crashed and must be checked for
 // whether it accepts connections. It does so once for all runs lost at the same time.
-func (t *Book) Unverified(now time.Duration, f func(id string)) {
+func (t *Tracker) TakeUnverified(now time.Duration, f func(id string)) {
 	t.endpoints.Each(func(id string, e *endpoint) {
 		if !e.verified && e.mayHaveCrashed(now) {
 			e.verified = true
@@ -234,7 +234,7 @@
 }
 
 // RecordCompleted records a complete answer from an endpoint. It clears the request.
-func (t *Book) Completed(now time.Duration, f Fingerprint, id string) {
+func (t *Tracker) RecordCompleted(now time.Duration, f Fingerprint, id string) {
 	*t.completed.Get(f) = now
 	if e := t.endpoints.Peek(id); e != nil {
 		if now-e.lostAt > crashSpread {
@@ -252,7 +252,7 @@
 }
 
 // clear drops the evidence against a request that completed at completedAt.
-func (t *Book) clear(now, completedAt time.Duration, f Fingerprint, s *suspect) {
+func (t *Tracker) clear(now, completedAt time.Duration, f Fingerprint, s *suspect) {
 	s.completedAt, s.hasCompleted, s.changedAt = completedAt, true, now
 	s.crashes = slices.DeleteFunc(s.crashes, func(c crash) bool { return c.crashedAt <= completedAt })
 	if s.quarantineCount > 0 && s.quarantinedAt <= completedAt {
@@ -270,7 +270,7 @@
 }
 
 // addCrash records that an endpoint crashed while it was running a request of this entry.
-func (t *Book) addCrash(now time.Duration, f Fingerprint, id string) {
+func (t *Tracker) addCrash(now time.Duration, f Fingerprint, id string) {
 	s := t.suspectFor(now, f)
 	s.local = true
 	s.recordCrash(now, crash{id, now})
@@ -290,7 +290,7 @@
 }
 
 // evaluate quarantines a request if there is enough evidence against it.
-func (t *Book) evaluate(now time.Duration, f Fingerprint) {
+func (t *Tracker) evaluate(now time.Duration, f Fingerprint) {
 	s := t.suspects[f]
 	if s == nil || now < s.quarantinedUntil {
 		return
@@ -309,7 +309,7 @@
 	s.quarantineCount++
 	s.quarantinedAt, s.quarantinedUntil, s.probing = now, now+duration, false
 	s.dirty, s.changedAt = true, now
-	change := Change{Fingerprint: f, Left: duration, Quarantines: s.quarantineCount, Local: s.local}
+	change := Change{Fingerprint: f, Duration: duration, Quarantines: s.quarantineCount, Local: s.local}
 	for _, c := range s.crashes {
 		change.Endpoints = append(change.Endpoints, c.endpoint)
 		if e := t.endpoints.Get(c.endpoint); !e.explained {
@@ -326,7 +326,7 @@
 	Released bool
 	// Duration is the duration of the quarantine, and Quarantines the number of quarantines
 	// so far.
-	Left        time.Duration
+	Duration    time.Duration
 	Quarantines int
 	// Endpoints are those that crashed while running the request. It is empty if a peer
 	// reported the quarantine.
@@ -336,7 +336,7 @@
 }
 
 // TakeChanges returns the changes since the last call.
-func (t *Book) Changes() []Change {
+func (t *Tracker) TakeChanges() []Change {
 	out := t.changes
 	t.changes = nil
 	return out
@@ -351,7 +351,7 @@
 // before a quarantine count together as one less than crashLimit, so that a single crash
 // during the probe causes the next quarantine. Crashes attributed to another request do not
 // count against a proven request.
-func (t *Book) countEvidence(now time.Duration, s *suspect, f Fingerprint) int {
+func (t *Tracker) countEvidence(now time.Duration, s *suspect, f Fingerprint) int {
 	before, after := 0, 0
 	for _, c := range s.crashes {
 		e := t.endpoints.Peek(c.endpoint)
@@ -371,7 +371,7 @@
 }
 
 // suspectFor returns the record of a request, and creates it if needed.
-func (t *Book) suspectFor(now time.Duration, f Fingerprint) *suspect {
+func (t *Tracker) suspectFor(now time.Duration, f Fingerprint) *suspect {
 	if s := t.suspects[f]; s != nil {
 		return s
 	}
@@ -387,7 +387,7 @@
 }
 
 // evict drops the suspect with the lowest rank.
-func (t *Book) evict(now time.Duration) {
+func (t *Tracker) evict(now time.Duration) {
 	var victim Fingerprint
 	var lowest *suspect
 	for f, s := range t.suspects {
--- a/core/poison/poison_test.go
+++ b/core/poison/poison_test.go
@@ -13,11 +13,11 @@
 func noDelay() time.Duration { return 0 }
 
 // crashDuring crashes an endpoint while it is running the given requests.
-func crashDuring(tracker *Book, now time.Duration, id string, all ...Fingerprint) {
+func crashDuring(tracker *Tracker, now time.Duration, id string, all ...Fingerprint) {
 	for _, f := range all {
-		tracker.RunLost(now, f, id)
+		tracker.RecordLostRun(now, f, id)
 	}
-	tracker.Crashed(now, id)
+	tracker.RecordCrash(now, id)
 }
 
 // A request that has crashed three endpoints must not be placed again.
@@ -34,7 +34,7 @@
 	if wait := tracker.Wait(time.Second, bad, noDelay); wait != firstQuarantine {
 		t.Errorf("quarantined for %v, want %v", wait, firstQuarantine)
 	}
-	if got := tracker.Changes(); len(got) != 1 || got[0].Fingerprint != bad || len(got[0].Endpoints) != crashLimit || !got[0].Local {
+	if got := tracker.TakeChanges(); len(got) != 1 || got[0].Fingerprint != bad || len(got[0].Endpoints) != crashLimit || !got[0].Local {
 		t.Errorf("changes %+v", got)
 	}
 }
@@ -45,16 +45,16 @@
 	now := time.Second
 	for i := range 20 {
 		id := fmt.Sprint("e", i%4)
-		tracker.RunLost(now, f, id)
-		tracker.Completed(now+time.Second, fingerprint("other"), id)
+		tracker.RecordLostRun(now, f, id)
+		tracker.RecordCompleted(now+time.Second, fingerprint("other"), id)
 		now += 2 * time.Second
 	}
 	for i := range 4 {
-		tracker.Crashed(now, fmt.Sprint("e", i))
+		tracker.RecordCrash(now, fmt.Sprint("e", i))
 	}
-	tracker.RunLost(now, f, "e9")
-	tracker.Crashed(now+2*crashConfirmTimeout, "e9")
-	if tracker.Suspect(now, f) {
+	tracker.RecordLostRun(now, f, "e9")
+	tracker.RecordCrash(now+2*crashConfirmTimeout, "e9")
+	if tracker.IsSuspect(now, f) {
 		t.Error("a request is suspect because of truncated answers")
 	}
 }
@@ -63,7 +63,7 @@
 // long as it also completes.
 func TestPopularRequestDuringCrashesIsNotQuarantined(t *testing.T) {
 	tracker, bad, popular := New(), fingerprint("bad"), fingerprint("popular")
-	tracker.Completed(0, popular, "e")
+	tracker.RecordCompleted(0, popular, "e")
 	for i := range crashLimit {
 		crashDuring(tracker, time.Second, fmt.Sprint("e", i), popular, bad)
 	}
@@ -99,7 +99,7 @@
 	if tracker.Admit(firstQuarantine, bad, noDelay) == 0 || tracker.Admit(firstQuarantine, good, noDelay) == 0 {
 		t.Error("two probes run at the same time")
 	}
-	if !tracker.Suspect(firstQuarantine, bad) {
+	if !tracker.IsSuspect(firstQuarantine, bad) {
 		t.Error("the entry would retry the probe")
 	}
 	crashDuring(tracker, firstQuarantine+1, "e7", bad)
@@ -109,8 +109,8 @@
 	if tracker.Admit(firstQuarantine+1, good, noDelay) > 0 {
 		t.Fatal("the other request is not probed")
 	}
-	tracker.Completed(firstQuarantine+2, good, "e8")
-	if tracker.Wait(firstQuarantine+2, good, noDelay) > 0 || tracker.Suspect(firstQuarantine+2, good) {
+	tracker.RecordCompleted(firstQuarantine+2, good, "e8")
+	if tracker.Wait(firstQuarantine+2, good, noDelay) > 0 || tracker.IsSuspect(firstQuarantine+2, good) {
 		t.Error("completing does not clear a request")
 	}
 	for range 20 {
@@ -139,7 +139,7 @@
 	if b.Wait(firstQuarantine, f, noDelay) == 0 {
 		t.Error("the other entry may probe at the same time")
 	}
-	a.NotRun(f)
+	a.RecordNotRun(f)
 	sendReports(a, b, firstQuarantine)
 	if a.Wait(firstQuarantine, f, noDelay) > 0 || b.Wait(firstQuarantine, f, noDelay) > 0 {
 		t.Error("a probe that did not run blocks the next one")
@@ -147,7 +147,7 @@
 }
 
 // sendReports merges the reports of a into b.
-func sendReports(a, b *Book, now time.Duration) {
+func sendReports(a, b *Tracker, now time.Duration) {
 	for _, r := range a.Reports(now, false) {
 		b.Merge(now, r)
 	}
@@ -162,9 +162,9 @@
 	}
 	for i := range 50 * maxSuspects {
 		f := fingerprint(fmt.Sprint("invented", i))
-		tracker.Completed(time.Second, f, "e")
+		tracker.RecordCompleted(time.Second, f, "e")
 		crashDuring(tracker, time.Second, fmt.Sprint("f", i%(4*maxEndpoints)), f)
-		tracker.Merge(time.Second, Report{Fingerprint: fingerprint(fmt.Sprint("told", i)), Completed: -1, Probed: -1, Crashes: []CrashReport{{Endpoint: fmt.Sprint("g", i)}}})
+		tracker.Merge(time.Second, Report{Fingerprint: fingerprint(fmt.Sprint("told", i)), CompletedAge: -1, ProbeAge: -1, Crashes: []CrashReport{{Endpoint: fmt.Sprint("g", i)}}})
 	}
 	if len(tracker.suspects) > maxSuspects || tracker.completed.Len() > maxCompleted || tracker.endpoints.Len() > maxEndpoints {
 		t.Errorf("%d suspects, %d completed, %d endpoints", len(tracker.suspects), tracker.completed.Len(), tracker.endpoints.Len())
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -43,7 +43,7 @@
 const grantedToleranceShare = 0.5
 
 // WithTolerance returns the limit up to which requests are admitted.
-func (l Limit) With(t Tolerance) Limit {
+func (l Limit) WithTolerance(t Tolerance) Limit {
 	if l.Rate <= 0 {
 		return l
 	}
@@ -51,7 +51,7 @@
 }
 
 // Limiter tracks the use of all customers.
-type Book struct {
+type Limiter struct {
 	// reachableEntries and knownEntries count entries, including this one. reachableEntries
 	// is at most knownEntries.
 	reachableEntries, knownEntries int
@@ -72,20 +72,20 @@
 }
 
 // New returns a limiter for an entry that knows no other entry.
-func New() *Book {
-	return &Book{reachableEntries: 1, knownEntries: 1, buckets: make(map[string]*bucket), peerTotals: make(map[string]map[string]float64)}
+func New() *Limiter {
+	return &Limiter{reachableEntries: 1, knownEntries: 1, buckets: make(map[string]*bucket), peerTotals: make(map[string]map[string]float64)}
 }
 
 // SetEntries sets how many entries are known and from how many of them this one receives
 // reports, itself included.
-func (q *Book) Reach(reachable, known int) {
+func (q *Limiter) SetEntries(reachable, known int) {
 	q.knownEntries = max(known, 1)
 	q.reachableEntries = min(max(reachable, 1), q.knownEntries)
 }
 
 // Take admits a request of n units for a customer or refuses it. If it is refused, wait is
 // the time after which it would be admitted if no other request came.
-func (q *Book) Take(now time.Duration, customer string, l Limit, n float64) (wait time.Duration, ok bool) {
+func (q *Limiter) Take(now time.Duration, customer string, l Limit, n float64) (wait time.Duration, ok bool) {
 	k := q.bucket(now, customer, l)
 	if l.Rate <= 0 {
 		k.used += n
@@ -108,7 +108,7 @@
 // Return returns the units that Take admitted for a request that was never executed. The
 // other entries learn of it with the next total. Otherwise they would treat a customer
 // whose requests are refused for lack of capacity as one over its limit.
-func (q *Book) Return(customer string, n float64) {
+func (q *Limiter) Return(customer string, n float64) {
 	if k := q.buckets[customer]; k != nil {
 		k.level = min(k.level+n, k.limit.Burst)
 		k.used -= n
@@ -117,7 +117,7 @@
 
 // MergeTotal records a peer's total for a customer. The total decreases if the peer
 // returned units. A restarted peer counts from zero, so Forget must be called first.
-func (q *Book) Told(peer, customer string, total float64) {
+func (q *Limiter) MergeTotal(peer, customer string, total float64) {
 	totals := q.peerTotals[peer]
 	if totals == nil {
 		totals = make(map[string]float64)
@@ -138,26 +138,28 @@
 }
 
 // Forget drops the totals of a peer that is gone.
-func (q *Book) Forget(peer string) { delete(q.peerTotals, peer) }
+func (q *Limiter) Forget(peer string) { delete(q.peerTotals, peer) }
 
 // PeerTotals calls f with the totals that a peer reported.
-func (q *Book) TotalsOf(peer string, f func(customer string, total float64)) {
+func (q *Limiter) PeerTotals(peer string, f func(customer string, total float64)) {
 	for name, total := range q.peerTotals[peer] {
 		f(name, total)
 	}
 }
 
 // OwnTotals calls f with this entry's total for each customer that has sent requests to it.
-func (q *Book) Totals(f func(customer string, total float64)) {
+func (q *Limiter) OwnTotals(f func(customer string, total float64)) {
 	for name, k := range q.buckets {
 		f(name, k.used)
 	}
 }
 
-func (q *Book) reachableShare() float64 { return float64(q.reachableEntries) / float64(q.knownEntries) }
+func (q *Limiter) reachableShare() float64 {
+	return float64(q.reachableEntries) / float64(q.knownEntries)
+}
 
 // bucket returns the bucket of a customer and sets its current limit.
-func (q *Book) bucket(now time.Duration, customer string, l Limit) *bucket {
+func (q *Limiter) bucket(now time.Duration, customer string, l Limit) *bucket {
 	k := q.buckets[customer]
 	if k == nil {
 		k = &bucket{level: l.Burst * initialBurstShare, filledAt: now}
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -10,7 +10,7 @@
 // units admitted. Entries that can reach each other exchange totals once per interval.
 func admittedUnits(entries int, canReach func(a, b int) bool, duration, interval time.Duration) (total float64) {
 	limit := Limit{Rate: 1000, Burst: 1000}
-	limiters := make([]*Book, entries)
+	limiters := make([]*Limiter, entries)
 	for i := range limiters {
 		limiters[i] = New()
 		reachable := 0
@@ -19,7 +19,7 @@
 				reachable++
 			}
 		}
-		limiters[i].Reach(reachable, entries)
+		limiters[i].SetEntries(reachable, entries)
 	}
 	step := 10 * time.Millisecond
 	for now := time.Duration(0); now < duration; now += step {
@@ -34,10 +34,10 @@
 			continue
 		}
 		for i, q := range limiters {
-			q.Totals(func(c string, n float64) {
+			q.OwnTotals(func(c string, n float64) {
 				for j := range limiters {
 					if i != j && canReach(i, j) {
-						limiters[j].Told(string(rune('a'+i)), c, n)
+						limiters[j].MergeTotal(string(rune('a'+i)), c, n)
 					}
 				}
 			})
@@ -72,10 +72,10 @@
 func TestReturnedUnitsAreRestoredAtAllEntries(t *testing.T) {
 	limit := Limit{Rate: 100, Burst: 1000}
 	full, other := New(), New()
-	full.Reach(2, 2)
-	other.Reach(2, 2)
+	full.SetEntries(2, 2)
+	other.SetEntries(2, 2)
 	other.Take(0, "c", limit, 1)
-	sendTotals := func() { full.Totals(func(c string, total float64) { other.Told("busy", c, total) }) }
+	sendTotals := func() { full.OwnTotals(func(c string, total float64) { other.MergeTotal("busy", c, total) }) }
 	for range 40 {
 		if _, ok := full.Take(0, "c", limit, 10); !ok {
 			t.Fatal("refused within the limit")
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -111,20 +111,20 @@
 }
 
 // IsHub reports whether this entry forwards what it receives.
-func (p Plan) Hub() bool { return p.hubs != nil && p.entryIsHub(p.self) }
+func (p Plan) IsHub() bool { return p.hubs != nil && p.entryIsHub(p.self) }
 
 // FollowsHub reports whether this entry receives tallies from a hub.
-func (p Plan) Led() bool { return p.hubs != nil && !p.entryIsHub(p.self) }
+func (p Plan) FollowsHub() bool { return p.hubs != nil && !p.entryIsHub(p.self) }
 
 func (p Plan) entryIsHub(e Entry) bool { return p.hubOf(e) == e.Name }
 
 // SameGroup reports whether the given entry and this one have the same hub.
-func (p Plan) Near(e Entry) bool { return p.inSameGroup(e, p.self) }
+func (p Plan) SameGroup(e Entry) bool { return p.inSameGroup(e, p.self) }
 
 func (p Plan) inSameGroup(a, b Entry) bool { return a.Zone == b.Zone && p.hubOf(a) == p.hubOf(b) }
 
 // HasLink reports whether from keeps a link to to.
-func (p Plan) Tells(from, to Entry) bool {
+func (p Plan) HasLink(from, to Entry) bool {
 	if p.hubs == nil {
 		return true
 	}
@@ -143,19 +143,19 @@
 	Direct Source = iota
 	// OwnHub is a link to a hub of this entry's group, OtherHub one to a hub of another
 	// group.
-	Within
-	Between
+	OwnHub
+	OtherHub
 )
 
 // Forwards reports whether this entry, as a hub, forwards a tally of origin, which it
 // received from the given source, to another entry. Tallies received from a hub are
 // forwarded only within the own group, so that none goes round in a circle.
-func (p Plan) Passes(origin Entry, from Source, to Entry) bool {
-	if !p.Hub() || from == Within || origin.Name == to.Name || !p.Tells(p.self, to) {
+func (p Plan) Forwards(origin Entry, from Source, to Entry) bool {
+	if !p.IsHub() || from == OwnHub || origin.Name == to.Name || !p.HasLink(p.self, to) {
 		return false
 	}
-	if p.Near(to) {
+	if p.SameGroup(to) {
 		return true
 	}
-	return from == Direct && p.Near(origin)
+	return from == Direct && p.SameGroup(origin)
 }
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -38,16 +38,16 @@
 			if to == s.at || unreachable[to.Name] {
 				continue
 			}
-			originSends := s.at == origin && p.Tells(origin, to)
-			if !originSends && !(s.at != origin && p.Passes(origin, s.from, to)) {
+			originSends := s.at == origin && p.HasLink(origin, to)
+			if !originSends && !(s.at != origin && p.Forwards(origin, s.from, to)) {
 				continue
 			}
 			deliveries[to.Name]++
 			from := Direct
 			if s.at != origin {
-				from = Between
-				if plans[to.Name].Near(s.at) {
-					from = Within
+				from = OtherHub
+				if plans[to.Name].SameGroup(s.at) {
+					from = OwnHub
 				}
 			}
 			next = append(next, step{to, from})
@@ -93,7 +93,7 @@
 			p := New(e, len(all), all, func(Entry) bool { return true })
 			n := 0
 			for _, o := range all {
-				if o != e && p.Tells(e, o) {
+				if o != e && p.HasLink(e, o) {
 					n++
 				}
 			}
@@ -120,11 +120,11 @@
 	followers := make(map[string]int)
 	for _, e := range all {
 		p := New(e, len(all), all, func(Entry) bool { return true })
-		if p.Hub() && e.Capacity < 800 {
+		if p.IsHub() && e.Capacity < 800 {
 			t.Errorf("%s with capacity %d is a hub", e.Name, e.Capacity)
 		}
 		for _, o := range all {
-			if o != e && p.Hub() && p.Near(o) {
+			if o != e && p.IsHub() && p.SameGroup(o) {
 				followers[e.Name]++
 			}
 		}
@@ -142,6 +142,6 @@
 func ExampleNew() {
 	a, b, far := Entry{Name: "a", Zone: "north"}, Entry{Name: "b", Zone: "north"}, Entry{Name: "f", Zone: "south"}
 	p := New(b, 20, []Entry{a, far}, func(Entry) bool { return true })
-	fmt.Println(p.Hub(), p.Tells(b, a), p.Tells(b, far), p.Tells(a, far))
+	fmt.Println(p.IsHub(), p.HasLink(b, a), p.HasLink(b, far), p.HasLink(a, far))
 	// Output: false true false true
 }
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -34,7 +34,7 @@
 )
 
 // Tracker tracks the instance list. The zero value is an empty list.
-type Book struct {
+type Tracker struct {
 	endpoints map[string]route.Endpoint
 	// removalDueAt holds the time at which each deferred removal is to be applied.
 	removalDueAt map[string]time.Duration
@@ -51,14 +51,14 @@
 }
 
 // RecordOutage records that the platform does not answer.
-func (t *Book) Away(now time.Duration) {
+func (t *Tracker) RecordOutage(now time.Duration) {
 	if !t.platformAway {
 		t.platformAway, t.awaySince = true, now
 	}
 }
 
 // RecordRecovery records that the platform answers.
-func (t *Book) Back(now time.Duration) {
+func (t *Tracker) RecordRecovery(now time.Duration) {
 	if t.platformAway && now-t.awaySince > maxHarmlessOutage {
 		t.hadOutage, t.backAt = true, now
 	}
@@ -66,7 +66,7 @@
 }
 
 // ReplaceAll replaces the list by the one of the given revision.
-func (t *Book) List(now time.Duration, revision int64, all []route.Endpoint) {
+func (t *Tracker) ReplaceAll(now time.Duration, revision int64, all []route.Endpoint) {
 	t.init()
 	listed := make(map[string]bool, len(all))
 	for _, e := range all {
@@ -83,7 +83,7 @@
 }
 
 // Set adds or replaces an endpoint.
-func (t *Book) Set(revision int64, e route.Endpoint) {
+func (t *Tracker) Set(revision int64, e route.Endpoint) {
 	t.init()
 	t.endpoints[e.ID] = e
 	delete(t.removalDueAt, e.ID)
@@ -91,7 +91,7 @@
 }
 
 // Remove records that an endpoint is no longer listed.
-func (t *Book) Remove(now time.Duration, revision int64, id string) {
+func (t *Tracker) Remove(now time.Duration, revision int64, id string) {
 	t.init()
 	if _, ok := t.endpoints[id]; ok {
 		t.removeOrDefer(now, id)
@@ -99,7 +99,7 @@
 	t.revision = max(t.revision, revision)
 }
 
-func (t *Book) removeOrDefer(now time.Duration, id string) {
+func (t *Tracker) removeOrDefer(now time.Duration, id string) {
 	if !t.hadOutage || now-t.backAt > deferWindow {
 		delete(t.endpoints, id)
 		delete(t.removalDueAt, id)
@@ -115,7 +115,7 @@
 
 // ApplyDeferred applies the deferred removals that are due and reports whether there were
 // any.
-func (t *Book) Due(now time.Duration) bool {
+func (t *Tracker) ApplyDeferred(now time.Duration) bool {
 	n := len(t.removalDueAt)
 	for id, dueAt := range t.removalDueAt {
 		if now >= dueAt {
@@ -127,14 +127,14 @@
 }
 
 // HasDeferred reports whether removals are deferred.
-func (t *Book) Doubtful() bool { return len(t.removalDueAt) > 0 }
+func (t *Tracker) HasDeferred() bool { return len(t.removalDueAt) > 0 }
 
 // Roster returns the current list, ordered by ID. While removals are deferred, it has the
 // revision from before the first of them. With a newer revision, entries that have applied
 // the removals would treat it as a newer list and use endpoints again that have left.
-func (t *Book) Roster() route.Roster {
+func (t *Tracker) Roster() route.Roster {
 	r := route.Roster{Revision: t.revision}
-	if t.Doubtful() {
+	if t.HasDeferred() {
 		r.Revision = t.revisionBeforeDeferred
 	}
 	for _, e := range t.endpoints {
@@ -144,7 +144,7 @@
 	return r
 }
 
-func (t *Book) init() {
+func (t *Tracker) init() {
 	if t.endpoints == nil {
 		t.endpoints, t.removalDueAt = make(map[string]route.Endpoint), make(map[string]time.Duration)
 	}
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -13,18 +13,18 @@
 // all of them, and the endpoints write them again. Until then, every request would be
 // refused if the removals were applied.
 func TestEndpointsAreKeptAfterOutage(t *testing.T) {
-	var tracker Book
-	tracker.List(0, 10, twoEndpoints())
-	tracker.Away(10 * time.Second)
-	tracker.Back(20 * time.Second)
+	var tracker Tracker
+	tracker.ReplaceAll(0, 10, twoEndpoints())
+	tracker.RecordOutage(10 * time.Second)
+	tracker.RecordRecovery(20 * time.Second)
 	now := 20*time.Second + 100*time.Millisecond
 	tracker.Remove(now, 11, "a")
-	tracker.List(now, 12, nil)
+	tracker.ReplaceAll(now, 12, nil)
 	if n := len(tracker.Roster().Endpoints); n != 2 {
 		t.Fatalf("%d endpoints right after the return, want 2", n)
 	}
 	tracker.Set(13, route.Endpoint{ID: "a"})
-	if !tracker.Due(now + 3*time.Second) {
+	if !tracker.ApplyDeferred(now + 3*time.Second) {
 		t.Fatal("the deferred removal was not applied")
 	}
 	if r := tracker.Roster(); len(r.Endpoints) != 1 || r.Endpoints[0].ID != "a" || r.Revision != 13 {
@@ -34,14 +34,14 @@
 
 // An endpoint that is removed while there is no outage must not receive any more requests.
 func TestRemovalWithoutOutageIsImmediate(t *testing.T) {
-	var tracker Book
-	tracker.List(0, 10, twoEndpoints())
+	var tracker Tracker
+	tracker.ReplaceAll(0, 10, twoEndpoints())
 	tracker.Remove(time.Second, 11, "a")
 	if n := len(tracker.Roster().Endpoints); n != 1 {
 		t.Fatalf("%d endpoints, want 1", n)
 	}
-	tracker.Away(1500 * time.Millisecond)
-	tracker.Back(2 * time.Second)
+	tracker.RecordOutage(1500 * time.Millisecond)
+	tracker.RecordRecovery(2 * time.Second)
 	tracker.Set(11, route.Endpoint{ID: "c"})
 	tracker.Remove(2100*time.Millisecond, 11, "c")
 	if n := len(tracker.Roster().Endpoints); n != 1 {
@@ -57,10 +57,10 @@
 // return an endpoint leaves without prior notice. An entry that still deferred removals
 // would send requests to it until it stops.
 func TestRemovalAfterDeferWindowIsImmediate(t *testing.T) {
-	var tracker Book
-	tracker.List(0, 10, twoEndpoints())
-	tracker.Away(10 * time.Second)
-	tracker.Back(20 * time.Second)
+	var tracker Tracker
+	tracker.ReplaceAll(0, 10, twoEndpoints())
+	tracker.RecordOutage(10 * time.Second)
+	tracker.RecordRecovery(20 * time.Second)
 	tracker.Remove(22*time.Second, 11, "a")
 	if n := len(tracker.Roster().Endpoints); n != 1 {
 		t.Fatalf("%d endpoints, want 1", n)
@@ -72,19 +72,19 @@
 // list on with the platform's newest revision, the others would use the endpoint again two
 // seconds after it left.
 func TestDeferredRemovalsKeepOlderRevision(t *testing.T) {
-	var tracker Book
-	tracker.List(0, 30, twoEndpoints())
-	tracker.Away(2 * time.Second)
-	tracker.Back(11 * time.Second)
+	var tracker Tracker
+	tracker.ReplaceAll(0, 30, twoEndpoints())
+	tracker.RecordOutage(2 * time.Second)
+	tracker.RecordRecovery(11 * time.Second)
 	tracker.Set(36, route.Endpoint{ID: "c"})
 	tracker.Remove(11*time.Second, 37, "a")
 	tracker.Remove(11*time.Second, 38, "b")
-	if r := tracker.Roster(); !tracker.Doubtful() || r.Revision != 36 || len(r.Endpoints) != 3 {
+	if r := tracker.Roster(); !tracker.HasDeferred() || r.Revision != 36 || len(r.Endpoints) != 3 {
 		t.Fatalf("revision %d with %d endpoints while removals are deferred, want 36 with 3", r.Revision, len(r.Endpoints))
 	}
 	tracker.Set(39, route.Endpoint{ID: "b"})
-	tracker.Due(14 * time.Second)
-	if r := tracker.Roster(); tracker.Doubtful() || r.Revision != 39 || len(r.Endpoints) != 2 {
+	tracker.ApplyDeferred(14 * time.Second)
+	if r := tracker.Roster(); tracker.HasDeferred() || r.Revision != 39 || len(r.Endpoints) != 2 {
 		t.Fatalf("revision %d with %d endpoints afterwards, want 39 with 2", r.Revision, len(r.Endpoints))
 	}
 }
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -71,7 +71,7 @@
 	Rate, Burst float64
 	ByTokens    bool
 	// DefaultTokens is the number of tokens charged for a request without token counts.
-	PlainTokens float64
+	DefaultTokens float64
 }
 
 // Limits bounds what a caller may send.
@@ -100,10 +100,10 @@
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       string
 	// Incarnation differs between successive starts of an endpoint with the same ID.
-	Born int64
-	Pool string
-	Addr string
-	Zone string
+	Incarnation int64
+	Pool        string
+	Addr        string
+	Zone        string
 	// Slots is the number of requests that the endpoint serves at once.
 	Slots int
 	// Leaving is set if the endpoint finishes its running requests and accepts no new ones.
@@ -111,7 +111,7 @@
 	// Version is the version of its software. ColdFor is how much longer the endpoint is
 	// slow after its start.
 	Version string
-	Cold    time.Duration
+	ColdFor time.Duration
 }
 
 // Roster is one version of the instance list.
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -64,7 +64,7 @@
 
 // RequiresKey reports whether the configuration has customers, so that requests to routes
 // that are not public need a key.
-func (t *Table) Keyed() bool { return len(t.cfg.Customers) > 0 }
+func (t *Table) RequiresKey() bool { return len(t.cfg.Customers) > 0 }
 
 // Customer returns the holder of a key.
 func (t *Table) Customer(key string) (*Customer, bool) {
@@ -74,7 +74,7 @@
 
 // ChoosePool returns the pool that serves the request with the given ID. All entries choose
 // the same pool for the same request.
-func (r *Route) Choose(id string) string {
+func (r *Route) ChoosePool(id string) string {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Pool
 	}
@@ -95,4 +95,4 @@
 }
 
 // AtMostOnce reports whether a request of the route may be executed only once.
-func (r *Route) Once() bool { return !r.Repeatable && !(r.Stream && r.Resumable) }
+func (r *Route) AtMostOnce() bool { return !r.Repeatable && !(r.Stream && r.Resumable) }
--- a/core/route/table_test.go
+++ b/core/route/table_test.go
@@ -38,7 +38,7 @@
 	r := Route{Shares: []Share{{Pool: "a", Weight: 90}, {Pool: "b", Weight: 10}}}
 	n := 0
 	for i := range 10000 {
-		if r.Choose(fmt.Sprint("request-", i)) == "b" {
+		if r.ChoosePool(fmt.Sprint("request-", i)) == "b" {
 			n++
 		}
 	}
--- a/core/route/tier.go
+++ b/core/route/tier.go
@@ -37,7 +37,7 @@
 		if !r.usesPool(pool) {
 			continue
 		}
-		if r.Public || !t.Keyed() {
+		if r.Public || !t.RequiresKey() {
 			out = append(out, r.TierOf(nil))
 			continue
 		}
--- a/core/shard/shard.go
+++ b/core/shard/shard.go
@@ -44,13 +44,13 @@
 )
 
 // HasOwners reports whether shards have owners in a fleet with the given number of entries.
-func Needed(entries int) bool { return entries > maxEntriesWithoutOwners }
+func HasOwners(entries int) bool { return entries > maxEntriesWithoutOwners }
 
 // Key identifies a shard of a pool.
 type Key struct {
 	// Zone is empty for a shard with endpoints of all zones.
-	Zone string
-	N    uint16
+	Zone  string
+	Index uint16
 }
 
 // Layout assigns the endpoints of a pool to shards. The zero Layout has one shard.
@@ -89,7 +89,7 @@
 		k.Zone = zone
 	}
 	if l.shards > 1 {
-		k.N = uint16(hashNames(id) % uint64(l.shards))
+		k.Index = uint16(hashNames(id) % uint64(l.shards))
 	}
 	return k
 }
@@ -109,7 +109,7 @@
 			continue
 		}
 		// Weighted rendezvous hashing.
-		uniform := (float64(hashNames(e.Name, pool, k.Zone, string(rune(k.N)))>>11) + 0.5) / (1 << 53)
+		uniform := (float64(hashNames(e.Name, pool, k.Zone, string(rune(k.Index)))>>11) + 0.5) / (1 << 53)
 		if score := -float64(e.Capacity) / math.Log(uniform); owner == "" || score > maxScore {
 			owner, maxScore = e.Name, score
 		}
@@ -134,30 +134,30 @@
 	Key Key
 	// Slots is the number of slots of usable endpoints, FreeSlots the number of those that
 	// appear to be free.
-	Slots, Free int
+	Slots, FreeSlots int
 	// RequestsAhead is the number of requests that wait for a slot of the shard ahead of
 	// the one to be placed.
-	Ahead int
+	RequestsAhead int
 }
 
 // isCrowded reports whether requests from the shard's own zone should also consider other
 // shards. totalFreeSlots is the number of free slots of all shards.
 func (l Load) isCrowded(totalFreeSlots int) bool {
 	if totalFreeSlots > 0 {
-		return float64(l.Free) <= crowdedShare*float64(l.Slots)
+		return float64(l.FreeSlots) <= crowdedShare*float64(l.Slots)
 	}
-	return float64(l.Ahead) > crowdedShare*float64(l.Slots)
+	return float64(l.RequestsAhead) > crowdedShare*float64(l.Slots)
 }
 
 // weight returns the relative share of requests to send to the shard. totalFreeSlots is the
 // number of free slots of all shards.
 func (l Load) weight(totalFreeSlots int) float64 {
 	if totalFreeSlots > 0 {
-		return float64(l.Free)
+		return float64(l.FreeSlots)
 	}
 	// Small differences between short queues are ignored. Otherwise many entries would
 	// choose the one shard where nothing waited a moment ago.
-	return float64(l.Slots) / (1 + crowdedShare*float64(l.Slots) + float64(l.Ahead))
+	return float64(l.Slots) / (1 + crowdedShare*float64(l.Slots) + float64(l.RequestsAhead))
 }
 
 // Choose returns the index of the shard whose owner to ask for a placement, for an entry of
@@ -174,13 +174,13 @@
 		}
 	}
 	isCandidate := func(Load) bool { return true }
-	if sameZone.Slots > 0 && !sameZone.isCrowded(all.Free) {
+	if sameZone.Slots > 0 && !sameZone.isCrowded(all.FreeSlots) {
 		isCandidate = func(l Load) bool { return l.Key.Zone == zone }
 	}
 	total := 0.0
 	for _, l := range loads {
 		if isCandidate(l) {
-			total += l.weight(all.Free)
+			total += l.weight(all.FreeSlots)
 		}
 	}
 	remaining, chosen := draw*total, 0
@@ -189,17 +189,17 @@
 			continue
 		}
 		chosen = i
-		if remaining -= l.weight(all.Free); remaining < 0 {
+		if remaining -= l.weight(all.FreeSlots); remaining < 0 {
 			break
 		}
 	}
-	return chosen, all.Free == loads[chosen].Free
+	return chosen, all.FreeSlots == loads[chosen].FreeSlots
 }
 
 func (l *Load) add(o Load) {
 	l.Slots += o.Slots
-	l.Free += o.Free
-	l.Ahead += o.Ahead
+	l.FreeSlots += o.FreeSlots
+	l.RequestsAhead += o.RequestsAhead
 }
 
 // hashNames returns a hash of names with evenly distributed bits.
--- a/core/shard/shard_test.go
+++ b/core/shard/shard_test.go
@@ -46,7 +46,7 @@
 func TestOwnerChangesOnlyWhenItLeaves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := fleet(3, 4, 0)
-		k := shard.Key{N: uint16(rapid.IntRange(0, 20).Draw(t, "shard"))}
+		k := shard.Key{Index: uint16(rapid.IntRange(0, 20).Draw(t, "shard"))}
 		before := shard.Owner("p", k, entries)
 		removed := rapid.IntRange(0, len(entries)-1).Draw(t, "removed")
 		remaining := append(append([]relay.Entry(nil), entries[:removed]...), entries[removed+1:]...)
--- a/core/trust/trust.go
+++ b/core/trust/trust.go
@@ -17,10 +17,10 @@
 // Results.
 const (
 	// Success is a complete answer that is not a server error.
-	Good Result = iota
+	Success Result = iota
 	// ServerError is a complete answer with a server error. Some requests cause one at any
 	// endpoint.
-	Error
+	ServerError
 	// Broken is an answer that broke off, was malformed or never came.
 	Broken
 	// Unreachable means that no connection could be made.
@@ -51,7 +51,7 @@
 )
 
 // Tracker tracks the health of the endpoints.
-type Book struct {
+type Tracker struct {
 	health map[string]*health
 }
 
@@ -73,10 +73,10 @@
 }
 
 // New returns a tracker for which every endpoint is usable.
-func New() *Book { return &Book{health: make(map[string]*health)} }
+func New() *Tracker { return &Tracker{health: make(map[string]*health)} }
 
 // Usable reports whether requests may be sent to an endpoint.
-func (t *Book) Usable(now time.Duration, id string) bool {
+func (t *Tracker) Usable(now time.Duration, id string) bool {
 	h := t.health[id]
 	if h == nil || h.pausedUntil == 0 {
 		return true
@@ -89,7 +89,7 @@
 
 // RecordSent records that a request is sent to an endpoint. If the endpoint was paused, the
 // request is its probe.
-func (t *Book) Sent(now time.Duration, id string) {
+func (t *Tracker) RecordSent(now time.Duration, id string) {
 	if h := t.health[id]; h != nil && h.pausedUntil != 0 {
 		h.probing, h.probedAt = true, now
 	}
@@ -104,15 +104,15 @@
 	Unchanged Change = iota
 	// BecameUnusable and BecameUsable mean that the result changed the endpoint's
 	// usability.
-	Lost
-	Regained
+	BecameUnusable
+	BecameUsable
 )
 
 // RecordResult records the result of a request and returns the change that it caused.
-func (t *Book) Ended(now time.Duration, id string, r Result) Change {
+func (t *Tracker) RecordResult(now time.Duration, id string, r Result) Change {
 	h := t.health[id]
 	if h == nil {
-		if r == Good {
+		if r == Success {
 			return Unchanged
 		}
 		h = new(health)
@@ -120,10 +120,10 @@
 	}
 	wasPaused := h.pausedUntil != 0
 	h.probing, h.unreachable = false, r == Unreachable
-	if r == Good {
+	if r == Success {
 		h.recordSuccess()
 		if wasPaused {
-			return Regained
+			return BecameUsable
 		}
 		return Unchanged
 	}
@@ -140,7 +140,7 @@
 	if wasPaused {
 		return Unchanged
 	}
-	return Lost
+	return BecameUnusable
 }
 
 func (h *health) recordSuccess() {
@@ -160,7 +160,7 @@
 
 // StartConnectProbes calls f for each endpoint that is to be probed with a connection now,
 // and marks it as being probed.
-func (t *Book) Due(now time.Duration, f func(id string)) {
+func (t *Tracker) StartConnectProbes(now time.Duration, f func(id string)) {
 	for id, h := range t.health {
 		if h.unreachable && now >= h.pausedUntil && (!h.probing || now-h.probedAt > probeTimeout) {
 			h.probing, h.probedAt = true, now
@@ -171,11 +171,11 @@
 
 // RecordConnected records that a connection to an unreachable endpoint could be made. The
 // next request may probe it.
-func (t *Book) Reached(now time.Duration, id string) {
+func (t *Tracker) RecordConnected(now time.Duration, id string) {
 	if h := t.health[id]; h != nil && h.unreachable {
 		h.unreachable, h.probing, h.pausedUntil = false, false, now
 	}
 }
 
 // Forget drops the state of an endpoint, for example after a restart.
-func (t *Book) Forget(id string) { delete(t.health, id) }
+func (t *Tracker) Forget(id string) { delete(t.health, id) }
--- a/core/trust/trust_test.go
+++ b/core/trust/trust_test.go
@@ -10,14 +10,14 @@
 func TestUnreachableEndpointIsAvoidedImmediately(t *testing.T) {
 	tracker, sent, probes := New(), 0, 0
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * time.Millisecond {
-		tracker.Due(now, func(id string) {
+		tracker.StartConnectProbes(now, func(id string) {
 			probes++
-			tracker.Ended(now+time.Millisecond, id, Unreachable)
+			tracker.RecordResult(now+time.Millisecond, id, Unreachable)
 		})
 		if tracker.Usable(now, "e") {
 			sent++
-			tracker.Sent(now, "e")
-			tracker.Ended(now+time.Millisecond, "e", Unreachable)
+			tracker.RecordSent(now, "e")
+			tracker.RecordResult(now+time.Millisecond, "e", Unreachable)
 		}
 	}
 	if sent > 1 || probes < 3 || probes > 7 {
@@ -30,11 +30,11 @@
 func TestUsualErrorRateKeepsEndpointUsable(t *testing.T) {
 	tracker := New()
 	for i := range 2000 {
-		r := Good
+		r := Success
 		if i%7 == 0 {
-			r = Error
+			r = ServerError
 		}
-		if tracker.Ended(time.Duration(i)*10*time.Millisecond, "e", r) == Lost {
+		if tracker.RecordResult(time.Duration(i)*10*time.Millisecond, "e", r) == BecameUnusable {
 			t.Fatalf("avoided after %d requests", i)
 		}
 	}
@@ -50,12 +50,12 @@
 			continue
 		}
 		sent++
-		tracker.Sent(now, "e")
-		r := Good
+		tracker.RecordSent(now, "e")
+		r := Success
 		if i%20 < 9 {
 			r = Broken
 		}
-		tracker.Ended(now, "e", r)
+		tracker.RecordResult(now, "e", r)
 	}
 	if sent > 400 {
 		t.Errorf("%d of 1000 requests went to an endpoint that fails half of them", sent)
@@ -66,21 +66,21 @@
 func TestEndpointIsUsedAgainAfterRestart(t *testing.T) {
 	tracker := New()
 	for i := range 20 {
-		tracker.Ended(time.Duration(i)*time.Millisecond, "e", Unreachable)
+		tracker.RecordResult(time.Duration(i)*time.Millisecond, "e", Unreachable)
 	}
 	now := time.Second + maxPause
 	if tracker.Usable(now, "e") {
 		t.Fatal("usable before a connection could be made")
 	}
-	tracker.Due(now, func(id string) { tracker.Reached(now, id) })
+	tracker.StartConnectProbes(now, func(id string) { tracker.RecordConnected(now, id) })
 	if !tracker.Usable(now, "e") {
 		t.Fatal("not usable after a connection could be made")
 	}
-	tracker.Sent(now, "e")
+	tracker.RecordSent(now, "e")
 	if tracker.Usable(now, "e") {
 		t.Fatal("usable for a second request before the probe has a result")
 	}
-	tracker.Ended(now, "e", Good)
+	tracker.RecordResult(now, "e", Success)
 	if !tracker.Usable(now, "e") {
 		t.Fatal("still avoided after a successful probe")
 	}
--- a/entry/direct/beside.go
+++ b/entry/direct/beside.go
@@ -189,7 +189,7 @@
 	}
 	how := trust.Broken
 	if x.a.Status >= http.StatusInternalServerError {
-		how = trust.Error
+		how = trust.ServerError
 	}
 	x.v.end(how)
 	return verdict{arrived: true, ran: true, res: Result{Why: fmt.Sprintf("endpoint answered with status %d", x.a.Status)}}
--- a/entry/direct/canary.go
+++ b/entry/direct/canary.go
@@ -24,26 +24,26 @@
 // in its status.
 func (d *Director) Order(o canary.Order, s canary.State, target string) {
 	d.rollOut(func(now time.Duration) {
-		d.v.rollouts.Order(now, o, 0)
-		d.v.rollouts.Written(now, o.Pool, target, s, o.Revision)
+		d.v.rollouts.AddOrder(now, o, 0)
+		d.v.rollouts.MergeStored(now, o.Pool, target, s, o.Revision)
 	})
 }
 
 // Cancel notes that the platform has no order for a pool at a revision.
 func (d *Director) Cancel(pool string, revision int64) {
-	d.rollOut(func(now time.Duration) { d.v.rollouts.Cancel(now, pool, revision) })
+	d.rollOut(func(now time.Duration) { d.v.rollouts.CancelOrder(now, pool, revision) })
 }
 
 // OrdersRead notes that all orders of the platform as of a time are known.
 func (d *Director) OrdersRead(asOf time.Time) {
-	d.rollOut(func(time.Duration) { d.v.rollouts.Read(d.since(asOf)) })
+	d.rollOut(func(time.Duration) { d.v.rollouts.RecordOrdersRead(d.since(asOf)) })
 }
 
 // OrdersUnsure reports whether endpoints wait for the orders to be read.
 func (d *Director) OrdersUnsure() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.v.rollouts.Unsure()
+	return d.v.rollouts.AwaitsOrders()
 }
 
 // rollOut changes what is known of orders, and what follows from that.
@@ -56,14 +56,14 @@
 
 // noteRollouts logs what has changed about orders, and uses endpoints by it; d.mu is held.
 func (d *Director) noteRollouts() {
-	for _, c := range d.v.rollouts.Changes() {
+	for _, c := range d.v.rollouts.TakeChanges() {
 		f := c.Finding
 		logs.Info(d.cfg.Log, logs.EventRollout, zap.String("pool", c.Order.Pool), zap.String("target", c.Order.Target), zap.Int64("revision", c.Order.Revision),
-			zap.Stringer("state", c.State), zap.Duration("age", c.Age), zap.Duration("over", c.Order.Over), zap.Bool("moved", c.Moved), zap.String("why", c.Why),
+			zap.Stringer("state", c.State), zap.Duration("age", c.Age), zap.Duration("over", c.Order.Duration), zap.Bool("moved", c.Moved), zap.String("why", c.Reason),
 			zap.String("measure", f.Measure), zap.String("route", f.Route), zap.Int("answers", f.Answers), zap.Float64("bad", f.Bad), zap.Float64("expected", f.Expected), zap.Float64("nats", f.Nats))
 		d.cfg.Metrics.Counter("rollouts", meter.Label{Key: "state", Value: c.State.String()}).Inc(1)
 	}
-	if d.v.rollouts.Changed() {
+	if d.v.rollouts.TakeRolesChanged() {
 		d.v.groupAll()
 		d.advanceAll()
 	}
@@ -84,31 +84,31 @@
 		}
 	}
 	for name, versions := range pools {
-		v.rollouts.List(now, name, versions)
+		v.rollouts.SetVersions(now, name, versions)
 	}
 }
 
 // tryOut places a job at an endpoint of the version that is on trial in its pool, if it is
 // one of those that go there. d.mu is held.
 func (d *Director) tryOut(j *Job, p *pool) (*visit, admit.Decision, bool) {
-	if len(p.trial) == 0 || !d.v.rollouts.Open(p.name) {
+	if len(p.trial) == 0 || !d.v.rollouts.HasOpenOrder(p.name) {
 		return nil, admit.Decision{}, false
 	}
 	now := time.Now()
 	e := d.trialEndpoint(j, p, now)
-	if e == nil || d.v.waits.crowd(tierIn{p.name, j.Tier}, 0, 0).First > 0 || p.line.Ahead(d.standing(j, p)) > 0 {
+	if e == nil || d.v.waits.crowd(tierIn{p.name, j.Tier}, 0, 0).HigherTier > 0 || p.line.CountAhead(d.standing(j, p)) > 0 {
 		return nil, admit.Decision{}, false
 	}
 	_, known := d.cfg.Reach()
 	req := d.request(j, p, now)
-	q := canary.Request{Route: j.Route.Name, Takes: p.learner.Pace(e.ID).Work(req.Prompt, req.Output), Entries: known, Random: rand.Float64()}
-	if !d.v.rollouts.Take(d.since(now), p.name, q) {
+	q := canary.Request{Route: j.Route.Name, ExpectedDuration: p.learner.Pace(e.ID).HoldTime(req.PromptTokens, req.OutputTokens), Entries: known, Random: rand.Float64()}
+	if !d.v.rollouts.AdmitToTrial(d.since(now), p.name, q) {
 		return nil, admit.Decision{}, false
 	}
 	all := d.v.describeFor(p, []*endpoint{e}, d.v.zone, j.Pool, now, d.since(now))
 	dec := admit.Decide(req, all)
 	if dec.Endpoint < 0 {
-		d.v.rollouts.Return(p.name, e.Version)
+		d.v.rollouts.ReturnTrial(p.name, e.Version)
 		return nil, admit.Decision{}, false
 	}
 	v := d.begin(j, p, e, all[0], req, dec, now)
@@ -125,7 +125,7 @@
 	for _, e := range p.endpoints {
 		most = max(most, min(e.own.requests+e.others.requests, e.slots(j.Pool)))
 	}
-	turn := d.v.rollouts.Turn(since, p.name, len(p.trial))
+	turn := d.v.rollouts.PreferredEndpoint(since, p.name, len(p.trial))
 	for i := range p.trial {
 		e := p.trial[(turn+i)%len(p.trial)]
 		if e.own.requests+e.others.requests < most && e.warm <= since && d.v.trust.Usable(since, e.ID) && !e.away(now) {
@@ -138,7 +138,7 @@
 // reached counts a request that reached an endpoint in service; d.mu is held.
 func (v *visit) reached() {
 	if v.route != "" && !v.trial {
-		v.d.v.rollouts.Reached(v.pool.name, v.route)
+		v.d.v.rollouts.RecordOldRequest(v.pool.name, v.route)
 	}
 }
 
@@ -154,15 +154,15 @@
 // result adds how the try ended; d.mu is held.
 func (v *visit) result(now time.Time, r trust.Result) {
 	switch r {
-	case trust.Good:
-		v.sample(now, canary.Sample{Kind: canary.Answered})
+	case trust.Success:
+		v.sample(now, canary.Sample{Kind: canary.Succeeded})
 		if v.first.IsZero() {
-			v.sample(now, canary.Sample{Kind: canary.FirstEvent, Took: now.Sub(v.sent)})
+			v.sample(now, canary.Sample{Kind: canary.FirstEvent, Elapsed: now.Sub(v.sent)})
 		}
 		if v.tokens >= leastPaced {
-			v.sample(now, canary.Sample{Kind: canary.TokenTime, Took: v.last.Sub(v.first) / time.Duration(v.tokens)})
+			v.sample(now, canary.Sample{Kind: canary.TokenTime, Elapsed: v.last.Sub(v.first) / time.Duration(v.tokens)})
 		}
-	case trust.Error, trust.Broken:
+	case trust.ServerError, trust.Broken:
 		v.sample(now, canary.Sample{Kind: canary.Failed})
 	}
 }
@@ -170,7 +170,7 @@
 // unfinished adds that the try ended without a result; d.mu is held.
 func (v *visit) unfinished(now time.Time) {
 	if v.first.IsZero() {
-		v.sample(now, canary.Sample{Kind: canary.FirstEvent, Took: now.Sub(v.sent), Unfinished: true})
+		v.sample(now, canary.Sample{Kind: canary.FirstEvent, Elapsed: now.Sub(v.sent), Unfinished: true})
 	}
 }
 
@@ -190,7 +190,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	writes := d.v.rollouts.Tick(d.since(time.Now()), canary.Fleet{
-		Peers: peers, Rank: d.rank(), Left: d.v.left, Longest: d.v.longest, Spread: d.v.spread,
+		Peers: peers, Rank: d.rank(), OldRequests: d.v.left, MaxRequestTime: d.v.longest, Spread: d.v.spread,
 	})
 	for _, w := range writes {
 		if d.cfg.WriteRollout != nil {
@@ -236,7 +236,7 @@
 	for _, e := range p.endpoints {
 		ids = append(ids, e.ID)
 	}
-	shift, deviation, ok := p.learner.Spread(ids, cfg.Engine)
+	shift, deviation, ok := p.learner.PaceSpread(ids, cfg.Engine)
 	if !ok {
 		return unlike
 	}
@@ -250,19 +250,19 @@
 	}
 	_, known := d.cfg.Reach()
 	var out []wire.Rollout
-	if again && d.v.rollouts.Known() {
+	if again && d.v.rollouts.OrdersKnown() {
 		out = append(out, wire.Rollout{})
 	}
 	for _, r := range d.v.rollouts.Reports(d.since(time.Now()), again, known) {
 		o := r.Order
 		w := wire.Rollout{
-			Pool: o.Pool, Target: o.Target, DurationMS: ms(o.Over), AgeMS: ms(r.Age), Created: o.Created, Revision: o.Revision,
+			Pool: o.Pool, Target: o.Target, DurationMS: ms(o.Duration), AgeMS: ms(r.Age), Created: o.CreateRevision, Revision: o.Revision,
 			State: uint8(r.State), LeftOldVersion: r.Moved,
 		}
 		for _, c := range r.Cells {
 			w.Cells = append(w.Cells, wire.RolloutCell{
 				Epoch: uint16(c.Epoch), Route: c.Route, Endpoint: c.Endpoint, Answers: c.Answers, Failed: c.Failed,
-				FirstCount: c.First, FirstLogSum: float32(c.LogFirst), TokenCount: c.Paced, TokenLogSum: float32(c.LogPaced),
+				FirstCount: c.FirstEvents, FirstLogSum: float32(c.LogFirstEvents), TokenCount: c.TokenTimes, TokenLogSum: float32(c.LogTokenTimes),
 			})
 		}
 		out = append(out, w)
@@ -273,7 +273,7 @@
 // mergeRollouts merges a peer's reports; d.mu is held.
 func (d *Director) mergeRollouts(peer string, anew bool, all []wire.Rollout) {
 	if anew {
-		d.v.rollouts.Restarted(peer)
+		d.v.rollouts.ResetPeer(peer)
 	}
 	if len(all) == 0 {
 		return
@@ -281,19 +281,19 @@
 	now := d.since(time.Now())
 	for _, w := range all {
 		if w.Pool == "" {
-			if !d.v.rollouts.Known() {
-				d.v.rollouts.Read(now)
+			if !d.v.rollouts.OrdersKnown() {
+				d.v.rollouts.RecordOrdersRead(now)
 			}
 			continue
 		}
 		r := canary.Report{
-			Order: canary.Order{Pool: w.Pool, Target: w.Target, Over: fromMS(w.DurationMS), Created: w.Created, Revision: w.Revision},
+			Order: canary.Order{Pool: w.Pool, Target: w.Target, Duration: fromMS(w.DurationMS), CreateRevision: w.Created, Revision: w.Revision},
 			Age:   fromMS(w.AgeMS), State: canary.State(w.State), Moved: w.LeftOldVersion,
 		}
 		for _, c := range w.Cells {
 			r.Cells = append(r.Cells, canary.CellReport{
-				Key:  canary.Key{Epoch: int(c.Epoch), Route: c.Route, Endpoint: c.Endpoint},
-				Cell: canary.Cell{Answers: c.Answers, Failed: c.Failed, First: c.FirstCount, LogFirst: float64(c.FirstLogSum), Paced: c.TokenCount, LogPaced: float64(c.TokenLogSum)},
+				CellKey: canary.CellKey{Epoch: int(c.Epoch), Route: c.Route, Endpoint: c.Endpoint},
+				Cell:    canary.Cell{Answers: c.Answers, Failed: c.Failed, FirstEvents: c.FirstCount, LogFirstEvents: float64(c.FirstLogSum), TokenTimes: c.TokenCount, LogTokenTimes: float64(c.TokenLogSum)},
 			})
 		}
 		d.v.rollouts.Merge(now, peer, r)
--- a/entry/direct/crowd_test.go
+++ b/entry/direct/crowd_test.go
@@ -28,7 +28,7 @@
 	time.Sleep(time.Duration(output-5) * 4 * time.Millisecond)
 	v.progress(output - 5)
 	<-e.slots
-	v.end(trust.Good)
+	v.end(trust.Success)
 }
 
 // kind is a kind of request of the replayed load.
@@ -83,7 +83,7 @@
 		for i := range l.engines {
 			id := fmt.Sprint("engine-", i)
 			engines[id] = &engine{slots: make(chan struct{}, l.slots)}
-			roster.Endpoints = append(roster.Endpoints, route.Endpoint{ID: id, Born: 1, Pool: "p", Addr: id, Slots: l.slots})
+			roster.Endpoints = append(roster.Endpoints, route.Endpoint{ID: id, Incarnation: 1, Pool: "p", Addr: id, Slots: l.slots})
 		}
 		var cfg route.Config
 		cfg.Revision = 1
@@ -166,7 +166,7 @@
 			v, dec := d.enter(context.Background(), j)
 			f := fate{at: time.Since(start), tier: l.kinds[k].tier, refused: dec.Endpoint < 0}
 			if f.refused && l.returns {
-				time.Sleep(dec.Retry)
+				time.Sleep(dec.RetryAfter)
 				again := *j
 				again.Accepted = time.Now()
 				v, dec = d.enter(context.Background(), &again)
--- a/entry/direct/direct.go
+++ b/entry/direct/direct.go
@@ -50,8 +50,8 @@
 	Read func(a *hop.Answer) Meta
 	// Rollouts bounds what a version that turns out to be bad may get. WriteRollout is
 	// called when the state of an order is to be written; it must not block.
-	Rollouts     canary.Rule
-	WriteRollout func(w canary.Write)
+	Rollouts     canary.Limit
+	WriteRollout func(w canary.StateWrite)
 	// Quarantine is called when a quarantine begins or is lifted. It must not block; it
 	// may be nil.
 	Quarantine func(c poison.Change)
@@ -145,7 +145,7 @@
 func (d *Director) Informed() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.v.table.Revision() > 0 && d.v.roster.Revision > 0 && d.v.rollouts.Known()
+	return d.v.table.Revision() > 0 && d.v.roster.Revision > 0 && d.v.rollouts.OrdersKnown()
 }
 
 // Running returns how many jobs have no final answer yet.
@@ -175,7 +175,7 @@
 	for _, h := range d.v.peers[peer] {
 		t.Endpoints = append(t.Endpoints, h)
 	}
-	d.v.quota.TotalsOf(peer, func(customer string, total float64) {
+	d.v.quota.PeerTotals(peer, func(customer string, total float64) {
 		t.Customers = append(t.Customers, wire.CustomerUsage{Customer: customer, Total: total})
 	})
 	t.Queues = d.v.waits.of(peer)
@@ -196,12 +196,12 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	v := d.v
-	v.quota.Reach(heard, known)
+	v.quota.SetEntries(heard, known)
 	t := &wire.Tally{ConfigRevision: v.table.Revision(), RosterRevision: v.roster.Revision, Queues: v.waits.tell(all)}
 	if all {
 		t.Addr = d.cfg.Addr
 	}
-	v.quota.Totals(func(customer string, total float64) {
+	v.quota.OwnTotals(func(customer string, total float64) {
 		if all || v.changedUsed[customer] {
 			t.Customers = append(t.Customers, wire.CustomerUsage{Customer: customer, Total: total})
 		}
@@ -243,7 +243,7 @@
 	c := j.Customer
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	wait, ok := d.v.quota.Take(d.since(time.Now()), c.Name, quota.Limit{Rate: c.Rate, Burst: c.Burst}.With(d.cfg.Tolerance), j.Units)
+	wait, ok := d.v.quota.Take(d.since(time.Now()), c.Name, quota.Limit{Rate: c.Rate, Burst: c.Burst}.WithTolerance(d.cfg.Tolerance), j.Units)
 	if ok {
 		d.v.changedUsed[c.Name] = true
 	}
@@ -301,7 +301,7 @@
 	defer d.mu.Unlock()
 	out := make(map[string]string)
 	now := d.since(time.Now())
-	d.v.trust.Due(now, func(id string) {
+	d.v.trust.StartConnectProbes(now, func(id string) {
 		if e := d.v.endpoints[id]; e != nil {
 			out[id] = e.Addr
 		}
@@ -316,11 +316,11 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if now := d.since(time.Now()); err != nil {
-		d.v.trust.Ended(now, id, trust.Unreachable)
+		d.v.trust.RecordResult(now, id, trust.Unreachable)
 		if e := d.v.endpoints[id]; e != nil && e.Addr == addr && hop.Refused(err) {
 			d.crashed(e)
 		}
 	} else {
-		d.v.trust.Reached(now, id)
+		d.v.trust.RecordConnected(now, id)
 	}
 }
--- a/entry/direct/error_test.go
+++ b/entry/direct/error_test.go
@@ -35,6 +35,6 @@
 	g.d.mu.Lock()
 	defer g.d.mu.Unlock()
 	for range 200 {
-		g.d.v.pool("p", g.d.cfg.Repeats, 1).learner.First(endpoint, 0, took)
+		g.d.v.pool("p", g.d.cfg.Repeats, 1).learner.ObserveFirstEvent(endpoint, 0, took)
 	}
 }
--- a/entry/direct/limit.go
+++ b/entry/direct/limit.go
@@ -16,26 +16,26 @@
 func (d *Director) share(e *endpoint) limit.Share {
 	heard, known := d.cfg.Reach()
 	if !d.sharded(known) {
-		return limit.Share{Part: float64(heard) / float64(max(known, 1)), Rank: d.rank(), Entries: known}
+		return limit.Share{RateShare: float64(heard) / float64(max(known, 1)), Rank: d.rank(), Entries: known}
 	}
 	p := d.v.pool(e.Pool, d.cfg.Repeats, known)
 	if d.owner(e.Pool, p, p.layout.Key(e.ID, e.Zone), time.Now()) == d.cfg.Peers.Self {
-		return limit.Share{Part: 1, Entries: 1}
+		return limit.Share{RateShare: 1, Entries: 1}
 	}
-	return limit.Share{Part: 1 / float64(max(known, 1)), Entries: 1}
+	return limit.Share{RateShare: 1 / float64(max(known, 1)), Entries: 1}
 }
 
 // limitOf returns the limit of an endpoint as decisions take it.
-func (v *view) limitOf(e *endpoint, now time.Duration) admit.Limit {
+func (v *view) limitOf(e *endpoint, now time.Duration) admit.RateLimit {
 	if v.limits.Empty() {
-		return admit.Limit{}
+		return admit.RateLimit{}
 	}
 	rate, ok := v.limits.Rate(e.start())
 	if !ok {
-		return admit.Limit{}
+		return admit.RateLimit{}
 	}
-	out := admit.Limit{Limited: true, Rate: rate}
-	out.Allowed, out.NextAllowed = v.limits.Available(now, e.start(), v.share(e))
+	out := admit.RateLimit{Limited: true, RequestsPerSecond: rate}
+	out.AllowedNow, out.NextAllowedIn = v.limits.Available(now, e.start(), v.share(e))
 	return out
 }
 
@@ -48,7 +48,7 @@
 	for _, e := range v.endpoints {
 		starts[e.start()] = true
 	}
-	v.limits.Keep(func(id string) bool { return starts[id] })
+	v.limits.Retain(func(id string) bool { return starts[id] })
 }
 
 // observeLimit records the limit that an answer states; d.mu is held.
@@ -76,7 +76,7 @@
 	}
 	if v.trial {
 		v.trial = false
-		v.d.v.rollouts.Return(v.pool.name, v.version)
+		v.d.v.rollouts.ReturnTrial(v.pool.name, v.version)
 	}
 }
 
--- a/entry/direct/place.go
+++ b/entry/direct/place.go
@@ -90,7 +90,9 @@
 }
 
 // sharded reports whether places are asked of the owners of shards.
-func (d *Director) sharded(known int) bool { return d.cfg.Peers.Entries != nil && shard.Needed(known) }
+func (d *Director) sharded(known int) bool {
+	return d.cfg.Peers.Entries != nil && shard.HasOwners(known)
+}
 
 // owner returns the entry that owns a shard, empty if there is none; d.mu is held.
 func (d *Director) owner(pool string, p *pool, k shard.Key, now time.Time) string {
@@ -138,8 +140,8 @@
 		}
 		l := shard.Load{Key: k}
 		all := d.v.describeFor(p, s.endpoints, d.v.zone, j.Pool, now, d.since(now))
-		l.Slots, l.Free = admit.Slots(all), admit.Free(all)
-		l.Ahead = d.v.waits.ahead(o, tierIn{j.Pool.Name, j.Tier}, o == d.cfg.Peers.Self)
+		l.Slots, l.FreeSlots = admit.UsableSlots(all), admit.FreeSlots(all)
+		l.RequestsAhead = d.v.waits.ahead(o, tierIn{j.Pool.Name, j.Tier}, o == d.cfg.Peers.Self)
 		out = append(out, l)
 	}
 	return out
@@ -165,11 +167,11 @@
 		}
 		i, stand := shard.Choose(loads, d.v.zone, rand.Float64())
 		v, dec, ok = d.enterAt(ctx, j, p, loads[i].Key, stand || try > 0)
-		if !ok || dec.Endpoint >= 0 || dec.Why != admit.Full || ctx.Err() != nil || time.Since(began) > atOnce {
+		if !ok || dec.Endpoint >= 0 || dec.Reason != admit.Full || ctx.Err() != nil || time.Since(began) > atOnce {
 			break
 		}
 		// What is known of the shard is older than this answer.
-		loads[i].Free, loads[i].Ahead = 0, loads[i].Slots
+		loads[i].FreeSlots, loads[i].RequestsAhead = 0, loads[i].Slots
 	}
 	if ok {
 		v.basis.Stood = time.Since(began)
@@ -199,7 +201,7 @@
 	id := d.asks
 	a := &asked{owner: owner, answer: make(chan *wire.PlaceReply, 1)}
 	m := &wire.PlaceRequest{
-		ID: id, Pool: j.Pool.Name, Zone: k.Zone, ShardIndex: k.N, CustomerTier: j.Tier.Customer, RouteTier: j.Tier.Route,
+		ID: id, Pool: j.Pool.Name, Zone: k.Zone, ShardIndex: k.Index, CustomerTier: j.Tier.Customer, RouteTier: j.Tier.Route,
 		TargetUS: j.Route.Target.Microseconds(), TargetLeftUS: j.due().Sub(now).Microseconds(), DeadlineLeftUS: j.End().Sub(now).Microseconds(), MayQueue: stand,
 	}
 	if j.Pool.Engine {
@@ -211,7 +213,7 @@
 	d.asking[id] = a
 	wait := answerTime
 	if stand {
-		wait += await.Patience(j.Route.Target, j.due().Sub(now), 0)
+		wait += await.MaxWait(j.Route.Target, j.due().Sub(now), 0)
 	}
 	d.mu.Unlock()
 	timer := time.NewTimer(wait)
@@ -236,7 +238,7 @@
 	case got != nil:
 		return d.granted(j, p, owner, got)
 	case ctx.Err() != nil:
-		return &visit{}, admit.Decision{Endpoint: -1, Why: admit.Full}, true
+		return &visit{}, admit.Decision{Endpoint: -1, Reason: admit.Full}, true
 	case late:
 		d.passed[owner] = time.Now().Add(passFor)
 		logs.Warn(d.cfg.Log, logs.EventOwnerLate, zap.String("peer", owner), zap.String("request_id", j.ID), zap.Duration("waited", wait))
@@ -253,25 +255,25 @@
 	}
 	heard, known := d.cfg.Reach()
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
-	dec := admit.Decision{Endpoint: -1, First: us(m.FirstEventUS), Wait: us(m.WaitUS), Retry: us(m.RetryAfterUS), Turn: us(m.SlotIntervalUS), Why: admit.Why(m.RefusalReason)}
+	dec := admit.Decision{Endpoint: -1, FirstEvent: us(m.FirstEventUS), SlotWait: us(m.WaitUS), RetryAfter: us(m.RetryAfterUS), SlotInterval: us(m.SlotIntervalUS), Reason: admit.Reason(m.RefusalReason)}
 	v := &visit{basis: Basis{
-		Endpoint: m.Endpoint, Predicted: dec.First, Wait: dec.Wait, Ahead: int(m.RequestsAhead), Prompt: int(m.PromptTokens), Heard: heard, Known: known, Owner: owner,
+		Endpoint: m.Endpoint, Predicted: dec.FirstEvent, Wait: dec.SlotWait, Ahead: int(m.RequestsAhead), Prompt: int(m.PromptTokens), Heard: heard, Known: known, Owner: owner,
 	}}
 	if m.Endpoint == "" {
 		return v, dec, true
 	}
 	e := d.v.endpoints[m.Endpoint]
 	switch {
-	case e != nil && !e.Leaving && e.Pool == j.Pool.Name && d.v.rollouts.Use(e.Pool, e.Version) == canary.Service:
-	case e == nil && m.RosterRevision > d.v.roster.Revision && !d.v.rollouts.Open(j.Pool.Name):
+	case e != nil && !e.Leaving && e.Pool == j.Pool.Name && d.v.rollouts.RoleOf(e.Pool, e.Version) == canary.InService:
+	case e == nil && m.RosterRevision > d.v.roster.Revision && !d.v.rollouts.HasOpenOrder(j.Pool.Name):
 		e = &endpoint{Endpoint: route.Endpoint{ID: m.Endpoint, Addr: m.Addr, Pool: j.Pool.Name, Slots: m.Slots}}
 	default:
 		d.cfg.Peers.Send(owner, &wire.PlaceReport{ID: m.ID, Outcome: wire.PlaceDropped})
 		return nil, admit.Decision{}, false
 	}
-	dec.Endpoint, dec.Why = 0, admit.Admitted
+	dec.Endpoint, dec.Reason = 0, admit.Admitted
 	v.d, v.pool, v.e, v.id, v.addr = d, p, e, e.ID, e.Addr
-	v.alone, v.sent, v.free, v.ahead, v.wait, v.rest = len(p.endpoints) < 2, time.Now(), m.HadFreeSlot, int(m.PromptTokens), dec.Wait, dec.First-dec.Wait
+	v.alone, v.sent, v.free, v.ahead, v.wait, v.rest = len(p.endpoints) < 2, time.Now(), m.HadFreeSlot, int(m.PromptTokens), dec.SlotWait, dec.FirstEvent-dec.SlotWait
 	v.held, v.fingerprint, v.route, v.version = holdOf(j, j.Output), j.fingerprint, j.Route.Name, e.Version
 	v.place = &place{owner: owner, id: m.ID, output: v.held.output}
 	if d.placed[owner] == nil {
--- a/entry/direct/place_test.go
+++ b/entry/direct/place_test.go
@@ -41,7 +41,7 @@
 	}
 	roster := route.Roster{Revision: 1}
 	for i := range engines {
-		roster.Endpoints = append(roster.Endpoints, route.Endpoint{ID: name(i), Born: 1, Pool: "p", Addr: name(i), Zone: "z", Slots: 1})
+		roster.Endpoints = append(roster.Endpoints, route.Endpoint{ID: name(i), Incarnation: 1, Pool: "p", Addr: name(i), Zone: "z", Slots: 1})
 	}
 	entry := func(self string) *Director {
 		d := New(Config{
@@ -98,7 +98,7 @@
 		c := newCouple(t, 1)
 		v, dec := c.asker.enter(t.Context(), c.job())
 		if dec.Endpoint < 0 || v.id != "a" || v.basis.Owner != "owner" {
-			t.Fatalf("placed at %q by %q: %v", v.id, v.basis.Owner, dec.Why)
+			t.Fatalf("placed at %q by %q: %v", v.id, v.basis.Owner, dec.Reason)
 		}
 		if counted(c.owner, "a") != 1 || counted(c.asker, "a") != 0 {
 			t.Errorf("the owner counts %d, the asker %d", counted(c.owner, "a"), counted(c.asker, "a"))
@@ -107,7 +107,7 @@
 			t.Error("a second request has a place at an engine of one slot")
 		}
 		v.progress(10)
-		v.end(trust.Good)
+		v.end(trust.Success)
 		synctest.Wait()
 		if counted(c.owner, "a") != 0 {
 			t.Errorf("the owner counts %d after the end", counted(c.owner, "a"))
@@ -123,13 +123,13 @@
 		first, _ := c.asker.enter(t.Context(), c.job())
 		time.AfterFunc(50*time.Millisecond, func() {
 			first.progress(20)
-			first.end(trust.Good)
+			first.end(trust.Success)
 		})
 		// The lowest tier has no part in an engine's queue.
 		c.route = 1
 		v, dec := c.asker.enter(t.Context(), c.job())
 		if dec.Endpoint < 0 {
-			t.Fatalf("refused: %v", dec.Why)
+			t.Fatalf("refused: %v", dec.Reason)
 		}
 		if v.basis.Stood != 50*time.Millisecond {
 			t.Errorf("waited for %v", v.basis.Stood)
@@ -149,7 +149,7 @@
 			t.Fatal("placed")
 		}
 		synctest.Wait()
-		first.end(trust.Good)
+		first.end(trust.Success)
 		synctest.Wait()
 		if n := counted(c.owner, "a"); n != 0 {
 			t.Errorf("the owner counts %d", n)
@@ -165,7 +165,7 @@
 		began := time.Now()
 		v, dec := c.asker.enter(t.Context(), c.job())
 		if dec.Endpoint < 0 || v.basis.Owner != "" {
-			t.Fatalf("placed by %q: %v", v.basis.Owner, dec.Why)
+			t.Fatalf("placed by %q: %v", v.basis.Owner, dec.Reason)
 		}
 		if took := time.Since(began); took > answerTime+100*time.Millisecond {
 			t.Errorf("the first request was held up for %v", took)
@@ -176,7 +176,7 @@
 		}
 		began = time.Now()
 		if _, dec := c.asker.enter(t.Context(), c.job()); dec.Endpoint < 0 || time.Since(began) > 0 {
-			t.Errorf("the second request was held up for %v: %v", time.Since(began), dec.Why)
+			t.Errorf("the second request was held up for %v: %v", time.Since(began), dec.Reason)
 		}
 	})
 }
@@ -202,7 +202,7 @@
 		if counted(c.owner, "a") != 0 {
 			t.Errorf("the owner still counts %d", counted(c.owner, "a"))
 		}
-		v.end(trust.Good)
+		v.end(trust.Success)
 		if counted(c.asker, "a") != 0 {
 			t.Errorf("the asker counts %d after the end", counted(c.asker, "a"))
 		}
@@ -221,7 +221,7 @@
 		began := time.Now()
 		v, dec := c.asker.enter(t.Context(), c.job())
 		if dec.Endpoint < 0 || v.basis.Owner != "" || time.Since(began) != 10*time.Millisecond {
-			t.Errorf("placed by %q after %v: %v", v.basis.Owner, time.Since(began), dec.Why)
+			t.Errorf("placed by %q after %v: %v", v.basis.Owner, time.Since(began), dec.Reason)
 		}
 	})
 }
@@ -232,23 +232,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCouple(t, 1)
 		r := route.Roster{Revision: 2, Endpoints: []route.Endpoint{
-			{ID: "a", Born: 1, Pool: "p", Addr: "a", Zone: "z", Slots: 1, Leaving: true},
-			{ID: "b", Born: 1, Pool: "p", Addr: "b", Zone: "z", Slots: 1},
+			{ID: "a", Incarnation: 1, Pool: "p", Addr: "a", Zone: "z", Slots: 1, Leaving: true},
+			{ID: "b", Incarnation: 1, Pool: "p", Addr: "b", Zone: "z", Slots: 1},
 		}}
 		c.asker.SetRoster(r)
 		v, dec := c.asker.enter(t.Context(), c.job())
 		if dec.Endpoint < 0 || v.id != "b" {
-			t.Errorf("placed at %q: %v", v.id, dec.Why)
+			t.Errorf("placed at %q: %v", v.id, dec.Reason)
 		}
 		synctest.Wait()
 		if counted(c.owner, "a") != 0 {
 			t.Error("the owner still counts a place that was declined")
 		}
 		// One that only the owner knows of is used.
-		r.Revision, r.Endpoints = 3, []route.Endpoint{{ID: "c", Born: 1, Pool: "p", Addr: "c", Zone: "z", Slots: 1}}
+		r.Revision, r.Endpoints = 3, []route.Endpoint{{ID: "c", Incarnation: 1, Pool: "p", Addr: "c", Zone: "z", Slots: 1}}
 		c.owner.SetRoster(r)
 		if v, dec := c.asker.enter(t.Context(), c.job()); dec.Endpoint < 0 || v.id != "c" || v.addr != "c" {
-			t.Errorf("placed at %q: %v", v.id, dec.Why)
+			t.Errorf("placed at %q: %v", v.id, dec.Reason)
 		}
 	})
 }
--- a/entry/direct/plain.go
+++ b/entry/direct/plain.go
@@ -86,8 +86,8 @@
 		v.completed()
 	}
 	if a.Status >= http.StatusInternalServerError {
-		v.end(trust.Error)
+		v.end(trust.ServerError)
 		return
 	}
-	v.end(trust.Good)
+	v.end(trust.Success)
 }
--- a/entry/direct/poison.go
+++ b/entry/direct/poison.go
@@ -12,10 +12,10 @@
 
 // start names one start of an endpoint.
 func (e *endpoint) start() string {
-	if e.Born == 0 {
+	if e.Incarnation == 0 {
 		return e.ID
 	}
-	return e.ID + "@" + strconv.FormatInt(e.Born, 10)
+	return e.ID + "@" + strconv.FormatInt(e.Incarnation, 10)
 }
 
 // probeDelay is how much later than the entry before it an entry may send a probe: longer
@@ -40,7 +40,7 @@
 func (d *Director) notRun(j *Job) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.v.poison.NotRun(j.fingerprint)
+	d.v.poison.RecordNotRun(j.fingerprint)
 }
 
 // probeDelay returns how much later than the first entry this one may send a probe.
@@ -57,7 +57,7 @@
 func (d *Director) suspect(j *Job) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.v.poison.Suspect(d.since(time.Now()), j.fingerprint)
+	return d.v.poison.IsSuspect(d.since(time.Now()), j.fingerprint)
 }
 
 // runLost records that the try broke off, unless its endpoint is shutting down; d.mu is
@@ -66,7 +66,7 @@
 	if v.fingerprint == (poison.Fingerprint{}) || v.e.Leaving {
 		return
 	}
-	v.d.v.poison.RunLost(v.d.since(time.Now()), v.fingerprint, v.e.start())
+	v.d.v.poison.RecordLostRun(v.d.since(time.Now()), v.fingerprint, v.e.start())
 	v.d.notePoison()
 }
 
@@ -77,7 +77,7 @@
 	}
 	v.d.mu.Lock()
 	defer v.d.mu.Unlock()
-	v.d.v.poison.Completed(v.d.since(time.Now()), v.fingerprint, v.e.start())
+	v.d.v.poison.RecordCompleted(v.d.since(time.Now()), v.fingerprint, v.e.start())
 	v.d.notePoison()
 }
 
@@ -98,7 +98,7 @@
 	if e.Leaving {
 		return
 	}
-	d.v.poison.Crashed(d.since(time.Now()), e.start())
+	d.v.poison.RecordCrash(d.since(time.Now()), e.start())
 	d.notePoison()
 }
 
@@ -106,7 +106,7 @@
 // is held.
 func (d *Director) unverified(now time.Duration, out map[string]string) {
 	starts := make(map[string]bool)
-	d.v.poison.Unverified(now, func(start string) { starts[start] = true })
+	d.v.poison.TakeUnverified(now, func(start string) { starts[start] = true })
 	if len(starts) == 0 {
 		return
 	}
@@ -119,7 +119,7 @@
 
 // notePoison logs and passes on what has changed about quarantines; d.mu is held.
 func (d *Director) notePoison() {
-	for _, c := range d.v.poison.Changes() {
+	for _, c := range d.v.poison.TakeChanges() {
 		logs.LogQuarantine(d.cfg.Log, c)
 		if !c.Released {
 			d.cfg.Metrics.Counter("quarantines").Inc(1)
@@ -151,8 +151,8 @@
 	var out []wire.Suspect
 	for _, r := range d.v.poison.Reports(d.since(time.Now()), again) {
 		s := wire.Suspect{
-			Fingerprint: r.Fingerprint[:], CompletedAgoMS: age(r.Completed), QuarantinedAgoMS: ms(r.Since), QuarantineLeftMS: ms(r.Left),
-			Quarantines: uint16(r.Quarantines), ProbedAgoMS: age(r.Probed), ProbeAborted: r.Aborted,
+			Fingerprint: r.Fingerprint[:], CompletedAgoMS: age(r.CompletedAge), QuarantinedAgoMS: ms(r.QuarantineAge), QuarantineLeftMS: ms(r.QuarantineLeft),
+			Quarantines: uint16(r.Quarantines), ProbedAgoMS: age(r.ProbeAge), ProbeAborted: r.ProbeAborted,
 		}
 		for _, c := range r.Crashes {
 			s.Crashes = append(s.Crashes, wire.Crash{Endpoint: c.Endpoint, AgeMS: ms(c.Age)})
@@ -167,8 +167,8 @@
 	now := d.since(time.Now())
 	for _, s := range all {
 		r := poison.Report{
-			Completed: fromMS(s.CompletedAgoMS), Since: fromMS(s.QuarantinedAgoMS), Left: fromMS(s.QuarantineLeftMS),
-			Quarantines: int(s.Quarantines), Probed: fromMS(s.ProbedAgoMS), Aborted: s.ProbeAborted,
+			CompletedAge: fromMS(s.CompletedAgoMS), QuarantineAge: fromMS(s.QuarantinedAgoMS), QuarantineLeft: fromMS(s.QuarantineLeftMS),
+			Quarantines: int(s.Quarantines), ProbeAge: fromMS(s.ProbedAgoMS), ProbeAborted: s.ProbeAborted,
 		}
 		if copy(r.Fingerprint[:], s.Fingerprint) < len(r.Fingerprint) {
 			continue
--- a/entry/direct/relay.go
+++ b/entry/direct/relay.go
@@ -61,7 +61,7 @@
 			continue
 		case err == io.EOF:
 			v.completed()
-			v.end(trust.Good)
+			v.end(trust.Success)
 			return done(Complete, "")
 		}
 		return t.brokeOff(v, err)
--- a/entry/direct/rig_test.go
+++ b/entry/direct/rig_test.go
@@ -135,7 +135,7 @@
 		if i == 0 {
 			zone = "near"
 		}
-		roster.Endpoints = append(roster.Endpoints, route.Endpoint{ID: name(i), Born: 1, Pool: "p", Addr: s.addr, Zone: zone, Slots: rigSlots})
+		roster.Endpoints = append(roster.Endpoints, route.Endpoint{ID: name(i), Incarnation: 1, Pool: "p", Addr: s.addr, Zone: zone, Slots: rigSlots})
 	}
 	g.d.SetRoster(roster)
 	return g
--- a/entry/direct/send.go
+++ b/entry/direct/send.go
@@ -16,7 +16,7 @@
 	j := t.job
 	r := &hop.Request{
 		Method: j.Method, Target: j.Target, Host: j.Host, Header: j.Header.Clone(), Body: j.Body,
-		Once: j.Route.Once(), Own: func(status int, h http.Header) bool { return t.d.cfg.Own(j.ID, status, h) },
+		Once: j.Route.AtMostOnce(), Own: func(status int, h http.Header) bool { return t.d.cfg.Own(j.ID, status, h) },
 	}
 	last := j.LastEvent
 	if t.lastEvent != "" {
@@ -66,7 +66,7 @@
 // failed drops an endpoint's error for another try. The error is dropped only once
 // that has its place and its repeat: else it would be lost to the caller.
 func (t *task) failed(a *hop.Answer, v *visit, w *watch) (*hop.Answer, verdict) {
-	if t.begun || t.job.Route.Once() {
+	if t.begun || t.job.Route.AtMostOnce() {
 		return a, verdict{}
 	}
 	next := w.replaced()
@@ -78,7 +78,7 @@
 	}
 	io.Copy(io.Discard, io.LimitReader(a, maxPlain))
 	a.Close()
-	v.end(trust.Error)
+	v.end(trust.ServerError)
 	return nil, verdict{arrived: true, ran: true, next: next, res: Result{Why: "endpoint answered with an error"}}
 }
 
--- a/entry/direct/serve.go
+++ b/entry/direct/serve.go
@@ -50,7 +50,7 @@
 	}
 	if dec.Endpoint < 0 {
 		d.refund(j)
-		return Result{Outcome: Refused, Retry: dec.Retry, Why: dec.Why.String(), Basis: v.basis}
+		return Result{Outcome: Refused, Retry: dec.RetryAfter, Why: dec.Reason.String(), Basis: v.basis}
 	}
 	if retry := d.admitted(j); retry > 0 {
 		// The quarantine began while the job was queued.
@@ -68,7 +68,7 @@
 		// is freed. A request that must not be repeated runs to its end: cut
 		// off halfway, neither side could tell what it did. If the entry ends,
 		// it can't be awaited.
-		if !j.Route.Once() || j.Route.Stream || ending(ctx) {
+		if !j.Route.AtMostOnce() || j.Route.Stream || ending(ctx) {
 			stop(context.Cause(ctx))
 		}
 	})()
--- a/entry/direct/session.go
+++ b/entry/direct/session.go
@@ -76,7 +76,7 @@
 		return
 	}
 	p := s.d.v.pool(m.Pool, s.d.cfg.Repeats, known)
-	part := p.shards[shard.Key{Zone: m.Zone, N: m.ShardIndex}]
+	part := p.shards[shard.Key{Zone: m.Zone, Index: m.ShardIndex}]
 	if part == nil {
 		_ = s.reply(&wire.PlaceReply{ID: m.ID})
 		return
@@ -118,8 +118,8 @@
 func (s *Session) answer(id uint64, v *visit, dec admit.Decision) {
 	b := v.basis
 	m := &wire.PlaceReply{
-		ID: id, Decided: true, RosterRevision: s.d.v.roster.Revision, RefusalReason: uint8(dec.Why), RetryAfterUS: dec.Retry.Microseconds(), SlotIntervalUS: dec.Turn.Microseconds(),
-		FirstEventUS: dec.First.Microseconds(), WaitUS: dec.Wait.Microseconds(), QueuedUS: b.Stood.Microseconds(),
+		ID: id, Decided: true, RosterRevision: s.d.v.roster.Revision, RefusalReason: uint8(dec.Reason), RetryAfterUS: dec.RetryAfter.Microseconds(), SlotIntervalUS: dec.SlotInterval.Microseconds(),
+		FirstEventUS: dec.FirstEvent.Microseconds(), WaitUS: dec.SlotWait.Microseconds(), QueuedUS: b.Stood.Microseconds(),
 	}
 	if dec.Endpoint >= 0 {
 		m.Endpoint, m.Addr, m.Slots = v.id, v.addr, v.e.Slots
--- a/entry/direct/size_test.go
+++ b/entry/direct/size_test.go
@@ -105,7 +105,7 @@
 			return
 		}
 		if i == steps {
-			v.end(trust.Good)
+			v.end(trust.Success)
 		}
 	}
 }
@@ -185,7 +185,7 @@
 		add := func(id string, i int) {
 			engines[id] = newBusy(c.slots)
 			roster.Endpoints = append(roster.Endpoints, route.Endpoint{
-				ID: id, Born: 1, Pool: "p", Addr: id, Zone: fmt.Sprint("z", i%sizeZones), Slots: c.slots,
+				ID: id, Incarnation: 1, Pool: "p", Addr: id, Zone: fmt.Sprint("z", i%sizeZones), Slots: c.slots,
 			})
 		}
 		for i := range c.engines {
@@ -360,7 +360,7 @@
 		if refused*20 > top {
 			t.Errorf("%d entries: %d of %d of the highest tier refused", entries, refused, top)
 		}
-		if !shard.Needed(entries) {
+		if !shard.HasOwners(entries) {
 			continue
 		}
 		if least == 0 {
--- a/entry/direct/task.go
+++ b/entry/direct/task.go
@@ -96,7 +96,7 @@
 
 // another returns a try that follows one that has ended, or what it lacks.
 func (t *task) another(v *visit, got verdict) (*visit, string) {
-	if got.ran && t.job.Route.Once() {
+	if got.ran && t.job.Route.AtMostOnce() {
 		return nil, "may have run and must not run twice"
 	}
 	if lack := t.lacks(t.ran, t.sends); lack != "" {
@@ -177,7 +177,7 @@
 // sent to another endpoint that has room; zero if it may not be.
 func (t *task) patience(v *visit) time.Duration {
 	j := t.job
-	if j.Route.Once() || !t.replaceable(v) {
+	if j.Route.AtMostOnce() || !t.replaceable(v) {
 		return 0
 	}
 	if j.Route.Stream {
--- a/entry/direct/view.go
+++ b/entry/direct/view.go
@@ -48,11 +48,11 @@
 	roster    route.Roster
 	endpoints map[string]*endpoint
 	pools     map[string]*pool
-	trust     *trust.Book
-	poison    *poison.Book
-	limits    *limit.Book
-	quota     *quota.Book
-	rollouts  *canary.Book
+	trust     *trust.Tracker
+	poison    *poison.Tracker
+	limits    *limit.Limiter
+	quota     *quota.Limiter
+	rollouts  *canary.Controller
 	// peers holds what each peer has in flight, by endpoint.
 	peers map[string]map[string]wire.EndpointLoad
 	// heardAt is when each peer's last tally came.
@@ -83,7 +83,7 @@
 	ownedAt time.Time
 	// scratch is the argument of the last decision, kept to spare allocation.
 	scratch []admit.Endpoint
-	line    await.Line[*waiter]
+	line    await.Queue[*waiter]
 }
 
 // part is a shard of a pool.
@@ -92,7 +92,7 @@
 	endpoints []*endpoint
 	// line holds the requests that wait for a slot of the shard. It is empty unless
 	// this entry owns the shard.
-	line await.Line[*waiter]
+	line await.Queue[*waiter]
 }
 
 // endpoint is one endpoint with the entry's own requests there.
@@ -120,8 +120,8 @@
 
 // list takes in what the instance list says of the endpoint.
 func (e *endpoint) list(listed route.Endpoint, now time.Duration) {
-	if listed.Cold != e.Cold {
-		e.warm = now + listed.Cold
+	if listed.ColdFor != e.ColdFor {
+		e.warm = now + listed.ColdFor
 	}
 	e.Endpoint = listed
 }
@@ -165,7 +165,7 @@
 	h.tokens += sign * o.tokens
 }
 
-func newView(zone string, rollouts canary.Rule) *view {
+func newView(zone string, rollouts canary.Limit) *view {
 	return &view{
 		zone: zone, table: route.NewTable(route.Config{}), endpoints: make(map[string]*endpoint),
 		pools: make(map[string]*pool), trust: trust.New(), poison: poison.New(), limits: limit.New(), quota: quota.New(), rollouts: canary.New(rollouts),
@@ -215,11 +215,11 @@
 }
 
 // members returns the endpoints of a pool that are used for something.
-func (v *view) members(name string, use canary.Use) []*endpoint {
+func (v *view) members(name string, use canary.Role) []*endpoint {
 	var out []*endpoint
 	for i := range v.roster.Endpoints {
 		e := v.endpoints[v.roster.Endpoints[i].ID]
-		if e != nil && e.Pool == name && !e.Leaving && v.rollouts.Use(name, e.Version) == use {
+		if e != nil && e.Pool == name && !e.Leaving && v.rollouts.RoleOf(name, e.Version) == use {
 			out = append(out, e)
 		}
 	}
@@ -228,12 +228,12 @@
 
 // group takes in what the endpoints of a pool are used for.
 func (v *view) group(p *pool) {
-	p.setEndpoints(v.members(p.name, canary.Service))
-	p.trial = v.members(p.name, canary.Trial)
+	p.setEndpoints(v.members(p.name, canary.InService))
+	p.trial = v.members(p.name, canary.OnTrial)
 }
 
 func (v *view) groupAll() {
-	v.rollouts.Changed()
+	v.rollouts.TakeRolesChanged()
 	for _, p := range v.pools {
 		v.group(p)
 	}
@@ -246,7 +246,7 @@
 	v.roster, v.endpoints = r, make(map[string]*endpoint, len(r.Endpoints))
 	for _, listed := range r.Endpoints {
 		e := old[listed.ID]
-		if e != nil && e.Born == listed.Born && e.Pool == listed.Pool {
+		if e != nil && e.Incarnation == listed.Incarnation && e.Pool == listed.Pool {
 			if e.Addr != listed.Addr {
 				gone = append(gone, e.Addr)
 				e.movedAt = time.Time{}
@@ -265,7 +265,7 @@
 		}
 		gone = append(gone, e.Addr)
 		if !e.Leaving && v.poison.MayHaveCrashed(now, e.start()) {
-			v.poison.Crashed(now, e.start())
+			v.poison.RecordCrash(now, e.start())
 		}
 		v.trust.Forget(id)
 		if p := v.pools[e.Pool]; p != nil {
@@ -302,7 +302,7 @@
 		v.drop(peer)
 	}
 	for _, u := range t.Customers {
-		v.quota.Told(peer, u.Customer, u.Total)
+		v.quota.MergeTotal(peer, u.Customer, u.Total)
 	}
 	v.waits.heard(peer, t.Queues)
 	held := v.peers[peer]
@@ -374,10 +374,10 @@
 		sum.add(e.own, 1)
 		sum.requests += e.uncounted(now)
 		out = append(out, admit.Endpoint{
-			Limit: v.limitOf(e, since),
-			Near:  e.Zone == zone, Usable: v.trust.Usable(since, e.ID) && !e.silent(now, silent) && !e.away(now), Slots: e.slots(cfg),
-			Requests: sum.requests, Prompt: sum.prompt, Output: sum.output,
-			Tokens: sum.tokens, Memory: cfg.KVTokens, Pace: p.learner.Pace(e.ID),
+			RateLimit: v.limitOf(e, since),
+			SameZone:  e.Zone == zone, Usable: v.trust.Usable(since, e.ID) && !e.silent(now, silent) && !e.away(now), Slots: e.slots(cfg),
+			Requests: sum.requests, PromptTokens: sum.prompt, OutputTokens: sum.output,
+			KVTokensNeeded: sum.tokens, KVTokens: cfg.KVTokens, Pace: p.learner.Pace(e.ID),
 		})
 	}
 	p.scratch = out
--- a/entry/direct/view_test.go
+++ b/entry/direct/view_test.go
@@ -15,21 +15,21 @@
 func listed(ids ...string) route.Roster {
 	r := route.Roster{Revision: 1}
 	for _, id := range ids {
-		r.Endpoints = append(r.Endpoints, route.Endpoint{ID: id, Born: 1, Pool: "p", Addr: id + ":1", Slots: 4})
+		r.Endpoints = append(r.Endpoints, route.Endpoint{ID: id, Incarnation: 1, Pool: "p", Addr: id + ":1", Slots: 4})
 	}
 	return r
 }
 
 // view returns a view of one pool with endpoints.
 func newPoolView(ids ...string) (*view, *pool) {
-	v := newView("z", canary.Rule{})
+	v := newView("z", canary.Limit{})
 	v.setRoster(listed(ids...), 0)
 	return v, v.pool("p", Repeats{Ratio: 0.2, Slack: 40}, 5)
 }
 
 func (v *view) decide(p *pool) admit.Decision {
 	es := v.describe(p, &route.Pool{Engine: true}, time.Unix(100, 0), time.Second)
-	return admit.Decide(admit.Request{Prompt: 100, Output: 100, Target: time.Second, Due: time.Second, Left: 10 * time.Second, Avoid: -1}, es)
+	return admit.Decide(admit.Request{PromptTokens: 100, OutputTokens: 100, Target: time.Second, UntilTarget: time.Second, UntilDeadline: 10 * time.Second, AvoidEndpoint: -1}, es)
 }
 
 // Two entries place requests at the same time. If each saw its own only, both
@@ -51,7 +51,7 @@
 func TestLostPeersWorkNoLongerCounts(t *testing.T) {
 	v, p := newPoolView("a")
 	v.heard("peer", true, &wire.Tally{Endpoints: []wire.EndpointLoad{{Endpoint: "a", Requests: 40, PromptTokens: 90000, OutputTokens: 9000}}})
-	if d := v.decide(p); d.Why != admit.Full {
+	if d := v.decide(p); d.Reason != admit.Full {
 		t.Fatalf("%+v", d)
 	}
 	v.lost("peer")
@@ -66,10 +66,10 @@
 	v, p := newPoolView("a", "b")
 	v.endpoints["a"].own.add(hold{requests: 3}, 1)
 	for range 5 {
-		v.trust.Ended(time.Second, "a", trust.Unreachable)
+		v.trust.RecordResult(time.Second, "a", trust.Unreachable)
 	}
 	r := listed("a", "b")
-	r.Revision, r.Endpoints[0].Born = 2, 2
+	r.Revision, r.Endpoints[0].Incarnation = 2, 2
 	if gone := v.setRoster(r, 0); len(gone) != 1 || gone[0] != "a:1" {
 		t.Errorf("connections to drop: %v", gone)
 	}
@@ -79,7 +79,7 @@
 	if !v.describe(p, &route.Pool{}, time.Unix(100, 0), time.Second)[0].Usable {
 		t.Error("distrusted for failures of the time before")
 	}
-	if v.endpoints["b"].Born != 1 || len(p.endpoints) != 2 {
+	if v.endpoints["b"].Incarnation != 1 || len(p.endpoints) != 2 {
 		t.Error("the other endpoint changed")
 	}
 }
--- a/entry/direct/visit.go
+++ b/entry/direct/visit.go
@@ -24,7 +24,7 @@
 	if part >= 1 || e.own.requests < e.toldRequests {
 		return false
 	}
-	return await.Lot(d.cfg.Addr, e.ID, d.since(now)) >= part*float64(max(free, 1))
+	return await.Draw(d.cfg.Addr, e.ID, d.since(now)) >= part*float64(max(free, 1))
 }
 
 // trial is how a job is to be placed.
@@ -52,9 +52,9 @@
 	heard, known := d.cfg.Reach()
 	p := d.v.pool(j.Pool.Name, d.cfg.Repeats, known)
 	req := d.request(j, p, now)
-	req.Behind, req.Counted = how.behind, how.shard != nil
+	req.OthersFirst, req.ExactCounts = how.behind, how.shard != nil
 	if j.Pool.Engine {
-		req.Output = how.output
+		req.OutputTokens = how.output
 	}
 	endpoints, zone := p.endpoints, d.v.zone
 	if how.shard != nil {
@@ -62,29 +62,29 @@
 	}
 	for i, e := range endpoints {
 		if e.ID == how.avoid {
-			req.Avoid = i
+			req.AvoidEndpoint = i
 		}
 	}
 	if how.avoid != "" {
 		// What was admitted once is not refused for its second try: its caller
 		// has waited already.
-		req.Due = math.MaxInt64
+		req.UntilTarget = math.MaxInt64
 		if !how.room {
 			req.Target = math.MaxInt64
 		}
 	}
 	all := d.v.describeFor(p, endpoints, zone, j.Pool, now, d.since(now))
 	for i, e := range endpoints {
-		all[i].Apart = await.Apart(d.cfg.Addr, e.ID)
-		all[i].Yield = d.yields(e, all[i].Slots-all[i].Requests, how.part, now)
+		all[i].Bias = await.FixedDraw(d.cfg.Addr, e.ID)
+		all[i].YieldSlots = d.yields(e, all[i].Slots-all[i].Requests, how.part, now)
 	}
 	dec := admit.Decide(req, all)
-	if how.room && dec.Endpoint >= 0 && (!all[dec.Endpoint].Usable || dec.Endpoint == req.Avoid) {
+	if how.room && dec.Endpoint >= 0 && (!all[dec.Endpoint].Usable || dec.Endpoint == req.AvoidEndpoint) {
 		// Where no other endpoint is usable, the one that is late is as good as any.
-		dec = admit.Decision{Endpoint: -1, First: dec.First, Wait: dec.Wait, Why: admit.NoEndpoint}
+		dec = admit.Decision{Endpoint: -1, FirstEvent: dec.FirstEvent, SlotWait: dec.SlotWait, Reason: admit.NoEndpoint}
 	}
 	if dec.Endpoint < 0 {
-		return &visit{basis: Basis{Predicted: dec.First, Wait: dec.Wait, Heard: heard, Known: known}}, dec
+		return &visit{basis: Basis{Predicted: dec.FirstEvent, Wait: dec.SlotWait, Heard: heard, Known: known}}, dec
 	}
 	return d.begin(j, p, endpoints[dec.Endpoint], all[dec.Endpoint], req, dec, now), dec
 }
@@ -92,10 +92,10 @@
 // request returns what placement needs to know of a job.
 func (d *Director) request(j *Job, p *pool, now time.Time) admit.Request {
 	req := admit.Request{
-		Rank: p.rank(j.Tier), Ranks: len(p.tiers), Target: j.Route.Target, Due: j.due().Sub(now), Left: j.End().Sub(now), Avoid: -1,
+		TierRank: p.rank(j.Tier), TierCount: len(p.tiers), Target: j.Route.Target, UntilTarget: j.due().Sub(now), UntilDeadline: j.End().Sub(now), AvoidEndpoint: -1,
 	}
 	if j.Pool.Engine {
-		req.Prompt, req.Output = j.Prompt, j.Output
+		req.PromptTokens, req.OutputTokens = j.Prompt, j.Output
 	}
 	return req
 }
@@ -105,10 +105,10 @@
 	heard, known := d.cfg.Reach()
 	v := &visit{
 		d: d, pool: p, e: e, id: e.ID, addr: e.Addr, alone: len(p.endpoints) < 2, sent: now,
-		free: chosen.Requests < chosen.Slots, ahead: chosen.Prompt + req.Prompt,
-		wait: dec.Wait, rest: dec.First - dec.Wait,
-		basis: Basis{Endpoint: e.ID, Predicted: dec.First, Wait: dec.Wait, Ahead: chosen.Requests, Prompt: chosen.Prompt + req.Prompt, Heard: heard, Known: known},
-		held:  holdOf(j, req.Output), fingerprint: j.fingerprint, route: j.Route.Name, version: e.Version,
+		free: chosen.Requests < chosen.Slots, ahead: chosen.PromptTokens + req.PromptTokens,
+		wait: dec.SlotWait, rest: dec.FirstEvent - dec.SlotWait,
+		basis: Basis{Endpoint: e.ID, Predicted: dec.FirstEvent, Wait: dec.SlotWait, Ahead: chosen.Requests, Prompt: chosen.PromptTokens + req.PromptTokens, Heard: heard, Known: known},
+		held:  holdOf(j, req.OutputTokens), fingerprint: j.fingerprint, route: j.Route.Name, version: e.Version,
 	}
 	v.basis.Age = d.v.age(e.ID, now)
 	v.taken = chosen.Limited
@@ -117,7 +117,7 @@
 	}
 	d.observe(v, p, chosen)
 	v.count(now)
-	d.v.trust.Sent(d.since(now), e.ID)
+	d.v.trust.RecordSent(d.since(now), e.ID)
 	return v
 }
 
@@ -163,7 +163,7 @@
 	if !free {
 		v.pool.budget.Return()
 	}
-	return nil, dec.Why.String()
+	return nil, dec.Reason.String()
 }
 
 // giveBack gives up what reserve returned, and its repeat unless the job was sent.
@@ -259,13 +259,13 @@
 	if v.first.IsZero() {
 		v.first = now
 		v.basis.First = now.Sub(v.sent)
-		v.sample(now, canary.Sample{Kind: canary.FirstEvent, Took: v.basis.First})
+		v.sample(now, canary.Sample{Kind: canary.FirstEvent, Elapsed: v.basis.First})
 		v.release(hold{prompt: v.held.prompt})
 		defer v.d.advance(v.pool)
 		if v.free && v.held.tokens > 0 {
-			v.pool.learner.First(v.e.ID, v.ahead, now.Sub(v.sent))
+			v.pool.learner.ObserveFirstEvent(v.e.ID, v.ahead, now.Sub(v.sent))
 		} else if v.held.tokens > 0 {
-			v.pool.learner.Waited(v.wait, now.Sub(v.sent)-v.rest)
+			v.pool.learner.ObserveWait(v.wait, now.Sub(v.sent)-v.rest)
 		}
 	} else {
 		v.tokens += tokens
@@ -300,9 +300,9 @@
 		return
 	}
 	switch v.settle(r) {
-	case trust.Lost:
+	case trust.BecameUnusable:
 		logs.Warn(v.d.cfg.Log, logs.EventEndpointAway, zap.String("endpoint", v.id), zap.String("result", r.String()))
-	case trust.Regained:
+	case trust.BecameUsable:
 		logs.Info(v.d.cfg.Log, logs.EventEndpointBack, zap.String("endpoint", v.id))
 	}
 }
@@ -320,14 +320,14 @@
 	v.d.mu.Lock()
 	defer v.d.mu.Unlock()
 	if v.held.tokens > 0 {
-		v.pool.learner.Output(v.e.ID, v.tokens, v.last.Sub(v.first))
-	} else if v.free && r == trust.Good {
-		v.pool.learner.First(v.e.ID, 0, now.Sub(v.sent))
+		v.pool.learner.ObserveOutput(v.e.ID, v.tokens, v.last.Sub(v.first))
+	} else if v.free && r == trust.Success {
+		v.pool.learner.ObserveFirstEvent(v.e.ID, 0, now.Sub(v.sent))
 	}
 	v.result(now, r)
 	v.release(v.held)
 	v.note(now, 0, wire.PlaceResult+uint8(r))
-	change := v.d.v.trust.Ended(v.d.since(now), v.e.ID, r)
+	change := v.d.v.trust.RecordResult(v.d.since(now), v.e.ID, r)
 	if r == trust.Broken {
 		v.runLost()
 	}
--- a/entry/direct/wait.go
+++ b/entry/direct/wait.go
@@ -14,7 +14,7 @@
 	how lineup
 	// wait is its place in the line, since when it entered that and patience for how
 	// long it stays at most.
-	wait     *await.Wait[*waiter]
+	wait     *await.Request[*waiter]
 	since    time.Time
 	patience time.Duration
 	// placed is closed once the job has left the line for an endpoint; visit and
@@ -35,7 +35,7 @@
 }
 
 // waiting returns the line of the pool or of one of its shards.
-func (p *pool) waiting(s *part) *await.Line[*waiter] {
+func (p *pool) waiting(s *part) *await.Queue[*waiter] {
 	if s != nil {
 		return &s.line
 	}
@@ -78,15 +78,15 @@
 	now := time.Now()
 	at := d.standing(j, p)
 	l := p.waiting(how.shard)
-	ahead := l.Ahead(at)
+	ahead := l.CountAhead(at)
 	c := d.crowd(1, p, j, how)
-	v, dec := d.place(j, trial{output: j.Output, behind: ahead > 0 || c.Blocked(), part: c.Part(), shard: how.shard, zone: how.zone})
-	if dec.Why != admit.Full || !how.stand {
+	v, dec := d.place(j, trial{output: j.Output, behind: ahead > 0 || c.Blocked(), part: c.Share(), shard: how.shard, zone: how.zone})
+	if dec.Reason != admit.Full || !how.stand {
 		return v, dec, nil
 	}
-	patience := await.Patience(j.Route.Target, j.due().Sub(now), dec.First-dec.Wait)
-	if turn := time.Duration(ahead+c.First+c.Beside+1) * dec.Turn; turn > patience {
-		dec.Retry = max(dec.Retry, turn)
+	patience := await.MaxWait(j.Route.Target, j.due().Sub(now), dec.FirstEvent-dec.SlotWait)
+	if turn := time.Duration(ahead+c.HigherTier+c.SameTier+1) * dec.SlotInterval; turn > patience {
+		dec.RetryAfter = max(dec.RetryAfter, turn)
 		return v, dec, nil
 	}
 	w := &waiter{job: j, how: how, since: now, patience: patience, placed: make(chan struct{}), visit: v, dec: dec}
@@ -96,10 +96,10 @@
 }
 
 // standing returns where a job stands in line.
-func (d *Director) standing(j *Job, p *pool) await.Place {
-	at := await.Place{Tier: j.Tier, Due: d.since(j.due())}
+func (d *Director) standing(j *Job, p *pool) await.Priority {
+	at := await.Priority{Tier: j.Tier, TargetAt: d.since(j.due())}
 	if j.Pool.Engine {
-		at.Work = p.learner.Pace("").Work(j.Prompt, j.Output)
+		at.HoldTime = p.learner.Pace("").HoldTime(j.Prompt, j.Output)
 	}
 	return at
 }
@@ -119,13 +119,13 @@
 // crowd returns what competes with a job for free slots: in a shard nobody, as all
 // that wait for it stand in its line. joining is one if the job is not in the line
 // yet. d.mu is held.
-func (d *Director) crowd(joining int, p *pool, j *Job, how lineup) await.Crowd {
+func (d *Director) crowd(joining int, p *pool, j *Job, how lineup) await.Contention {
 	if how.shard != nil {
-		return await.Crowd{Own: 1}
+		return await.Contention{OwnSameTier: 1}
 	}
 	now := time.Now()
 	in := tierIn{j.Pool.Name, j.Tier}
-	free := admit.Free(d.v.describe(p, j.Pool, now, d.since(now)))
+	free := admit.FreeSlots(d.v.describe(p, j.Pool, now, d.since(now)))
 	return d.v.waits.crowd(in, d.v.waits.own[in]+joining, free)
 }
 
@@ -151,14 +151,14 @@
 }
 
 // offer sends the jobs of a line for which there is room now; d.mu is held.
-func (d *Director) offer(p *pool, l *await.Line[*waiter]) {
-	l.Offer(func(w *await.Wait[*waiter]) (sent, more bool) {
+func (d *Director) offer(p *pool, l *await.Queue[*waiter]) {
+	l.SendInOrder(func(w *await.Request[*waiter]) (sent, more bool) {
 		j, how := w.Value.job, w.Value.how
 		c := d.crowd(0, p, j, how)
-		v, dec := d.place(j, trial{output: j.Output, behind: c.Blocked(), part: c.Part(), shard: how.shard, zone: how.zone})
+		v, dec := d.place(j, trial{output: j.Output, behind: c.Blocked(), part: c.Share(), shard: how.shard, zone: how.zone})
 		if dec.Endpoint < 0 {
 			// One that waits for its prompt's sake keeps no other from a slot.
-			return false, dec.Why != admit.Full
+			return false, dec.Reason != admit.Full
 		}
 		w.Value.visit, w.Value.dec = v, dec
 		d.v.waits.count(tierIn{j.Pool.Name, j.Tier}, -1)
--- a/entry/direct/waits.go
+++ b/entry/direct/waits.go
@@ -115,17 +115,17 @@
 
 // crowd returns what competes with a request of a tier that joins the other
 // requests of its tier here.
-func (s *waits) crowd(in tierIn, own, free int) await.Crowd {
-	c := await.Crowd{Own: own, Free: free}
+func (s *waits) crowd(in tierIn, own, free int) await.Contention {
+	c := await.Contention{OwnSameTier: own, FreeSlots: free}
 	for t, n := range s.others {
 		if t.pool != in.pool {
 			continue
 		}
 		switch order := t.tier.Compare(in.tier); {
 		case order < 0:
-			c.First += n
+			c.HigherTier += n
 		case order == 0:
-			c.Beside += n
+			c.SameTier += n
 		}
 	}
 	return c
--- a/entry/follow/age.go
+++ b/entry/follow/age.go
@@ -50,7 +50,7 @@
 // old or fresh. It is called with mu held.
 func (k *Knowledge) recordAge(l *listKnowledge, age time.Duration, revision int64) {
 	meter.UpdateMS(l.age, age)
-	isOld := k.cfg.Rule.Old(age)
+	isOld := k.cfg.Rule.IsTooOld(age)
 	if isOld {
 		l.worstAge = max(l.worstAge, age)
 	}
@@ -58,7 +58,7 @@
 		return
 	}
 	fields := []zap.Field{
-		zap.String("list", l.name), zap.Duration("age", age), zap.Duration("bound", k.cfg.Rule.Bound),
+		zap.String("list", l.name), zap.Duration("age", age), zap.Duration("bound", k.cfg.Rule.MaxAge),
 		zap.Duration("worst", l.worstAge), zap.Int64("revision", revision),
 	}
 	l.isOld, l.worstAge = isOld, 0
--- a/entry/follow/known.go
+++ b/entry/follow/known.go
@@ -21,7 +21,7 @@
 type KnowledgeConfig struct {
 	// Self is the name of this entry.
 	Self string
-	Rule fresh.Rule
+	Rule fresh.Policy
 	// Revisions returns the revisions in force.
 	Revisions func() (config, roster int64)
 	// ReachablePeers returns the names of the reachable peers.
@@ -46,13 +46,13 @@
 	lists map[uint8]*listKnowledge
 	// delays holds the message delay estimate of each reachable peer's process, by
 	// name.
-	delays map[string]*fresh.Way
+	delays map[string]*fresh.DelayEstimator
 }
 
 // listKnowledge is the state of one list.
 type listKnowledge struct {
 	name   string
-	claims fresh.Book
+	claims fresh.Tracker
 	// hasOwnEvidence is set while evidence of a check of this entry is yet to be
 	// sent. sentMark is the mark of the claim sent last, sentAt the time when it
 	// was sent.
@@ -74,7 +74,7 @@
 
 // NewKnowledge returns a Knowledge without any evidence.
 func NewKnowledge(cfg KnowledgeConfig) *Knowledge {
-	k := &Knowledge{cfg: cfg, start: time.Now(), lists: make(map[uint8]*listKnowledge), delays: make(map[string]*fresh.Way)}
+	k := &Knowledge{cfg: cfg, start: time.Now(), lists: make(map[uint8]*listKnowledge), delays: make(map[string]*fresh.DelayEstimator)}
 	for what, name := range map[uint8]string{wire.SnapshotConfig: "config", wire.SnapshotRoster: "roster"} {
 		label := meter.Label{Key: "list", Value: name}
 		k.lists[what] = &listKnowledge{
@@ -103,10 +103,10 @@
 	k.mu.Lock()
 	k.checks++
 	l := k.lists[what]
-	mark := fresh.Mark(k.cfg.Self, k.checks)
-	l.claims.Looked(fresh.Claim{Revision: revision, At: sent.Sub(k.start), Mark: mark})
+	mark := fresh.NewCheckID(k.cfg.Self, k.checks)
+	l.claims.RecordCheck(fresh.Claim{Revision: revision, At: sent.Sub(k.start), CheckID: mark})
 	gained := k.update(l, inForce)
-	isNewStep := gained >= k.cfg.Rule.Step()
+	isNewStep := gained >= k.cfg.Rule.StepTime()
 	if isNewStep {
 		l.hasOwnEvidence = true
 	}
@@ -127,10 +127,10 @@
 	k.mu.Lock()
 	d := k.delays[peer]
 	if d == nil || newProcess {
-		d = new(fresh.Way)
+		d = new(fresh.DelayEstimator)
 		k.delays[peer] = d
 	}
-	delay, ok := d.Late(now, time.Duration(t.UptimeMS)*time.Millisecond)
+	delay, ok := d.ExtraDelay(now, time.Duration(t.UptimeMS)*time.Millisecond)
 	var gained time.Duration
 	for _, f := range t.Freshness {
 		l := k.lists[f.Content]
@@ -141,11 +141,11 @@
 		if f.Content == wire.SnapshotRoster {
 			peerRevision, inForce = t.RosterRevision, roster
 		}
-		l.claims.Told(fresh.Told(now, delay, time.Duration(f.AgeMS)*time.Millisecond, peerRevision, f.RefreshID))
+		l.claims.MergeClaim(fresh.PeerClaim(now, delay, time.Duration(f.AgeMS)*time.Millisecond, peerRevision, f.RefreshID))
 		gained = max(gained, k.update(l, inForce))
 	}
 	k.mu.Unlock()
-	if gained >= k.cfg.Rule.Step() {
+	if gained >= k.cfg.Rule.StepTime() {
 		k.cfg.RelaySoon()
 	}
 }
@@ -160,7 +160,7 @@
 // update recomputes verifiedAt of a list from the claims and the revision in force,
 // and returns by how much it moved forward. It is called with mu held.
 func (k *Knowledge) update(l *listKnowledge, inForce int64) time.Duration {
-	c, ok := l.claims.Known(inForce)
+	c, ok := l.claims.LatestClaim(inForce)
 	if !ok || l.any && c.At <= l.verifiedAt {
 		return 0
 	}
@@ -184,15 +184,15 @@
 		if what == wire.SnapshotRoster {
 			revision = roster
 		}
-		c, ok := l.claims.Best(revision)
-		if !ok || c.Mark == l.sentMark && !l.hasOwnEvidence {
+		c, ok := l.claims.BestClaim(revision)
+		if !ok || c.CheckID == l.sentMark && !l.hasOwnEvidence {
 			continue
 		}
-		if !l.hasOwnEvidence && now-l.sentAt < time.Duration(resendShare*float64(k.cfg.Rule.Bound)) {
+		if !l.hasOwnEvidence && now-l.sentAt < time.Duration(resendShare*float64(k.cfg.Rule.MaxAge)) {
 			continue
 		}
-		l.hasOwnEvidence, l.sentMark, l.sentAt = false, c.Mark, now
-		evidence = append(evidence, wire.Freshness{Content: what, AgeMS: uint32((now - c.At + time.Millisecond).Milliseconds()), RefreshID: c.Mark})
+		l.hasOwnEvidence, l.sentMark, l.sentAt = false, c.CheckID, now
+		evidence = append(evidence, wire.Freshness{Content: what, AgeMS: uint32((now - c.At + time.Millisecond).Milliseconds()), RefreshID: c.CheckID})
 	}
 	return evidence, max(uint64(now.Milliseconds()), 1)
 }
@@ -204,17 +204,17 @@
 	k.mu.Lock()
 	l := k.lists[what]
 	k.update(l, inForce)
-	c, ok := l.claims.Known(inForce)
+	c, ok := l.claims.LatestClaim(inForce)
 	k.mu.Unlock()
 	if !ok {
 		return 0
 	}
 	rule, age := k.cfg.Rule, k.now()-c.At
-	if age < rule.First() {
-		return min(rule.First()-age, rule.Step())
+	if age < rule.FirstCheckAge() {
+		return min(rule.FirstCheckAge()-age, rule.StepTime())
 	}
 	reachable := k.cfg.ReachablePeers()
-	return min(rule.Due(fresh.Rank(k.cfg.Self, reachable, c.Mark), len(reachable)+1)-age, rule.Step())
+	return min(rule.CheckAge(fresh.Rank(k.cfg.Self, reachable, c.CheckID), len(reachable)+1)-age, rule.StepTime())
 }
 
 // CountRequest counts a request for each list that is old while the request is
@@ -224,7 +224,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, l := range k.lists {
-		if l.any && k.cfg.Rule.Old(now-l.verifiedAt) {
+		if l.any && k.cfg.Rule.IsTooOld(now-l.verifiedAt) {
 			l.oldRequests.Inc(1)
 		}
 	}
