--- a/entry/follow/known_test.go
+++ b/entry/follow/known_test.go
@@ -23,7 +23,7 @@
 func newTestKnowledge(name string) *testKnowledge {
 	k := &testKnowledge{set: meter.New()}
 	k.Knowledge = NewKnowledge(KnowledgeConfig{
-		Self: name, Rule: fresh.Rule{Bound: 2 * time.Second}, Revisions: func() (int64, int64) { return k.config, k.roster },
+		Self: name, Rule: fresh.Policy{MaxAge: 2 * time.Second}, Revisions: func() (int64, int64) { return k.config, k.roster },
 		ReachablePeers: func() []string { return k.reachable }, SendTallySoon: func() { k.urgentSends++ }, RelaySoon: func() { k.urgentSends++ }, Metrics: k.set, Log: zap.NewNop(),
 	})
 	return k
@@ -72,7 +72,7 @@
 	c.learnDelay(b)
 	a.verify(wire.SnapshotConfig, 0)
 	b.receiveFrom(a)
-	if age := b.ageOf(wire.SnapshotConfig); age < fresh.Allowance || age > fresh.Allowance+time.Second {
+	if age := b.ageOf(wire.SnapshotConfig); age < fresh.RelayAllowance || age > fresh.RelayAllowance+time.Second {
 		t.Errorf("b's evidence is %v old", age)
 	}
 	if a.urgentSends != 2 || b.urgentSends != 1 {
@@ -92,7 +92,7 @@
 	a.verify(wire.SnapshotConfig, 0)
 	b.receiveFrom(a)
 	c.receiveFrom(b)
-	if age := c.ageOf(wire.SnapshotConfig); age > 2*fresh.Allowance+time.Second {
+	if age := c.ageOf(wire.SnapshotConfig); age > 2*fresh.RelayAllowance+time.Second {
 		t.Errorf("c's evidence is %v old", age)
 	}
 }
--- a/entry/follow/quarantine.go
+++ b/entry/follow/quarantine.go
@@ -126,7 +126,7 @@
 		return q.cfg.Remove(ctx, name)
 	}
 	now := q.cfg.Wall()
-	o := QuarantineObject{SinceMS: now.UnixMilli(), UntilMS: now.Add(c.Left).UnixMilli(), Quarantines: c.Quarantines}
+	o := QuarantineObject{SinceMS: now.UnixMilli(), UntilMS: now.Add(c.Duration).UnixMilli(), Quarantines: c.Quarantines}
 	err := q.cfg.Create(ctx, name, o)
 	if errors.Is(err, ErrExists) {
 		// Another entry has stored the first quarantine.
--- a/entry/mesh/accept.go
+++ b/entry/mesh/accept.go
@@ -120,10 +120,10 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.peer(hello.Name).directAt = time.Now()
-	if m.plan.Near(relay.Entry{Name: hello.Name, Zone: hello.Zone}) {
-		return relay.Within
+	if m.plan.SameGroup(relay.Entry{Name: hello.Name, Zone: hello.Zone}) {
+		return relay.OwnHub
 	}
-	return relay.Between
+	return relay.OtherHub
 }
 
 // origin is the process that sent a tally.
--- a/entry/mesh/dial.go
+++ b/entry/mesh/dial.go
@@ -140,7 +140,7 @@
 		if p.addr == "" || !p.isPossible() {
 			continue
 		}
-		if p.isReachable && m.plan.Tells(m.self(), p.entry(name)) {
+		if p.isReachable && m.plan.HasLink(m.self(), p.entry(name)) {
 			out = append(out, p.addr)
 		} else if !p.isReachable || now.Sub(p.lacksUsAt) < lackPeriod {
 			extra = append(extra, p.addr)
--- a/entry/mesh/fresh_test.go
+++ b/entry/mesh/fresh_test.go
@@ -17,7 +17,7 @@
 func TestEvidenceReachesAllWithinAStep(t *testing.T) {
 	t.Parallel()
 	all := startSettledFleet(t, 3, 4, 5)
-	step := fresh.Rule{Bound: 2 * time.Second}.Step()
+	step := fresh.Policy{MaxAge: 2 * time.Second}.StepTime()
 	var took []time.Duration
 	for n, from := range all {
 		mark := uint32(n + 1)
--- a/entry/mesh/mesh.go
+++ b/entry/mesh/mesh.go
@@ -320,7 +320,7 @@
 func (m *Mesh) HasHub() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.plan.Led()
+	return m.plan.FollowsHub()
 }
 
 // SilentPeers returns the listed peers that have been silent for d. After a pause
--- a/entry/mesh/pass.go
+++ b/entry/mesh/pass.go
@@ -22,7 +22,7 @@
 // enqueueRelay queues a tally to be relayed, if this entry is a hub. It is called
 // with mu held.
 func (m *Mesh) enqueueRelay(o origin, from relay.Source, t *wire.Tally, body []byte) {
-	if !m.plan.Hub() || from == relay.Within || len(m.relayQueue) >= maxRelayQueue {
+	if !m.plan.IsHub() || from == relay.OwnHub || len(m.relayQueue) >= maxRelayQueue {
 		return
 	}
 	if body == nil {
@@ -65,7 +65,7 @@
 		to := m.entry(l.peer)
 		var out wire.Relay
 		for _, p := range queued {
-			if plan.Passes(p.origin, p.from, to) {
+			if plan.Forwards(p.origin, p.from, to) {
 				out.Tallies = append(out.Tallies, p.tally)
 			}
 		}
@@ -80,7 +80,7 @@
 // it cannot use a change of an entry that it doesn't know. It is called with mu
 // held.
 func (m *Mesh) becomesRelayTarget(d *dial) bool {
-	relays := m.plan.Hub() && d.sendsTallies && !d.needsFull && m.plan.Tells(m.self(), m.peer(d.peer).entry(d.peer))
+	relays := m.plan.IsHub() && d.sendsTallies && !d.needsFull && m.plan.HasLink(m.self(), m.peer(d.peer).entry(d.peer))
 	begins := relays && !d.isRelayTarget
 	d.isRelayTarget = relays
 	return begins
@@ -127,10 +127,10 @@
 	var out []origin
 	for name, p := range m.peers {
 		from := relay.Direct
-		if !m.plan.Near(p.entry(name)) {
-			from = relay.Between
+		if !m.plan.SameGroup(p.entry(name)) {
+			from = relay.OtherHub
 		}
-		if p.isReachable && !p.hasGap && m.plan.Passes(p.entry(name), from, to) {
+		if p.isReachable && !p.hasGap && m.plan.Forwards(p.entry(name), from, to) {
 			out = append(out, origin{name, p.zone, p.incarnation})
 		}
 	}
--- a/entry/mesh/relay_test.go
+++ b/entry/mesh/relay_test.go
@@ -149,7 +149,7 @@
 	m, tallies := receiver()
 	from := origin{"other", "z2", 7}
 	receive := func(seq uint64, whole bool) {
-		m.handleTally(from, relay.Between, &wire.Tally{Seq: seq, Full: whole}, nil)
+		m.handleTally(from, relay.OtherHub, &wire.Tally{Seq: seq, Full: whole}, nil)
 	}
 	receive(3, true)
 	receive(4, false)
@@ -184,9 +184,9 @@
 // totals would count as new usage.
 func TestTallyOfAnEndedProcess(t *testing.T) {
 	m, tallies := receiver()
-	m.handleTally(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 3, Full: true}, nil)
+	m.handleTally(origin{"other", "z2", 7}, relay.OtherHub, &wire.Tally{Seq: 3, Full: true}, nil)
 	m.handleTally(origin{"other", "z2", 8}, relay.Direct, &wire.Tally{Seq: 1, Full: true}, nil)
-	m.handleTally(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 4}, nil)
+	m.handleTally(origin{"other", "z2", 7}, relay.OtherHub, &wire.Tally{Seq: 4}, nil)
 	if len(*tallies) != 2 || !(*tallies)[1].NewProcess {
 		t.Errorf("accepted %+v, want one tally of each process", *tallies)
 	}
@@ -217,7 +217,7 @@
 // stays unknown.
 func TestFullTallyOfAnUnknownEntryIsRequested(t *testing.T) {
 	m, tallies := receiver()
-	m.handleTally(origin{"other", "z2", 7}, relay.Between, &wire.Tally{Seq: 5, MissingFrom: []string{"me"}}, nil)
+	m.handleTally(origin{"other", "z2", 7}, relay.OtherHub, &wire.Tally{Seq: 5, MissingFrom: []string{"me"}}, nil)
 	if len(*tallies) != 0 {
 		t.Errorf("accepted %+v of a process that it does not know", *tallies)
 	}
--- a/entry/mesh/tell.go
+++ b/entry/mesh/tell.go
@@ -133,7 +133,7 @@
 	wait := max(minTallyInterval, time.Duration(len(m.dials))*tallyIntervalPerLink)
 	// Other entries decide by the tallies of a shard's owner where to request
 	// placements.
-	if !m.plan.Hub() && m.placementLinks == 0 {
+	if !m.plan.IsHub() && m.placementLinks == 0 {
 		wait = max(wait, time.Duration(m.known)*tallyIntervalPerEntry)
 	}
 	return min(wait, m.maxIntervalLocked())
--- a/entry/mesh/version.go
+++ b/entry/mesh/version.go
@@ -144,11 +144,11 @@
 	ownOrder, ahead := turnOrder(name, m.cfg.Self.Name), 0
 	for other, o := range m.peers {
 		isCurrent := o.isReachable && o.config >= config && o.roster >= roster
-		if other != name && isCurrent && m.plan.Tells(o.entry(other), to) && turnOrder(name, other) < ownOrder {
+		if other != name && isCurrent && m.plan.HasLink(o.entry(other), to) && turnOrder(name, other) < ownOrder {
 			ahead++
 		}
 	}
-	isExtraLink := !m.plan.Tells(m.self(), to)
+	isExtraLink := !m.plan.HasLink(m.self(), to)
 	if isExtraLink && (p.config == 0 || p.roster == 0) {
 		// The peer serves no requests before it has both, and may not know its hub
 		// yet.
--- a/entry/sched/poison.go
+++ b/entry/sched/poison.go
@@ -19,7 +19,7 @@
 // their endpoints restart, so crashes are counted here.
 type quarantine struct {
 	mu   sync.Mutex
-	book *poison.Book
+	book *poison.Tracker
 	// crashes holds the number of crashes of each agent's endpoint.
 	crashes map[string]crashCount
 }
@@ -60,7 +60,7 @@
 func (q *quarantine) isSuspect(f *flight) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.book.Suspect(f.now(), f.fingerprint)
+	return q.book.IsSuspect(f.now(), f.fingerprint)
 }
 
 // recordEnd records the answer that has ended at the flight's agent.
@@ -75,16 +75,16 @@
 	switch end := f.answer.End(); {
 	case end == nil:
 	case end.Complete:
-		q.book.Completed(now, f.fingerprint, startName(agent, c.count+1))
+		q.book.RecordCompleted(now, f.fingerprint, startName(agent, c.count+1))
 	case end.Reason == wire.ReasonUnreachable:
 		if c.count == 0 || now-c.lastAt > crashWindow {
 			c = crashCount{c.count + 1, now}
 			q.crashes[agent] = c
 		}
-		q.book.RunLost(now, f.fingerprint, startName(agent, c.count))
-		q.book.Crashed(now, startName(agent, c.count))
+		q.book.RecordLostRun(now, f.fingerprint, startName(agent, c.count))
+		q.book.RecordCrash(now, startName(agent, c.count))
 	}
-	for _, c := range q.book.Changes() {
+	for _, c := range q.book.TakeChanges() {
 		logs.LogQuarantine(f.s.cfg.Log, c)
 	}
 }
@@ -93,7 +93,7 @@
 func (q *quarantine) recordNotRun(f *flight) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.book.NotRun(f.fingerprint)
+	q.book.RecordNotRun(f.fingerprint)
 }
 
 // startName returns a name for the n-th start of an agent's endpoint.
