--- a/entry/direct/beside.go
+++ b/entry/direct/beside.go
@@ -14,183 +14,184 @@
 	"lycheepond/entry/hop"
 )
 
-// besideFor is how long a late try is still read beside the next one. Endpoints
-// that decline or are gone tell so within a round trip; one that takes the job
-// must not share it with another for long: both would work for one answer.
-const besideFor = 200 * time.Millisecond
+// maxOverlap is how long a late attempt continues after its replacement was sent. An endpoint
+// that declines or is gone responds within a round trip. An endpoint that accepts the job must
+// not share it with the late one for longer, because both would work on one answer.
+const maxOverlap = 200 * time.Millisecond
 
-// exchange is the exchange of a try up to the head of its answer.
+// exchange is the sending of a request to an endpoint, up to the head of the answer.
 type exchange struct {
-	t      *task
-	v      *visit
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	// done is closed once a and err are set, of a try that is sent beside another.
-	done chan struct{}
-	a    *hop.Answer
-	err  error
+	task    *task
+	attempt *attempt
+	ctx     context.Context
+	cancel  context.CancelCauseFunc
+	// done is closed once answer and err are set. It is used only for replacements.
+	done   chan struct{}
+	answer *hop.Answer
+	err    error
 }
 
-func (t *task) exchange(v *visit) *exchange {
-	x := &exchange{t: t, v: v, done: make(chan struct{})}
+func (t *task) newExchange(a *attempt) *exchange {
+	x := &exchange{task: t, attempt: a, done: make(chan struct{})}
 	x.ctx, x.cancel = context.WithCancelCause(t.ctx)
 	return x
 }
 
-// answer returns the head of the answer: of its own exchange, or of the one that
-// was begun beside another try.
-func (x *exchange) answer() (*hop.Answer, error) {
-	if x.v.exchange == nil {
-		return x.t.ask(x.ctx, x.v)
+// awaitAnswer returns the head of the answer. It sends the request itself, unless the attempt
+// was launched as a replacement: then it waits for that exchange.
+func (x *exchange) awaitAnswer() (*hop.Answer, error) {
+	if x.attempt.exchange == nil {
+		return x.task.sendRequest(x.ctx, x.attempt)
 	}
 	<-x.done
-	return x.a, x.err
+	return x.answer, x.err
 }
 
-// drop ends the exchange, waits for its end and reports whether the endpoint may
-// have got the job.
-func (x *exchange) drop() (arrived bool) {
+// cancelAndWait cancels the exchange, waits for its end and reports whether the endpoint may
+// have received the job.
+func (x *exchange) cancelAndWait() (received bool) {
 	x.cancel(nil)
 	<-x.done
-	if x.a != nil {
-		x.a.Close()
+	if x.answer != nil {
+		x.answer.Close()
 	}
-	return !unsent(x.err)
+	return !wasNotSent(x.err)
 }
 
-func unsent(err error) bool { return errors.Is(err, hop.ErrBusy) || errors.Is(err, hop.ErrNotSent) }
+func wasNotSent(err error) bool { return errors.Is(err, hop.ErrBusy) || errors.Is(err, hop.ErrNotSent) }
 
-// begin starts what sends next tries, if there may be any.
-func (w *watch) begin() {
-	if w.t.replaceable(w.v) {
-		go w.send()
+// startSender starts the goroutine that sends replacements, if the attempt may be replaced.
+func (w *watchdog) startSender() {
+	if w.task.isReplaceable(w.attempt) {
+		go w.sendReplacements()
 		return
 	}
-	close(w.ended)
+	close(w.senderDone)
 }
 
-// send sends the tries that come in the place of this one, until end. The last may
-// outlast it: whoever has that try then waits for it.
-func (w *watch) send() {
-	defer close(w.ended)
-	for x := range w.exchanges {
-		over := time.AfterFunc(besideFor, func() { w.take(x) })
-		x.a, x.err = w.t.ask(x.ctx, x.v)
-		if x.err == nil && w.t.good(x.a) {
-			w.take(x)
+// sendReplacements sends the replacements of the attempt until stopSender is called. The last
+// one may still be in progress then: the task that continues with it waits for its exchange.
+func (w *watchdog) sendReplacements() {
+	defer close(w.senderDone)
+	for x := range w.replacements {
+		overlapTimer := time.AfterFunc(maxOverlap, func() { w.switchTo(x) })
+		x.answer, x.err = w.task.sendRequest(x.ctx, x.attempt)
+		if x.err == nil && w.task.isUsable(x.answer) {
+			w.switchTo(x)
 		}
-		over.Stop()
-		w.decline(x)
+		overlapTimer.Stop()
+		w.keepCurrent(x)
 		close(x.done)
 	}
 }
 
-// take ends this try for the next one, if that is still in its place.
-func (w *watch) take(x *exchange) {
+// switchTo cancels the attempt in favor of its replacement, unless that has been dropped.
+func (w *watchdog) switchTo(x *exchange) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.next != x.v || w.taken {
+	if w.replacement != x.attempt || w.switched {
 		return
 	}
-	w.taken = true
-	w.cancel(w.why)
+	w.switched = true
+	w.cancel(w.silence)
 }
 
-// decline goes on with this try if the next one has failed and has not taken its
-// place.
-func (w *watch) decline(x *exchange) {
+// keepCurrent drops a replacement that has failed before the switch to it, and continues with
+// the attempt.
+func (w *watchdog) keepCurrent(x *exchange) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.next != x.v || w.taken {
+	if w.replacement != x.attempt || w.switched {
 		return
 	}
-	w.drop(x.v, w.t.declined(x))
+	w.dropReplacement(x.attempt, w.task.classifyUnusable(x))
 	x.cancel(nil)
-	if w.waiting {
-		w.armed = true
-		w.timer.Reset(askAgain)
+	if w.isWaiting {
+		w.timerArmed = true
+		w.timer.Reset(replacementInterval)
 	}
 }
 
-// drop takes the next try out of this one's place; w.mu is held.
-func (w *watch) drop(next *visit, got verdict) {
-	w.next = nil
-	w.sends++
-	if got.ran {
-		w.ran++
+// dropReplacement removes a replacement that ended with the result got. The caller holds w.mu.
+func (w *watchdog) dropReplacement(replacement *attempt, got attemptResult) {
+	w.replacement = nil
+	w.sendCount++
+	if got.mayHaveRun {
+		w.runCount++
 	}
-	if !got.arrived {
-		w.t.d.unspend(next)
+	if !got.wasReceived {
+		w.task.d.returnRetry(replacement)
 	}
-	logs.Info(w.t.d.cfg.Log, logs.EventRequestReturned, zap.String("request_id", w.t.job.ID), zap.String("why", got.res.Why), zap.Stringer("fingerprint", w.t.job.fingerprint),
-		zap.String("from", next.id), zap.String("to", w.v.id), zap.Duration("silent", time.Since(w.since)), zap.Duration("bound", w.bound))
+	logs.Info(w.task.d.cfg.Log, logs.EventRequestReturned, zap.String("request_id", w.task.job.ID), zap.String("why", got.result.Reason), zap.Stringer("fingerprint", w.task.job.fingerprint),
+		zap.String("from", replacement.id), zap.String("to", w.attempt.id), zap.Duration("silent", time.Since(w.waitStart)), zap.Duration("bound", w.bound))
 }
 
-// settle decides, at the end of a wait, between this try and the next: good is set
-// if the wait brought something to pass on. It returns true if the next one has
-// this one's place; otherwise the next one has ended.
-func (w *watch) settle(good bool) bool {
+// resolve decides at the end of a wait between the attempt and its replacement. usable is set
+// if the wait yielded something to forward. It returns true if the replacement takes over;
+// otherwise the replacement, if there was one, has ended.
+func (w *watchdog) resolve(usable bool) bool {
 	w.mu.Lock()
-	next := w.next
-	if next == nil || w.taken || !good {
-		w.taken = next != nil
+	replacement := w.replacement
+	if replacement == nil || w.switched || !usable {
+		w.switched = replacement != nil
 		w.mu.Unlock()
-		return next != nil
+		return replacement != nil
 	}
-	w.next = nil
+	w.replacement = nil
 	w.mu.Unlock()
-	arrived := next.exchange.drop()
-	next.abandon()
+	received := replacement.exchange.cancelAndWait()
+	replacement.abandon()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.drop(next, verdict{arrived: arrived, ran: arrived, res: Result{Why: "the late endpoint went on"}})
+	w.dropReplacement(replacement, attemptResult{wasReceived: received, mayHaveRun: received, result: Result{Reason: "the late endpoint went on"}})
 	return false
 }
 
-// end ends the sending of next tries. It waits for its goroutine unless that is at
-// the try which has this one's place.
-func (w *watch) end() {
-	close(w.exchanges)
-	if w.replaced() == nil {
-		<-w.ended
+// stopSender stops sendReplacements. It waits for the goroutine, unless that is still sending
+// the replacement that takes over.
+func (w *watchdog) stopSender() {
+	close(w.replacements)
+	if w.currentReplacement() == nil {
+		<-w.senderDone
 	}
 }
 
-// good reports whether an answer may be passed on.
-func (t *task) good(a *hop.Answer) bool {
-	m := t.d.cfg.Read(a)
+// isUsable reports whether an answer may be forwarded to the caller.
+func (t *task) isUsable(answer *hop.Answer) bool {
+	m := t.d.cfg.Read(answer)
 	switch {
-	case m.NotRun || m.WrongEndpoint || promises(a.Status) || a.Status >= http.StatusInternalServerError:
+	case m.NotRun || m.WrongEndpoint || impliesNotRun(answer.Status) || answer.Status >= http.StatusInternalServerError:
 		return false
-	case t.begun && a.Status != http.StatusOK:
+	case t.headSent && answer.Status != http.StatusOK:
 		return false
 	}
-	return m.Signed || a.Status >= http.StatusMultipleChoices
+	return m.Signed || answer.Status >= http.StatusMultipleChoices
 }
 
-// declined says what an exchange means that brought no answer to pass on.
-func (t *task) declined(x *exchange) verdict {
+// classifyUnusable returns the result of an exchange without a usable answer and records it
+// for the endpoint.
+func (t *task) classifyUnusable(x *exchange) attemptResult {
 	if x.err != nil {
-		got := t.unanswered(x.v, x.err)
-		got.arrived = !unsent(x.err)
-		got.ran = got.arrived
+		got := t.classifyError(x.attempt, x.err)
+		got.wasReceived = !wasNotSent(x.err)
+		got.mayHaveRun = got.wasReceived
 		return got
 	}
-	defer x.a.Close()
-	m := t.d.cfg.Read(x.a)
-	x.v.head(m)
+	defer x.answer.Close()
+	m := t.d.cfg.Read(x.answer)
+	x.attempt.recordHead(m)
 	if m.NotRun || m.WrongEndpoint {
 		if m.WrongEndpoint {
-			x.v.misplaced()
+			x.attempt.handleMoved()
 		} else {
-			x.v.declined(m.Load)
+			x.attempt.handleDecline(m.Load)
 		}
-		return verdict{arrived: true, res: Result{Why: "endpoint did not run it"}}
+		return attemptResult{wasReceived: true, result: Result{Reason: "endpoint did not run it"}}
 	}
-	how := trust.Broken
-	if x.a.Status >= http.StatusInternalServerError {
-		how = trust.Error
+	result := trust.Broken
+	if x.answer.Status >= http.StatusInternalServerError {
+		result = trust.Error
 	}
-	x.v.end(how)
-	return verdict{arrived: true, ran: true, res: Result{Why: fmt.Sprintf("endpoint answered with status %d", x.a.Status)}}
+	x.attempt.finish(result)
+	return attemptResult{wasReceived: true, mayHaveRun: true, result: Result{Reason: fmt.Sprintf("endpoint answered with status %d", x.answer.Status)}}
 }
--- a/entry/direct/beside_test.go
+++ b/entry/direct/beside_test.go
@@ -13,163 +13,162 @@
 	"lycheepond/core/route"
 )
 
-// together is how long two endpoints may work for one answer.
-const together = 400 * time.Millisecond
+// maxObservedOverlap is how long two endpoints may work on one answer.
+const maxObservedOverlap = 400 * time.Millisecond
 
-// late is how a try at an endpoint becomes late, and when another one is sent.
-type late struct {
-	name  string
-	route route.Route
-	after int
-	// bound is how long is waited for the endpoint; the other one is sent at the
-	// second look after it.
+// silenceCase is a way in which an attempt becomes late.
+type silenceCase struct {
+	name       string
+	route      route.Route
+	pauseAfter int
+	// bound is how long the endpoint may be silent. The replacement is sent at the second
+	// check after it.
 	bound time.Duration
 	want  string
 }
 
-var lates = []late{
-	{"plain", plainRoute, beforePlain, plainRoute.Target, "answer"},
-	{"head", streamed, beforeHead, 2 * streamed.Target, fourPieces},
-	{"event", streamed, 2, shortestSilence, fourPieces},
+var silenceCases = []silenceCase{
+	{"plain", unaryRoute, beforeUnary, unaryRoute.Target, "answer"},
+	{"head", streamRoute, beforeHead, 2 * streamRoute.Target, fourEvents},
+	{"event", streamRoute, 2, minSilenceBound, fourEvents},
 }
 
-// head returns an endpoint that pauses before the head of its answer.
-func (l late) head(t *testing.T, pause time.Duration) *standIn {
+// newPausingBeforeHead returns an endpoint that pauses before the head of its answer.
+func (l silenceCase) newPausingBeforeHead(t *testing.T, pause time.Duration) *testEndpoint {
 	if l.route.Stream {
-		return silentAfter(t, beforeHead, pause)
+		return newPausing(t, beforeHead, pause)
 	}
-	return silentAfter(t, beforePlain, pause)
+	return newPausing(t, beforeUnary, pause)
 }
 
-// A late endpoint goes on after its request was sent to another one, which has not
-// answered yet. Its caller gets the answer that comes first, whole, and the other
-// endpoint is told to stop.
-func TestLateEndpointThatGoesOnIsKept(t *testing.T) {
-	for _, l := range lates {
+// A late endpoint resumes after its request was sent to another one, which has not answered
+// yet. The caller must get the answer that comes first, whole, and the request to the other
+// endpoint must be cancelled.
+func TestLateEndpointThatResumesIsKept(t *testing.T) {
+	for _, l := range silenceCases {
 		t.Run(l.name, func(t *testing.T) {
 			t.Parallel()
-			slow, other := silentAfter(t, l.after, l.bound+lookAgain+besideFor/2), l.head(t, time.Minute)
-			g := newRig(t, l.route, slow, other)
-			got := g.send(t.Context(), "x", taken{})
-			if got.Outcome != Complete || got.body.String() != l.want || got.Basis.Endpoint != "a" {
-				t.Errorf("%v of endpoint %s, %q: %q", got.Outcome, got.Basis.Endpoint, got.Why, got.body.String())
+			slow, other := newPausing(t, l.pauseAfter, l.bound+silenceRecheck+maxOverlap/2), l.newPausingBeforeHead(t, time.Minute)
+			h := newHarness(t, l.route, slow, other)
+			got := h.send(t.Context(), "x", callerAnswer{})
+			if got.Outcome != Complete || got.body.String() != l.want || got.Placement.Endpoint != "a" {
+				t.Errorf("%v of endpoint %s, %q: %q", got.Outcome, got.Placement.Endpoint, got.Reason, got.body.String())
 			}
-			if !soon(func() bool { return other.cut.Load() == 1 }) || slow.cut.Load() != 0 {
-				t.Errorf("%d requests were ended at the other endpoint, %d at the late one", other.cut.Load(), slow.cut.Load())
+			if !eventually(func() bool { return other.cancelled.Load() == 1 }) || slow.cancelled.Load() != 0 {
+				t.Errorf("%d requests were cancelled at the other endpoint, %d at the late one", other.cancelled.Load(), slow.cancelled.Load())
 			}
 			if a, b := slow.runs.Load(), other.runs.Load(); a != 1 || b != 1 {
 				t.Errorf("ran %d times at the late endpoint, %d at the other", a, b)
 			}
-			if left := g.spend(); left != rigRepeats-1 {
-				t.Errorf("%d repeats were taken", rigRepeats-left)
+			if left := h.spendRetries(); left != harnessRetries-1 {
+				t.Errorf("%d retries were taken", harnessRetries-left)
 			}
-			if !g.idle() {
+			if !h.isIdle() {
 				t.Error("work is still counted at an endpoint")
 			}
 		})
 	}
 }
 
-// The other endpoint takes long to answer. Two must not work on for one answer, so
-// the late one is told to stop before that.
-func TestLateEndpointDoesNotWorkOnBesideAnother(t *testing.T) {
-	for _, l := range lates {
+// The replacement takes long to answer. Two endpoints must not go on working on one answer, so
+// the late one must be cancelled before that.
+func TestOverlapWithReplacementIsBounded(t *testing.T) {
+	for _, l := range silenceCases {
 		t.Run(l.name, func(t *testing.T) {
 			t.Parallel()
-			slow := silentAfter(t, l.after, time.Minute)
+			slow := newPausing(t, l.pauseAfter, time.Minute)
 			var beside atomic.Int64
-			other := stand(t, func(s *standIn, c net.Conn, q *http.Request) {
-				began := time.Now()
-				soon(func() bool { return slow.cut.Load() > 0 })
-				beside.Store(int64(time.Since(began)))
-				if !s.pause(c, besideFor) {
+			other := newTestEndpoint(t, func(s *testEndpoint, c net.Conn, req *http.Request) {
+				start := time.Now()
+				eventually(func() bool { return slow.cancelled.Load() > 0 })
+				beside.Store(int64(time.Since(start)))
+				if !s.pause(c, maxOverlap) {
 					return
 				}
 				if !l.route.Stream {
-					whole(c, http.StatusOK, l.want)
+					writeWhole(c, http.StatusOK, l.want)
 					return
 				}
-				opened(c)
-				for i := from(q) + 1; i <= 4; i++ {
-					sent(c, piece(i))
+				writeStreamHead(c)
+				for i := lastEventOf(req) + 1; i <= 4; i++ {
+					writeChunk(c, streamEvent(i))
 				}
-				closed(c)
+				writeStreamEnd(c)
 			})
-			g := newRig(t, l.route, slow, other)
-			got := g.send(t.Context(), "x", taken{})
-			if got.Outcome != Complete || got.body.String() != l.want || got.Basis.Endpoint != "b" {
-				t.Errorf("%v of endpoint %s, %q: %q", got.Outcome, got.Basis.Endpoint, got.Why, got.body.String())
+			h := newHarness(t, l.route, slow, other)
+			got := h.send(t.Context(), "x", callerAnswer{})
+			if got.Outcome != Complete || got.body.String() != l.want || got.Placement.Endpoint != "b" {
+				t.Errorf("%v of endpoint %s, %q: %q", got.Outcome, got.Placement.Endpoint, got.Reason, got.body.String())
 			}
-			if both := time.Duration(beside.Load()); both > together {
+			if both := time.Duration(beside.Load()); both > maxObservedOverlap {
 				t.Errorf("both endpoints worked for %v", both)
 			}
 		})
 	}
 }
 
-// An event of the late endpoint is read in the moment after the other one was taken,
-// which was sent for what comes behind the event before. If it is passed on, the
-// caller gets it twice.
-func TestNothingIsPassedOnOnceAnotherIsTaken(t *testing.T) {
-	g := newRig(t, streamed, silentAfter(t, 9, 0), silentAfter(t, 9, 0))
-	_, w := waiting(t)
-	w.t.d = g.d
+// An event of the late endpoint is read just after the switch to the replacement, which was
+// sent to resume after the event before. If it is forwarded, the caller gets it twice.
+func TestNothingForwardedAfterSwitch(t *testing.T) {
+	h := newHarness(t, streamRoute, newPausing(t, 9, 0), newPausing(t, 9, 0))
+	_, w := startedWatchdog(t)
+	w.task.d = h.d
 	var body bytes.Buffer
-	w.t.sink = Sink{
+	w.task.sink = Sink{
 		Head:  func(int, http.Header, int64) {},
 		Write: func(p []byte) error { body.Write(p); return nil },
 		Flush: func() error { return nil },
 	}
-	g.d.mu.Lock()
-	v, _ := g.d.place(w.t.job, trial{part: 1})
-	next, _ := g.d.place(w.t.job, trial{avoid: v.id, part: 1})
-	g.d.mu.Unlock()
-	x := w.t.exchange(v)
-	a, err := w.t.ask(x.ctx, v)
+	h.d.mu.Lock()
+	a, _ := h.d.placeJob(w.task.job, placementOptions{entryShare: 1})
+	next, _ := h.d.placeJob(w.task.job, placementOptions{avoidID: a.id, entryShare: 1})
+	h.d.mu.Unlock()
+	x := w.task.newExchange(a)
+	answer, err := w.task.sendRequest(x.ctx, a)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Close()
-	w = w.t.watch(v, x.cancel)
-	w.next, w.taken, w.why = next, true, &lateError{bound: shortestSilence}
-	got := w.t.relay(a, v, w)
-	if body.Len() > 0 || got.done || got.res.Why != w.why.Error() {
+	defer answer.Close()
+	w = w.task.newWatchdog(a, x.cancel)
+	w.replacement, w.switched, w.silence = next, true, &silenceError{bound: minSilenceBound}
+	got := w.task.relayStream(answer, a, w)
+	if body.Len() > 0 || got.isFinal || got.result.Reason != w.silence.Error() {
 		t.Errorf("%+v after %q", got, body.String())
 	}
 }
 
-// The late endpoint and the other one answer in the same moment. Whichever is
-// taken, each caller has to get its answer whole and once, each run but the first
-// has to have its repeat, and nothing may stay counted at an endpoint.
-func TestBothEndpointsAnswerInTheSameMoment(t *testing.T) {
+// The late endpoint and its replacement answer at the same moment. Whichever is used, each
+// caller must get its answer whole and once, each run but the first must have taken a retry,
+// and no work may stay counted at an endpoint.
+func TestEndpointsAnswerSimultaneously(t *testing.T) {
 	const requests, step, answer = 48, 500 * time.Microsecond, 20 * time.Millisecond
-	for _, l := range lates {
+	for _, l := range silenceCases {
 		t.Run(l.name, func(t *testing.T) {
 			t.Parallel()
 			var n atomic.Int32
-			slow := silentAfterEach(t, l.after, func() time.Duration {
-				return l.bound + lookAgain + answer + time.Duration(n.Add(1)-requests/3)*step
+			slow := newPausingEach(t, l.pauseAfter, func() time.Duration {
+				return l.bound + silenceRecheck + answer + time.Duration(n.Add(1)-requests/3)*step
 			})
-			other := l.head(t, answer)
-			g := newRig(t, l.route, slow, other)
+			other := l.newPausingBeforeHead(t, answer)
+			h := newHarness(t, l.route, slow, other)
 			var all sync.WaitGroup
 			for i := range requests {
 				all.Go(func() {
-					got := g.send(t.Context(), fmt.Sprint(i), taken{})
+					got := h.send(t.Context(), fmt.Sprint(i), callerAnswer{})
 					if got.Outcome != Complete || got.body.String() != l.want {
-						t.Errorf("%v, %q: %q", got.Outcome, got.Why, got.body.String())
+						t.Errorf("%v, %q: %q", got.Outcome, got.Reason, got.body.String())
 					}
 				})
 			}
 			all.Wait()
-			if !soon(g.idle) {
+			if !eventually(h.isIdle) {
 				t.Error("work is still counted at an endpoint")
 			}
-			spent := rigRepeats - g.spend()
-			if !soon(func() bool { return int(slow.runs.Load()+other.runs.Load()) == requests+spent }) {
-				t.Errorf("%d requests ran %d and %d times with %d repeats", requests, slow.runs.Load(), other.runs.Load(), spent)
+			spent := harnessRetries - h.spendRetries()
+			if !eventually(func() bool { return int(slow.runs.Load()+other.runs.Load()) == requests+spent }) {
+				t.Errorf("%d requests ran %d and %d times with %d retries", requests, slow.runs.Load(), other.runs.Load(), spent)
 			}
-			t.Logf("%d of %d were sent to the other endpoint, which was ended at %d of them; the late one was at %d", spent, requests, other.cut.Load(), slow.cut.Load())
+			t.Logf("%d of %d requests were sent to the other endpoint, %d of them were cancelled there and %d at the late endpoint", spent, requests, other.cancelled.Load(), slow.cancelled.Load())
 		})
 	}
 }
--- a/entry/direct/canary.go
+++ b/entry/direct/canary.go
@@ -14,169 +14,178 @@
 	"lycheepond/core/wire"
 )
 
-// leastPaced is how many tokens of output tell of the pace.
-const leastPaced = 20
+// minPacedTokens is the least number of output tokens from which a time per token is measured.
+const minPacedTokens = 20
 
-// unlike is how unlike endpoints are taken for while too few paces are known.
-var unlike = canary.Spread{Deviation: 0.5}
+// defaultSpread is how much endpoints are assumed to differ while too few of their paces are
+// known.
+var defaultSpread = canary.Spread{Deviation: 0.5}
 
-// Order takes in an operator's order as the platform has it, with the state and the target
-// in its status.
+// SetOrder applies a rollout order as the platform has it, with the state and the target in
+// its status.
 func (d *Director) Order(o canary.Order, s canary.State, target string) {
-	d.rollOut(func(now time.Duration) {
-		d.v.rollouts.Order(now, o, 0)
-		d.v.rollouts.Written(now, o.Pool, target, s, o.Revision)
+	d.updateRollouts(func(now time.Duration) {
+		d.view.rollouts.Order(now, o, 0)
+		d.view.rollouts.Written(now, o.Pool, target, s, o.Revision)
 	})
 }
 
-// Cancel notes that the platform has no order for a pool at a revision.
+// CancelOrder records that the platform has no rollout order for a pool at a revision.
 func (d *Director) Cancel(pool string, revision int64) {
-	d.rollOut(func(now time.Duration) { d.v.rollouts.Cancel(now, pool, revision) })
+	d.updateRollouts(func(now time.Duration) { d.view.rollouts.Cancel(now, pool, revision) })
 }
 
-// OrdersRead notes that all orders of the platform as of a time are known.
+// MarkOrdersRead records that all rollout orders of the platform as of a time are known.
 func (d *Director) OrdersRead(asOf time.Time) {
-	d.rollOut(func(time.Duration) { d.v.rollouts.Read(d.since(asOf)) })
+	d.updateRollouts(func(time.Duration) { d.view.rollouts.Read(d.sinceStart(asOf)) })
 }
 
-// OrdersUnsure reports whether endpoints wait for the orders to be read.
+// AwaitsOrders reports whether endpoints are held back until the rollout orders have been
+// read.
 func (d *Director) OrdersUnsure() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.v.rollouts.Unsure()
+	return d.view.rollouts.Unsure()
 }
 
-// rollOut changes what is known of orders, and what follows from that.
-func (d *Director) rollOut(change func(now time.Duration)) {
+// updateRollouts changes what is known of rollout orders and applies the consequences.
+func (d *Director) updateRollouts(change func(now time.Duration)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	change(d.since(time.Now()))
-	d.noteRollouts()
+	change(d.sinceStart(time.Now()))
+	d.applyRolloutChanges()
 }
 
-// noteRollouts logs what has changed about orders, and uses endpoints by it; d.mu is held.
-func (d *Director) noteRollouts() {
-	for _, c := range d.v.rollouts.Changes() {
+// applyRolloutChanges logs the state changes of rollouts and updates which endpoints are used.
+// The caller holds d.mu.
+func (d *Director) applyRolloutChanges() {
+	for _, c := range d.view.rollouts.Changes() {
 		f := c.Finding
 		logs.Info(d.cfg.Log, logs.EventRollout, zap.String("pool", c.Order.Pool), zap.String("target", c.Order.Target), zap.Int64("revision", c.Order.Revision),
 			zap.Stringer("state", c.State), zap.Duration("age", c.Age), zap.Duration("over", c.Order.Over), zap.Bool("moved", c.Moved), zap.String("why", c.Why),
 			zap.String("measure", f.Measure), zap.String("route", f.Route), zap.Int("answers", f.Answers), zap.Float64("bad", f.Bad), zap.Float64("expected", f.Expected), zap.Float64("nats", f.Nats))
 		d.cfg.Metrics.Counter("rollouts", meter.Label{Key: "state", Value: c.State.String()}).Inc(1)
 	}
-	if d.v.rollouts.Changed() {
-		d.v.groupAll()
-		d.advanceAll()
+	if d.view.rollouts.Changed() {
+		d.view.assignAllEndpoints()
+		d.dispatchAllQueued()
 	}
 }
 
-// listVersions tells the book which versions the pools have.
-func (v *view) listVersions(now time.Duration) {
+// updateVersions tells the rollout book which versions the pools have and at how many
+// endpoints that are not leaving.
+func (v *view) updateVersions(now time.Duration) {
 	if !v.rollouts.Active() {
 		return
 	}
-	pools := make(map[string]map[string]int)
+	counts := make(map[string]map[string]int)
 	for _, e := range v.endpoints {
-		if pools[e.Pool] == nil {
-			pools[e.Pool] = make(map[string]int)
+		if counts[e.Pool] == nil {
+			counts[e.Pool] = make(map[string]int)
 		}
 		if !e.Leaving {
-			pools[e.Pool][e.Version]++
+			counts[e.Pool][e.Version]++
 		}
 	}
-	for name, versions := range pools {
+	for name, versions := range counts {
 		v.rollouts.List(now, name, versions)
 	}
 }
 
-// tryOut places a job at an endpoint of the version that is on trial in its pool, if it is
-// one of those that go there. d.mu is held.
-func (d *Director) tryOut(j *Job, p *pool) (*visit, admit.Decision, bool) {
-	if len(p.trial) == 0 || !d.v.rollouts.Open(p.name) {
+// placeOnTrial places a job at an endpoint of the version on trial in its pool, if the job is
+// among those selected for the trial. The caller holds d.mu.
+func (d *Director) placeOnTrial(j *Job, p *pool) (*attempt, admit.Decision, bool) {
+	if len(p.trialEndpoints) == 0 || !d.view.rollouts.Open(p.name) {
 		return nil, admit.Decision{}, false
 	}
 	now := time.Now()
 	e := d.trialEndpoint(j, p, now)
-	if e == nil || d.v.waits.crowd(tierIn{p.name, j.Tier}, 0, 0).First > 0 || p.line.Ahead(d.standing(j, p)) > 0 {
+	if e == nil || d.view.queueCounts.competition(poolTier{p.name, j.Tier}, 0, 0).First > 0 || p.queue.Ahead(d.queuePosition(j, p)) > 0 {
 		return nil, admit.Decision{}, false
 	}
-	_, known := d.cfg.Reach()
-	req := d.request(j, p, now)
-	q := canary.Request{Route: j.Route.Name, Takes: p.learner.Pace(e.ID).Work(req.Prompt, req.Output), Entries: known, Random: rand.Float64()}
-	if !d.v.rollouts.Take(d.since(now), p.name, q) {
+	_, knownEntries := d.cfg.Reach()
+	req := d.placementRequest(j, p, now)
+	q := canary.Request{Route: j.Route.Name, Takes: p.learner.Pace(e.ID).Work(req.Prompt, req.Output), Entries: knownEntries, Random: rand.Float64()}
+	if !d.view.rollouts.Take(d.sinceStart(now), p.name, q) {
 		return nil, admit.Decision{}, false
 	}
-	all := d.v.describeFor(p, []*endpoint{e}, d.v.zone, j.Pool, now, d.since(now))
-	dec := admit.Decide(req, all)
+	candidates := d.view.describeEndpoints(p, []*endpoint{e}, d.view.zone, j.Pool, now, d.sinceStart(now))
+	dec := admit.Decide(req, candidates)
 	if dec.Endpoint < 0 {
-		d.v.rollouts.Return(p.name, e.Version)
+		d.view.rollouts.Return(p.name, e.Version)
 		return nil, admit.Decision{}, false
 	}
-	v := d.begin(j, p, e, all[0], req, dec, now)
-	v.trial = true
-	return v, dec, true
+	a := d.startAttempt(j, p, e, candidates[0], req, dec, now)
+	a.isTrial = true
+	return a, dec, true
 }
 
 // trialEndpoint returns the first endpoint on trial that has room, in an order that all
-// entries share. It has room while it has fewer requests than the busiest one in service:
-// filled one after the other, they work under the same load.
+// entries share. It has room while it has fewer requests than the busiest endpoint in service:
+// endpoints on trial that are filled one after the other work under the same load as those in
+// service.
 func (d *Director) trialEndpoint(j *Job, p *pool, now time.Time) *endpoint {
-	since := d.since(now)
-	most := 1
+	since := d.sinceStart(now)
+	maxRequests := 1
 	for _, e := range p.endpoints {
-		most = max(most, min(e.own.requests+e.others.requests, e.slots(j.Pool)))
+		maxRequests = max(maxRequests, min(e.ownWork.requests+e.peerWork.requests, e.slots(j.Pool)))
 	}
-	turn := d.v.rollouts.Turn(since, p.name, len(p.trial))
-	for i := range p.trial {
-		e := p.trial[(turn+i)%len(p.trial)]
-		if e.own.requests+e.others.requests < most && e.warm <= since && d.v.trust.Usable(since, e.ID) && !e.away(now) {
+	offset := d.view.rollouts.Turn(since, p.name, len(p.trialEndpoints))
+	for i := range p.trialEndpoints {
+		e := p.trialEndpoints[(offset+i)%len(p.trialEndpoints)]
+		if e.ownWork.requests+e.peerWork.requests < maxRequests && e.warmAt <= since && d.view.trust.Usable(since, e.ID) && !e.hasMoved(now) {
 			return e
 		}
 	}
 	return nil
 }
 
-// reached counts a request that reached an endpoint in service; d.mu is held.
-func (v *visit) reached() {
-	if v.route != "" && !v.trial {
-		v.d.v.rollouts.Reached(v.pool.name, v.route)
+// countReached counts a request that reached an endpoint in service. The caller holds d.mu.
+func (a *attempt) countReached() {
+	if a.route != "" && !a.isTrial {
+		a.d.view.rollouts.Reached(a.pool.name, a.route)
 	}
 }
 
-// sample adds to what is known of the try's version; d.mu is held.
-func (v *visit) sample(now time.Time, s canary.Sample) {
-	if v.route == "" {
+// observeSample adds a sample to the statistics of the attempt's version. The caller holds
+// d.mu.
+func (a *attempt) observeSample(now time.Time, s canary.Sample) {
+	if a.route == "" {
 		return
 	}
-	s.Pool, s.Version, s.Route, s.Endpoint = v.pool.name, v.version, v.route, v.id
-	v.d.v.rollouts.Observe(v.d.since(now), s)
+	s.Pool, s.Version, s.Route, s.Endpoint = a.pool.name, a.version, a.route, a.id
+	a.d.view.rollouts.Observe(a.d.sinceStart(now), s)
 }
 
-// result adds how the try ended; d.mu is held.
-func (v *visit) result(now time.Time, r trust.Result) {
+// observeResult adds the result of the attempt to the statistics of its version. The caller
+// holds d.mu.
+func (a *attempt) observeResult(now time.Time, r trust.Result) {
 	switch r {
 	case trust.Good:
-		v.sample(now, canary.Sample{Kind: canary.Answered})
-		if v.first.IsZero() {
-			v.sample(now, canary.Sample{Kind: canary.FirstEvent, Took: now.Sub(v.sent)})
+		a.observeSample(now, canary.Sample{Kind: canary.Answered})
+		if a.firstAt.IsZero() {
+			a.observeSample(now, canary.Sample{Kind: canary.FirstEvent, Took: now.Sub(a.sentAt)})
 		}
-		if v.tokens >= leastPaced {
-			v.sample(now, canary.Sample{Kind: canary.TokenTime, Took: v.last.Sub(v.first) / time.Duration(v.tokens)})
+		if a.laterTokens >= minPacedTokens {
+			a.observeSample(now, canary.Sample{Kind: canary.TokenTime, Took: a.lastAt.Sub(a.firstAt) / time.Duration(a.laterTokens)})
 		}
 	case trust.Error, trust.Broken:
-		v.sample(now, canary.Sample{Kind: canary.Failed})
+		a.observeSample(now, canary.Sample{Kind: canary.Failed})
 	}
 }
 
-// unfinished adds that the try ended without a result; d.mu is held.
-func (v *visit) unfinished(now time.Time) {
-	if v.first.IsZero() {
-		v.sample(now, canary.Sample{Kind: canary.FirstEvent, Took: now.Sub(v.sent), Unfinished: true})
+// observeUnfinished adds an attempt that ended without a result to the statistics of its
+// version. The caller holds d.mu.
+func (a *attempt) observeUnfinished(now time.Time) {
+	if a.firstAt.IsZero() {
+		a.observeSample(now, canary.Sample{Kind: canary.FirstEvent, Took: now.Sub(a.sentAt), Unfinished: true})
 	}
 }
 
-// judgeRollouts judges the versions on trial.
-func (d *Director) judgeRollouts() {
-	if !d.v.rollouts.Active() {
+// evaluateRollouts evaluates the versions on trial and hands over the status writes that
+// follow.
+func (d *Director) evaluateRollouts() {
+	if !d.view.rollouts.Active() {
 		return
 	}
 	var peers []string
@@ -189,31 +198,31 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	writes := d.v.rollouts.Tick(d.since(time.Now()), canary.Fleet{
-		Peers: peers, Rank: d.rank(), Left: d.v.left, Longest: d.v.longest, Spread: d.v.spread,
+	writes := d.view.rollouts.Tick(d.sinceStart(time.Now()), canary.Fleet{
+		Peers: peers, Rank: d.entryRank(), Left: d.view.requestsOffVersion, Longest: d.view.longestTimeout, Spread: d.view.paceSpread,
 	})
 	for _, w := range writes {
 		if d.cfg.WriteRollout != nil {
 			d.cfg.WriteRollout(w)
 		}
 	}
-	d.noteRollouts()
+	d.applyRolloutChanges()
 }
 
-// left returns how many requests all entries have at a pool's endpoints that are not of a
-// version.
-func (v *view) left(pool, version string) int {
+// requestsOffVersion returns how many requests all entries have at those endpoints of a pool
+// that do not have the given version.
+func (v *view) requestsOffVersion(pool, version string) int {
 	n := 0
 	for _, e := range v.endpoints {
 		if e.Pool == pool && e.Version != version {
-			n += e.own.requests + e.others.requests
+			n += e.ownWork.requests + e.peerWork.requests
 		}
 	}
 	return n
 }
 
-// longest returns the longest time that a request of a pool may run.
-func (v *view) longest(pool string) time.Duration {
+// longestTimeout returns the longest time that a request of a pool may run.
+func (v *view) longestTimeout(pool string) time.Duration {
 	var longest time.Duration
 	for _, r := range v.table.Config().Routes {
 		for _, s := range r.Shares {
@@ -225,12 +234,12 @@
 	return longest
 }
 
-// spread returns how unlike a pool's endpoints in service are.
-func (v *view) spread(pool string) canary.Spread {
+// paceSpread returns how much the paces of a pool's endpoints in service differ.
+func (v *view) paceSpread(pool string) canary.Spread {
 	p := v.pools[pool]
 	cfg, ok := v.table.Pool(pool)
 	if p == nil || !ok {
-		return unlike
+		return defaultSpread
 	}
 	ids := make([]string, 0, len(p.endpoints))
 	for _, e := range p.endpoints {
@@ -238,25 +247,27 @@
 	}
 	shift, deviation, ok := p.learner.Spread(ids, cfg.Engine)
 	if !ok {
-		return unlike
+		return defaultSpread
 	}
 	return canary.Spread{Shift: shift, Deviation: deviation}
 }
 
-// rolloutReports returns the reports for a tally; d.mu is held.
-func (d *Director) rolloutReports(again bool) []wire.Rollout {
-	if !d.v.rollouts.Active() {
+// rolloutReports returns the rollout reports for a tally: the changed ones, and with resend
+// also those that a new peer needs. The caller holds d.mu.
+func (d *Director) rolloutReports(resend bool) []wire.Rollout {
+	if !d.view.rollouts.Active() {
 		return nil
 	}
-	_, known := d.cfg.Reach()
+	_, knownEntries := d.cfg.Reach()
 	var out []wire.Rollout
-	if again && d.v.rollouts.Known() {
+	if resend && d.view.rollouts.Known() {
+		// An empty report says that this entry knows all orders.
 		out = append(out, wire.Rollout{})
 	}
-	for _, r := range d.v.rollouts.Reports(d.since(time.Now()), again, known) {
+	for _, r := range d.view.rollouts.Reports(d.sinceStart(time.Now()), resend, knownEntries) {
 		o := r.Order
 		w := wire.Rollout{
-			Pool: o.Pool, Target: o.Target, OverMS: ms(o.Over), AgeMS: ms(r.Age), Created: o.Created, Revision: o.Revision,
+			Pool: o.Pool, Target: o.Target, OverMS: toMS(o.Over), AgeMS: toMS(r.Age), Created: o.Created, Revision: o.Revision,
 			State: uint8(r.State), Moved: r.Moved,
 		}
 		for _, c := range r.Cells {
@@ -270,19 +281,20 @@
 	return out
 }
 
-// mergeRollouts merges a peer's reports; d.mu is held.
-func (d *Director) mergeRollouts(peer string, anew bool, all []wire.Rollout) {
-	if anew {
-		d.v.rollouts.Restarted(peer)
+// mergeRollouts merges a peer's rollout reports. restarted is set for the first tally of the
+// peer's process. The caller holds d.mu.
+func (d *Director) mergeRollouts(peer string, restarted bool, reports []wire.Rollout) {
+	if restarted {
+		d.view.rollouts.Restarted(peer)
 	}
-	if len(all) == 0 {
+	if len(reports) == 0 {
 		return
 	}
-	now := d.since(time.Now())
-	for _, w := range all {
+	now := d.sinceStart(time.Now())
+	for _, w := range reports {
 		if w.Pool == "" {
-			if !d.v.rollouts.Known() {
-				d.v.rollouts.Read(now)
+			if !d.view.rollouts.Known() {
+				d.view.rollouts.Read(now)
 			}
 			continue
 		}
@@ -296,7 +308,7 @@
 				Cell: canary.Cell{Answers: c.Answers, Failed: c.Failed, First: c.First, LogFirst: float64(c.LogFirst), Paced: c.Paced, LogPaced: float64(c.LogPaced)},
 			})
 		}
-		d.v.rollouts.Merge(now, peer, r)
+		d.view.rollouts.Merge(now, peer, r)
 	}
-	d.noteRollouts()
+	d.applyRolloutChanges()
 }
--- a/entry/direct/cause.go
+++ b/entry/direct/cause.go
@@ -9,51 +9,51 @@
 	"lycheepond/core/meter"
 )
 
-// errTimeUp ends the work on a job at the end of its time.
+// errTimeUp is the cause with which the context of a job ends when its time is up.
 var errTimeUp = errors.New("time is up")
 
-// ErrEnding is the cause with which a server ends the contexts of requests when the
-// entry is about to end and their callers can still be told.
+// ErrEnding is the cause with which a server cancels the contexts of requests when the entry
+// is about to exit and their callers can still be answered.
 var ErrEnding = errors.New("direct: the entry ends: send the request again, to another entry")
 
-// ending reports that the context of a request ended for ErrEnding.
-func ending(caller context.Context) bool { return errors.Is(context.Cause(caller), ErrEnding) }
+// isEnding reports whether the context of a request was cancelled with ErrEnding.
+func isEnding(caller context.Context) bool { return errors.Is(context.Cause(caller), ErrEnding) }
 
-// lateError is why the entry itself gave a try up: the endpoint sent nothing for
-// the bound.
-type lateError struct {
-	// head is set if the head of the answer was awaited, else its next event.
-	head  bool
-	bound time.Duration
+// silenceError is the reason why the entry itself gave up an attempt: the endpoint sent
+// nothing for the bound.
+type silenceError struct {
+	// awaitingHead is set if the head of the answer was awaited, not its next event.
+	awaitingHead bool
+	bound        time.Duration
 }
 
-func (e *lateError) Error() string {
-	if e.head {
+func (e *silenceError) Error() string {
+	if e.awaitingHead {
 		return "no head of the answer for " + e.bound.String()
 	}
 	return "endpoint silent for " + e.bound.String()
 }
 
-// broken says in words how a try ended: by the entry's own hand, or what happened
-// to it.
-func broken(what string, err error) string {
-	var late *lateError
+// breakReason describes how an attempt ended. what is the description used unless the entry
+// itself gave it up.
+func breakReason(what string, err error) string {
+	var silence *silenceError
 	switch {
 	case err == nil:
 		return what
-	case errors.As(err, &late):
-		return late.Error()
+	case errors.As(err, &silence):
+		return silence.Error()
 	}
 	return what + ": " + err.Error()
 }
 
-// kindOf spells the cause that ended a try by the entry's own hand, for metrics.
-func kindOf(cause error) string {
-	var late *lateError
+// cancelKind returns the metrics label for the cause with which the entry ended an attempt.
+func cancelKind(cause error) string {
+	var silence *silenceError
 	switch {
-	case errors.As(cause, &late) && late.head:
+	case errors.As(cause, &silence) && silence.awaitingHead:
 		return "head"
-	case late != nil:
+	case silence != nil:
 		return "silence"
 	case errors.Is(cause, errTimeUp):
 		return "time"
@@ -63,25 +63,26 @@
 	return "cut"
 }
 
-// givenUp counts a try that ended by the entry's own hand.
-func (d *Director) givenUp(why string) {
-	d.cfg.Metrics.Counter("tries_given_up", meter.Label{Key: "why", Value: why}).Inc(1)
+// countGivenUp counts an attempt that the entry itself ended.
+func (d *Director) countGivenUp(kind string) {
+	d.cfg.Metrics.Counter("tries_given_up", meter.Label{Key: "why", Value: kind}).Inc(1)
 }
 
-// gone says what the end of a caller's context means: its server cancels it
-// with a cause if it closes the connection itself.
-func gone(caller context.Context) Result {
+// callerEndResult returns the result of a job whose caller's context has ended. The server
+// cancels that context with a cause if it closes the connection itself.
+func callerEndResult(caller context.Context) Result {
 	if cause := context.Cause(caller); cause != nil && !errors.Is(cause, context.Canceled) {
-		return Result{Outcome: Cut, Why: cause.Error()}
+		return Result{Outcome: ClosedByEntry, Reason: cause.Error()}
 	}
-	return Result{Outcome: Left, Why: "caller left"}
+	return Result{Outcome: CallerLeft, Reason: "caller left"}
 }
 
-// untaken says what a failed write to the caller means.
-func (t *task) untaken(err error) verdict {
+// writeFailed returns the result of an attempt whose answer could not be written to the
+// caller.
+func (t *task) writeFailed(err error) attemptResult {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.d.givenUp("untaken")
-		return done(Cut, "caller did not take the answer in time")
+		t.d.countGivenUp("untaken")
+		return finalResult(ClosedByEntry, "caller did not take the answer in time")
 	}
-	return verdict{done: true, res: gone(t.caller)}
+	return attemptResult{isFinal: true, result: callerEndResult(t.caller)}
 }
--- a/entry/direct/crowd_test.go
+++ b/entry/direct/crowd_test.go
@@ -17,125 +17,125 @@
 	"lycheepond/core/wire"
 )
 
-// engine serves requests in order of arrival, slots at once.
-type engine struct{ slots chan struct{} }
+// testEngine serves requests in order of arrival, as many at once as it has slots.
+type testEngine struct{ slots chan struct{} }
 
-// serve carries out what a visit was sent for.
-func (e *engine) serve(v *visit, prompt, output int) {
+// serve runs the request of an attempt.
+func (e *testEngine) serve(a *attempt, prompt, output int) {
 	e.slots <- struct{}{}
 	time.Sleep(30*time.Millisecond + time.Duration(prompt)*9*time.Microsecond)
-	v.progress(5)
+	a.recordProgress(5)
 	time.Sleep(time.Duration(output-5) * 4 * time.Millisecond)
-	v.progress(output - 5)
+	a.recordProgress(output - 5)
 	<-e.slots
-	v.end(trust.Good)
+	a.finish(trust.Good)
 }
 
-// kind is a kind of request of the replayed load.
-type kind struct {
+// requestKind is a kind of request of the replayed workload.
+type requestKind struct {
 	tier           int
 	rate           float64
 	prompt, output int
 }
 
-// load is what callers of a pool of engines send for a while.
-type load struct {
+// workload is what callers send to a pool of engines.
+type workload struct {
 	entries, engines, slots int
-	kinds                   []kind
-	// burst is by how much the rates rise from burstAt on, for burstFor.
+	kinds                   []requestKind
+	// burst is the factor by which the rates rise at burstAt, for burstFor.
 	burst             float64
 	seed              uint64
 	burstAt, burstFor time.Duration
-	length            time.Duration
-	// returns is set if refused callers come back when they are told to.
-	returns bool
+	duration          time.Duration
+	// retriesRefused is set if refused callers retry after their retry delay.
+	retriesRefused bool
 }
 
-// fate is what became of one request.
-type fate struct {
+// requestResult is the result of one request.
+type requestResult struct {
 	at      time.Duration
 	tier    int
 	refused bool
-	// inTime is set if its first event came within the target.
-	inTime bool
-	// back is set for one that was refused and came back.
-	back bool
+	// metTarget is set if the first event came within the target.
+	metTarget bool
+	// isRetry is set for a request that was refused before.
+	isRetry bool
 }
 
 const (
 	replayTarget = 400 * time.Millisecond
-	// hearing is the time between two tallies.
-	hearing = 25 * time.Millisecond
+	// tallyInterval is the time between two tallies.
+	tallyInterval = 25 * time.Millisecond
 )
 
-// replay sends a load through entries that tell each other what they have at
-// the engines, and returns what became of each request.
-func (l load) replay(t *testing.T) []fate {
+// replay sends a workload through entries that report to each other what they have at the
+// engines, and returns the result of each request.
+func (w workload) replay(t *testing.T) []requestResult {
 	var (
 		mu    sync.Mutex
-		fates []fate
+		fates []requestResult
 	)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		start := time.Now()
-		engines := make(map[string]*engine)
+		engines := make(map[string]*testEngine)
 		roster := route.Roster{Revision: 1}
-		for i := range l.engines {
+		for i := range w.engines {
 			id := fmt.Sprint("engine-", i)
-			engines[id] = &engine{slots: make(chan struct{}, l.slots)}
-			roster.Endpoints = append(roster.Endpoints, route.Endpoint{ID: id, Born: 1, Pool: "p", Addr: id, Slots: l.slots})
+			engines[id] = &testEngine{slots: make(chan struct{}, w.slots)}
+			roster.Endpoints = append(roster.Endpoints, route.Endpoint{ID: id, Born: 1, Pool: "p", Addr: id, Slots: w.slots})
 		}
 		var cfg route.Config
 		cfg.Revision = 1
-		for i := range l.kinds {
+		for i := range w.kinds {
 			cfg.Routes = append(cfg.Routes, route.Route{
-				Name: fmt.Sprint("r", i), Tier: l.kinds[i].tier, Target: replayTarget, Timeout: 5 * time.Second, Shares: []route.Share{{Pool: "p", Weight: 1}},
+				Name: fmt.Sprint("r", i), Tier: w.kinds[i].tier, Target: replayTarget, Timeout: 5 * time.Second, Shares: []route.Share{{Pool: "p", Weight: 1}},
 			})
 		}
-		cfg.Pools = []route.Pool{{Name: "p", Engine: true, Slots: l.slots}}
-		var all []*Director
-		for i := range l.entries {
+		cfg.Pools = []route.Pool{{Name: "p", Engine: true, Slots: w.slots}}
+		var directors []*Director
+		for i := range w.entries {
 			d := New(Config{
 				Addr: fmt.Sprint("entry-", i), Repeats: Repeats{Ratio: 0.2, Slack: 50}, Metrics: meter.New(), Log: zap.NewNop(),
-				Reach: func() (int, int) { return l.entries, l.entries },
+				Reach: func() (int, int) { return w.entries, w.entries },
 			})
 			d.SetConfig(cfg)
 			d.SetRoster(roster)
-			all = append(all, d)
+			directors = append(directors, d)
 		}
 		var running sync.WaitGroup
-		for i, d := range all {
-			running.Go(func() { tellOthers(ctx, i, all) })
-			for k := range l.kinds {
-				rnd := rand.New(rand.NewPCG(l.seed, uint64(i*len(l.kinds)+k)))
+		for i, d := range directors {
+			running.Go(func() { broadcastTallies(ctx, i, directors) })
+			for k := range w.kinds {
+				rnd := rand.New(rand.NewPCG(w.seed, uint64(i*len(w.kinds)+k)))
 				running.Go(func() {
-					l.send(rnd, d, &cfg, k, start, func(v *visit, j *Job) {
-						engines[v.id].serve(v, j.Prompt, j.Output)
-					}, func(f fate) {
+					w.send(rnd, d, &cfg, k, start, func(a *attempt, j *Job) {
+						engines[a.id].serve(a, j.Prompt, j.Output)
+					}, func(r requestResult) {
 						mu.Lock()
 						defer mu.Unlock()
-						fates = append(fates, f)
+						fates = append(fates, r)
 					}, &running)
 				})
 			}
 		}
-		time.Sleep(l.length + 5*time.Second)
+		time.Sleep(w.duration + 5*time.Second)
 		stop()
 		running.Wait()
 	})
 	return fates
 }
 
-// tellOthers passes on what an entry has to tell, as often as entries do.
-func tellOthers(ctx context.Context, from int, all []*Director) {
+// broadcastTallies sends the tallies of an entry to the others, as often as entries do.
+func broadcastTallies(ctx context.Context, from int, directors []*Director) {
 	for first := true; ctx.Err() == nil; first = false {
-		time.Sleep(hearing)
-		tally := all[from].Tally(first)
+		time.Sleep(tallyInterval)
+		tally := directors[from].Tally(first)
 		if !first && !tally.News() {
 			continue
 		}
 		tally.Whole = first
-		for i, d := range all {
+		for i, d := range directors {
 			if i != from {
 				d.Heard(fmt.Sprint("entry-", from), first, &wire.Tally{Held: tally.Held, Waiting: tally.Waiting, Whole: first})
 			}
@@ -144,58 +144,58 @@
 }
 
 // send sends one kind of request through one entry.
-func (l load) send(rnd *rand.Rand, d *Director, cfg *route.Config, k int, start time.Time, serve func(*visit, *Job), note func(fate), running *sync.WaitGroup) {
+func (w workload) send(rnd *rand.Rand, d *Director, cfg *route.Config, k int, start time.Time, serve func(*attempt, *Job), note func(requestResult), running *sync.WaitGroup) {
 	for n := 0; ; n++ {
 		at := time.Since(start)
-		if at > l.length {
+		if at > w.duration {
 			return
 		}
-		rate := l.kinds[k].rate / float64(l.entries)
-		if at > l.burstAt && at < l.burstAt+l.burstFor {
-			rate *= l.burst
+		rate := w.kinds[k].rate / float64(w.entries)
+		if at > w.burstAt && at < w.burstAt+w.burstFor {
+			rate *= w.burst
 		}
 		time.Sleep(time.Duration(rnd.ExpFloat64() / rate * float64(time.Second)))
 		now := time.Now()
 		size := 0.3 + rnd.ExpFloat64()*0.7
 		j := &Job{
 			ID: fmt.Sprint(d.cfg.Addr, k, n), Route: &cfg.Routes[k], Pool: &cfg.Pools[0], Tier: cfg.Routes[k].TierOf(nil),
-			Accepted: now, Deadline: now.Add(5 * time.Second),
-			Prompt: int(size * float64(l.kinds[k].prompt)), Output: max(int(size*float64(l.kinds[k].output)), 10),
+			AcceptedAt: now, Deadline: now.Add(5 * time.Second),
+			Prompt: int(size * float64(w.kinds[k].prompt)), Output: max(int(size*float64(w.kinds[k].output)), 10),
 		}
 		running.Go(func() {
-			v, dec := d.enter(context.Background(), j)
-			f := fate{at: time.Since(start), tier: l.kinds[k].tier, refused: dec.Endpoint < 0}
-			if f.refused && l.returns {
+			a, dec := d.admitJob(context.Background(), j)
+			r := requestResult{at: time.Since(start), tier: w.kinds[k].tier, refused: dec.Endpoint < 0}
+			if r.refused && w.retriesRefused {
 				time.Sleep(dec.Retry)
 				again := *j
-				again.Accepted = time.Now()
-				v, dec = d.enter(context.Background(), &again)
-				f = fate{at: time.Since(start), tier: f.tier, refused: dec.Endpoint < 0, back: true}
+				again.AcceptedAt = time.Now()
+				a, dec = d.admitJob(context.Background(), &again)
+				r = requestResult{at: time.Since(start), tier: r.tier, refused: dec.Endpoint < 0, isRetry: true}
 			}
-			if !f.refused {
-				serve(v, j)
-				f.inTime = !v.first.IsZero() && v.first.Sub(now) <= replayTarget
+			if !r.refused {
+				serve(a, j)
+				r.metTarget = !a.firstAt.IsZero() && a.firstAt.Sub(now) <= replayTarget
 			}
-			note(f)
+			note(r)
 		})
 	}
 }
 
-// inversions counts the requests of the highest tier that were refused, and those
-// of them that were refused within the time in which entries hear of each other
-// of the admission of a lower one.
-func inversions(fates []fate, within time.Duration) (top, refused, inverted int) {
-	for _, f := range fates {
-		if f.tier != 0 {
+// inversions counts the requests of the highest tier, those of them that were refused, and
+// those refused while a request of a lower tier was admitted. The last two events must be no
+// further apart than within, the time in which entries learn of each other's admissions.
+func inversions(fates []requestResult, within time.Duration) (top, refused, inverted int) {
+	for _, r := range fates {
+		if r.tier != 0 {
 			continue
 		}
 		top++
-		if !f.refused {
+		if !r.refused {
 			continue
 		}
 		refused++
-		for _, o := range fates {
-			if o.tier > 0 && !o.refused && max(o.at-f.at, f.at-o.at) <= within {
+		for _, other := range fates {
+			if other.tier > 0 && !other.refused && max(other.at-r.at, r.at-other.at) <= within {
 				inverted++
 				break
 			}
@@ -204,39 +204,38 @@
 	return top, refused, inverted
 }
 
-// A third of the engines is gone and twice the usual load comes. The engines
-// could serve the highest tier, but if each entry compares every request with its
-// own share of one engine's wait, lower tiers go on filling the queues in which
-// the highest then waits: callers of the highest tier are refused while others
-// with less urgent work are served beside them. With thirty entries, each hears of
-// a free slot at the same time as all others, and several send to it.
-func TestHighestTierIsServedInABurst(t *testing.T) {
+// A third of the engines is gone and twice the usual load arrives. The engines could serve the
+// highest tier. But if each entry compares every request with only its own share of one
+// engine's wait, lower tiers keep filling the queues in which the highest tier then waits: its
+// callers are refused while less urgent requests are served. With thirty entries, all of them
+// learn of a free slot at the same time and several send to it.
+func TestHighestTierServedInBurst(t *testing.T) {
 	for _, tt := range []struct {
 		entries, engines int
 		// scale multiplies the rates.
 		scale float64
-		// refused and inverted bound how many in a thousand of the highest tier are
-		// refused, and refused beside admitted lower tiers. Without a line, 57 and 54
-		// are with four entries, 158 and 158 with thirty.
+		// refused and inverted bound how many of a thousand requests of the highest tier are
+		// refused, and how many are refused while lower tiers are admitted. Without a queue
+		// these are 57 and 54 with four entries, 158 and 158 with thirty.
 		refused, inverted int
 	}{
 		{4, 6, 1, 40, 20},
 		{30, 45, 7.5, 50, 10},
 	} {
-		l := load{
-			entries: tt.entries, engines: tt.engines, slots: 7, length: 6 * time.Second, seed: 2,
+		w := workload{
+			entries: tt.entries, engines: tt.engines, slots: 7, duration: 6 * time.Second, seed: 2,
 			burst: 2.2, burstAt: 2 * time.Second, burstFor: 2500 * time.Millisecond,
-			kinds: []kind{{0, 50 * tt.scale, 2890, 50}, {1, 59 * tt.scale, 1800, 22}, {2, 21 * tt.scale, 543, 280}},
+			kinds: []requestKind{{0, 50 * tt.scale, 2890, 50}, {1, 59 * tt.scale, 1800, 22}, {2, 21 * tt.scale, 543, 280}},
 		}
-		fates := l.replay(t)
-		top, refused, inverted := inversions(fates, hearing)
+		fates := w.replay(t)
+		top, refused, inverted := inversions(fates, tallyInterval)
 		inTime := 0
-		for _, f := range fates {
-			if f.tier == 0 && f.inTime {
+		for _, r := range fates {
+			if r.tier == 0 && r.metTarget {
 				inTime++
 			}
 		}
-		t.Logf("%d entries: of %d requests of the highest tier %d in time, %d refused, %d of them beside admitted lower tiers", tt.entries, top, inTime, refused, inverted)
+		t.Logf("%d entries: of %d requests of the highest tier %d in time, %d refused, %d of them while a lower tier was admitted", tt.entries, top, inTime, refused, inverted)
 		if refused*1000 > top*tt.refused {
 			t.Errorf("%d entries: %d of %d of the highest tier refused", tt.entries, refused, top)
 		}
@@ -246,31 +245,31 @@
 	}
 }
 
-// Short crowds come again and again at a pool that has room between them. A caller
-// refused in one that is told to come back after its target is served too late even
-// if there is room then, and may find the next crowd.
-func TestRefusedCallersCanStillBeServedInTime(t *testing.T) {
+// Short bursts hit a pool that has room between them. A refused caller that is told to retry
+// after more than its target is served too late even if there is room then, and its retry may
+// hit the next burst.
+func TestRefusedCallersMeetTargetOnRetry(t *testing.T) {
 	back, inTime := 0, 0
 	for seed := range uint64(8) {
-		l := load{
-			entries: 4, engines: 9, slots: 7, length: 6 * time.Second, seed: seed, returns: true,
+		w := workload{
+			entries: 4, engines: 9, slots: 7, duration: 6 * time.Second, seed: seed, retriesRefused: true,
 			burst: 4, burstAt: 2 * time.Second, burstFor: 300 * time.Millisecond,
-			kinds: []kind{{0, 50, 2890, 50}, {1, 59, 1800, 22}, {2, 21, 543, 280}},
+			kinds: []requestKind{{0, 50, 2890, 50}, {1, 59, 1800, 22}, {2, 21, 543, 280}},
 		}
-		for _, f := range l.replay(t) {
-			if f.back && f.tier < 2 {
+		for _, r := range w.replay(t) {
+			if r.isRetry && r.tier < 2 {
 				back++
-				if f.inTime {
+				if r.metTarget {
 					inTime++
 				}
 			}
 		}
 	}
-	t.Logf("%d of the two higher tiers came back, %d of them were served in time", back, inTime)
+	t.Logf("%d requests of the two higher tiers were retried, %d of them were served in time", back, inTime)
 	if back == 0 {
-		t.Fatal("nobody was refused: the test shows nothing")
+		t.Fatal("no request was refused: the test shows nothing")
 	}
 	if inTime*4 < back {
-		t.Errorf("%d of %d that came back were served in time", inTime, back)
+		t.Errorf("%d of %d retried requests were served in time", inTime, back)
 	}
 }
--- a/entry/direct/direct.go
+++ b/entry/direct/direct.go
@@ -1,9 +1,10 @@
-// Package direct serves requests by calling endpoints from the entry itself,
-// for endpoints without an agent and for platforms on which any other process
-// may be missing. Admission and placement are core/admit's, trust in endpoints
-// core/trust's, customers' limits core/quota's; this package keeps what they
-// know in one place, carries requests and answers, and decides what a failure
-// means: whether the request may be sent again, and what the caller may be told.
+// Package direct serves requests by calling endpoints from the entry itself. It is for
+// endpoints without an agent and for platforms on which any other process may be missing.
+//
+// The decisions are made by core/admit (admission and placement), core/trust (trust in
+// endpoints) and core/quota (customer limits). This package keeps their state in one place,
+// carries requests and answers, and decides what a failure means: whether the request may be
+// sent again, and what the caller may be told.
 package direct
 
 import (
@@ -24,36 +25,38 @@
 	"lycheepond/entry/hop"
 )
 
-// Repeats bounds how many requests all entries together may send again.
+// RetryBudget bounds how many requests all entries together may send again.
 type Repeats struct {
-	// Ratio is the share of a pool's requests, Slack a number on top of it.
+	// Ratio is a share of a pool's requests, Slack a number of requests on top of it.
 	Ratio, Slack float64
 }
 
-// Config is what a Director depends on.
+// Config holds the settings and dependencies of a Director.
 type Config struct {
 	Zone string
-	// Addr is where peers reach this entry.
+	// Addr is the address at which peers reach this entry.
 	Addr    string
 	Repeats Repeats
 	// Tolerance is by how much customers may exceed their limits.
 	Tolerance quota.Tolerance
 	Client    *hop.Client
-	// Reach returns how many entries are heard and how many may be at work.
-	Reach func() (heard, known int)
+	// EntryCounts returns how many entries this one can reach and how many may be running.
+	Reach func() (reachable, known int)
 	Peers Peers
-	// Stamp sets the headers by which the endpoint knows what it is told.
+	// StampHeaders sets the headers that tell the endpoint about the attempt.
 	Stamp func(r *hop.Request, o Order)
-	// Own reports whether an answer's head belongs to the request of an ID.
+	// IsAnswerTo reports whether the head of an answer belongs to the request with the given
+	// ID.
 	Own func(id string, status int, h http.Header) bool
-	// Read reads the head of an answer.
+	// ReadMeta reads the head of an answer.
 	Read func(a *hop.Answer) Meta
-	// Rollouts bounds what a version that turns out to be bad may get. WriteRollout is
-	// called when the state of an order is to be written; it must not block.
+	// RolloutRule bounds how many requests a version that turns out to be bad may get.
+	// WriteRollout is called when the state of a rollout order is to be written; it must not
+	// block.
 	Rollouts     canary.Rule
 	WriteRollout func(w canary.Write)
-	// Quarantine is called when a quarantine begins or is lifted. It must not block; it
-	// may be nil.
+	// OnQuarantine is called when a quarantine begins or is lifted. It must not block; it may
+	// be nil.
 	Quarantine func(c poison.Change)
 	Metrics    *meter.Set
 	Log        *zap.Logger
@@ -63,53 +66,55 @@
 type Director struct {
 	cfg   Config
 	start time.Time
-	// answered holds by customer how long answers took, refused the times to
-	// come back that were told.
-	answered, refused *meter.Top
+	// answerTimes holds the answer times by customer, retryTimes the retry delays given to
+	// refused callers, both in milliseconds.
+	answerTimes, retryTimes *meter.Top
 
-	mu sync.Mutex
-	v  *view
-	// running counts jobs without a final answer.
-	running int
-	// asks counts the places that were asked of owners; asking holds those without an
-	// answer, placed by owner and number the tries that owners count.
-	asks   uint64
-	asking map[uint64]*asked
-	placed map[string]map[uint64]*visit
-	// passed holds until when owners that did not answer are not asked.
-	passed map[string]time.Time
+	mu   sync.Mutex
+	view *view
+	// runningJobs counts the jobs without a final answer.
+	runningJobs int
+	// lastPlacementID is the ID of the latest placement request to a shard owner. pendingPlacements
+	// holds the placement requests without an answer. ownerAttempts holds, by owner and ID,
+	// the attempts that owners count.
+	lastPlacementID   uint64
+	pendingPlacements map[uint64]*pendingPlacement
+	ownerAttempts     map[string]map[uint64]*attempt
+	// ownerBackoff holds, for owners that did not answer, until when they get no placement
+	// requests.
+	ownerBackoff map[string]time.Time
 }
 
-// New returns a director without configuration.
+// New returns a director without a configuration.
 func New(cfg Config) *Director {
 	d := &Director{
-		cfg: cfg, start: time.Now(), v: newView(cfg.Zone, cfg.Rollouts),
-		asking: make(map[uint64]*asked), placed: make(map[string]map[uint64]*visit), passed: make(map[string]time.Time),
-		answered: cfg.Metrics.Top("customer_answer_ms"), refused: cfg.Metrics.Top("customer_retry_ms"),
+		cfg: cfg, start: time.Now(), view: newView(cfg.Zone, cfg.Rollouts),
+		pendingPlacements: make(map[uint64]*pendingPlacement), ownerAttempts: make(map[string]map[uint64]*attempt), ownerBackoff: make(map[string]time.Time),
+		answerTimes: cfg.Metrics.Top("customer_answer_ms"), retryTimes: cfg.Metrics.Top("customer_retry_ms"),
 	}
-	d.v.share = d.share
+	d.view.limitShare = d.limitShare
 	return d
 }
 
-// Table returns the configuration in force; its revision is zero before the
-// first one is known.
+// Table returns the configuration in force. Its revision is zero before the first
+// configuration is known.
 func (d *Director) Table() *route.Table {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.v.table
+	return d.view.table
 }
 
-// SetConfig puts a configuration in force unless it is older than the present
-// one, and reports whether it did.
+// SetConfig puts a configuration in force if it is newer than the current one, and reports
+// whether it did.
 func (d *Director) SetConfig(c route.Config) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if c.Revision <= d.v.table.Revision() {
+	if c.Revision <= d.view.table.Revision() {
 		return false
 	}
-	d.v.table = route.NewTable(c)
-	for name, p := range d.v.pools {
-		p.tiers = d.v.table.Tiers(name)
+	d.view.table = route.NewTable(c)
+	for name, p := range d.view.pools {
+		p.tiers = d.view.table.Tiers(name)
 	}
 	return true
 }
@@ -118,124 +123,127 @@
 func (d *Director) Roster() route.Roster {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.v.roster
+	return d.view.roster
 }
 
-// SetRoster puts an instance list in force unless it is older than the present
-// one, and reports whether it did. A list of the same revision may differ: an
-// endpoint whose removal was in doubt is gone from the later one.
+// SetRoster puts an instance list in force unless it is older than the current one, and
+// reports whether it did. A list of the same revision may differ: an endpoint whose removal
+// was in doubt is missing from the later one.
 func (d *Director) SetRoster(r route.Roster) bool {
 	d.mu.Lock()
-	if r.Revision < d.v.roster.Revision {
+	if r.Revision < d.view.roster.Revision {
 		d.mu.Unlock()
 		return false
 	}
-	gone := d.v.setRoster(r, d.since(time.Now()))
-	d.notePoison()
-	d.advanceAll()
+	staleAddrs := d.view.setRoster(r, d.sinceStart(time.Now()))
+	d.applyQuarantineChanges()
+	d.dispatchAllQueued()
 	d.mu.Unlock()
-	for _, addr := range gone {
+	for _, addr := range staleAddrs {
 		d.cfg.Client.Drop(addr)
 	}
 	return true
 }
 
-// Informed reports whether a configuration, an instance list and the orders to roll out
-// versions are known.
+// HasSynced reports whether a configuration, an instance list and the rollout orders are
+// known.
 func (d *Director) Informed() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.v.table.Revision() > 0 && d.v.roster.Revision > 0 && d.v.rollouts.Known()
+	return d.view.table.Revision() > 0 && d.view.roster.Revision > 0 && d.view.rollouts.Known()
 }
 
-// Running returns how many jobs have no final answer yet.
+// RunningJobs returns how many jobs have no final answer yet.
 func (d *Director) Running() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.running
+	return d.runningJobs
 }
 
-// Heard takes in a peer's tally; anew is set for the first of a process, which
-// counts from zero.
-func (d *Director) Heard(peer string, anew bool, t *wire.Tally) {
+// HandleTally applies a peer's tally. restarted is set for the first tally of a peer's
+// process, whose counters start at zero.
+func (d *Director) Heard(peer string, restarted bool, t *wire.Tally) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.v.heard(peer, anew, t)
+	d.view.applyTally(peer, restarted, t)
 	d.mergeSuspects(t.Suspects)
 	d.mergeLimits(peer, t.Limits)
-	d.mergeRollouts(peer, anew, t.Rollouts)
-	d.advanceAll()
+	d.mergeRollouts(peer, restarted, t.Rollouts)
+	d.dispatchAllQueued()
 }
 
-// Whole returns what a peer told, all of it together.
+// PeerTally returns everything that a peer has reported, as one tally.
 func (d *Director) Whole(peer string) *wire.Tally {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	t := new(wire.Tally)
-	for _, h := range d.v.peers[peer] {
+	for _, h := range d.view.heldByPeer[peer] {
 		t.Held = append(t.Held, h)
 	}
-	d.v.quota.TotalsOf(peer, func(customer string, total float64) {
+	d.view.quota.TotalsOf(peer, func(customer string, total float64) {
 		t.Used = append(t.Used, wire.Used{Customer: customer, Total: total})
 	})
-	t.Waiting = d.v.waits.of(peer)
+	t.Waiting = d.view.queueCounts.peerReport(peer)
 	return t
 }
 
-// Lost drops the work of a peer that fell silent.
+// HandlePeerLoss drops the work of a peer that has fallen silent.
 func (d *Director) Lost(peer string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.v.lost(peer)
-	d.advanceAll()
+	d.view.handlePeerLoss(peer)
+	d.dispatchAllQueued()
 }
 
-// Tally returns what the peers have to know: what has changed, or all of it.
-func (d *Director) Tally(all bool) *wire.Tally {
-	heard, known := d.cfg.Reach()
+// Tally returns what the peers need to know: the changes since the last call, or everything if
+// full is set.
+func (d *Director) Tally(full bool) *wire.Tally {
+	reachableEntries, knownEntries := d.cfg.Reach()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	v := d.v
-	v.quota.Reach(heard, known)
-	t := &wire.Tally{Config: v.table.Revision(), Roster: v.roster.Revision, Waiting: v.waits.tell(all)}
-	if all {
+	v := d.view
+	v.quota.Reach(reachableEntries, knownEntries)
+	t := &wire.Tally{Config: v.table.Revision(), Roster: v.roster.Revision, Waiting: v.queueCounts.report(full)}
+	if full {
 		t.Addr = d.cfg.Addr
 	}
 	v.quota.Totals(func(customer string, total float64) {
-		if all || v.changedUsed[customer] {
+		if full || v.unreportedUsage[customer] {
 			t.Used = append(t.Used, wire.Used{Customer: customer, Total: total})
 		}
 	})
 	for id, e := range v.endpoints {
-		if all && e.own.requests > 0 || v.changedHeld[id] {
-			t.Held = append(t.Held, e.held())
+		if full && e.ownWork.requests > 0 || v.unreportedWork[id] {
+			t.Held = append(t.Held, e.heldReport())
 		}
 	}
-	if all {
-		// Those that were told before still have to hear of the changes.
+	if full {
+		// Peers that got earlier tallies still need the changes, so they stay unreported.
 		return t
 	}
-	for id := range v.changedHeld {
+	for id := range v.unreportedWork {
 		if e := v.endpoints[id]; e != nil {
-			e.told, e.toldRequests = e.own.output, e.own.requests
+			e.reportedOutput, e.reportedRequests = e.ownWork.outputTokens, e.ownWork.requests
 		}
 	}
-	clear(v.changedHeld)
-	clear(v.changedUsed)
+	clear(v.unreportedWork)
+	clear(v.unreportedUsage)
 	return t
 }
 
-func (e *endpoint) held() wire.Held {
+func (e *endpoint) heldReport() wire.Held {
 	return wire.Held{
-		Endpoint: e.ID, Requests: uint32(e.own.requests), Prompt: uint32(max(e.own.prompt, 0)),
-		Output: uint32(max(e.own.output, 0)), Tokens: uint32(max(e.own.tokens, 0)),
+		Endpoint: e.ID, Requests: uint32(e.ownWork.requests), Prompt: uint32(max(e.ownWork.promptTokens, 0)),
+		Output: uint32(max(e.ownWork.outputTokens, 0)), Tokens: uint32(max(e.ownWork.kvTokens, 0)),
 	}
 }
 
-// since is the time as decisions count it.
-func (d *Director) since(now time.Time) time.Duration { return now.Sub(d.start) }
+// sinceStart returns a time as the duration since the start of the director, as decisions take
+// it.
+func (d *Director) sinceStart(now time.Time) time.Duration { return now.Sub(d.start) }
 
-// charge admits a job against its customer's limit.
+// charge takes the units of a job from its customer's limit. If the limit is used up, it
+// returns false and the time after which to retry.
 func (d *Director) charge(j *Job) (time.Duration, bool) {
 	if j.Customer == nil {
 		return 0, true
@@ -243,84 +251,84 @@
 	c := j.Customer
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	wait, ok := d.v.quota.Take(d.since(time.Now()), c.Name, quota.Limit{Rate: c.Rate, Burst: c.Burst}.With(d.cfg.Tolerance), j.Units)
+	wait, ok := d.view.quota.Take(d.sinceStart(time.Now()), c.Name, quota.Limit{Rate: c.Rate, Burst: c.Burst}.With(d.cfg.Tolerance), j.Units)
 	if ok {
-		d.v.changedUsed[c.Name] = true
+		d.view.unreportedUsage[c.Name] = true
 	}
 	return wait, ok
 }
 
-// refund gives back what charge took for a job that never ran.
+// refund returns what charge took for a job that never ran.
 func (d *Director) refund(j *Job) {
 	if j.Customer == nil {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.v.quota.Return(j.Customer.Name, j.Units)
-	d.v.changedUsed[j.Customer.Name] = true
+	d.view.quota.Return(j.Customer.Name, j.Units)
+	d.view.unreportedUsage[j.Customer.Name] = true
 }
 
-// Run does the chores of the director until ctx ends.
+// Run does the periodic work of the director until ctx ends.
 func (d *Director) Run(ctx context.Context) error {
-	sweep, try := time.NewTicker(sweepEvery), time.NewTicker(tryEvery)
-	defer sweep.Stop()
-	defer try.Stop()
-	var tries sync.WaitGroup
-	defer tries.Wait()
+	sweepTicker, probeTicker := time.NewTicker(sweepInterval), time.NewTicker(probeInterval)
+	defer sweepTicker.Stop()
+	defer probeTicker.Stop()
+	var probes sync.WaitGroup
+	defer probes.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-sweep.C:
+		case <-sweepTicker.C:
 			d.cfg.Client.Sweep()
-		case <-try.C:
-			d.offerTokens()
-			d.judgeRollouts()
-			if owners := d.owners(); len(owners) > 0 {
+		case <-probeTicker.C:
+			d.dispatchLimited()
+			d.evaluateRollouts()
+			if owners := d.shardOwners(); len(owners) > 0 {
 				d.cfg.Peers.Link(owners)
 			}
-			for id, addr := range d.due() {
-				tries.Go(func() { d.reach(ctx, id, addr) })
+			for id, addr := range d.endpointsToProbe() {
+				probes.Go(func() { d.probeEndpoint(ctx, id, addr) })
 			}
 		}
 	}
 }
 
 const (
-	// sweepEvery is how often idle connections are looked through.
-	sweepEvery = time.Second
-	// tryEvery is how often endpoints are looked for that may be tried again: a
-	// fraction of the shortest time that they are avoided.
-	tryEvery = 100 * time.Millisecond
+	// sweepInterval is the time between two sweeps of idle connections.
+	sweepInterval = time.Second
+	// probeInterval is the time between two searches for endpoints to probe: a fraction of the
+	// shortest time for which endpoints are avoided.
+	probeInterval = 100 * time.Millisecond
 )
 
-// due returns the endpoints to try with a connection, and their addresses.
-func (d *Director) due() map[string]string {
+// endpointsToProbe returns the addresses, by ID, of the endpoints to probe with a connection.
+func (d *Director) endpointsToProbe() map[string]string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := make(map[string]string)
-	now := d.since(time.Now())
-	d.v.trust.Due(now, func(id string) {
-		if e := d.v.endpoints[id]; e != nil {
+	now := d.sinceStart(time.Now())
+	d.view.trust.Due(now, func(id string) {
+		if e := d.view.endpoints[id]; e != nil {
 			out[id] = e.Addr
 		}
 	})
-	d.unverified(now, out)
+	d.addUnverified(now, out)
 	return out
 }
 
-// reach tries an endpoint with a connection.
-func (d *Director) reach(ctx context.Context, id, addr string) {
+// probeEndpoint opens a connection to an endpoint and records the result.
+func (d *Director) probeEndpoint(ctx context.Context, id, addr string) {
 	err := d.cfg.Client.Reach(ctx, addr)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if now := d.since(time.Now()); err != nil {
-		d.v.trust.Ended(now, id, trust.Unreachable)
-		if e := d.v.endpoints[id]; e != nil && e.Addr == addr && hop.Refused(err) {
-			d.crashed(e)
+	if now := d.sinceStart(time.Now()); err != nil {
+		d.view.trust.Ended(now, id, trust.Unreachable)
+		if e := d.view.endpoints[id]; e != nil && e.Addr == addr && hop.Refused(err) {
+			d.recordCrash(e)
 		}
 	} else {
-		d.v.trust.Reached(now, id)
+		d.view.trust.Reached(now, id)
 	}
 }
--- a/entry/direct/ending_test.go
+++ b/entry/direct/ending_test.go
@@ -10,11 +10,11 @@
 	"lycheepond/core/route"
 )
 
-// The entry ends while it holds requests. Nobody can await their answers, but what
-// became of each of them can still be told, as long as its answer has not begun: one
-// that was not sent is refused and may be sent to another entry, one that was sent
-// may have run. An answer that has begun can only be broken off.
-func TestEndOfTheEntryIsToldAsItIs(t *testing.T) {
+// The entry exits while it holds requests. Nobody can wait for their answers, but as long as
+// an answer has not begun, its caller can still be told the outcome: a request that was not
+// sent is refused and may be sent to another entry, one that was sent may have run. An answer
+// that has begun can only be broken off.
+func TestOutcomesAtEntryShutdown(t *testing.T) {
 	once := route.Route{Timeout: time.Minute, Attempts: 1}
 	for _, tt := range []struct {
 		name    string
@@ -23,35 +23,35 @@
 		begins  bool
 		outcome Outcome
 	}{
-		{"not sent", streamed, true, false, Refused},
-		{"sent", streamed, false, false, Unknown},
+		{"not sent", streamRoute, true, false, Refused},
+		{"sent", streamRoute, false, false, Unknown},
 		{"sent and not to be repeated", once, false, false, Unknown},
-		{"begun", streamed, false, true, Cut},
+		{"begun", streamRoute, false, true, ClosedByEntry},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancelCause(t.Context())
 			defer cancel(nil)
-			endpoint := stand(t, func(s *standIn, c net.Conn, _ *http.Request) {
+			endpoint := newTestEndpoint(t, func(s *testEndpoint, c net.Conn, _ *http.Request) {
 				if tt.begins {
-					opened(c)
-					sent(c, piece(1))
+					writeStreamHead(c)
+					writeChunk(c, streamEvent(1))
 					time.Sleep(100 * time.Millisecond)
 				}
 				cancel(ErrEnding)
 				s.pause(c, 5*time.Second)
 			})
-			g := newRig(t, tt.route, endpoint)
+			h := newHarness(t, tt.route, endpoint)
 			if tt.unsent {
 				cancel(ErrEnding)
 			}
-			got := g.send(ctx, "x", taken{})
+			got := h.send(ctx, "x", callerAnswer{})
 			if got.Outcome != tt.outcome || got.status != 0 != tt.begins {
-				t.Errorf("%v, %q, status %d", got.Outcome, got.Why, got.status)
+				t.Errorf("%v, %q, status %d", got.Outcome, got.Reason, got.status)
 			}
-			if got.Outcome == Refused && (got.Retry == 0 || endpoint.runs.Load() > 0) {
-				t.Errorf("refused after %d runs, retry %v", endpoint.runs.Load(), got.Retry)
+			if got.Outcome == Refused && (got.RetryAfter == 0 || endpoint.runs.Load() > 0) {
+				t.Errorf("refused after %d runs, retry %v", endpoint.runs.Load(), got.RetryAfter)
 			}
-			if !g.idle() {
+			if !h.isIdle() {
 				t.Error("work is still counted at the endpoint")
 			}
 		})
--- a/entry/direct/error_test.go
+++ b/entry/direct/error_test.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// An endpoint answers with an error of its own while the other one is too slow to
-// answer in the time that is left. If the error is thrown away for a repeat before
-// a place is known, there is nothing left to pass on: the caller gets 502, which
-// says less, and a repeat is spent on nothing.
-func TestErrorIsPassedOnWhenARepeatHasNoPlace(t *testing.T) {
-	fails := stand(t, func(_ *standIn, c net.Conn, _ *http.Request) { whole(c, http.StatusInternalServerError, "sorry") })
-	other := silentAfter(t, -1, 0)
-	r := plainRoute
-	g := newRig(t, r, fails, other)
-	g.learn("b", 10*r.Timeout)
-	g.learn("a", plainRoute.Target/2)
-	got := g.send(t.Context(), "x", taken{})
+// An endpoint answers with an error while the other one is too slow to answer in the time that
+// is left. If the error is dropped for a retry before that has a placement, nothing is left to
+// forward: the caller gets a 502, which says less, and a retry is wasted.
+func TestErrorForwardedWhenRetryHasNoEndpoint(t *testing.T) {
+	fails := newTestEndpoint(t, func(_ *testEndpoint, c net.Conn, _ *http.Request) {
+		writeWhole(c, http.StatusInternalServerError, "sorry")
+	})
+	other := newPausing(t, -1, 0)
+	r := unaryRoute
+	h := newHarness(t, r, fails, other)
+	h.learnLatency("b", 10*r.Timeout)
+	h.learnLatency("a", unaryRoute.Target/2)
+	got := h.send(t.Context(), "x", callerAnswer{})
 	if got.Outcome != Complete || got.status != http.StatusInternalServerError || got.body.String() != "sorry" {
-		t.Errorf("%v, %q: status %d, %q", got.Outcome, got.Why, got.status, got.body.String())
+		t.Errorf("%v, %q: status %d, %q", got.Outcome, got.Reason, got.status, got.body.String())
 	}
 	if n := other.runs.Load(); n != 0 {
-		t.Errorf("ran %d times at the other", n)
+		t.Errorf("ran %d times at the other endpoint", n)
 	}
-	if n := g.spend(); n != rigRepeats {
-		t.Errorf("%d of %d repeats are left, and none was needed", n, rigRepeats)
+	if n := h.spendRetries(); n != harnessRetries {
+		t.Errorf("%d of %d retries are left, and none was needed", n, harnessRetries)
 	}
 }
 
-// learn lets the rig's pool learn how long an endpoint takes.
-func (g *rig) learn(endpoint string, took time.Duration) {
-	g.d.mu.Lock()
-	defer g.d.mu.Unlock()
+// learnLatency has the pool learn how long an endpoint takes.
+func (h *harness) learnLatency(endpoint string, took time.Duration) {
+	h.d.mu.Lock()
+	defer h.d.mu.Unlock()
 	for range 200 {
-		g.d.v.pool("p", g.d.cfg.Repeats, 1).learner.First(endpoint, 0, took)
+		h.d.view.pool("p", h.d.cfg.Repeats, 1).learner.First(endpoint, 0, took)
 	}
 }
--- a/entry/direct/job.go
+++ b/entry/direct/job.go
@@ -10,30 +10,30 @@
 
 // Job is one request of a caller.
 type Job struct {
-	// ID names the request; the caller chose it.
+	// ID identifies the request; the caller chose it.
 	ID       string
 	Route    *route.Route
 	Pool     *route.Pool
 	Customer *route.Customer
-	// Tier is the rank in force, zero the highest.
+	// Tier is the tier in force; the zero value is the highest.
 	Tier route.Tier
-	// Method, Target, Host, Header and Body are what the endpoint gets; Header
-	// holds nothing that concerns the caller's connection only.
+	// Method, Target, Host, Header and Body are sent to the endpoint. Header holds nothing
+	// that concerns only the caller's connection.
 	Method string
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Accepted is when the request's head had been read and Deadline when the
-	// caller stops waiting.
-	Accepted, Deadline time.Time
-	// Prompt and Output are tokens, as far as the caller tells them.
+	// AcceptedAt is when the head of the request had been read, Deadline when the caller stops
+	// waiting.
+	AcceptedAt, Deadline time.Time
+	// PromptTokens and OutputTokens are token counts, as far as the caller states them.
 	Prompt, Output int
 	// Units is what the request counts against the customer's limit.
 	Units float64
-	// LastEvent is the last event that the caller has seen of the stream.
+	// LastEventID is the ID of the last stream event that the caller has seen.
 	LastEvent string
-	// fingerprint identifies what it asks for; Serve sets it.
+	// fingerprint identifies what the request asks for; Serve sets it.
 	fingerprint poison.Fingerprint
 }
 
@@ -45,23 +45,23 @@
 	j.fingerprint = poison.NewFingerprint(j.Method, j.Host, j.Target, customer, j.Body)
 }
 
-// due returns when the first event is wanted.
-func (j *Job) due() time.Time { return j.Accepted.Add(j.Route.Target) }
+// firstEventDue returns the time by which the first event is wanted.
+func (j *Job) firstEventDue() time.Time { return j.AcceptedAt.Add(j.Route.Target) }
 
-// End returns when the request must have its final answer: at the caller's
-// deadline or the route's timeout, whichever is first.
+// End returns the time by which the request must have its final answer: the caller's deadline
+// or the end of the route's timeout, whichever comes first.
 func (j *Job) End() time.Time {
-	end := j.Accepted.Add(j.Route.Timeout)
+	end := j.AcceptedAt.Add(j.Route.Timeout)
 	if j.Deadline.Before(end) {
 		return j.Deadline
 	}
 	return end
 }
 
-// Sink takes the answer to a job.
+// Sink receives the answer to a job.
 type Sink struct {
-	// Head writes the status and the headers; length is that of the body, -1
-	// if it is not known.
+	// Head writes the status and the headers; length is the length of the body in bytes, -1 if
+	// it is not known.
 	Head func(status int, h http.Header, length int64)
 	// Write writes a part of the body.
 	Write func(p []byte) error
@@ -72,25 +72,25 @@
 // Outcome is how a job ended.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of a job.
 const (
-	// Complete means that the endpoint's whole answer was passed on.
+	// Complete means that the endpoint's whole answer was forwarded.
 	Complete Outcome = iota
-	// Limited means refused, as the customer has used up its limit.
+	// Limited means that the job was refused because the customer has used up its limit.
 	Limited
-	// Refused means refused: it has not run and never will.
+	// Refused means that the job was refused: it has not run and never will.
 	Refused
-	// Unknown means that it may have run and there is no usable answer.
+	// Unknown means that the job may have run and there is no usable answer.
 	Unknown
-	// Late means that it was at work when its time was up.
-	Late
-	// Broken means that the answer ended early after its head was passed on.
+	// TimedOut means that the job was running when its time was up.
+	TimedOut
+	// Broken means that the answer ended early after its head was forwarded.
 	Broken
-	// Left means that the caller went away.
-	Left
-	// Cut means that the entry itself ended the caller's connection.
-	Cut
-	// Quarantined means refused, as the request crashed endpoints before.
+	// CallerLeft means that the caller ended the connection.
+	CallerLeft
+	// ClosedByEntry means that the entry itself ended the caller's connection.
+	ClosedByEntry
+	// Quarantined means that the job was refused because the request crashed endpoints before.
 	Quarantined
 )
 
@@ -99,44 +99,47 @@
 // String returns the outcome as logs and metrics spell it.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Result is the outcome of a job. Unless it is Complete, Broken, Left or
-// Cut nothing was written to the Sink.
+// Result is the result of a job. Nothing was written to the Sink unless the outcome is
+// Complete, Broken, CallerLeft or ClosedByEntry.
 type Result struct {
 	Outcome Outcome
-	// Retry is when a refused caller should come back.
-	Retry time.Duration
-	// Why tells the cause in a few words, for logs.
-	Why string
-	// Basis is what the last placement was decided on.
-	Basis Basis
+	// RetryAfter is the time after which a refused caller should retry.
+	RetryAfter time.Duration
+	// Reason describes the cause in a few words, for logs.
+	Reason string
+	// Placement describes the last placement.
+	Placement Placement
 }
 
-// Basis is what a placement was decided on, and what came of it.
-type Basis struct {
+// Placement describes what a placement was based on and how it turned out.
+type Placement struct {
 	Endpoint string
-	// Predicted and First are the predicted and the real time to the first part
-	// of the answer's body, from sending, and Wait is the part of the predicted
-	// one that is the wait for a slot.
-	Predicted, First, Wait time.Duration
-	// Ahead is how many requests of all entries the endpoint had then, Prompt
-	// how many prompt tokens it had to read, this request's included.
-	Ahead, Prompt int
-	// Heard and Known count the entries whose work was in the view.
-	Heard, Known int
-	// Stood is how long it waited for a place.
-	Stood time.Duration
-	// Owner is the entry that gave the place, empty if it was this one by what it
+	// PredictedFirst and TimeToFirst are the predicted and the actual time from the sending of
+	// the request to the first part of the answer's body. PredictedWait is the part of
+	// PredictedFirst that is the wait for a slot.
+	PredictedFirst, TimeToFirst, PredictedWait time.Duration
+	// RequestsAhead is how many requests of all entries the endpoint had, PromptTokensAhead
+	// how many prompt tokens it had to process, including those of this request.
+	RequestsAhead, PromptTokensAhead int
+	// ReachableEntries and KnownEntries are the counts of Config.EntryCounts when the
+	// placement was made.
+	ReachableEntries, KnownEntries int
+	// QueuedFor is how long the request was queued.
+	QueuedFor time.Duration
+	// Owner is the entry that granted the placement; empty if this entry decided, from what it
 	// knows of the others.
 	Owner string
-	// Age is how old what this entry knew of the endpoint's other requests was.
-	Age time.Duration
-	// Silent is how long the last byte of the answer was waited for, or had been
-	// when the try ended. Bound is the longest wait before the entry may give the
-	// try up, zero if it may not.
-	Silent, Bound time.Duration
+	// PeerReportAge is how old this entry's knowledge of the peers' requests at the endpoint
+	// was.
+	PeerReportAge time.Duration
+	// Silence is how long the last read of the answer waited for data, or had waited when the
+	// attempt ended. SilenceBound is the longest wait before the entry may give up the
+	// attempt, zero if it may not.
+	Silence, SilenceBound time.Duration
 }
 
-// Order is what the endpoint is told of a request beside the caller's headers.
+// AttemptInfo is what the endpoint is told about an attempt in addition to the caller's
+// headers.
 type Order struct {
 	Endpoint  string
 	Customer  *route.Customer
@@ -146,20 +149,20 @@
 
 // Meta is what the head of an endpoint's answer says.
 type Meta struct {
-	// NotRun is set when the endpoint says that it did not run the request.
+	// NotRun is set if the endpoint says that it did not run the request.
 	NotRun bool
-	// WrongEndpoint is set when another endpoint has the address now.
+	// WrongEndpoint is set if another endpoint has the address now.
 	WrongEndpoint bool
-	// Signed is set when the answer carries the endpoint's signature.
+	// Signed is set if the answer carries the endpoint's signature.
 	Signed bool
 	// Slots is how many requests the endpoint serves at once; zero if it does not
 	// say.
 	Slots int
-	// Load is how many requests the endpoint has, running and waiting; zero if it
-	// does not say.
+	// Requests is how many requests the endpoint has, running and waiting; zero if it does not
+	// say.
 	Load int
-	// Limited is set if the endpoint states a limit, Limit, in requests a second from all
-	// entries together.
+	// HasRateLimit is set if the endpoint states a limit. RateLimit is that limit, in requests
+	// per second from all entries together.
 	Limited bool
 	Limit   float64
 }
--- a/entry/direct/late_test.go
+++ b/entry/direct/late_test.go
@@ -12,65 +12,64 @@
 	"lycheepond/core/wire"
 )
 
-// noRoom fills the other endpoint with requests of another entry: they take its
-// slots many times over.
-func noRoom(g *rig) {
-	g.d.Heard("entry-2", true, &wire.Tally{Held: []wire.Held{{Endpoint: "b", Requests: 100 * rigSlots}}})
+// fillOther fills the other endpoint with requests of another entry, many times its slots.
+func fillOther(h *harness) {
+	h.d.Heard("entry-2", true, &wire.Tally{Held: []wire.Held{{Endpoint: "b", Requests: 100 * harnessSlots}}})
 }
 
-// An endpoint becomes slow: it sends nothing for longer than an answer may pause,
-// and goes on. If the entry's timer ends the try before anyone asks whether a
-// repeat, an attempt and room elsewhere can be had, and they cannot, the
-// caller loses an answer that was on its way. Its stream breaks off midway, or it
-// gets 502 in place of a late answer; the entry's log has
+// An endpoint becomes slow: it sends nothing for longer than an answer may pause, and then
+// goes on. If the entry's timer ends the attempt before it is known whether there is a retry,
+// an attempt and room elsewhere, and there is not, the caller loses an answer that was on its
+// way. Its stream breaks off, or it gets a 502 instead of a late answer, and the entry's log
+// says
 //
 //	"outcome":"broken","why":"endpoint silent for 1s; no repeat left in the budget"
 //	"outcome":"unknown","why":"no head of the answer for 50ms; no repeat left in the budget"
 //
-// where it has to have "event":"answer_late","why":"endpoint silent for 1s",
-// "lacks":"no repeat left in the budget", and later request_done.
-func TestSlowAnswerIsAwaitedWhenThereIsNoOther(t *testing.T) {
-	const longer = 3 * shortestSilence / 2
+// instead of "event":"answer_late","why":"endpoint silent for 1s","lacks":"no repeat left in
+// the budget", and later request_done.
+func TestLateAnswerAwaitedWithoutReplacement(t *testing.T) {
+	const longer = 3 * minSilenceBound / 2
 	for _, tt := range []struct {
 		name  string
 		route route.Route
-		// after is where the pause comes. It is longer than what is waited for where
-		// there is a repeat.
+		// after is the position of the pause, which is longer than the silence bound that
+		// applies if there is a retry.
 		after int
 		pause time.Duration
 		want  string
 	}{
-		{"plain", plainRoute, beforePlain, 3 * plainRoute.Target, "answer"},
-		{"stream without a head", streamed, beforeHead, longer, fourPieces},
-		{"stream without an event", streamed, 0, longer, fourPieces},
-		{"stream", streamed, 2, longer, fourPieces},
+		{"plain", unaryRoute, beforeUnary, 3 * unaryRoute.Target, "answer"},
+		{"stream without a head", streamRoute, beforeHead, longer, fourEvents},
+		{"stream without an event", streamRoute, 0, longer, fourEvents},
+		{"stream", streamRoute, 2, longer, fourEvents},
 	} {
 		for _, lack := range []struct {
 			what string
-			of   func(g *rig)
-			// told is what the log calls it; nothing if the try may not be given up.
-			told any
+			of   func(h *harness)
+			// logged is what the log says is missing; nil if the attempt may not be given up.
+			logged any
 		}{
-			{"repeat", func(g *rig) { g.spend() }, "no repeat left in the budget"},
-			{"room", noRoom, "full"},
-			{"attempt", func(g *rig) { g.cfg.Routes[0].Attempts = 1 }, nil},
+			{"repeat", func(h *harness) { h.spendRetries() }, "no repeat left in the budget"},
+			{"room", fillOther, "full"},
+			{"attempt", func(h *harness) { h.cfg.Routes[0].Attempts = 1 }, nil},
 		} {
 			t.Run(tt.name+", no "+lack.what, func(t *testing.T) {
 				t.Parallel()
-				slow, other := silentAfter(t, tt.after, tt.pause), silentAfter(t, tt.after, 0)
-				g := newRig(t, tt.route, slow, other)
-				lack.of(g)
-				got := g.send(t.Context(), "x", taken{})
+				slow, other := newPausing(t, tt.after, tt.pause), newPausing(t, tt.after, 0)
+				h := newHarness(t, tt.route, slow, other)
+				lack.of(h)
+				got := h.send(t.Context(), "x", callerAnswer{})
 				if got.Outcome != Complete || got.status != http.StatusOK || got.body.String() != tt.want {
-					t.Errorf("%v, %q: status %d, %q", got.Outcome, got.Why, got.status, got.body.String())
+					t.Errorf("%v, %q: status %d, %q", got.Outcome, got.Reason, got.status, got.body.String())
 				}
 				if a, b := slow.runs.Load(), other.runs.Load(); a != 1 || b != 0 {
 					t.Errorf("ran %d times at the slow endpoint, %d at the other", a, b)
 				}
-				if told, _ := g.said("answer_late", "lacks"); told != lack.told {
-					t.Errorf("the log says that it lacks %v, want %v", told, lack.told)
+				if logged, _ := h.loggedField("answer_late", "lacks"); logged != lack.logged {
+					t.Errorf("the log says that %v is missing, want %v", logged, lack.logged)
 				}
-				if !g.idle() {
+				if !h.isIdle() {
 					t.Error("work is still counted at an endpoint")
 				}
 			})
@@ -78,32 +77,32 @@
 	}
 }
 
-// While a caller takes an event slowly, nothing is read from the endpoint. If that
-// time counts as the endpoint's silence, its stream is ended and run again.
-func TestSlowCallerIsNotTheEndpointsSilence(t *testing.T) {
-	endpoint, other := silentAfter(t, 9, 0), silentAfter(t, 9, 0)
-	g := newRig(t, streamed, endpoint, other)
-	got := g.send(t.Context(), "x", taken{slow: 3 * shortestSilence / 2})
-	if got.Outcome != Complete || got.body.String() != fourPieces {
-		t.Errorf("%v, %q: %q", got.Outcome, got.Why, got.body.String())
+// While a caller is slow to accept an event, nothing is read from the endpoint. If that time
+// counts as the endpoint's silence, its stream is ended and run again.
+func TestSlowCallerIsNotEndpointSilence(t *testing.T) {
+	endpoint, other := newPausing(t, 9, 0), newPausing(t, 9, 0)
+	h := newHarness(t, streamRoute, endpoint, other)
+	got := h.send(t.Context(), "x", callerAnswer{firstWriteDelay: 3 * minSilenceBound / 2})
+	if got.Outcome != Complete || got.body.String() != fourEvents {
+		t.Errorf("%v, %q: %q", got.Outcome, got.Reason, got.body.String())
 	}
 	if n := endpoint.runs.Load() + other.runs.Load(); n != 1 {
 		t.Errorf("ran %d times", n)
 	}
 }
 
-// An endpoint that stays silent is left for another one if that has room.
-func TestSilentEndpointIsLeftForOneWithRoom(t *testing.T) {
-	for _, r := range []route.Route{plainRoute, streamed} {
-		after, want := beforePlain, "answer"
+// An endpoint that stays silent is replaced by another one if that has room.
+func TestSilentEndpointIsReplaced(t *testing.T) {
+	for _, r := range []route.Route{unaryRoute, streamRoute} {
+		after, want := beforeUnary, "answer"
 		if r.Stream {
-			after, want = 2, fourPieces
+			after, want = 2, fourEvents
 		}
-		silent, other := silentAfter(t, after, time.Minute), silentAfter(t, after, 0)
-		g := newRig(t, r, silent, other)
-		got := g.send(t.Context(), "x", taken{})
+		silent, other := newPausing(t, after, time.Minute), newPausing(t, after, 0)
+		h := newHarness(t, r, silent, other)
+		got := h.send(t.Context(), "x", callerAnswer{})
 		if got.Outcome != Complete || got.body.String() != want {
-			t.Errorf("%v, %q: %q", got.Outcome, got.Why, got.body.String())
+			t.Errorf("%v, %q: %q", got.Outcome, got.Reason, got.body.String())
 		}
 		if a, b := silent.runs.Load(), other.runs.Load(); a != 1 || b != 1 {
 			t.Errorf("ran %d times at the silent endpoint, %d at the other", a, b)
@@ -111,34 +110,33 @@
 	}
 }
 
-// What is held against an endpoint keeps requests away from it. One that was slow
-// and answered after all has done no wrong; one that was silent until the time was
-// up has, also where its request could go nowhere else.
-func TestOnlySilenceCostsTrust(t *testing.T) {
+// Distrust keeps requests away from an endpoint. An endpoint that was slow but answered must
+// keep its trust; one that was silent until the time was up must lose it, also if its request
+// could go nowhere else.
+func TestOnlySilenceReducesTrust(t *testing.T) {
 	for _, tt := range []struct {
 		pause time.Duration
 		away  bool
-	}{{3 * plainRoute.Target, false}, {time.Minute, true}} {
-		r := plainRoute
+	}{{3 * unaryRoute.Target, false}, {time.Minute, true}} {
+		r := unaryRoute
 		r.Timeout = 20 * r.Target
-		g := newRig(t, r, silentAfter(t, beforePlain, tt.pause), silentAfter(t, beforePlain, 0))
-		g.spend()
+		h := newHarness(t, r, newPausing(t, beforeUnary, tt.pause), newPausing(t, beforeUnary, 0))
+		h.spendRetries()
 		var all sync.WaitGroup
 		for range 8 {
-			all.Go(func() { g.send(t.Context(), "x", taken{}) })
+			all.Go(func() { h.send(t.Context(), "x", callerAnswer{}) })
 		}
 		all.Wait()
-		if away, _ := g.said("endpoint_away", "endpoint"); away != nil != tt.away {
+		if away, _ := h.loggedField("endpoint_away", "endpoint"); away != nil != tt.away {
 			t.Errorf("silent for %v: away %v, want %v", tt.pause, away, tt.away)
 		}
 	}
 }
 
-// Endpoints answer in the moment in which they would be given up. Whatever comes
-// first, each caller has to get its answer whole and once, nothing may run more
-// often than repeats were taken for it, and what was reserved in vain has to be
-// given back.
-func TestAnswersThatComeAsTheyAreGivenUp(t *testing.T) {
+// Endpoints answer at the moment in which they would be given up. Whatever comes first, each
+// caller must get its answer whole and once, no request may run more often than retries were
+// taken for it, and unused reservations must be returned.
+func TestAnswersArriveAsAttemptsAreReplaced(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		route route.Route
@@ -146,45 +144,45 @@
 		bound time.Duration
 		want  string
 	}{
-		{"plain", plainRoute, beforePlain, plainRoute.Target, "answer"},
-		{"head", streamed, beforeHead, 2 * streamed.Target, fourPieces},
-		{"event", streamed, 2, shortestSilence, fourPieces},
+		{"plain", unaryRoute, beforeUnary, unaryRoute.Target, "answer"},
+		{"head", streamRoute, beforeHead, 2 * streamRoute.Target, fourEvents},
+		{"event", streamRoute, 2, minSilenceBound, fourEvents},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			const requests, step = 48, 100 * time.Microsecond
-			var endpoints []*standIn
+			var endpoints []*testEndpoint
 			for range 2 {
 				var n atomic.Int32
-				endpoints = append(endpoints, silentAfterEach(t, tt.after, func() time.Duration {
-					return tt.bound + lookAgain + time.Duration(n.Add(1)-requests/3)*step
+				endpoints = append(endpoints, newPausingEach(t, tt.after, func() time.Duration {
+					return tt.bound + silenceRecheck + time.Duration(n.Add(1)-requests/3)*step
 				}))
 			}
-			g := newRig(t, tt.route, endpoints...)
+			h := newHarness(t, tt.route, endpoints...)
 			var all sync.WaitGroup
 			for i := range requests {
 				all.Go(func() {
-					got := g.send(t.Context(), fmt.Sprint(i), taken{})
+					got := h.send(t.Context(), fmt.Sprint(i), callerAnswer{})
 					if got.Outcome != Complete || got.body.String() != tt.want {
-						t.Errorf("%v, %q: %q", got.Outcome, got.Why, got.body.String())
+						t.Errorf("%v, %q: %q", got.Outcome, got.Reason, got.body.String())
 					}
 				})
 			}
 			all.Wait()
-			if !soon(g.idle) {
+			if !eventually(h.isIdle) {
 				t.Error("work is still counted at an endpoint")
 			}
 			ran := func() int { return int(endpoints[0].runs.Load() + endpoints[1].runs.Load()) }
-			spent := rigRepeats - g.spend()
-			if !soon(func() bool { return ran() == requests+spent }) {
-				t.Errorf("%d requests ran %d times with %d repeats", requests, ran(), spent)
+			spent := harnessRetries - h.spendRetries()
+			if !eventually(func() bool { return ran() == requests+spent }) {
+				t.Errorf("%d requests ran %d times with %d retries", requests, ran(), spent)
 			}
-			t.Logf("%d of %d requests were given up", spent, requests)
+			t.Logf("%d of %d requests were replaced", spent, requests)
 		})
 	}
 }
 
-func soon(f func() bool) bool {
+func eventually(f func() bool) bool {
 	for range 500 {
 		if f() {
 			return true
--- a/entry/direct/limit.go
+++ b/entry/direct/limit.go
@@ -11,107 +11,109 @@
 	"lycheepond/core/wire"
 )
 
-// share returns this entry's share in the limit of an endpoint; d.mu is held. The owner of
-// its shard has all of it, except for requests of entries that cannot reach the owner.
-func (d *Director) share(e *endpoint) limit.Share {
-	heard, known := d.cfg.Reach()
-	if !d.sharded(known) {
-		return limit.Share{Part: float64(heard) / float64(max(known, 1)), Rank: d.rank(), Entries: known}
-	}
-	p := d.v.pool(e.Pool, d.cfg.Repeats, known)
-	if d.owner(e.Pool, p, p.layout.Key(e.ID, e.Zone), time.Now()) == d.cfg.Peers.Self {
+// limitShare returns this entry's share of an endpoint's rate limit. The owner of the
+// endpoint's shard has the whole limit. Another entry has the share of one entry among all,
+// for requests that it places itself because it cannot reach the owner. The caller holds d.mu.
+func (d *Director) limitShare(e *endpoint) limit.Share {
+	reachableEntries, knownEntries := d.cfg.Reach()
+	if !d.usesShardOwners(knownEntries) {
+		return limit.Share{Part: float64(reachableEntries) / float64(max(knownEntries, 1)), Rank: d.entryRank(), Entries: knownEntries}
+	}
+	p := d.view.pool(e.Pool, d.cfg.Repeats, knownEntries)
+	if d.shardOwner(e.Pool, p, p.layout.Key(e.ID, e.Zone), time.Now()) == d.cfg.Peers.Self {
 		return limit.Share{Part: 1, Entries: 1}
 	}
-	return limit.Share{Part: 1 / float64(max(known, 1)), Entries: 1}
+	return limit.Share{Part: 1 / float64(max(knownEntries, 1)), Entries: 1}
 }
 
-// limitOf returns the limit of an endpoint as decisions take it.
-func (v *view) limitOf(e *endpoint, now time.Duration) admit.Limit {
+// endpointLimit returns the rate limit of an endpoint as admission takes it.
+func (v *view) endpointLimit(e *endpoint, now time.Duration) admit.Limit {
 	if v.limits.Empty() {
 		return admit.Limit{}
 	}
-	rate, ok := v.limits.Rate(e.start())
+	rate, ok := v.limits.Rate(e.startID())
 	if !ok {
 		return admit.Limit{}
 	}
 	out := admit.Limit{Limited: true, Rate: rate}
-	out.Allowed, out.NextAllowed = v.limits.Available(now, e.start(), v.share(e))
+	out.Allowed, out.NextAllowed = v.limits.Available(now, e.startID(), v.limitShare(e))
 	return out
 }
 
-// keepLimits forgets the limits of endpoints that are not listed any more.
-func (v *view) keepLimits() {
+// forgetStaleLimits forgets the rate limits of endpoints that are no longer listed.
+func (v *view) forgetStaleLimits() {
 	if v.limits.Empty() {
 		return
 	}
 	starts := make(map[string]bool, len(v.endpoints))
 	for _, e := range v.endpoints {
-		starts[e.start()] = true
+		starts[e.startID()] = true
 	}
 	v.limits.Keep(func(id string) bool { return starts[id] })
 }
 
-// observeLimit records the limit that an answer states; d.mu is held.
-func (v *visit) observeLimit(m Meta) {
-	d := v.d
-	if d.v.endpoints[v.id] != v.e {
+// observeLimit records the rate limit that an answer states. The caller holds d.mu.
+func (a *attempt) observeLimit(m Meta) {
+	d := a.d
+	if d.view.endpoints[a.id] != a.endpoint {
 		return
 	}
-	if d.v.limits.Observe(d.since(time.Now()), v.e.start(), d.since(v.sent), m.Limit, m.Limited) {
-		logs.Info(d.cfg.Log, logs.EventLimitChanged, zap.String("endpoint", v.id), zap.Bool("limited", m.Limited), zap.Float64("limit", m.Limit), zap.Time("sent", v.sent))
+	if d.view.limits.Observe(d.sinceStart(time.Now()), a.endpoint.startID(), d.sinceStart(a.sentAt), m.Limit, m.Limited) {
+		logs.Info(d.cfg.Log, logs.EventLimitChanged, zap.String("endpoint", a.id), zap.Bool("limited", m.Limited), zap.Float64("limit", m.Limit), zap.Time("sent", a.sentAt))
 	}
 }
 
-// unsent returns what a try has taken that did not reach its endpoint: a token of its limit,
-// and its part of a trial.
-func (v *visit) unsent() {
-	if v.d == nil {
+// returnReservations returns what an attempt that did not reach its endpoint has reserved: a
+// token of the endpoint's rate limit and its share of a rollout trial.
+func (a *attempt) returnReservations() {
+	if a.d == nil {
 		return
 	}
-	v.d.mu.Lock()
-	defer v.d.mu.Unlock()
-	if v.taken {
-		v.taken = false
-		v.d.v.limits.Return(v.e.start())
+	a.d.mu.Lock()
+	defer a.d.mu.Unlock()
+	if a.tookToken {
+		a.tookToken = false
+		a.d.view.limits.Return(a.endpoint.startID())
 	}
-	if v.trial {
-		v.trial = false
-		v.d.v.rollouts.Return(v.pool.name, v.version)
+	if a.isTrial {
+		a.isTrial = false
+		a.d.view.rollouts.Return(a.pool.name, a.version)
 	}
 }
 
-// offerTokens sends waiting requests to limited endpoints that have tokens again.
-func (d *Director) offerTokens() {
+// dispatchLimited dispatches queued requests to rate-limited endpoints that have tokens again.
+func (d *Director) dispatchLimited() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.v.limits.Empty() {
-		d.advanceAll()
+	if !d.view.limits.Empty() {
+		d.dispatchAllQueued()
 	}
 }
 
-// limits returns the reports for a tally; d.mu is held.
-func (d *Director) limits(again bool) []wire.Limit {
+// limitReports returns the rate limit reports for a tally: the changed ones, and with resend
+// also those that a new peer needs. The caller holds d.mu.
+func (d *Director) limitReports(resend bool) []wire.Limit {
 	var out []wire.Limit
-	for _, r := range d.v.limits.Reports(d.since(time.Now()), again) {
-		out = append(out, wire.Limit{Endpoint: r.Endpoint, Rate: r.Rate, Limited: r.Limited, AgeMS: ms(r.Age), Sent: r.Sent})
+	for _, r := range d.view.limits.Reports(d.sinceStart(time.Now()), resend) {
+		out = append(out, wire.Limit{Endpoint: r.Endpoint, Rate: r.Rate, Limited: r.Limited, AgeMS: toMS(r.Age), Sent: r.Sent})
 	}
 	return out
 }
 
-// mergeLimits merges a peer's reports; d.mu is held.
-func (d *Director) mergeLimits(peer string, all []wire.Limit) {
-	now := d.since(time.Now())
-	for _, r := range all {
+// mergeLimits merges a peer's rate limit reports. The caller holds d.mu.
+func (d *Director) mergeLimits(peer string, reports []wire.Limit) {
+	now := d.sinceStart(time.Now())
+	for _, r := range reports {
 		age := fromMS(r.AgeMS)
-		if d.v.limits.Merge(now, peer, limit.Report{Endpoint: r.Endpoint, Rate: r.Rate, Limited: r.Limited, Age: age, Sent: r.Sent}) {
+		if d.view.limits.Merge(now, peer, limit.Report{Endpoint: r.Endpoint, Rate: r.Rate, Limited: r.Limited, Age: age, Sent: r.Sent}) {
 			logs.Info(d.cfg.Log, logs.EventLimitChanged, zap.String("endpoint", r.Endpoint), zap.Bool("limited", r.Limited), zap.Float64("limit", r.Rate),
 				zap.Duration("age", age), zap.String("peer", peer))
 		}
 	}
 }
 
-// rank returns how many of the entries that are heard come before this one by name.
-func (d *Director) rank() int {
+// entryRank returns how many of the reachable entries precede this one by name.
+func (d *Director) entryRank() int {
 	if d.cfg.Peers.Entries == nil {
 		return 0
 	}
--- a/entry/direct/place.go
+++ b/entry/direct/place.go
@@ -18,85 +18,88 @@
 )
 
 const (
-	// ownedFor is for how long the owners of shards are taken for known.
-	ownedFor = 100 * time.Millisecond
-	// answerTime is how long an owner's answer is waited for beside the time for
-	// which the request may stand in line there.
-	answerTime = 60 * time.Millisecond
-	// maxAsks is how many shards a request asks for a place, maxTopAsks one of the
-	// highest tier, as long as they refuse within atOnce: whoever has waited longer has
-	// no time left for another line.
-	maxAsks    = 2
-	maxTopAsks = 4
-	atOnce     = 20 * time.Millisecond
-	// passFor is for how long an owner that did not answer is not asked.
-	passFor = 500 * time.Millisecond
-	// notePart is the part of the expected output, and noteEvery the time, after
-	// which an owner is told of output again.
-	notePart  = 4
-	noteEvery = 300 * time.Millisecond
+	// ownerCacheTTL is how long the computed owners of shards stay valid.
+	ownerCacheTTL = 100 * time.Millisecond
+	// ownerAnswerTimeout is how long an owner's answer is awaited, in addition to the time for
+	// which the request may be queued there.
+	ownerAnswerTimeout = 60 * time.Millisecond
+	// maxShards is how many shards may be tried in turn for one request, maxShardsTopTier the
+	// same for a request of the highest tier. The next shard is tried only within
+	// immediateRefusal: a request that has waited longer has no time left for another queue.
+	maxShards        = 2
+	maxShardsTopTier = 4
+	immediateRefusal = 20 * time.Millisecond
+	// lateOwnerBackoff is how long an owner that did not answer gets no placement requests.
+	lateOwnerBackoff = 500 * time.Millisecond
+	// noteFraction and noteInterval say when an owner is told about further output: once more
+	// than the expected tokens divided by noteFraction have arrived, or after noteInterval.
+	noteFraction = 4
+	noteInterval = 300 * time.Millisecond
 )
 
-// Peers is what a Director needs of the other entries to have them place its
-// requests. The zero value has it place all of them itself.
+// Peers is what a Director needs in order to have other entries place its requests. With the
+// zero value it places all of them itself.
 type Peers struct {
-	// Self is this entry's name among them.
+	// Self is the name of this entry.
 	Self string
-	// Entries returns the entries that are heard, this one included.
+	// Entries returns the reachable entries, including this one.
 	Entries func() []relay.Entry
-	// Link has links to these entries kept.
+	// KeepLinks keeps links open to the given entries.
 	Link func(entries []string)
 	// Send sends a message to an entry; it reports false if there is no link to it.
 	Send func(entry string, m wire.Message) bool
 }
 
-// place is a request's place at an endpoint that another entry counts.
-type place struct {
+// ownerPlacement is the placement of an attempt that another entry counts.
+type ownerPlacement struct {
 	owner string
 	id    uint64
-	// output is how many tokens were expected, tokens how many have come that the
-	// owner was not told, toldAt when it was last told.
-	output, tokens int
-	toldAt         time.Time
-	// load is how many requests the endpoint said that it has.
-	load int
+	// expectedOutput is how many output tokens were expected, unreportedTokens how many have
+	// arrived since notedAt, when the owner was last notified.
+	expectedOutput, unreportedTokens int
+	notedAt                          time.Time
+	// reportedRequests is how many requests the endpoint said it has.
+	reportedRequests int
 }
 
-// asked is a request for a place that has no answer.
-type asked struct {
+// pendingPlacement is a placement request without an answer.
+type pendingPlacement struct {
 	owner string
-	// answer gets the answer; it is closed if the link to the owner ends.
+	// answer receives the answer; it is closed if the link to the owner ends.
 	answer chan *wire.PlaceAck
 }
 
-// note tells the owner of the try's place, if there is one, what has become of it;
-// d.mu is held.
-func (v *visit) note(now time.Time, tokens int, end uint8) {
-	p := v.place
+// notifyOwner tells the owner of the attempt's placement, if there is one, about the attempt's
+// output or end. The caller holds d.mu.
+func (a *attempt) notifyOwner(now time.Time, tokens int, end uint8) {
+	p := a.ownerPlacement
 	if p == nil {
 		return
 	}
-	p.tokens += tokens
-	first := p.toldAt.IsZero()
-	if end == wire.PlaceOpen && !first && p.tokens*notePart <= p.output && now.Sub(p.toldAt) < noteEvery {
+	p.unreportedTokens += tokens
+	isFirst := p.notedAt.IsZero()
+	if end == wire.PlaceOpen && !isFirst && p.unreportedTokens*noteFraction <= p.expectedOutput && now.Sub(p.notedAt) < noteInterval {
 		return
 	}
-	v.d.cfg.Peers.Send(p.owner, &wire.PlaceNote{ID: p.id, Tokens: uint32(p.tokens), End: end, Load: uint32(max(p.load, 0))})
-	p.tokens, p.toldAt = 0, now
+	a.d.cfg.Peers.Send(p.owner, &wire.PlaceNote{ID: p.id, Tokens: uint32(p.unreportedTokens), End: end, Load: uint32(max(p.reportedRequests, 0))})
+	p.unreportedTokens, p.notedAt = 0, now
 	if end != wire.PlaceOpen {
-		delete(v.d.placed[p.owner], p.id)
-		v.place = nil
+		delete(a.d.ownerAttempts[p.owner], p.id)
+		a.ownerPlacement = nil
 	}
 }
 
-// sharded reports whether places are asked of the owners of shards.
-func (d *Director) sharded(known int) bool { return d.cfg.Peers.Entries != nil && shard.Needed(known) }
+// usesShardOwners reports whether placements are requested from the owners of shards.
+func (d *Director) usesShardOwners(knownEntries int) bool {
+	return d.cfg.Peers.Entries != nil && shard.Needed(knownEntries)
+}
 
-// owner returns the entry that owns a shard, empty if there is none; d.mu is held.
-func (d *Director) owner(pool string, p *pool, k shard.Key, now time.Time) string {
-	if p.owners == nil || now.Sub(p.ownedAt) > ownedFor {
+// shardOwner returns the entry that owns a shard; empty if there is none. The caller holds
+// d.mu.
+func (d *Director) shardOwner(pool string, p *pool, k shard.Key, now time.Time) string {
+	if p.owners == nil || now.Sub(p.ownersAt) > ownerCacheTTL {
 		entries := d.cfg.Peers.Entries()
-		p.owners, p.ownedAt = make(map[shard.Key]string, len(p.shards)), now
+		p.owners, p.ownersAt = make(map[shard.Key]string, len(p.shards)), now
 		for k := range p.shards {
 			p.owners[k] = shard.Owner(pool, k, entries)
 		}
@@ -104,10 +107,10 @@
 	return p.owners[k]
 }
 
-// owners returns the entries that own shards of the pools in use.
-func (d *Director) owners() []string {
-	_, known := d.cfg.Reach()
-	if !d.sharded(known) {
+// shardOwners returns the other entries that own shards of the configured pools.
+func (d *Director) shardOwners() []string {
+	_, knownEntries := d.cfg.Reach()
+	if !d.usesShardOwners(knownEntries) {
 		return nil
 	}
 	d.mu.Lock()
@@ -115,10 +118,10 @@
 	now := time.Now()
 	seen := make(map[string]bool)
 	var out []string
-	for _, c := range d.v.table.Config().Pools {
-		p := d.v.pool(c.Name, d.cfg.Repeats, known)
+	for _, c := range d.view.table.Config().Pools {
+		p := d.view.pool(c.Name, d.cfg.Repeats, knownEntries)
 		for k := range p.shards {
-			if o := d.owner(c.Name, p, k, now); o != "" && o != d.cfg.Peers.Self && !seen[o] {
+			if o := d.shardOwner(c.Name, p, k, now); o != "" && o != d.cfg.Peers.Self && !seen[o] {
 				seen[o] = true
 				out = append(out, o)
 			}
@@ -127,80 +130,80 @@
 	return out
 }
 
-// loads returns what is known of the shards of a job's pool whose owners may be
-// asked; d.mu is held.
-func (d *Director) loads(p *pool, j *Job, now time.Time) []shard.Load {
+// shardLoads returns the known loads of those shards of a job's pool whose owners may be
+// asked. The caller holds d.mu.
+func (d *Director) shardLoads(p *pool, j *Job, now time.Time) []shard.Load {
 	out := make([]shard.Load, 0, len(p.shards))
 	for k, s := range p.shards {
-		o := d.owner(j.Pool.Name, p, k, now)
-		if o == "" || now.Before(d.passed[o]) {
+		o := d.shardOwner(j.Pool.Name, p, k, now)
+		if o == "" || now.Before(d.ownerBackoff[o]) {
 			continue
 		}
 		l := shard.Load{Key: k}
-		all := d.v.describeFor(p, s.endpoints, d.v.zone, j.Pool, now, d.since(now))
-		l.Slots, l.Free = admit.Slots(all), admit.Free(all)
-		l.Ahead = d.v.waits.ahead(o, tierIn{j.Pool.Name, j.Tier}, o == d.cfg.Peers.Self)
+		candidates := d.view.describeEndpoints(p, s.endpoints, d.view.zone, j.Pool, now, d.sinceStart(now))
+		l.Slots, l.Free = admit.Slots(candidates), admit.Free(candidates)
+		l.Ahead = d.view.queueCounts.countAhead(o, poolTier{j.Pool.Name, j.Tier}, o == d.cfg.Peers.Self)
 		out = append(out, l)
 	}
 	return out
 }
 
-// enterShard has a job placed by the owner of a shard, or by that of another one if
-// the first finds no room. It returns false if no owner has decided. d.mu is held.
-func (d *Director) enterShard(ctx context.Context, j *Job, p *pool) (*visit, admit.Decision, bool) {
-	began := time.Now()
-	loads := d.loads(p, j, began)
+// placeInShards has a job placed by the owner of a shard, or by that of another shard if the
+// first has no room. It returns false if no owner has decided. The caller holds d.mu.
+func (d *Director) placeInShards(ctx context.Context, j *Job, p *pool) (*attempt, admit.Decision, bool) {
+	start := time.Now()
+	loads := d.shardLoads(p, j, start)
 	var (
-		v   *visit
+		a   *attempt
 		dec admit.Decision
 		ok  bool
 	)
-	most := maxAsks
-	if p.rank(j.Tier) == 0 {
-		most = maxTopAsks
+	shardLimit := maxShards
+	if p.tierRank(j.Tier) == 0 {
+		shardLimit = maxShardsTopTier
 	}
-	for try := range most {
+	for round := range shardLimit {
 		if len(loads) == 0 {
 			break
 		}
-		i, stand := shard.Choose(loads, d.v.zone, rand.Float64())
-		v, dec, ok = d.enterAt(ctx, j, p, loads[i].Key, stand || try > 0)
-		if !ok || dec.Endpoint >= 0 || dec.Why != admit.Full || ctx.Err() != nil || time.Since(began) > atOnce {
+		i, mayWait := shard.Choose(loads, d.view.zone, rand.Float64())
+		a, dec, ok = d.placeInShard(ctx, j, p, loads[i].Key, mayWait || round > 0)
+		if !ok || dec.Endpoint >= 0 || dec.Why != admit.Full || ctx.Err() != nil || time.Since(start) > immediateRefusal {
 			break
 		}
-		// What is known of the shard is older than this answer.
+		// This answer is newer than what was known of the shard.
 		loads[i].Free, loads[i].Ahead = 0, loads[i].Slots
 	}
 	if ok {
-		v.basis.Stood = time.Since(began)
+		a.placement.QueuedFor = time.Since(start)
 	}
-	return v, dec, ok
+	return a, dec, ok
 }
 
-// enterAt has a job placed in a shard. d.mu is held.
-func (d *Director) enterAt(ctx context.Context, j *Job, p *pool, k shard.Key, stand bool) (*visit, admit.Decision, bool) {
-	owner := d.owner(j.Pool.Name, p, k, time.Now())
+// placeInShard has a job placed in a shard. The caller holds d.mu.
+func (d *Director) placeInShard(ctx context.Context, j *Job, p *pool, k shard.Key, mayWait bool) (*attempt, admit.Decision, bool) {
+	owner := d.shardOwner(j.Pool.Name, p, k, time.Now())
 	if owner != d.cfg.Peers.Self {
-		return d.ask(ctx, j, p, k, owner, stand)
+		return d.requestPlacement(ctx, j, p, k, owner, mayWait)
 	}
 	s := p.shards[k]
 	if s == nil {
 		return nil, admit.Decision{}, false
 	}
-	v, dec := d.queue(ctx, j, p, lineup{shard: s, zone: d.v.zone, stand: stand})
-	return v, dec, true
+	a, dec := d.placeOrWait(ctx, j, p, queueOptions{shard: s, zone: d.view.zone, mayWait: mayWait})
+	return a, dec, true
 }
 
-// ask asks the owner of a shard for a place. d.mu is held, but not while the answer
-// is awaited.
-func (d *Director) ask(ctx context.Context, j *Job, p *pool, k shard.Key, owner string, stand bool) (*visit, admit.Decision, bool) {
+// requestPlacement requests a placement from the owner of a shard. The caller holds d.mu,
+// which is released while the answer is awaited.
+func (d *Director) requestPlacement(ctx context.Context, j *Job, p *pool, k shard.Key, owner string, mayWait bool) (*attempt, admit.Decision, bool) {
 	now := time.Now()
-	d.asks++
-	id := d.asks
-	a := &asked{owner: owner, answer: make(chan *wire.PlaceAck, 1)}
+	d.lastPlacementID++
+	id := d.lastPlacementID
+	pending := &pendingPlacement{owner: owner, answer: make(chan *wire.PlaceAck, 1)}
 	m := &wire.PlaceAsk{
 		ID: id, Pool: j.Pool.Name, Zone: k.Zone, Part: k.N, Customer: j.Tier.Customer, Route: j.Tier.Route,
-		TargetUS: j.Route.Target.Microseconds(), DueUS: j.due().Sub(now).Microseconds(), LeftUS: j.End().Sub(now).Microseconds(), Stand: stand,
+		TargetUS: j.Route.Target.Microseconds(), DueUS: j.firstEventDue().Sub(now).Microseconds(), LeftUS: j.End().Sub(now).Microseconds(), Stand: mayWait,
 	}
 	if j.Pool.Engine {
 		m.Prompt, m.Output = uint32(max(j.Prompt, 0)), uint32(max(j.Output, 0))
@@ -208,113 +211,113 @@
 	if !d.cfg.Peers.Send(owner, m) {
 		return nil, admit.Decision{}, false
 	}
-	d.asking[id] = a
-	wait := answerTime
-	if stand {
-		wait += await.Patience(j.Route.Target, j.due().Sub(now), 0)
+	d.pendingPlacements[id] = pending
+	wait := ownerAnswerTimeout
+	if mayWait {
+		wait += await.Patience(j.Route.Target, j.firstEventDue().Sub(now), 0)
 	}
 	d.mu.Unlock()
 	timer := time.NewTimer(wait)
 	var got *wire.PlaceAck
-	late := false
+	timedOut := false
 	select {
-	case got = <-a.answer:
+	case got = <-pending.answer:
 	case <-ctx.Done():
 	case <-timer.C:
-		late = true
+		timedOut = true
 	}
 	timer.Stop()
 	d.mu.Lock()
-	if d.asking[id] == a {
-		delete(d.asking, id)
+	if d.pendingPlacements[id] == pending {
+		delete(d.pendingPlacements, id)
 		d.cfg.Peers.Send(owner, &wire.PlaceNote{ID: id, End: wire.PlaceDropped})
 	} else if got == nil {
 		// The answer, or the end of the link, came at the same moment.
-		got = <-a.answer
+		got = <-pending.answer
 	}
 	switch {
 	case got != nil:
-		return d.granted(j, p, owner, got)
+		return d.applyGrant(j, p, owner, got)
 	case ctx.Err() != nil:
-		return &visit{}, admit.Decision{Endpoint: -1, Why: admit.Full}, true
-	case late:
-		d.passed[owner] = time.Now().Add(passFor)
+		return &attempt{}, admit.Decision{Endpoint: -1, Why: admit.Full}, true
+	case timedOut:
+		d.ownerBackoff[owner] = time.Now().Add(lateOwnerBackoff)
 		logs.Warn(d.cfg.Log, logs.EventOwnerLate, zap.String("peer", owner), zap.String("request_id", j.ID), zap.Duration("waited", wait))
 	}
 	return nil, admit.Decision{}, false
 }
 
-// granted turns an owner's answer into a try, or into a refusal. It returns false if
-// the owner could not decide or does not know yet that the endpoint leaves. d.mu is
-// held.
-func (d *Director) granted(j *Job, p *pool, owner string, m *wire.PlaceAck) (*visit, admit.Decision, bool) {
+// applyGrant turns an owner's answer into an attempt or a refusal. It returns false if the
+// owner could not decide or does not know yet that the endpoint is leaving. The caller holds
+// d.mu.
+func (d *Director) applyGrant(j *Job, p *pool, owner string, m *wire.PlaceAck) (*attempt, admit.Decision, bool) {
 	if !m.Known {
 		return nil, admit.Decision{}, false
 	}
-	heard, known := d.cfg.Reach()
+	reachableEntries, knownEntries := d.cfg.Reach()
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 	dec := admit.Decision{Endpoint: -1, First: us(m.FirstUS), Wait: us(m.WaitUS), Retry: us(m.RetryUS), Turn: us(m.TurnUS), Why: admit.Why(m.Why)}
-	v := &visit{basis: Basis{
-		Endpoint: m.Endpoint, Predicted: dec.First, Wait: dec.Wait, Ahead: int(m.Ahead), Prompt: int(m.Prompt), Heard: heard, Known: known, Owner: owner,
+	a := &attempt{placement: Placement{
+		Endpoint: m.Endpoint, PredictedFirst: dec.First, PredictedWait: dec.Wait, RequestsAhead: int(m.Ahead), PromptTokensAhead: int(m.Prompt), ReachableEntries: reachableEntries, KnownEntries: knownEntries, Owner: owner,
 	}}
 	if m.Endpoint == "" {
-		return v, dec, true
+		return a, dec, true
 	}
-	e := d.v.endpoints[m.Endpoint]
+	e := d.view.endpoints[m.Endpoint]
 	switch {
-	case e != nil && !e.Leaving && e.Pool == j.Pool.Name && d.v.rollouts.Use(e.Pool, e.Version) == canary.Service:
-	case e == nil && m.Roster > d.v.roster.Revision && !d.v.rollouts.Open(j.Pool.Name):
+	case e != nil && !e.Leaving && e.Pool == j.Pool.Name && d.view.rollouts.Use(e.Pool, e.Version) == canary.Service:
+	case e == nil && m.Roster > d.view.roster.Revision && !d.view.rollouts.Open(j.Pool.Name):
 		e = &endpoint{Endpoint: route.Endpoint{ID: m.Endpoint, Addr: m.Addr, Pool: j.Pool.Name, Slots: m.Slots}}
 	default:
 		d.cfg.Peers.Send(owner, &wire.PlaceNote{ID: m.ID, End: wire.PlaceDropped})
 		return nil, admit.Decision{}, false
 	}
 	dec.Endpoint, dec.Why = 0, admit.Admitted
-	v.d, v.pool, v.e, v.id, v.addr = d, p, e, e.ID, e.Addr
-	v.alone, v.sent, v.free, v.ahead, v.wait, v.rest = len(p.endpoints) < 2, time.Now(), m.Free, int(m.Prompt), dec.Wait, dec.First-dec.Wait
-	v.held, v.fingerprint, v.route, v.version = holdOf(j, j.Output), j.fingerprint, j.Route.Name, e.Version
-	v.place = &place{owner: owner, id: m.ID, output: v.held.output}
-	if d.placed[owner] == nil {
-		d.placed[owner] = make(map[uint64]*visit)
+	a.d, a.pool, a.endpoint, a.id, a.sentAddr = d, p, e, e.ID, e.Addr
+	a.isOnlyEndpoint, a.sentAt, a.hadFreeSlot, a.promptAhead, a.predictedWait, a.predictedService = len(p.endpoints) < 2, time.Now(), m.Free, int(m.Prompt), dec.Wait, dec.First-dec.Wait
+	a.work, a.fingerprint, a.route, a.version = jobWork(j, j.Output), j.fingerprint, j.Route.Name, e.Version
+	a.ownerPlacement = &ownerPlacement{owner: owner, id: m.ID, expectedOutput: a.work.outputTokens}
+	if d.ownerAttempts[owner] == nil {
+		d.ownerAttempts[owner] = make(map[uint64]*attempt)
 	}
-	d.placed[owner][m.ID] = v
-	return v, dec, true
+	d.ownerAttempts[owner][m.ID] = a
+	return a, dec, true
 }
 
-// Acked takes in the answer of an owner.
+// HandlePlaceAck processes an owner's answer to a placement request.
 func (d *Director) Acked(owner string, m *wire.PlaceAck) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	a := d.asking[m.ID]
-	if a == nil || a.owner != owner {
+	pending := d.pendingPlacements[m.ID]
+	if pending == nil || pending.owner != owner {
 		// The request has been given up.
 		if m.Endpoint != "" {
 			d.cfg.Peers.Send(owner, &wire.PlaceNote{ID: m.ID, End: wire.PlaceDropped})
 		}
 		return
 	}
-	delete(d.asking, m.ID)
-	a.answer <- m
+	delete(d.pendingPlacements, m.ID)
+	pending.answer <- m
 }
 
-// Parted notes that the link over which an owner was asked has ended. What it counted
-// is counted here from now on.
+// HandleLinkLost records that the link to an owner of shards has ended. The requests that the
+// owner counted are counted here from now on.
 func (d *Director) Parted(owner string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for id, a := range d.asking {
-		if a.owner == owner {
-			delete(d.asking, id)
-			close(a.answer)
+	for id, pending := range d.pendingPlacements {
+		if pending.owner == owner {
+			delete(d.pendingPlacements, id)
+			close(pending.answer)
 		}
 	}
 	now := time.Now()
-	for _, v := range d.placed[owner] {
-		v.place = nil
-		if e := d.v.endpoints[v.id]; e != nil {
-			v.e = e
+	for _, a := range d.ownerAttempts[owner] {
+		a.ownerPlacement = nil
+		if e := d.view.endpoints[a.id]; e != nil {
+			a.endpoint = e
 		}
-		v.count(now)
+		a.countWork(now)
 	}
-	delete(d.placed, owner)
+	delete(d.ownerAttempts, owner)
 }
--- a/entry/direct/place_test.go
+++ b/entry/direct/place_test.go
@@ -17,21 +17,21 @@
 	"lycheepond/entry/hop"
 )
 
-// couple is an entry that asks another one, the owner of all shards, for places.
-type couple struct {
-	asker, owner *Director
-	session      *Session
-	// down is set while the link carries no messages.
-	down atomic.Bool
-	cfg  route.Config
-	// route and outputs are the next job's route and output in tokens.
-	route, outputs int
+// entryPair is an entry that requests placements from another one, the owner of all shards.
+type entryPair struct {
+	requester, owner *Director
+	session          *Session
+	// linkDown is set while the link carries no messages.
+	linkDown atomic.Bool
+	cfg      route.Config
+	// route and outputTokens are the index of the next job's route and its output.
+	route, outputTokens int
 }
 
-// newCouple returns two entries before so many engines of one slot each.
-func newCouple(t *testing.T, engines int) *couple {
+// newEntryPair returns two entries and a pool of so many engines with one slot each.
+func newEntryPair(t *testing.T, engines int) *entryPair {
 	t.Helper()
-	c := &couple{outputs: 100}
+	c := &entryPair{outputTokens: 100}
 	c.cfg = route.Config{
 		Revision: 1, Pools: []route.Pool{{Name: "p", Engine: true, Slots: 1}},
 		Routes: []route.Route{
@@ -53,7 +53,7 @@
 					return []relay.Entry{{Name: "asker", Zone: "z", Capacity: 100}, {Name: "owner", Zone: "z", Capacity: 800}}
 				},
 				Send: func(_ string, m wire.Message) bool {
-					if c.down.Load() {
+					if c.linkDown.Load() {
 						return false
 					}
 					go c.session.Take(m)
@@ -65,241 +65,243 @@
 		d.SetRoster(roster)
 		return d
 	}
-	c.asker, c.owner = entry("asker"), entry("owner")
+	c.requester, c.owner = entry("asker"), entry("owner")
 	c.session = c.owner.Session(t.Context(), "z", func(m wire.Message) error {
-		if !c.down.Load() {
-			go c.asker.Acked("owner", m.(*wire.PlaceAck))
+		if !c.linkDown.Load() {
+			go c.requester.Acked("owner", m.(*wire.PlaceAck))
 		}
 		return nil
 	})
 	t.Cleanup(func() {
 		c.session.Close()
-		time.Sleep(2 * keepFor)
+		time.Sleep(2 * sessionGrace)
 	})
 	return c
 }
 
-func (c *couple) job() *Job {
+func (c *entryPair) job() *Job {
 	now := time.Now()
 	r := &c.cfg.Routes[c.route]
-	return &Job{ID: "1", Route: r, Tier: r.TierOf(nil), Pool: &c.cfg.Pools[0], Accepted: now, Deadline: now.Add(10 * time.Second), Prompt: 100, Output: c.outputs}
+	return &Job{ID: "1", Route: r, Tier: r.TierOf(nil), Pool: &c.cfg.Pools[0], AcceptedAt: now, Deadline: now.Add(10 * time.Second), Prompt: 100, Output: c.outputTokens}
 }
 
-// counted returns how many requests an entry counts as its own at an endpoint.
-func counted(d *Director, id string) int {
+// ownRequests returns how many requests an entry counts as its own at an endpoint.
+func ownRequests(d *Director, id string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.v.endpoints[id].own.requests
+	return d.view.endpoints[id].ownWork.requests
 }
 
-// A place is counted twice, or by nobody, when it passes from entry to entry.
-func TestOwnerCountsThePlacesItGives(t *testing.T) {
+// Guards against a request that is counted twice, or by no entry, when another entry places
+// it.
+func TestOwnerCountsGrantedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCouple(t, 1)
-		v, dec := c.asker.enter(t.Context(), c.job())
-		if dec.Endpoint < 0 || v.id != "a" || v.basis.Owner != "owner" {
-			t.Fatalf("placed at %q by %q: %v", v.id, v.basis.Owner, dec.Why)
+		c := newEntryPair(t, 1)
+		a, dec := c.requester.admitJob(t.Context(), c.job())
+		if dec.Endpoint < 0 || a.id != "a" || a.placement.Owner != "owner" {
+			t.Fatalf("placed at %q by %q: %v", a.id, a.placement.Owner, dec.Why)
 		}
-		if counted(c.owner, "a") != 1 || counted(c.asker, "a") != 0 {
-			t.Errorf("the owner counts %d, the asker %d", counted(c.owner, "a"), counted(c.asker, "a"))
+		if ownRequests(c.owner, "a") != 1 || ownRequests(c.requester, "a") != 0 {
+			t.Errorf("the owner counts %d requests, the requester %d", ownRequests(c.owner, "a"), ownRequests(c.requester, "a"))
 		}
-		if _, dec := c.asker.enter(t.Context(), c.job()); dec.Endpoint >= 0 {
-			t.Error("a second request has a place at an engine of one slot")
+		if _, dec := c.requester.admitJob(t.Context(), c.job()); dec.Endpoint >= 0 {
+			t.Error("a second request was placed at an engine with one slot")
 		}
-		v.progress(10)
-		v.end(trust.Good)
+		a.recordProgress(10)
+		a.finish(trust.Good)
 		synctest.Wait()
-		if counted(c.owner, "a") != 0 {
-			t.Errorf("the owner counts %d after the end", counted(c.owner, "a"))
+		if ownRequests(c.owner, "a") != 0 {
+			t.Errorf("the owner counts %d requests after the end", ownRequests(c.owner, "a"))
 		}
 	})
 }
 
-// A request that stands in line at its owner misses the slot that comes free.
-func TestRequestWaitsAtTheOwner(t *testing.T) {
+// Guards against a request that is queued at its owner and misses the slot that becomes free.
+func TestRequestQueuesAtOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCouple(t, 1)
-		c.outputs = 20
-		first, _ := c.asker.enter(t.Context(), c.job())
+		c := newEntryPair(t, 1)
+		c.outputTokens = 20
+		first, _ := c.requester.admitJob(t.Context(), c.job())
 		time.AfterFunc(50*time.Millisecond, func() {
-			first.progress(20)
-			first.end(trust.Good)
+			first.recordProgress(20)
+			first.finish(trust.Good)
 		})
-		// The lowest tier has no part in an engine's queue.
+		// The lowest tier has no share of an engine's queue.
 		c.route = 1
-		v, dec := c.asker.enter(t.Context(), c.job())
+		a, dec := c.requester.admitJob(t.Context(), c.job())
 		if dec.Endpoint < 0 {
 			t.Fatalf("refused: %v", dec.Why)
 		}
-		if v.basis.Stood != 50*time.Millisecond {
-			t.Errorf("waited for %v", v.basis.Stood)
+		if a.placement.QueuedFor != 50*time.Millisecond {
+			t.Errorf("waited for %v", a.placement.QueuedFor)
 		}
-		v.abandon()
+		a.abandon()
 	})
 }
 
-// A caller leaves while its request stands in line; its place goes to nobody.
-func TestPlaceOfACallerThatLeft(t *testing.T) {
+// A caller leaves while its request is queued. The placement granted to it must not stay
+// counted.
+func TestGrantOfDepartedCallerIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCouple(t, 1)
-		first, _ := c.asker.enter(t.Context(), c.job())
+		c := newEntryPair(t, 1)
+		first, _ := c.requester.admitJob(t.Context(), c.job())
 		ctx, leave := context.WithTimeout(t.Context(), 20*time.Millisecond)
 		defer leave()
-		if _, dec := c.asker.enter(ctx, c.job()); dec.Endpoint >= 0 {
+		if _, dec := c.requester.admitJob(ctx, c.job()); dec.Endpoint >= 0 {
 			t.Fatal("placed")
 		}
 		synctest.Wait()
-		first.end(trust.Good)
+		first.finish(trust.Good)
 		synctest.Wait()
-		if n := counted(c.owner, "a"); n != 0 {
-			t.Errorf("the owner counts %d", n)
+		if n := ownRequests(c.owner, "a"); n != 0 {
+			t.Errorf("the owner counts %d requests", n)
 		}
 	})
 }
 
-// An owner that is frozen holds up every request of its shards.
-func TestSilentOwnerIsPassedOver(t *testing.T) {
+// A frozen owner must not hold up the requests of its shards.
+func TestSilentOwnerIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCouple(t, 2)
+		c := newEntryPair(t, 2)
 		c.session.reply = func(wire.Message) error { return nil }
-		began := time.Now()
-		v, dec := c.asker.enter(t.Context(), c.job())
-		if dec.Endpoint < 0 || v.basis.Owner != "" {
-			t.Fatalf("placed by %q: %v", v.basis.Owner, dec.Why)
+		start := time.Now()
+		a, dec := c.requester.admitJob(t.Context(), c.job())
+		if dec.Endpoint < 0 || a.placement.Owner != "" {
+			t.Fatalf("placed by %q: %v", a.placement.Owner, dec.Why)
 		}
-		if took := time.Since(began); took > answerTime+100*time.Millisecond {
+		if took := time.Since(start); took > ownerAnswerTimeout+100*time.Millisecond {
 			t.Errorf("the first request was held up for %v", took)
 		}
 		synctest.Wait()
-		if counted(c.owner, "a")+counted(c.owner, "b") != 0 {
-			t.Error("the owner still counts a place that was given up")
+		if ownRequests(c.owner, "a")+ownRequests(c.owner, "b") != 0 {
+			t.Error("the owner still counts a placement that was given up")
 		}
-		began = time.Now()
-		if _, dec := c.asker.enter(t.Context(), c.job()); dec.Endpoint < 0 || time.Since(began) > 0 {
-			t.Errorf("the second request was held up for %v: %v", time.Since(began), dec.Why)
+		start = time.Now()
+		if _, dec := c.requester.admitJob(t.Context(), c.job()); dec.Endpoint < 0 || time.Since(start) > 0 {
+			t.Errorf("the second request was held up for %v: %v", time.Since(start), dec.Why)
 		}
 	})
 }
 
-// The link to the owner breaks while requests run. Counted by nobody, their slots
+// The link to the owner breaks while requests run. If no entry counted them, their slots would
 // look free to all entries.
-func TestPlacesOutliveTheLink(t *testing.T) {
+func TestRequestsCountedAfterLinkLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCouple(t, 1)
-		v, _ := c.asker.enter(t.Context(), c.job())
-		v.progress(10)
+		c := newEntryPair(t, 1)
+		a, _ := c.requester.admitJob(t.Context(), c.job())
+		a.recordProgress(10)
 		synctest.Wait()
-		c.down.Store(true)
-		c.asker.Parted("owner")
+		c.linkDown.Store(true)
+		c.requester.Parted("owner")
 		c.session.Close()
-		if counted(c.asker, "a") != 1 || counted(c.owner, "a") != 1 {
-			t.Errorf("right after it the asker counts %d, the owner %d", counted(c.asker, "a"), counted(c.owner, "a"))
+		if ownRequests(c.requester, "a") != 1 || ownRequests(c.owner, "a") != 1 {
+			t.Errorf("right after the link loss the requester counts %d requests, the owner %d", ownRequests(c.requester, "a"), ownRequests(c.owner, "a"))
 		}
-		if told := c.asker.Tally(false).Held; len(told) != 1 || told[0].Requests != 1 {
-			t.Errorf("the others are told %+v", told)
+		if reported := c.requester.Tally(false).Held; len(reported) != 1 || reported[0].Requests != 1 {
+			t.Errorf("reported to the peers: %+v", reported)
 		}
-		time.Sleep(2 * keepFor)
-		if counted(c.owner, "a") != 0 {
-			t.Errorf("the owner still counts %d", counted(c.owner, "a"))
+		time.Sleep(2 * sessionGrace)
+		if ownRequests(c.owner, "a") != 0 {
+			t.Errorf("the owner still counts %d requests", ownRequests(c.owner, "a"))
 		}
-		v.end(trust.Good)
-		if counted(c.asker, "a") != 0 {
-			t.Errorf("the asker counts %d after the end", counted(c.asker, "a"))
+		a.finish(trust.Good)
+		if ownRequests(c.requester, "a") != 0 {
+			t.Errorf("the requester counts %d requests after the end", ownRequests(c.requester, "a"))
 		}
 	})
 }
 
-// The link breaks while a place is asked for.
-func TestLinkBreaksBeforeTheAnswer(t *testing.T) {
+// The link breaks while a placement request is pending.
+func TestLinkLostDuringPlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCouple(t, 2)
+		c := newEntryPair(t, 2)
 		c.session.reply = func(wire.Message) error { return nil }
 		time.AfterFunc(10*time.Millisecond, func() {
-			c.down.Store(true)
-			c.asker.Parted("owner")
+			c.linkDown.Store(true)
+			c.requester.Parted("owner")
 		})
-		began := time.Now()
-		v, dec := c.asker.enter(t.Context(), c.job())
-		if dec.Endpoint < 0 || v.basis.Owner != "" || time.Since(began) != 10*time.Millisecond {
-			t.Errorf("placed by %q after %v: %v", v.basis.Owner, time.Since(began), dec.Why)
+		start := time.Now()
+		a, dec := c.requester.admitJob(t.Context(), c.job())
+		if dec.Endpoint < 0 || a.placement.Owner != "" || time.Since(start) != 10*time.Millisecond {
+			t.Errorf("placed by %q after %v: %v", a.placement.Owner, time.Since(start), dec.Why)
 		}
 	})
 }
 
-// An owner with an older instance list gives a place at an endpoint that this entry
-// knows to be leaving.
-func TestPlaceAtALeavingEndpointIsDeclined(t *testing.T) {
+// An owner with an older instance list grants a placement at an endpoint that this entry knows
+// to be leaving.
+func TestGrantAtLeavingEndpointIsDeclined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCouple(t, 1)
+		c := newEntryPair(t, 1)
 		r := route.Roster{Revision: 2, Endpoints: []route.Endpoint{
 			{ID: "a", Born: 1, Pool: "p", Addr: "a", Zone: "z", Slots: 1, Leaving: true},
 			{ID: "b", Born: 1, Pool: "p", Addr: "b", Zone: "z", Slots: 1},
 		}}
-		c.asker.SetRoster(r)
-		v, dec := c.asker.enter(t.Context(), c.job())
-		if dec.Endpoint < 0 || v.id != "b" {
-			t.Errorf("placed at %q: %v", v.id, dec.Why)
+		c.requester.SetRoster(r)
+		a, dec := c.requester.admitJob(t.Context(), c.job())
+		if dec.Endpoint < 0 || a.id != "b" {
+			t.Errorf("placed at %q: %v", a.id, dec.Why)
 		}
 		synctest.Wait()
-		if counted(c.owner, "a") != 0 {
-			t.Error("the owner still counts a place that was declined")
+		if ownRequests(c.owner, "a") != 0 {
+			t.Error("the owner still counts a placement that was declined")
 		}
-		// One that only the owner knows of is used.
+		// An endpoint that only the owner knows is used.
 		r.Revision, r.Endpoints = 3, []route.Endpoint{{ID: "c", Born: 1, Pool: "p", Addr: "c", Zone: "z", Slots: 1}}
 		c.owner.SetRoster(r)
-		if v, dec := c.asker.enter(t.Context(), c.job()); dec.Endpoint < 0 || v.id != "c" || v.addr != "c" {
-			t.Errorf("placed at %q: %v", v.id, dec.Why)
+		if a, dec := c.requester.admitJob(t.Context(), c.job()); dec.Endpoint < 0 || a.id != "c" || a.sentAddr != "c" {
+			t.Errorf("placed at %q: %v", a.id, dec.Why)
 		}
 	})
 }
 
-// An endpoint that declines for want of room is chosen again and again, since what
-// declines at once looks least loaded.
-func TestDeclineIsLearnt(t *testing.T) {
+// An endpoint that declines because it is full looks least loaded, since it declines at once.
+// Guards against choosing it again and again.
+func TestDeclineRaisesLoadEstimate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCouple(t, 1)
-		v, _ := c.asker.enter(t.Context(), c.job())
-		v.declined(30)
+		c := newEntryPair(t, 1)
+		a, _ := c.requester.admitJob(t.Context(), c.job())
+		a.handleDecline(30)
 		synctest.Wait()
-		for _, d := range []*Director{c.asker, c.owner} {
+		for _, d := range []*Director{c.requester, c.owner} {
 			d.mu.Lock()
-			e := d.v.endpoints["a"]
-			if got := e.uncounted(time.Now()); got != 30 {
-				t.Errorf("%s: %d requests that are not counted", d.cfg.Addr, got)
+			e := d.view.endpoints["a"]
+			if got := e.uncountedRequests(time.Now()); got != 30 {
+				t.Errorf("%s: %d uncounted requests", d.cfg.Addr, got)
 			}
-			if got := e.uncounted(time.Now().Add(excessFor / 2)); got != 15 {
-				t.Errorf("%s: %d after half of the time", d.cfg.Addr, got)
+			if got := e.uncountedRequests(time.Now().Add(declineDecay / 2)); got != 15 {
+				t.Errorf("%s: %d uncounted requests after half of the time", d.cfg.Addr, got)
 			}
 			d.mu.Unlock()
 		}
-		if _, dec := c.asker.enter(t.Context(), c.job()); dec.Endpoint >= 0 {
+		if _, dec := c.requester.admitJob(t.Context(), c.job()); dec.Endpoint >= 0 {
 			t.Error("the next request was placed at the full endpoint")
 		}
 	})
 }
 
-// A crashed endpoint's address belongs to another one, which turns away at once all
-// that is sent for the first, as long as that is listed.
-func TestEndpointThatHasMovedIsPassedOver(t *testing.T) {
+// The address of a crashed endpoint belongs to another one, which declines at once everything
+// that is sent to the crashed one while that is still listed.
+func TestMovedEndpointIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCouple(t, 2)
-		v, _ := c.asker.enter(t.Context(), c.job())
-		v.misplaced()
+		c := newEntryPair(t, 2)
+		a, _ := c.requester.admitJob(t.Context(), c.job())
+		a.handleMoved()
 		synctest.Wait()
 		for range 3 {
-			next, dec := c.asker.enter(t.Context(), c.job())
-			if dec.Endpoint >= 0 && next.id == v.id {
-				t.Fatalf("placed at %q again", v.id)
+			next, dec := c.requester.admitJob(t.Context(), c.job())
+			if dec.Endpoint >= 0 && next.id == a.id {
+				t.Fatalf("placed at %q again", a.id)
 			}
 			if dec.Endpoint >= 0 {
 				next.abandon()
 				synctest.Wait()
 			}
 		}
-		for _, d := range []*Director{c.asker, c.owner} {
+		for _, d := range []*Director{c.requester, c.owner} {
 			d.mu.Lock()
-			if e := d.v.endpoints[v.id]; !e.away(time.Now()) || e.away(time.Now().Add(awayFor)) || e.own.requests != 0 {
-				t.Errorf("%s: the endpoint is not away for a while: %+v", d.cfg.Addr, e)
+			if e := d.view.endpoints[a.id]; !e.hasMoved(time.Now()) || e.hasMoved(time.Now().Add(movedTimeout)) || e.ownWork.requests != 0 {
+				t.Errorf("%s: the endpoint is not skipped for a while: %+v", d.cfg.Addr, e)
 			}
 			d.mu.Unlock()
 		}
--- a/entry/direct/plain.go
+++ b/entry/direct/plain.go
@@ -11,83 +11,83 @@
 )
 
 const (
-	// maxPlain bounds what is held of an answer until it is whole.
-	maxPlain = 16 << 20
-	// longBuffer is what is read at once of a longer one: a few packets.
-	longBuffer = 32 << 10
+	// maxBufferedAnswer bounds how many bytes of an answer are buffered until it is complete.
+	maxBufferedAnswer = 16 << 20
+	// longReadBuffer is how many bytes of a longer answer are read at once: a few packets.
+	longReadBuffer = 32 << 10
 )
 
-// plain passes an answer on once it is whole, so that a broken one can still be
-// made good or told as what it is; a very long one is passed on as it comes.
-func (t *task) plain(a *hop.Answer, v *visit) verdict {
-	began := time.Now()
-	body, err := io.ReadAll(io.LimitReader(a, maxPlain))
-	v.basis.Silent, v.basis.Bound = time.Since(began), 0
-	if err == nil && !a.Whole() && !promises(a.Status) {
-		return t.long(a, v, body)
+// sendWholeAnswer forwards an answer once it is complete, so that a broken one can still be
+// replaced or reported as broken. A very long one is forwarded as it arrives.
+func (t *task) sendWholeAnswer(answer *hop.Answer, a *attempt) attemptResult {
+	start := time.Now()
+	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedAnswer))
+	a.placement.Silence, a.placement.SilenceBound = time.Since(start), 0
+	if err == nil && !answer.Whole() && !impliesNotRun(answer.Status) {
+		return t.sendLongAnswer(answer, a, body)
 	}
-	if err != nil || !a.Whole() {
+	if err != nil || !answer.Whole() {
 		if t.ctx.Err() != nil {
-			return verdict{arrived: true, ran: true, res: Result{Why: "time is up"}}
+			return attemptResult{wasReceived: true, mayHaveRun: true, result: Result{Reason: "time is up"}}
 		}
-		v.end(trust.Broken)
-		return verdict{arrived: true, ran: true, res: Result{Why: broken("answer broke off", err)}}
+		a.finish(trust.Broken)
+		return attemptResult{wasReceived: true, mayHaveRun: true, result: Result{Reason: breakReason("answer broke off", err)}}
 	}
-	v.answered(a)
-	if promises(a.Status) {
-		// These statuses promise that nothing ran, and the endpoint has not
-		// said so.
-		return verdict{arrived: true, ran: true, res: Result{Why: "endpoint refused without saying that it did not run"}}
+	a.recordAnswer(answer)
+	if impliesNotRun(answer.Status) {
+		// These statuses promise that nothing ran, but the endpoint has not said so.
+		return attemptResult{wasReceived: true, mayHaveRun: true, result: Result{Reason: "endpoint refused without saying that it did not run"}}
 	}
-	t.sink.Head(a.Status, a.Header, int64(len(body)))
+	t.sink.Head(answer.Status, answer.Header, int64(len(body)))
 	if err := errors.Join(t.sink.Write(body), t.sink.Flush()); err != nil {
-		return t.untaken(err)
+		return t.writeFailed(err)
 	}
-	return done(Complete, "")
+	return finalResult(Complete, "")
 }
 
-// long passes the rest of an answer on as it comes: the bound is on what is held,
-// and no reason to end an answer that goes on. It can't be made good from here on.
-func (t *task) long(a *hop.Answer, v *visit, first []byte) verdict {
-	t.begun = true
-	t.sink.Head(a.Status, a.Header, a.Length)
+// sendLongAnswer forwards the rest of an answer as it arrives. maxBufferedAnswer bounds the
+// memory and is no reason to end an answer that goes on. From here on a broken answer can't be
+// replaced.
+func (t *task) sendLongAnswer(answer *hop.Answer, a *attempt, first []byte) attemptResult {
+	t.headSent = true
+	t.sink.Head(answer.Status, answer.Header, answer.Length)
 	werr := t.sink.Write(first)
-	buf := make([]byte, longBuffer)
+	buf := make([]byte, longReadBuffer)
 	for werr == nil {
-		began := time.Now()
-		n, err := a.Read(buf)
-		v.basis.Silent = time.Since(began)
+		start := time.Now()
+		n, err := answer.Read(buf)
+		a.placement.Silence = time.Since(start)
 		werr = t.sink.Write(buf[:n])
 		if werr != nil || err == nil {
 			continue
 		}
 		if err != io.EOF {
-			return t.longBroke(v, err)
+			return t.longAnswerBroke(a, err)
 		}
-		v.answered(a)
+		a.recordAnswer(answer)
 		if werr = t.sink.Flush(); werr == nil {
-			return done(Complete, "")
+			return finalResult(Complete, "")
 		}
 	}
-	return t.untaken(werr)
+	return t.writeFailed(werr)
 }
 
-func (t *task) longBroke(v *visit, err error) verdict {
-	got := t.brokeOff(v, err)
-	if got.done {
+func (t *task) longAnswerBroke(a *attempt, err error) attemptResult {
+	got := t.answerBroke(a, err)
+	if got.isFinal {
 		return got
 	}
-	return done(Broken, got.res.Why)
+	return finalResult(Broken, got.result.Reason)
 }
 
-// answered notes a whole answer.
-func (v *visit) answered(a *hop.Answer) {
-	if !promises(a.Status) && a.Status != http.StatusGatewayTimeout {
-		v.completed()
+// recordAnswer records a complete answer for the endpoint.
+func (a *attempt) recordAnswer(answer *hop.Answer) {
+	if !impliesNotRun(answer.Status) && answer.Status != http.StatusGatewayTimeout {
+		a.recordCompletion()
 	}
-	if a.Status >= http.StatusInternalServerError {
-		v.end(trust.Error)
+	if answer.Status >= http.StatusInternalServerError {
+		a.finish(trust.Error)
 		return
 	}
-	v.end(trust.Good)
+	a.finish(trust.Good)
 }
--- a/entry/direct/poison.go
+++ b/entry/direct/poison.go
@@ -10,116 +10,119 @@
 	"lycheepond/entry/hop"
 )
 
-// start names one start of an endpoint.
-func (e *endpoint) start() string {
+// startID identifies one start of an endpoint.
+func (e *endpoint) startID() string {
 	if e.Born == 0 {
 		return e.ID
 	}
 	return e.ID + "@" + strconv.FormatInt(e.Born, 10)
 }
 
-// probeDelay is how much later than the entry before it an entry may send a probe: longer
-// than reports take to reach it.
-const probeDelay = time.Second
+// probeDelayStep is how much later an entry may send a probe than the entry before it. It is
+// longer than reports take to reach the later entry.
+const probeDelayStep = time.Second
 
-// quarantined returns the time after which to retry a job, zero if it may be sent.
-func (d *Director) quarantined(j *Job) time.Duration {
+// quarantineWait returns the time after which to retry a job; zero if it may be sent.
+func (d *Director) quarantineWait(j *Job) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.v.poison.Wait(d.since(time.Now()), j.fingerprint, d.probeDelay)
+	return d.view.poison.Wait(d.sinceStart(time.Now()), j.fingerprint, d.probeDelay)
 }
 
-// admitted is like quarantined, for a job that is going to be sent if it returns zero.
-func (d *Director) admitted(j *Job) time.Duration {
+// admitQuarantined is like quarantineWait, for a job that is sent if it returns zero.
+func (d *Director) admitQuarantined(j *Job) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.v.poison.Admit(d.since(time.Now()), j.fingerprint, d.probeDelay)
+	return d.view.poison.Admit(d.sinceStart(time.Now()), j.fingerprint, d.probeDelay)
 }
 
-// notRun records that no endpoint has run a job.
-func (d *Director) notRun(j *Job) {
+// recordNotRun records that no endpoint has run a job.
+func (d *Director) recordNotRun(j *Job) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.v.poison.NotRun(j.fingerprint)
+	d.view.poison.NotRun(j.fingerprint)
 }
 
 // probeDelay returns how much later than the first entry this one may send a probe.
 func (d *Director) probeDelay() time.Duration {
-	return time.Duration(d.rank()) * probeDelay
+	return time.Duration(d.entryRank()) * probeDelayStep
 }
 
-// quarantineResult is the result of a job in quarantine.
+// quarantineResult returns the result of a job in quarantine.
 func quarantineResult(retry time.Duration) Result {
-	return Result{Outcome: Quarantined, Retry: retry, Why: "quarantined: it crashed endpoints"}
+	return Result{Outcome: Quarantined, RetryAfter: retry, Reason: "quarantined: it crashed endpoints"}
 }
 
-// suspect reports whether retries of a job are left to its caller.
-func (d *Director) suspect(j *Job) bool {
+// isSuspect reports whether retries of a job are left to its caller because it may crash
+// endpoints.
+func (d *Director) isSuspect(j *Job) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.v.poison.Suspect(d.since(time.Now()), j.fingerprint)
+	return d.view.poison.Suspect(d.sinceStart(time.Now()), j.fingerprint)
 }
 
-// runLost records that the try broke off, unless its endpoint is shutting down; d.mu is
-// held.
-func (v *visit) runLost() {
-	if v.fingerprint == (poison.Fingerprint{}) || v.e.Leaving {
+// recordLostRun records that the attempt broke off, unless its endpoint is shutting down. The
+// caller holds d.mu.
+func (a *attempt) recordLostRun() {
+	if a.fingerprint == (poison.Fingerprint{}) || a.endpoint.Leaving {
 		return
 	}
-	v.d.v.poison.RunLost(v.d.since(time.Now()), v.fingerprint, v.e.start())
-	v.d.notePoison()
+	a.d.view.poison.RunLost(a.d.sinceStart(time.Now()), a.fingerprint, a.endpoint.startID())
+	a.d.applyQuarantineChanges()
 }
 
-// completed records that the try got a complete answer.
-func (v *visit) completed() {
-	if v.fingerprint == (poison.Fingerprint{}) {
+// recordCompletion records that the attempt got a complete answer.
+func (a *attempt) recordCompletion() {
+	if a.fingerprint == (poison.Fingerprint{}) {
 		return
 	}
-	v.d.mu.Lock()
-	defer v.d.mu.Unlock()
-	v.d.v.poison.Completed(v.d.since(time.Now()), v.fingerprint, v.e.start())
-	v.d.notePoison()
+	a.d.mu.Lock()
+	defer a.d.mu.Unlock()
+	a.d.view.poison.Completed(a.d.sinceStart(time.Now()), a.fingerprint, a.endpoint.startID())
+	a.d.applyQuarantineChanges()
 }
 
-// refused records a crash of the endpoint if err says that nobody listens there.
-func (v *visit) refused(err error) {
+// recordRefusedConnection records a crash of the endpoint if err says that nothing listens at
+// its address.
+func (a *attempt) recordRefusedConnection(err error) {
 	if !hop.Refused(err) {
 		return
 	}
-	v.d.mu.Lock()
-	defer v.d.mu.Unlock()
-	if v.e.Addr == v.addr {
-		v.d.crashed(v.e)
+	a.d.mu.Lock()
+	defer a.d.mu.Unlock()
+	if a.endpoint.Addr == a.sentAddr {
+		a.d.recordCrash(a.endpoint)
 	}
 }
 
-// crashed records that an endpoint has crashed; d.mu is held.
-func (d *Director) crashed(e *endpoint) {
+// recordCrash records that an endpoint has crashed, unless it is shutting down. The caller
+// holds d.mu.
+func (d *Director) recordCrash(e *endpoint) {
 	if e.Leaving {
 		return
 	}
-	d.v.poison.Crashed(d.since(time.Now()), e.start())
-	d.notePoison()
+	d.view.poison.Crashed(d.sinceStart(time.Now()), e.startID())
+	d.applyQuarantineChanges()
 }
 
-// unverified adds to out the endpoints that may have crashed, with their addresses; d.mu
-// is held.
-func (d *Director) unverified(now time.Duration, out map[string]string) {
+// addUnverified adds the addresses of the endpoints that may have crashed to out, by ID. The
+// caller holds d.mu.
+func (d *Director) addUnverified(now time.Duration, out map[string]string) {
 	starts := make(map[string]bool)
-	d.v.poison.Unverified(now, func(start string) { starts[start] = true })
+	d.view.poison.Unverified(now, func(start string) { starts[start] = true })
 	if len(starts) == 0 {
 		return
 	}
-	for id, e := range d.v.endpoints {
-		if starts[e.start()] {
+	for id, e := range d.view.endpoints {
+		if starts[e.startID()] {
 			out[id] = e.Addr
 		}
 	}
 }
 
-// notePoison logs and passes on what has changed about quarantines; d.mu is held.
-func (d *Director) notePoison() {
-	for _, c := range d.v.poison.Changes() {
+// applyQuarantineChanges logs and reports the changes of quarantines. The caller holds d.mu.
+func (d *Director) applyQuarantineChanges() {
+	for _, c := range d.view.poison.Changes() {
 		logs.Quarantine(d.cfg.Log, c)
 		if !c.Released {
 			d.cfg.Metrics.Counter("quarantines").Inc(1)
@@ -130,42 +133,42 @@
 	}
 }
 
-// Restore restores a quarantine that began before this entry was started.
+// RestoreQuarantine restores a quarantine that began before this entry was started.
 func (d *Director) Restore(f poison.Fingerprint, age, left time.Duration, quarantines int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.v.poison.Restore(d.since(time.Now()), f, age, left, quarantines)
-	d.notePoison()
+	d.view.poison.Restore(d.sinceStart(time.Now()), f, age, left, quarantines)
+	d.applyQuarantineChanges()
 }
 
-// Extend adds reports on suspects, limits and roll-outs to a tally: those that changed, and again
-// those that a new peer has to know.
-func (d *Director) Extend(t *wire.Tally, again bool) {
+// AddReports adds reports on suspect requests, rate limits and rollouts to a tally: the
+// changed ones, and with resend also those that a new peer needs.
+func (d *Director) Extend(t *wire.Tally, resend bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	t.Suspects, t.Limits, t.Rollouts = d.suspects(again), d.limits(again), d.rolloutReports(again)
+	t.Suspects, t.Limits, t.Rollouts = d.suspectReports(resend), d.limitReports(resend), d.rolloutReports(resend)
 }
 
-// suspects returns the reports for a tally; d.mu is held.
-func (d *Director) suspects(again bool) []wire.Suspect {
+// suspectReports returns the reports on suspect requests for a tally. The caller holds d.mu.
+func (d *Director) suspectReports(resend bool) []wire.Suspect {
 	var out []wire.Suspect
-	for _, r := range d.v.poison.Reports(d.since(time.Now()), again) {
+	for _, r := range d.view.poison.Reports(d.sinceStart(time.Now()), resend) {
 		s := wire.Suspect{
-			Fingerprint: r.Fingerprint[:], CompletedMS: age(r.Completed), SinceMS: ms(r.Since), LeftMS: ms(r.Left),
-			Quarantines: uint16(r.Quarantines), ProbedMS: age(r.Probed), Aborted: r.Aborted,
+			Fingerprint: r.Fingerprint[:], CompletedMS: ageMS(r.Completed), SinceMS: toMS(r.Since), LeftMS: toMS(r.Left),
+			Quarantines: uint16(r.Quarantines), ProbedMS: ageMS(r.Probed), Aborted: r.Aborted,
 		}
 		for _, c := range r.Crashes {
-			s.Crashes = append(s.Crashes, wire.Crash{Endpoint: c.Endpoint, AgeMS: ms(c.Age)})
+			s.Crashes = append(s.Crashes, wire.Crash{Endpoint: c.Endpoint, AgeMS: toMS(c.Age)})
 		}
 		out = append(out, s)
 	}
 	return out
 }
 
-// mergeSuspects merges a peer's reports; d.mu is held.
-func (d *Director) mergeSuspects(all []wire.Suspect) {
-	now := d.since(time.Now())
-	for _, s := range all {
+// mergeSuspects merges a peer's reports on suspect requests. The caller holds d.mu.
+func (d *Director) mergeSuspects(reports []wire.Suspect) {
+	now := d.sinceStart(time.Now())
+	for _, s := range reports {
 		r := poison.Report{
 			Completed: fromMS(s.CompletedMS), Since: fromMS(s.SinceMS), Left: fromMS(s.LeftMS),
 			Quarantines: int(s.Quarantines), Probed: fromMS(s.ProbedMS), Aborted: s.Aborted,
@@ -176,15 +179,16 @@
 		for _, c := range s.Crashes {
 			r.Crashes = append(r.Crashes, poison.CrashReport{Endpoint: c.Endpoint, Age: fromMS(c.AgeMS)})
 		}
-		d.v.poison.Merge(now, r)
+		d.view.poison.Merge(now, r)
 	}
-	d.notePoison()
+	d.applyQuarantineChanges()
 }
 
-func ms(d time.Duration) uint32 { return uint32(max(d.Milliseconds(), 0)) }
+func toMS(d time.Duration) uint32 { return uint32(max(d.Milliseconds(), 0)) }
 
-// age is an age in milliseconds; negative ones mean that there is none.
-func age(d time.Duration) int64 {
+// ageMS returns an age in milliseconds, and -1 for a negative one, which means that there is
+// none.
+func ageMS(d time.Duration) int64 {
 	if d < 0 {
 		return -1
 	}
--- a/entry/direct/relay.go
+++ b/entry/direct/relay.go
@@ -11,99 +11,100 @@
 )
 
 const (
-	// relayBuffer is what is read at once of a stream.
+	// relayBuffer is how many bytes of a stream are read at once.
 	relayBuffer = 8 << 10
-	// maxEvent bounds an event that is held until it is whole.
-	maxEvent = 1 << 20
-	// pauses is how many of the longest pauses that are in time a resumable
-	// stream may be silent before it goes on at another endpoint.
-	pauses = 2.5
-	// shortestSilence bounds the same from below.
-	shortestSilence = time.Second
+	// maxEventBytes bounds an event, which is buffered until it is complete.
+	maxEventBytes = 1 << 20
+	// maxPauseMultiple limits the silence of a resumable stream: after so many times the
+	// route's MaxPause it is resumed at another endpoint.
+	maxPauseMultiple = 2.5
+	// minSilenceBound is the least silence after which a stream is resumed at another
+	// endpoint.
+	minSilenceBound = time.Second
 )
 
-// relay passes a stream on, whole events only, as they arrive.
-func (t *task) relay(a *hop.Answer, v *visit, w *watch) verdict {
-	if !t.begun {
-		t.begun = true
-		t.sink.Head(a.Status, a.Header, a.Length)
+// relayStream forwards a stream as it arrives, in whole events only.
+func (t *task) relayStream(answer *hop.Answer, a *attempt, w *watchdog) attemptResult {
+	if !t.headSent {
+		t.headSent = true
+		t.sink.Head(answer.Status, answer.Header, answer.Length)
 		t.sink.Flush()
 	}
-	buf, silence := make([]byte, relayBuffer), t.silence(v)
+	buf, silence := make([]byte, relayBuffer), t.silenceBound(a)
 	var part []byte
 	for {
-		// The time that the caller takes is none of the endpoint's silence.
-		w.wait(silence, false)
-		n, err := a.Read(buf)
-		w.came()
-		good := err == nil || err == io.EOF
-		if w.settle(good) {
-			// The next try was sent for what comes behind the last event passed on.
-			if good {
-				err = w.why
+		// The time that the caller takes does not count as the endpoint's silence.
+		w.startWait(silence, false)
+		n, err := answer.Read(buf)
+		w.endWait()
+		readOK := err == nil || err == io.EOF
+		if w.resolve(readOK) {
+			// The replacement was sent to resume after the last forwarded event.
+			if readOK {
+				err = w.silence
 			}
-			return t.brokeOff(v, err)
+			return t.answerBroke(a, err)
 		}
 		if n > 0 {
 			part = append(part, buf[:n]...)
-			if err == nil && a.Buffered() && len(part) < relayBuffer {
+			if err == nil && answer.Buffered() && len(part) < relayBuffer {
 				continue
 			}
 		}
-		rest, werr := t.forward(part, v, err == io.EOF)
+		rest, werr := t.forwardEvents(part, a, err == io.EOF)
 		part = append(part[:0], rest...)
 		if werr != nil {
-			v.abandon()
-			return t.untaken(werr)
+			a.abandon()
+			return t.writeFailed(werr)
 		}
 		switch {
-		case err == nil && len(part) <= maxEvent:
+		case err == nil && len(part) <= maxEventBytes:
 			continue
 		case err == io.EOF:
-			v.completed()
-			v.end(trust.Good)
-			return done(Complete, "")
+			a.recordCompletion()
+			a.finish(trust.Good)
+			return finalResult(Complete, "")
 		}
-		return t.brokeOff(v, err)
+		return t.answerBroke(a, err)
 	}
 }
 
-// silence is how long the stream may pause before it is resumed at another
+// silenceBound returns how long the stream may be silent before it is resumed at another
 // endpoint that has room; zero if it may not be.
-func (t *task) silence(v *visit) time.Duration {
+func (t *task) silenceBound(a *attempt) time.Duration {
 	r := t.job.Route
-	if !r.Resumable || !t.replaceable(v) {
+	if !r.Resumable || !t.isReplaceable(a) {
 		return 0
 	}
-	return max(time.Duration(pauses*float64(r.MaxPause)), shortestSilence)
+	return max(time.Duration(maxPauseMultiple*float64(r.MaxPause)), minSilenceBound)
 }
 
-func (t *task) brokeOff(v *visit, err error) verdict {
+func (t *task) answerBroke(a *attempt, err error) attemptResult {
 	switch {
 	case t.caller.Err() != nil:
-		v.abandon()
-		return verdict{done: true, res: gone(t.caller)}
+		a.abandon()
+		return attemptResult{isFinal: true, result: callerEndResult(t.caller)}
 	case t.ctx.Err() != nil:
-		v.outOfTime()
-		return done(Broken, "time is up")
+		a.handleTimeout()
+		return finalResult(Broken, "time is up")
 	}
-	v.end(trust.Broken)
+	a.finish(trust.Broken)
 	what := "answer broke off"
 	if t.job.Route.Stream {
 		what = "stream broke off"
 	}
-	why := broken(what, err)
+	reason := breakReason(what, err)
 	if err == nil {
-		why = fmt.Sprintf("event longer than %d bytes", maxEvent)
+		reason = fmt.Sprintf("event longer than %d bytes", maxEventBytes)
 	}
-	return verdict{arrived: true, ran: true, res: Result{Why: why}}
+	return attemptResult{wasReceived: true, mayHaveRun: true, result: Result{Reason: reason}}
 }
 
-// forward writes the whole events of part and returns the rest. The end of a
-// whole stream is written as it is.
-func (t *task) forward(part []byte, v *visit, whole bool) ([]byte, error) {
+// forwardEvents writes the complete events of part and returns the rest. At the end of a whole
+// stream it writes all of part.
+func (t *task) forwardEvents(part []byte, a *attempt, atEnd bool) ([]byte, error) {
 	n := len(part)
-	if !whole {
+	if !atEnd {
 		n = bytes.LastIndex(part, eventEnd) + len(eventEnd)
 		if n < len(eventEnd) {
 			return part, nil
@@ -112,10 +113,10 @@
 	if n == 0 {
 		return nil, nil
 	}
-	events := t.seen(part[:n])
+	events := t.countEvents(part[:n])
 	tokens := events * max(t.job.Pool.EventTokens, 1)
-	t.passed += tokens
-	v.progress(tokens)
+	t.sentTokens += tokens
+	a.recordProgress(tokens)
 	if err := t.sink.Write(part[:n]); err != nil {
 		return nil, err
 	}
@@ -127,14 +128,14 @@
 	eventID  = []byte("id:")
 )
 
-// seen counts the events of part and keeps the ID of the last.
-func (t *task) seen(part []byte) int {
+// countEvents counts the events of part and keeps the ID of the last one.
+func (t *task) countEvents(part []byte) int {
 	n := 0
 	for len(part) > 0 {
 		line, rest, _ := bytes.Cut(part, []byte("\n"))
 		part = rest
 		if id, ok := bytes.CutPrefix(line, eventID); ok {
-			t.lastEvent = string(bytes.TrimSpace(id))
+			t.lastEventID = string(bytes.TrimSpace(id))
 			n++
 		}
 	}
--- a/entry/direct/send.go
+++ b/entry/direct/send.go
@@ -11,119 +11,122 @@
 	"lycheepond/entry/hop"
 )
 
-// ask writes the job and returns the head of the answer.
-func (t *task) ask(ctx context.Context, v *visit) (*hop.Answer, error) {
+// sendRequest sends the job to the endpoint and returns the head of the answer.
+func (t *task) sendRequest(ctx context.Context, a *attempt) (*hop.Answer, error) {
 	j := t.job
 	r := &hop.Request{
 		Method: j.Method, Target: j.Target, Host: j.Host, Header: j.Header.Clone(), Body: j.Body,
 		Once: j.Route.Once(), Own: func(status int, h http.Header) bool { return t.d.cfg.Own(j.ID, status, h) },
 	}
 	last := j.LastEvent
-	if t.lastEvent != "" {
-		last = t.lastEvent
+	if t.lastEventID != "" {
+		last = t.lastEventID
 	}
-	t.d.cfg.Stamp(r, Order{Endpoint: v.id, Customer: j.Customer, Left: time.Until(j.End()), LastEvent: last})
-	_, known := t.d.cfg.Reach()
-	return t.d.cfg.Client.Do(ctx, v.addr, v.connLimit(j.Pool, known), r)
+	t.d.cfg.Stamp(r, Order{Endpoint: a.id, Customer: j.Customer, Left: time.Until(j.End()), LastEvent: last})
+	_, knownEntries := t.d.cfg.Reach()
+	return t.d.cfg.Client.Do(ctx, a.sentAddr, a.connLimit(j.Pool, knownEntries), r)
 }
 
-// send returns the answer if it is one that may be passed on.
-func (t *task) send(x *exchange, v *visit, w *watch) (*hop.Answer, verdict) {
-	w.wait(t.patience(v), true)
-	a, err := x.answer()
-	w.came()
-	good := err == nil && t.good(a)
-	if w.settle(good) && good {
-		a.Close()
-		err = w.why
+// awaitUsableAnswer returns the answer if it may be forwarded, and otherwise the result of the
+// attempt.
+func (t *task) awaitUsableAnswer(x *exchange, a *attempt, w *watchdog) (*hop.Answer, attemptResult) {
+	w.startWait(t.headTimeout(a), true)
+	answer, err := x.awaitAnswer()
+	w.endWait()
+	usable := err == nil && t.isUsable(answer)
+	if w.resolve(usable) && usable {
+		answer.Close()
+		err = w.silence
 	}
 	if err != nil {
-		return nil, t.unanswered(v, err)
+		return nil, t.classifyError(a, err)
 	}
-	m := t.d.cfg.Read(a)
-	v.head(m)
+	m := t.d.cfg.Read(answer)
+	a.recordHead(m)
 	switch {
 	case m.WrongEndpoint:
-		io.Copy(io.Discard, io.LimitReader(a, maxPlain))
-		a.Close()
-		v.misplaced()
-		return nil, verdict{arrived: true, res: Result{Why: "another endpoint has the address"}}
+		io.Copy(io.Discard, io.LimitReader(answer, maxBufferedAnswer))
+		answer.Close()
+		a.handleMoved()
+		return nil, attemptResult{wasReceived: true, result: Result{Reason: "another endpoint has the address"}}
 	case m.NotRun:
-		io.Copy(io.Discard, io.LimitReader(a, maxPlain))
-		a.Close()
-		v.declined(m.Load)
-		return nil, verdict{arrived: true, res: Result{Why: "endpoint did not run it"}}
-	case a.Status < 300 && !m.Signed:
-		a.Close()
-		v.end(trust.Broken)
-		return nil, verdict{arrived: true, ran: true, res: Result{Why: "answer without the endpoint's signature"}}
-	case a.Status >= 500:
-		return t.failed(a, v, w)
+		io.Copy(io.Discard, io.LimitReader(answer, maxBufferedAnswer))
+		answer.Close()
+		a.handleDecline(m.Load)
+		return nil, attemptResult{wasReceived: true, result: Result{Reason: "endpoint did not run it"}}
+	case answer.Status < 300 && !m.Signed:
+		answer.Close()
+		a.finish(trust.Broken)
+		return nil, attemptResult{wasReceived: true, mayHaveRun: true, result: Result{Reason: "answer without the endpoint's signature"}}
+	case answer.Status >= 500:
+		return t.replaceFailed(answer, a, w)
 	}
-	return a, verdict{}
+	return answer, attemptResult{}
 }
 
-// failed drops an endpoint's error for another try. The error is dropped only once
-// that has its place and its repeat: else it would be lost to the caller.
-func (t *task) failed(a *hop.Answer, v *visit, w *watch) (*hop.Answer, verdict) {
-	if t.begun || t.job.Route.Once() {
-		return a, verdict{}
+// replaceFailed drops an endpoint's error in favor of another attempt. It does so only once
+// that attempt has its placement and its retry: otherwise the caller would lose the error
+// without getting anything better.
+func (t *task) replaceFailed(answer *hop.Answer, a *attempt, w *watchdog) (*hop.Answer, attemptResult) {
+	if t.headSent || t.job.Route.Once() {
+		return answer, attemptResult{}
 	}
-	next := w.replaced()
+	next := w.currentReplacement()
 	if next == nil {
-		next, _ = w.another(trial{avoid: v.id, output: t.output(), part: 1})
+		next, _ = w.reserveReplacement(placementOptions{avoidID: a.id, outputTokens: t.remainingOutput(), entryShare: 1})
 	}
 	if next == nil {
-		return a, verdict{}
+		return answer, attemptResult{}
 	}
-	io.Copy(io.Discard, io.LimitReader(a, maxPlain))
-	a.Close()
-	v.end(trust.Error)
-	return nil, verdict{arrived: true, ran: true, next: next, res: Result{Why: "endpoint answered with an error"}}
+	io.Copy(io.Discard, io.LimitReader(answer, maxBufferedAnswer))
+	answer.Close()
+	a.finish(trust.Error)
+	return nil, attemptResult{wasReceived: true, mayHaveRun: true, next: next, result: Result{Reason: "endpoint answered with an error"}}
 }
 
-// unanswered says what a failed exchange means.
-func (t *task) unanswered(v *visit, err error) verdict {
+// classifyError returns the result of a failed exchange and records it for the endpoint.
+func (t *task) classifyError(a *attempt, err error) attemptResult {
 	switch {
 	case errors.Is(err, hop.ErrBusy):
-		v.withdraw()
-		return verdict{res: Result{Why: "no connection left to the endpoint"}}
+		a.withdraw()
+		return attemptResult{result: Result{Reason: "no connection left to the endpoint"}}
 	case errors.Is(err, hop.ErrNotSent):
-		v.unsent()
+		a.returnReservations()
 		if t.ctx.Err() == nil {
-			v.end(trust.Unreachable)
-			v.refused(err)
+			a.finish(trust.Unreachable)
+			a.recordRefusedConnection(err)
 		}
-		return verdict{res: Result{Why: "endpoint accepts no connection"}}
+		return attemptResult{result: Result{Reason: "endpoint accepts no connection"}}
 	case t.caller.Err() != nil && t.ctx.Err() != nil:
-		v.abandon()
-		return verdict{done: true, res: gone(t.caller)}
+		a.abandon()
+		return attemptResult{isFinal: true, result: callerEndResult(t.caller)}
 	case t.ctx.Err() != nil:
-		v.outOfTime()
-		return verdict{arrived: true, ran: true, res: Result{Why: "time is up"}}
+		a.handleTimeout()
+		return attemptResult{wasReceived: true, mayHaveRun: true, result: Result{Reason: "time is up"}}
 	}
-	v.end(trust.Broken)
-	return verdict{arrived: true, ran: true, res: Result{Why: broken("no answer", err)}}
+	a.finish(trust.Broken)
+	return attemptResult{wasReceived: true, mayHaveRun: true, result: Result{Reason: breakReason("no answer", err)}}
 }
 
-// receive passes an answer on; without one it returns what send found.
-func (t *task) receive(a *hop.Answer, got verdict, v *visit, w *watch) verdict {
-	if a == nil {
+// deliverAnswer forwards an answer. Without one it returns got, the result from
+// awaitUsableAnswer.
+func (t *task) deliverAnswer(answer *hop.Answer, got attemptResult, a *attempt, w *watchdog) attemptResult {
+	if answer == nil {
 		return got
 	}
-	defer a.Close()
-	if t.job.Route.Stream && a.Status == http.StatusOK {
-		return t.relay(a, v, w)
+	defer answer.Close()
+	if t.job.Route.Stream && answer.Status == http.StatusOK {
+		return t.relayStream(answer, a, w)
 	}
-	if t.begun {
-		v.end(trust.Broken)
-		return verdict{arrived: true, ran: true, res: Result{Why: "the stream was not resumed"}}
+	if t.headSent {
+		a.finish(trust.Broken)
+		return attemptResult{wasReceived: true, mayHaveRun: true, result: Result{Reason: "the stream was not resumed"}}
 	}
-	return t.plain(a, v)
+	return t.sendWholeAnswer(answer, a)
 }
 
-// promises reports whether a status tells callers that a request has not run.
-func promises(status int) bool {
+// impliesNotRun reports whether a status tells callers that a request has not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
--- a/entry/direct/serve.go
+++ b/entry/direct/serve.go
@@ -13,90 +13,90 @@
 
 // Serve carries a job to its final answer. ctx ends when the caller leaves.
 func (d *Director) Serve(ctx context.Context, j *Job, s Sink) Result {
-	d.count(1)
-	defer d.count(-1)
+	d.addRunning(1)
+	defer d.addRunning(-1)
 	j.setFingerprint()
 	res := d.serve(ctx, j, s)
-	d.note(j, res)
+	d.logResult(j, res)
 	return res
 }
 
-func (d *Director) count(n int) {
+func (d *Director) addRunning(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.running += n
+	d.runningJobs += n
 }
 
 func (d *Director) serve(ctx context.Context, j *Job, s Sink) Result {
-	if retry := d.quarantined(j); retry > 0 {
+	if retry := d.quarantineWait(j); retry > 0 {
 		return quarantineResult(retry)
 	}
 	wait, ok := d.charge(j)
 	if !ok {
-		return Result{Outcome: Limited, Retry: wait, Why: "customer over its limit"}
+		return Result{Outcome: Limited, RetryAfter: wait, Reason: "customer over its limit"}
 	}
-	v, dec := d.enter(ctx, j)
+	a, dec := d.admitJob(ctx, j)
 	if ctx.Err() != nil {
 		if dec.Endpoint >= 0 {
-			v.withdraw()
+			a.withdraw()
 		}
 		d.refund(j)
-		res := gone(ctx)
-		if ending(ctx) {
-			res.Outcome, res.Retry = Refused, busyRetry
+		res := callerEndResult(ctx)
+		if isEnding(ctx) {
+			res.Outcome, res.RetryAfter = Refused, busyRetryAfter
 		}
-		res.Basis = v.basis
+		res.Placement = a.placement
 		return res
 	}
 	if dec.Endpoint < 0 {
 		d.refund(j)
-		return Result{Outcome: Refused, Retry: dec.Retry, Why: dec.Why.String(), Basis: v.basis}
+		return Result{Outcome: Refused, RetryAfter: dec.Retry, Reason: dec.Why.String(), Placement: a.placement}
 	}
-	if retry := d.admitted(j); retry > 0 {
+	if retry := d.admitQuarantined(j); retry > 0 {
 		// The quarantine began while the job was queued.
-		v.withdraw()
+		a.withdraw()
 		d.refund(j)
 		return quarantineResult(retry)
 	}
-	d.earn(v)
+	d.earnRetry(a)
 	end, cancel := context.WithDeadlineCause(context.WithoutCancel(ctx), j.End(), errTimeUp)
 	defer cancel()
 	work, stop := context.WithCancelCause(end)
 	defer stop(nil)
 	defer context.AfterFunc(ctx, func() {
-		// Nobody waits for the answer once the caller has left, so the endpoint
-		// is freed. A request that must not be repeated runs to its end: cut
-		// off halfway, neither side could tell what it did. If the entry ends,
-		// it can't be awaited.
-		if !j.Route.Once() || j.Route.Stream || ending(ctx) {
+		// Nobody waits for the answer once the caller has left, so the endpoint is freed. A
+		// request that must not be repeated runs to its end: if it were cut off halfway,
+		// neither side could tell what it did. If the entry is exiting, the end can't be
+		// awaited.
+		if !j.Route.Once() || j.Route.Stream || isEnding(ctx) {
 			stop(context.Cause(ctx))
 		}
 	})()
-	headed, head := false, s.Head
+	headWritten, writeHead := false, s.Head
 	s.Head = func(status int, h http.Header, length int64) {
-		headed = true
-		head(status, h, length)
+		headWritten = true
+		writeHead(status, h, length)
 	}
 	t := &task{d: d, job: j, sink: s, caller: ctx, ctx: work}
-	res := t.run(v)
-	if res.Outcome == Cut && !headed && ending(ctx) {
-		// It has left the line, so it may have run.
+	res := t.run(a)
+	if res.Outcome == ClosedByEntry && !headWritten && isEnding(ctx) {
+		// The job has left the queue, so it may have run.
 		res.Outcome = Unknown
 	}
 	if res.Outcome == Refused {
 		d.refund(j)
-		d.notRun(j)
+		d.recordNotRun(j)
 	}
 	return res
 }
 
-// note writes what became of a job to log and metrics.
-func (d *Director) note(j *Job, res Result) {
-	took := time.Since(j.Accepted)
-	d.measure(j, res, took)
+// logResult writes the result of a job to the log and the metrics.
+func (d *Director) logResult(j *Job, res Result) {
+	took := time.Since(j.AcceptedAt)
+	d.recordMetrics(j, res, took)
 	fields := []zap.Field{
 		zap.String("request_id", j.ID), zap.String("route", j.Route.Name), zap.String("outcome", res.Outcome.String()), zap.Stringer("tier", j.Tier),
-		zap.Duration("took", took), zap.String("why", res.Why), zap.Stringer("fingerprint", j.fingerprint), zap.Int64("config", d.Table().Revision()),
+		zap.Duration("took", took), zap.String("why", res.Reason), zap.Stringer("fingerprint", j.fingerprint), zap.Int64("config", d.Table().Revision()),
 	}
 	if j.Output > 0 {
 		fields = append(fields, zap.Int("input", j.Prompt), zap.Int("output", j.Output))
@@ -104,26 +104,26 @@
 	if j.Customer != nil {
 		fields = append(fields, zap.String("customer", j.Customer.Name))
 	}
-	if b := res.Basis; b.Known > 0 {
-		fields = append(fields, zap.String("endpoint", b.Endpoint), zap.Duration("predicted", b.Predicted), zap.Duration("wait", b.Wait), zap.Duration("first", b.First), zap.Duration("target", j.Route.Target), zap.Duration("stood", b.Stood),
-			zap.Int("ahead", b.Ahead), zap.Int("prompt", b.Prompt), zap.Int("heard", b.Heard), zap.Int("known", b.Known), zap.Duration("age", b.Age), zap.String("owner", b.Owner))
+	if p := res.Placement; p.KnownEntries > 0 {
+		fields = append(fields, zap.String("endpoint", p.Endpoint), zap.Duration("predicted", p.PredictedFirst), zap.Duration("wait", p.PredictedWait), zap.Duration("first", p.TimeToFirst), zap.Duration("target", j.Route.Target), zap.Duration("stood", p.QueuedFor),
+			zap.Int("ahead", p.RequestsAhead), zap.Int("prompt", p.PromptTokensAhead), zap.Int("heard", p.ReachableEntries), zap.Int("known", p.KnownEntries), zap.Duration("age", p.PeerReportAge), zap.String("owner", p.Owner))
 	}
 	switch res.Outcome {
-	case Complete, Left:
+	case Complete, CallerLeft:
 		logs.Info(d.cfg.Log, logs.EventRequestDone, fields...)
 	case Limited, Refused, Quarantined:
-		logs.Info(d.cfg.Log, logs.EventRequestRefused, append(fields, zap.Duration("retry", res.Retry), zap.Duration("left", time.Until(j.End())))...)
+		logs.Info(d.cfg.Log, logs.EventRequestRefused, append(fields, zap.Duration("retry", res.RetryAfter), zap.Duration("left", time.Until(j.End())))...)
 	default:
-		logs.Warn(d.cfg.Log, logs.EventRequestUnknown, append(fields, zap.Duration("silent", res.Basis.Silent), zap.Duration("bound", res.Basis.Bound))...)
+		logs.Warn(d.cfg.Log, logs.EventRequestUnknown, append(fields, zap.Duration("silent", res.Placement.Silence), zap.Duration("bound", res.Placement.SilenceBound))...)
 	}
 }
 
-// measure counts what became of a job.
-func (d *Director) measure(j *Job, res Result, took time.Duration) {
+// recordMetrics counts the result of a job and its times.
+func (d *Director) recordMetrics(j *Job, res Result, took time.Duration) {
 	m, class := d.cfg.Metrics, meter.Class(j.Route.Name)
 	m.Counter("requests", meter.Outcome(res.Outcome.String()), class).Inc(1)
 	meter.Milliseconds(m.Histogram("answer_ms", class), took)
-	if first := res.Basis.First; first > 0 {
+	if first := res.Placement.TimeToFirst; first > 0 {
 		meter.Milliseconds(m.Histogram("first_ms", class), first)
 	}
 	if j.Customer == nil {
@@ -131,8 +131,8 @@
 	}
 	switch res.Outcome {
 	case Limited, Refused, Quarantined:
-		d.refused.Observe(j.Customer.Name, res.Retry.Milliseconds())
+		d.retryTimes.Observe(j.Customer.Name, res.RetryAfter.Milliseconds())
 	default:
-		d.answered.Observe(j.Customer.Name, took.Milliseconds())
+		d.answerTimes.Observe(j.Customer.Name, took.Milliseconds())
 	}
 }
--- a/entry/direct/session.go
+++ b/entry/direct/session.go
@@ -13,12 +13,12 @@
 	"lycheepond/core/wire"
 )
 
-// keepFor is for how long the places of a peer whose link has ended are still taken:
-// until its tallies tell what it has there, or it counts as silent.
-const keepFor = 300 * time.Millisecond
+// sessionGrace is how long the placements of a peer whose link has ended are still counted: by
+// then the peer's tallies report what it has there, or the peer counts as silent.
+const sessionGrace = 300 * time.Millisecond
 
-// Session is what one peer has asked for over one link. Take and Close are called by
-// one goroutine.
+// Session holds the placements that one peer has requested over one link. Handle and Close are
+// called by one goroutine.
 type Session struct {
 	d     *Director
 	zone  string
@@ -26,137 +26,138 @@
 	// ctx ends with the session.
 	ctx  context.Context
 	stop context.CancelFunc
-	// standing counts the goroutines of requests that stand in line.
-	standing sync.WaitGroup
-	// granted holds the places that the peer has, waiting what ends the wait of those
-	// that it has none for yet. Director's mutex guards both.
-	granted map[uint64]*visit
-	waiting map[uint64]context.CancelFunc
+	// waiters counts the goroutines of queued requests.
+	waiters sync.WaitGroup
+	// placements holds the attempts that are placed for the peer, cancelWaits the functions
+	// that end the wait of its queued requests. Director's mutex guards both.
+	placements  map[uint64]*attempt
+	cancelWaits map[uint64]context.CancelFunc
 }
 
-// Session begins to place requests for a peer of a zone.
+// NewSession returns a session that places requests for a peer in a zone. reply sends a
+// message to the peer.
 func (d *Director) Session(ctx context.Context, zone string, reply func(m wire.Message) error) *Session {
-	s := &Session{d: d, zone: zone, reply: reply, granted: make(map[uint64]*visit), waiting: make(map[uint64]context.CancelFunc)}
+	s := &Session{d: d, zone: zone, reply: reply, placements: make(map[uint64]*attempt), cancelWaits: make(map[uint64]context.CancelFunc)}
 	s.ctx, s.stop = context.WithCancel(ctx)
 	return s
 }
 
-// Take takes in what the peer asks or notes.
+// Handle processes a placement request or a note of the peer.
 func (s *Session) Take(m wire.Message) {
 	switch m := m.(type) {
 	case *wire.PlaceAsk:
-		s.ask(m)
+		s.handleRequest(m)
 	case *wire.PlaceNote:
-		s.note(m)
+		s.handleNote(m)
 	}
 }
 
-// Close ends the session and frees the places of the peer a while later.
+// Close ends the session and releases the placements of the peer after sessionGrace.
 func (s *Session) Close() {
 	s.stop()
-	s.standing.Wait()
-	time.AfterFunc(keepFor, func() {
+	s.waiters.Wait()
+	time.AfterFunc(sessionGrace, func() {
 		s.d.mu.Lock()
 		defer s.d.mu.Unlock()
-		for _, v := range s.granted {
-			v.drop()
+		for _, a := range s.placements {
+			a.releaseAll()
 		}
-		clear(s.granted)
+		clear(s.placements)
 	})
 }
 
-// ask places a request or puts it into line.
-func (s *Session) ask(m *wire.PlaceAsk) {
+// handleRequest places, queues or refuses a request of the peer.
+func (s *Session) handleRequest(m *wire.PlaceAsk) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
-	_, known := s.d.cfg.Reach()
-	cfg, ok := s.d.v.table.Pool(m.Pool)
+	_, knownEntries := s.d.cfg.Reach()
+	cfg, ok := s.d.view.table.Pool(m.Pool)
 	if !ok {
 		_ = s.reply(&wire.PlaceAck{ID: m.ID})
 		return
 	}
-	p := s.d.v.pool(m.Pool, s.d.cfg.Repeats, known)
-	part := p.shards[shard.Key{Zone: m.Zone, N: m.Part}]
-	if part == nil {
+	p := s.d.view.pool(m.Pool, s.d.cfg.Repeats, knownEntries)
+	target := p.shards[shard.Key{Zone: m.Zone, N: m.Part}]
+	if target == nil {
 		_ = s.reply(&wire.PlaceAck{ID: m.ID})
 		return
 	}
-	j := jobOf(m, cfg)
-	v, dec, w := s.d.line(j, p, lineup{shard: part, zone: s.zone, stand: m.Stand})
+	j := jobFromRequest(m, cfg)
+	a, dec, w := s.d.placeOrEnqueue(j, p, queueOptions{shard: target, zone: s.zone, mayWait: m.Stand})
 	if w == nil {
-		s.answer(m.ID, v, dec)
+		s.sendDecision(m.ID, a, dec)
 		return
 	}
 	ctx, cancel := context.WithCancel(s.ctx)
-	s.waiting[m.ID] = cancel
-	s.standing.Go(func() {
+	s.cancelWaits[m.ID] = cancel
+	s.waiters.Go(func() {
 		defer cancel()
-		w.stand(ctx)
+		w.awaitDispatch(ctx)
 		s.d.mu.Lock()
 		defer s.d.mu.Unlock()
-		delete(s.waiting, m.ID)
-		v, dec := s.d.leave(w, p)
+		delete(s.cancelWaits, m.ID)
+		a, dec := s.d.leaveQueue(w, p)
 		if ctx.Err() == nil {
-			s.answer(m.ID, v, dec)
+			s.sendDecision(m.ID, a, dec)
 		} else if dec.Endpoint >= 0 {
-			v.drop()
+			a.releaseAll()
 		}
 	})
 }
 
-// jobOf returns what placement needs to know of a request.
-func jobOf(m *wire.PlaceAsk, cfg *route.Pool) *Job {
+// jobFromRequest returns a job with what placement needs to know of a peer's request.
+func jobFromRequest(m *wire.PlaceAsk, cfg *route.Pool) *Job {
 	now := time.Now()
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 	return &Job{
 		Route: &route.Route{Target: us(m.TargetUS), Timeout: math.MaxInt64}, Pool: cfg, Tier: route.Tier{Customer: m.Customer, Route: m.Route},
-		Accepted: now.Add(us(m.DueUS - m.TargetUS)), Deadline: now.Add(us(m.LeftUS)), Prompt: int(m.Prompt), Output: int(m.Output),
+		AcceptedAt: now.Add(us(m.DueUS - m.TargetUS)), Deadline: now.Add(us(m.LeftUS)), Prompt: int(m.Prompt), Output: int(m.Output),
 	}
 }
 
-// answer tells the peer what was decided; Director's mutex is held.
-func (s *Session) answer(id uint64, v *visit, dec admit.Decision) {
-	b := v.basis
+// sendDecision sends a decision to the peer. The caller holds Director's mutex.
+func (s *Session) sendDecision(id uint64, a *attempt, dec admit.Decision) {
+	p := a.placement
 	m := &wire.PlaceAck{
-		ID: id, Known: true, Roster: s.d.v.roster.Revision, Why: uint8(dec.Why), RetryUS: dec.Retry.Microseconds(), TurnUS: dec.Turn.Microseconds(),
-		FirstUS: dec.First.Microseconds(), WaitUS: dec.Wait.Microseconds(), StoodUS: b.Stood.Microseconds(),
+		ID: id, Known: true, Roster: s.d.view.roster.Revision, Why: uint8(dec.Why), RetryUS: dec.Retry.Microseconds(), TurnUS: dec.Turn.Microseconds(),
+		FirstUS: dec.First.Microseconds(), WaitUS: dec.Wait.Microseconds(), StoodUS: p.QueuedFor.Microseconds(),
 	}
 	if dec.Endpoint >= 0 {
-		m.Endpoint, m.Addr, m.Slots = v.id, v.addr, v.e.Slots
-		m.Ahead, m.Prompt, m.Free = uint32(max(b.Ahead, 0)), uint32(max(b.Prompt, 0)), v.free
-		s.granted[id] = v
+		m.Endpoint, m.Addr, m.Slots = a.id, a.sentAddr, a.endpoint.Slots
+		m.Ahead, m.Prompt, m.Free = uint32(max(p.RequestsAhead, 0)), uint32(max(p.PromptTokensAhead, 0)), a.hadFreeSlot
+		s.placements[id] = a
 	}
-	// A link that cannot take it ends, and with it the session.
+	// If the link cannot take the message, the link ends and with it the session.
 	_ = s.reply(m)
 }
 
-// note takes in what has become of a place.
-func (s *Session) note(m *wire.PlaceNote) {
+// handleNote applies what the peer reports about a placement.
+func (s *Session) handleNote(m *wire.PlaceNote) {
 	s.d.mu.Lock()
-	v := s.granted[m.ID]
-	if v == nil {
-		if cancel := s.waiting[m.ID]; cancel != nil && m.End != wire.PlaceOpen {
+	a := s.placements[m.ID]
+	if a == nil {
+		if cancel := s.cancelWaits[m.ID]; cancel != nil && m.End != wire.PlaceOpen {
 			cancel()
 		}
 		s.d.mu.Unlock()
 		return
 	}
-	v.e.heard = time.Now()
+	a.endpoint.lastByteAt = time.Now()
 	if m.End != wire.PlaceOpen {
-		delete(s.granted, m.ID)
+		delete(s.placements, m.ID)
 	}
 	s.d.mu.Unlock()
 	if m.Tokens > 0 || m.End == wire.PlaceOpen {
-		v.progress(int(m.Tokens))
+		a.recordProgress(int(m.Tokens))
 	}
 	switch {
 	case m.End == wire.PlaceDropped:
-		v.abandon()
+		a.abandon()
 	case m.End == wire.PlaceDeclined:
-		v.declined(int(m.Load))
+		a.handleDecline(int(m.Load))
 	case m.End == wire.PlaceMoved:
-		v.misplaced()
+		a.handleMoved()
 	case m.End >= wire.PlaceResult:
-		v.end(trust.Result(m.End - wire.PlaceResult))
+		a.finish(trust.Result(m.End - wire.PlaceResult))
 	}
 }
