--- a/entry/direct/size_test.go
+++ b/entry/direct/size_test.go
@@ -22,31 +22,31 @@
 )
 
 const (
-	// oneWay is how long a message between two entries takes.
+	// oneWay is the latency of a message between two entries.
 	oneWay = 1500 * time.Microsecond
 	// sizeZones is how many availability zones a replayed fleet has.
 	sizeZones = 5
 )
 
-// largest bounds the fleets that are replayed; the largest takes minutes with the race
+// maxFleetEntries bounds the fleets that are replayed; the largest takes minutes with the race
 // detector.
-var largest = flag.Int("size.entries", 103, "replay fleets of up to so many entries")
+var maxFleetEntries = flag.Int("size.entries", 103, "replay fleets of up to so many entries")
 
-// crew is a fleet of entries in zones before engines that come and go.
-type crew struct {
-	load
-	// owners is set if places are asked of the owners of shards.
-	owners bool
-	// lost is which part of the engines ends as the burst begins, renewed how long
-	// after it as many empty ones come.
-	lost    float64
-	renewed time.Duration
+// fleet is a set of entries in several zones, with engines that come and go.
+type fleet struct {
+	workload
+	// usesOwners is set if placements are requested from the owners of shards.
+	usesOwners bool
+	// lostFraction is the fraction of the engines that end when the burst begins. As many
+	// empty ones start replacedAfter later.
+	lostFraction  float64
+	replacedAfter time.Duration
 }
 
-// told is the time between two tallies of an entry and after that the way through a
-// hub, in a fleet of so many; hub is set for one that passes tallies on, or owns a
+// tallyTiming returns the time between two tallies of an entry and their latency through a
+// hub, in a fleet of so many entries. hub is set for an entry that forwards tallies or owns a
 // shard.
-func told(entries int, hub bool) (every, way time.Duration) {
+func tallyTiming(entries int, hub bool) (every, way time.Duration) {
 	each := 2500 * time.Microsecond * time.Duration(entries)
 	switch {
 	case entries <= 8:
@@ -57,37 +57,37 @@
 	return max(25*time.Millisecond, each), 50 * time.Millisecond
 }
 
-// large reports whether an entry is one of those with much capacity.
-func large(i int) bool { return i/sizeZones%7 == 0 }
+// hasLargeCapacity reports whether an entry is one of those with much capacity.
+func hasLargeCapacity(i int) bool { return i/sizeZones%7 == 0 }
 
-// busy is an engine that serves in order of arrival and counts what it has.
-type busy struct {
-	engine
-	gone chan struct{}
-	mu   sync.Mutex
-	// has counts requests, most is the largest count.
-	has, most int
+// countingEngine is an engine that serves in order of arrival and counts its requests.
+type countingEngine struct {
+	testEngine
+	stopped chan struct{}
+	mu      sync.Mutex
+	// requests is the current count, maxRequests the largest one.
+	requests, maxRequests int
 }
 
-func newBusy(slots int) *busy {
-	return &busy{engine: engine{slots: make(chan struct{}, slots)}, gone: make(chan struct{})}
+func newCountingEngine(slots int) *countingEngine {
+	return &countingEngine{testEngine: testEngine{slots: make(chan struct{}, slots)}, stopped: make(chan struct{})}
 }
 
-func (b *busy) count(n int) {
+func (b *countingEngine) count(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.has += n
-	b.most = max(b.most, b.has)
+	b.requests += n
+	b.maxRequests = max(b.maxRequests, b.requests)
 }
 
 // run serves a request, or breaks it off when the engine ends.
-func (b *busy) run(v *visit, prompt, output int) {
+func (b *countingEngine) run(a *attempt, prompt, output int) {
 	b.count(1)
 	defer b.count(-1)
 	select {
 	case b.slots <- struct{}{}:
-	case <-b.gone:
-		v.end(trust.Broken)
+	case <-b.stopped:
+		a.finish(trust.Broken)
 		return
 	}
 	defer func() { <-b.slots }()
@@ -99,25 +99,25 @@
 	for i, p := range pauses {
 		select {
 		case <-time.After(p):
-			v.progress(max(output/(steps+1), 1))
-		case <-b.gone:
-			v.end(trust.Broken)
+			a.recordProgress(max(output/(steps+1), 1))
+		case <-b.stopped:
+			a.finish(trust.Broken)
 			return
 		}
 		if i == steps {
-			v.end(trust.Good)
+			a.finish(trust.Good)
 		}
 	}
 }
 
-// post delivers messages in order, each oneWay after it was sent.
-type post struct {
+// messageLink delivers messages in order, each oneWay after it was sent.
+type messageLink struct {
 	mu sync.Mutex
-	// queue holds what is on its way.
+	// queue holds the messages in transit.
 	queue []func()
 }
 
-func (p *post) send(f func()) {
+func (p *messageLink) send(f func()) {
 	p.mu.Lock()
 	p.queue = append(p.queue, f)
 	p.mu.Unlock()
@@ -130,60 +130,60 @@
 	})
 }
 
-// wires joins the entries of a crew.
-type wires struct {
-	ctx  context.Context
-	all  map[string]*Director
-	zone map[string]string
-	mu   sync.Mutex
-	// to holds what is on its way from one entry to another, and the session of the
-	// first at the second.
-	to map[[2]string]*wireTo
+// network connects the entries of a fleet.
+type network struct {
+	ctx       context.Context
+	directors map[string]*Director
+	zones     map[string]string
+	mu        sync.Mutex
+	// connections holds, by sender and receiver, the messages in transit and the session of
+	// the sender at the receiver.
+	connections map[[2]string]*connection
 }
 
-type wireTo struct {
-	post, back post
-	session    *Session
+type connection struct {
+	outbound, inbound messageLink
+	session           *Session
 }
 
-func (w *wires) send(from, to string, m wire.Message) bool {
+func (w *network) send(from, to string, m wire.Message) bool {
 	w.mu.Lock()
-	l := w.to[[2]string{from, to}]
+	l := w.connections[[2]string{from, to}]
 	if l == nil {
-		l = new(wireTo)
-		w.to[[2]string{from, to}] = l
-		l.session = w.all[to].Session(w.ctx, w.zone[from], func(m wire.Message) error {
-			l.back.send(func() { w.all[from].Acked(to, m.(*wire.PlaceAck)) })
+		l = new(connection)
+		w.connections[[2]string{from, to}] = l
+		l.session = w.directors[to].Session(w.ctx, w.zones[from], func(m wire.Message) error {
+			l.inbound.send(func() { w.directors[from].Acked(to, m.(*wire.PlaceAck)) })
 			return nil
 		})
 	}
 	w.mu.Unlock()
-	l.post.send(func() { l.session.Take(m) })
+	l.outbound.send(func() { l.session.Take(m) })
 	return true
 }
 
-// crowding is what a replay showed.
-type crowding struct {
-	fates []fate
-	// most is the largest number of requests that one engine had.
-	most int
-	// over is the largest number of requests beyond the slots of their engines, all
-	// engines together, as a part of all slots.
-	over float64
+// replayResult is the result of a replay.
+type replayResult struct {
+	requests []requestResult
+	// maxRequests is the largest number of requests that one engine had.
+	maxRequests int
+	// maxExcess is the largest number of requests beyond the slots of their engines, all
+	// engines together, as a fraction of all slots.
+	maxExcess float64
 }
 
-func (c crew) replay(t *testing.T) crowding {
+func (c fleet) replay(t *testing.T) replayResult {
 	var (
 		mu  sync.Mutex
-		out crowding
+		out replayResult
 	)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		start := time.Now()
-		engines := make(map[string]*busy)
+		engines := make(map[string]*countingEngine)
 		roster := route.Roster{Revision: 1}
 		add := func(id string, i int) {
-			engines[id] = newBusy(c.slots)
+			engines[id] = newCountingEngine(c.slots)
 			roster.Endpoints = append(roster.Endpoints, route.Endpoint{
 				ID: id, Born: 1, Pool: "p", Addr: id, Zone: fmt.Sprint("z", i%sizeZones), Slots: c.slots,
 			})
@@ -197,15 +197,15 @@
 				Name: fmt.Sprint("r", i), Tier: c.kinds[i].tier, Target: replayTarget, Timeout: 5 * time.Second, Shares: []route.Share{{Pool: "p", Weight: 1}},
 			})
 		}
-		w := &wires{ctx: ctx, all: make(map[string]*Director), zone: make(map[string]string), to: make(map[[2]string]*wireTo)}
+		w := &network{ctx: ctx, directors: make(map[string]*Director), zones: make(map[string]string), connections: make(map[[2]string]*connection)}
 		var (
-			all   []*Director
-			peers []relay.Entry
+			directors []*Director
+			peers     []relay.Entry
 		)
 		for i := range c.entries {
 			name, zone := fmt.Sprint("entry-", i), fmt.Sprint("z", i%sizeZones)
 			capacity := uint32(144)
-			if large(i) {
+			if hasLargeCapacity(i) {
 				capacity = 800
 			}
 			peers = append(peers, relay.Entry{Name: name, Zone: zone, Capacity: capacity})
@@ -213,31 +213,31 @@
 				Addr: name, Zone: zone, Repeats: Repeats{Ratio: 0.2, Slack: 50}, Client: hop.New(), Metrics: meter.New(), Log: zap.NewNop(),
 				Reach: func() (int, int) { return c.entries, c.entries },
 			})
-			if c.owners {
+			if c.usesOwners {
 				d.cfg.Peers = Peers{
 					Self: name, Entries: func() []relay.Entry { return peers }, Link: func([]string) {},
 					Send: func(to string, m wire.Message) bool { return w.send(name, to, m) },
 				}
 			}
-			w.all[name], w.zone[name] = d, zone
-			all = append(all, d)
+			w.directors[name], w.zones[name] = d, zone
+			directors = append(directors, d)
 			d.SetConfig(cfg)
 			d.SetRoster(roster)
 		}
 		var running sync.WaitGroup
-		serve := func(v *visit, j *Job) {
+		serve := func(a *attempt, j *Job) {
 			mu.Lock()
-			e := engines[v.id]
+			e := engines[a.id]
 			mu.Unlock()
-			e.run(v, j.Prompt, j.Output)
+			e.run(a, j.Prompt, j.Output)
 		}
-		note := func(f fate) {
+		note := func(r requestResult) {
 			mu.Lock()
 			defer mu.Unlock()
-			out.fates = append(out.fates, f)
+			out.requests = append(out.requests, r)
 		}
-		for i, d := range all {
-			running.Go(func() { c.tell(ctx, i, all) })
+		for i, d := range directors {
+			running.Go(func() { c.broadcastTallies(ctx, i, directors) })
 			for k := range c.kinds {
 				rnd := rand.New(rand.NewPCG(c.seed, uint64(i*len(c.kinds)+k)))
 				running.Go(func() { c.send(rnd, d, &cfg, k, start, serve, note, &running) })
@@ -245,54 +245,54 @@
 		}
 		running.Go(func() {
 			rnd := rand.New(rand.NewPCG(c.seed, 1<<40))
-			lost := int(c.lost * float64(c.engines))
+			lost := int(c.lostFraction * float64(c.engines))
 			time.Sleep(c.burstAt)
 			mu.Lock()
 			for _, e := range roster.Endpoints[:lost] {
-				close(engines[e.ID].gone)
+				close(engines[e.ID].stopped)
 			}
 			roster.Endpoints = append([]route.Endpoint(nil), roster.Endpoints[lost:]...)
 			mu.Unlock()
-			c.list(rnd, &roster, all, &running)
-			time.Sleep(c.renewed)
+			c.distributeRoster(rnd, &roster, directors, &running)
+			time.Sleep(c.replacedAfter)
 			mu.Lock()
 			roster.Endpoints = append([]route.Endpoint(nil), roster.Endpoints...)
 			for i := range lost {
 				add(fmt.Sprint("new-", i), i)
 			}
 			mu.Unlock()
-			c.list(rnd, &roster, all, &running)
+			c.distributeRoster(rnd, &roster, directors, &running)
 		})
 		running.Go(func() {
-			for time.Since(start) < c.length {
+			for time.Since(start) < c.duration {
 				time.Sleep(5 * time.Millisecond)
 				over, slots := 0, 0
 				mu.Lock()
 				for _, e := range engines {
 					e.mu.Lock()
-					over += max(e.has-c.slots, 0)
+					over += max(e.requests-c.slots, 0)
 					slots += c.slots
 					e.mu.Unlock()
 				}
-				out.over = max(out.over, float64(over)/float64(slots))
+				out.maxExcess = max(out.maxExcess, float64(over)/float64(slots))
 				mu.Unlock()
 			}
 		})
-		time.Sleep(c.length + 5*time.Second)
+		time.Sleep(c.duration + 5*time.Second)
 		stop()
 		running.Wait()
 		for _, e := range engines {
-			out.most = max(out.most, e.most)
+			out.maxRequests = max(out.maxRequests, e.maxRequests)
 		}
 	})
 	return out
 }
 
-// list has a new instance list reach the entries, each after another time.
-func (c crew) list(rnd *rand.Rand, r *route.Roster, all []*Director, running *sync.WaitGroup) {
+// distributeRoster has a new instance list reach the entries, each after a different time.
+func (c fleet) distributeRoster(rnd *rand.Rand, r *route.Roster, directors []*Director, running *sync.WaitGroup) {
 	r.Revision++
 	list := *r
-	for _, d := range all {
+	for _, d := range directors {
 		after := time.Duration(rnd.Float64() * float64(time.Second))
 		running.Go(func() {
 			time.Sleep(after)
@@ -301,19 +301,20 @@
 	}
 }
 
-// tell passes on what an entry has to tell, as often as entries of such a fleet do.
-func (c crew) tell(ctx context.Context, from int, all []*Director) {
-	every, way := told(c.entries, large(from))
-	time.Sleep(every * time.Duration(from) / time.Duration(len(all)))
+// broadcastTallies sends the tallies of an entry to the others, as often as entries of such a
+// fleet do.
+func (c fleet) broadcastTallies(ctx context.Context, from int, directors []*Director) {
+	every, way := tallyTiming(c.entries, hasLargeCapacity(from))
+	time.Sleep(every * time.Duration(from) / time.Duration(len(directors)))
 	for first := true; ctx.Err() == nil; first = false {
 		time.Sleep(every)
-		tally := all[from].Tally(first)
+		tally := directors[from].Tally(first)
 		if !first && !tally.News() {
 			continue
 		}
 		t := &wire.Tally{Held: tally.Held, Waiting: tally.Waiting, Whole: first}
 		time.AfterFunc(way, func() {
-			for i, d := range all {
+			for i, d := range directors {
 				if i != from {
 					d.Heard(fmt.Sprint("entry-", from), first, t)
 				}
@@ -322,55 +323,56 @@
 	}
 }
 
-// size is a burst at a fleet of so many entries, each with the same load and part
-// of the engines.
-func size(entries int) crew {
+// burstFleet returns a fleet of so many entries under a burst. The load and the number of
+// engines per entry are the same for every size.
+func burstFleet(entries int) fleet {
 	scale := float64(entries) / 4
-	return crew{
-		load: load{
-			entries: entries, engines: max(entries*7/4, 6), slots: 7, length: 4 * time.Second, seed: 3,
+	return fleet{
+		workload: workload{
+			entries: entries, engines: max(entries*7/4, 6), slots: 7, duration: 4 * time.Second, seed: 3,
 			burst: 1.7, burstAt: 1500 * time.Millisecond, burstFor: 2 * time.Second,
-			kinds: []kind{{0, 50 * scale, 2890, 50}, {1, 59 * scale, 1800, 22}, {2, 21 * scale, 543, 280}},
+			kinds: []requestKind{{0, 50 * scale, 2890, 50}, {1, 59 * scale, 1800, 22}, {2, 21 * scale, 543, 280}},
 		},
-		owners: true, lost: 0.2, renewed: time.Second,
+		usesOwners: true, lostFraction: 0.2, replacedAfter: time.Second,
 	}
 }
 
-// Each of many entries sends to the slots that looked free to all of them a while ago.
-func TestEnginesAreNotCrowdedByManyEntries(t *testing.T) {
-	least := 0
+// Guards against engines overloaded by many entries, each of which sends to the slots that
+// looked free to all of them a while ago.
+func TestManyEntriesDoNotOverloadEngines(t *testing.T) {
+	fewestMax := 0
 	for _, entries := range []int{5, 30, 103, 420} {
-		if entries > *largest {
+		if entries > *maxFleetEntries {
 			continue
 		}
-		c := size(entries)
+		c := burstFleet(entries)
 		got := c.replay(t)
-		top, refused, inverted := inversions(got.fates, hearing)
+		top, refused, inverted := inversions(got.requests, tallyInterval)
 		inTime, served := 0, 0
-		for _, f := range got.fates {
-			if f.tier == 0 && f.inTime {
+		for _, r := range got.requests {
+			if r.tier == 0 && r.metTarget {
 				inTime++
 			}
-			if !f.refused {
+			if !r.refused {
 				served++
 			}
 		}
-		t.Logf("%d entries: %d requests at most at an engine of %d slots, %.2f of all slots in excess; of %d of the highest tier %d in time, %d refused, %d beside lower ones; %d of %d served",
-			entries, got.most, c.slots, got.over, top, inTime, refused, inverted, served, len(got.fates))
+		t.Logf("%d entries: at most %d requests at an engine of %d slots, %.2f of all slots in excess; of %d of the highest tier %d in time, %d refused, %d of them while a lower tier was admitted; %d of %d served",
+			entries, got.maxRequests, c.slots, got.maxExcess, top, inTime, refused, inverted, served, len(got.requests))
 		if refused*20 > top {
 			t.Errorf("%d entries: %d of %d of the highest tier refused", entries, refused, top)
 		}
 		if !shard.Needed(entries) {
 			continue
 		}
-		if least == 0 {
-			least = got.most
+		if fewestMax == 0 {
+			fewestMax = got.maxRequests
 		}
-		if got.most > least+c.slots {
-			t.Errorf("%d entries: %d requests at an engine of %d slots, %d with fewer entries", entries, got.most, c.slots, least)
+		if got.maxRequests > fewestMax+c.slots {
+			t.Errorf("%d entries: %d requests at an engine of %d slots, %d with fewer entries", entries, got.maxRequests, c.slots, fewestMax)
 		}
-		if got.over > 0.5 {
-			t.Errorf("%d entries: %.2f of all slots in excess", entries, got.over)
+		if got.maxExcess > 0.5 {
+			t.Errorf("%d entries: %.2f of all slots in excess", entries, got.maxExcess)
 		}
 		if inTime*20 < top*19 {
 			t.Errorf("%d entries: %d of %d of the highest tier in time", entries, inTime, top)
--- a/entry/direct/task.go
+++ b/entry/direct/task.go
@@ -10,174 +10,177 @@
 )
 
 const (
-	// maxSends is how many endpoints one job may be sent to as long as none of
-	// them has run it.
-	maxSends = 3
-	// shortLeft is the least time that makes another try worth its load.
-	shortLeft = 30 * time.Millisecond
-	// busyRetry is when to come back after endpoints said that they are full.
-	busyRetry = 300 * time.Millisecond
+	// maxEndpointsPerJob is how many endpoints one job may be sent to as long as none of them
+	// has run it.
+	maxEndpointsPerJob = 3
+	// minTimeLeft is the least time left that makes another attempt worth its load.
+	minTimeLeft = 30 * time.Millisecond
+	// busyRetryAfter is the time after which to retry when endpoints said that they are full.
+	busyRetryAfter = 300 * time.Millisecond
 )
 
-// task is a job on its way.
+// task is a job in progress.
 type task struct {
 	d    *Director
 	job  *Job
 	sink Sink
 	// caller ends when the caller leaves, ctx when the work is to stop.
 	caller, ctx context.Context
-	// ran counts endpoints that may have run the job, sends those it was sent to.
-	ran, sends int
-	// begun is set once the head of an answer was passed on.
-	begun bool
-	// lastEvent is the last event of a stream that was passed on whole.
-	lastEvent string
-	// passed counts output tokens that were passed on.
-	passed int
+	// runCount counts the endpoints that may have run the job, sendCount those it was sent to.
+	runCount, sendCount int
+	// headSent is set once the head of an answer was forwarded.
+	headSent bool
+	// lastEventID is the ID of the last stream event that was forwarded.
+	lastEventID string
+	// sentTokens counts the output tokens that were forwarded.
+	sentTokens int
 }
 
-// verdict is what one try means for the job.
-type verdict struct {
-	// done is set when the job has its result.
-	done bool
-	res  Result
-	// arrived is set when the endpoint got the job and ran when it may have run
-	// it.
-	arrived, ran bool
-	// next is the try that follows, if it has its place and its repeat already.
-	next *visit
+// attemptResult is what the end of an attempt means for the job.
+type attemptResult struct {
+	// isFinal is set if result is the job's result.
+	isFinal bool
+	result  Result
+	// wasReceived is set if the endpoint received the job, mayHaveRun if it may have run it.
+	wasReceived, mayHaveRun bool
+	// next is the attempt that follows, if it already has its placement and its retry.
+	next *attempt
 }
 
-func done(o Outcome, why string) verdict {
-	return verdict{done: true, res: Result{Outcome: o, Why: why}}
+func finalResult(o Outcome, reason string) attemptResult {
+	return attemptResult{isFinal: true, result: Result{Outcome: o, Reason: reason}}
 }
 
-// run tries endpoints until the job has its result.
-func (t *task) run(v *visit) Result {
+// run makes attempts until the job has its result.
+func (t *task) run(a *attempt) Result {
 	for {
-		t.sends++
-		got := t.try(v)
-		got.res.Basis = v.basis
-		if got.done {
-			return got.res
+		t.sendCount++
+		got := t.runAttempt(a)
+		got.result.Placement = a.placement
+		if got.isFinal {
+			return got.result
 		}
-		if got.ran {
-			t.ran++
+		if got.mayHaveRun {
+			t.runCount++
 		}
-		next, why := t.next(v, got)
+		next, reason := t.nextAttempt(a, got)
 		if next == nil {
-			res := t.fail(got, why)
-			res.Basis = v.basis
+			res := t.failureResult(got, reason)
+			res.Placement = a.placement
 			return res
 		}
-		v = next
+		a = next
 	}
 }
 
-// next returns the next try, or nil and the reason why there is none.
-func (t *task) next(v *visit, got verdict) (*visit, string) {
-	next, lack := got.next, ""
+// nextAttempt returns the next attempt, or nil and the reason why there is none.
+func (t *task) nextAttempt(a *attempt, got attemptResult) (*attempt, string) {
+	next, missing := got.next, ""
 	switch {
 	case next != nil && t.caller.Err() != nil:
-		t.d.giveBack(next)
-		next, lack = nil, gone(t.caller).Why
-	case next != nil && !got.arrived:
-		t.d.unspend(v)
+		t.d.cancelReserved(next)
+		next, missing = nil, callerEndResult(t.caller).Reason
+	case next != nil && !got.wasReceived:
+		t.d.returnRetry(a)
 	case next == nil:
-		next, lack = t.another(v, got)
+		next, missing = t.reserveNext(a, got)
 	}
 	if next == nil {
-		return nil, lack
+		return nil, missing
 	}
-	logs.Info(t.d.cfg.Log, logs.EventRequestReturned, zap.String("request_id", t.job.ID), zap.String("why", got.res.Why), zap.Stringer("fingerprint", t.job.fingerprint),
-		zap.String("from", v.id), zap.String("to", next.id), zap.Duration("silent", v.basis.Silent), zap.Duration("bound", v.basis.Bound))
+	logs.Info(t.d.cfg.Log, logs.EventRequestReturned, zap.String("request_id", t.job.ID), zap.String("why", got.result.Reason), zap.Stringer("fingerprint", t.job.fingerprint),
+		zap.String("from", a.id), zap.String("to", next.id), zap.Duration("silent", a.placement.Silence), zap.Duration("bound", a.placement.SilenceBound))
 	return next, ""
 }
 
-// another returns a try that follows one that has ended, or what it lacks.
-func (t *task) another(v *visit, got verdict) (*visit, string) {
-	if got.ran && t.job.Route.Once() {
+// reserveNext returns an attempt that follows one that has ended, or nil and what is missing
+// for it.
+func (t *task) reserveNext(a *attempt, got attemptResult) (*attempt, string) {
+	if got.mayHaveRun && t.job.Route.Once() {
 		return nil, "may have run and must not run twice"
 	}
-	if lack := t.lacks(t.ran, t.sends); lack != "" {
-		return nil, lack
+	if missing := t.missingForRetry(t.runCount, t.sendCount); missing != "" {
+		return nil, missing
 	}
-	return t.d.reserve(t.job, v, trial{avoid: v.id, output: t.output(), part: 1}, !got.arrived)
+	return t.d.reserve(t.job, a, placementOptions{avoidID: a.id, outputTokens: t.remainingOutput(), entryShare: 1}, !got.wasReceived)
 }
 
-// lacks returns what a job lacks for another try, apart from a repeat and a place:
-// nothing if it is empty. ran and sends count what it had.
-func (t *task) lacks(ran, sends int) string {
+// missingForRetry returns what a job lacks for another attempt, apart from a retry in the
+// budget and a placement; empty if it lacks nothing. runCount and sendCount are its counts so
+// far.
+func (t *task) missingForRetry(runCount, sendCount int) string {
 	switch {
 	case t.caller.Err() != nil:
-		return gone(t.caller).Why
-	case time.Until(t.job.End()) < shortLeft:
+		return callerEndResult(t.caller).Reason
+	case time.Until(t.job.End()) < minTimeLeft:
 		return "no time left"
-	case ran >= max(t.job.Route.Attempts, 1):
+	case runCount >= max(t.job.Route.Attempts, 1):
 		return "no attempt left"
-	case sends >= maxSends:
+	case sendCount >= maxEndpointsPerJob:
 		return "sent to enough endpoints"
-	case t.d.suspect(t.job):
+	case t.d.isSuspect(t.job):
 		return "it may crash endpoints"
 	}
 	return ""
 }
 
-// output is how many tokens are still expected.
-func (t *task) output() int { return max(t.job.Output-t.passed, 0) }
+// remainingOutput returns how many output tokens are still expected.
+func (t *task) remainingOutput() int { return max(t.job.Output-t.sentTokens, 0) }
 
-// fail returns the result of a job that is not tried again.
-func (t *task) fail(got verdict, why string) Result {
-	why = got.res.Why + "; " + why
+// failureResult returns the result of a job that is not sent again.
+func (t *task) failureResult(got attemptResult, reason string) Result {
+	reason = got.result.Reason + "; " + reason
 	switch {
 	case t.caller.Err() != nil:
-		return Result{Outcome: gone(t.caller).Outcome, Why: why}
-	case t.begun:
-		return Result{Outcome: Broken, Why: why}
-	case t.ran > 0 && t.ctx.Err() != nil:
-		return Result{Outcome: Late, Why: why}
-	case t.ran > 0:
-		return Result{Outcome: Unknown, Why: why}
+		return Result{Outcome: callerEndResult(t.caller).Outcome, Reason: reason}
+	case t.headSent:
+		return Result{Outcome: Broken, Reason: reason}
+	case t.runCount > 0 && t.ctx.Err() != nil:
+		return Result{Outcome: TimedOut, Reason: reason}
+	case t.runCount > 0:
+		return Result{Outcome: Unknown, Reason: reason}
 	}
-	return Result{Outcome: Refused, Retry: busyRetry, Why: why}
+	return Result{Outcome: Refused, RetryAfter: busyRetryAfter, Reason: reason}
 }
 
-// try sends the job to one endpoint.
-func (t *task) try(v *visit) verdict {
-	defer v.abandon()
-	x := v.exchange
+// runAttempt sends the job to one endpoint.
+func (t *task) runAttempt(a *attempt) attemptResult {
+	defer a.abandon()
+	x := a.exchange
 	if x == nil {
-		x = t.exchange(v)
+		x = t.newExchange(a)
 	}
 	ctx := x.ctx
 	defer x.cancel(nil)
-	w := t.watch(v, x.cancel)
-	w.begin()
-	a, got := t.send(x, v, w)
-	got = t.receive(a, got, v, w)
-	w.end()
-	t.ran, t.sends = w.ran-1, w.sends
-	if cause := context.Cause(ctx); cause != nil && !(got.done && got.res.Outcome == Complete) {
-		t.d.givenUp(kindOf(cause))
+	w := t.newWatchdog(a, x.cancel)
+	w.startSender()
+	answer, got := t.awaitUsableAnswer(x, a, w)
+	got = t.deliverAnswer(answer, got, a, w)
+	w.stopSender()
+	t.runCount, t.sendCount = w.runCount-1, w.sendCount
+	if cause := context.Cause(ctx); cause != nil && !(got.isFinal && got.result.Outcome == Complete) {
+		t.d.countGivenUp(cancelKind(cause))
 	}
 	if got.next == nil {
-		got.next = w.replaced()
+		got.next = w.currentReplacement()
 	}
-	if got.done && got.next != nil {
-		t.d.giveBack(got.next)
+	if got.isFinal && got.next != nil {
+		t.d.cancelReserved(got.next)
 		got.next = nil
 	}
 	return got
 }
 
-// replaceable reports whether there may be another try in the place of v.
-func (t *task) replaceable(v *visit) bool { return t.ran+1 < t.job.Route.Attempts && !v.alone }
+// isReplaceable reports whether another attempt may take the place of a.
+func (t *task) isReplaceable(a *attempt) bool {
+	return t.runCount+1 < t.job.Route.Attempts && !a.isOnlyEndpoint
+}
 
-// patience is how long the head of an answer is waited for before the job is
-// sent to another endpoint that has room; zero if it may not be.
-func (t *task) patience(v *visit) time.Duration {
+// headTimeout returns how long the head of an answer is awaited before the job is sent to
+// another endpoint that has room; zero if it may not be.
+func (t *task) headTimeout(a *attempt) time.Duration {
 	j := t.job
-	if j.Route.Once() || !t.replaceable(v) {
+	if j.Route.Once() || !t.isReplaceable(a) {
 		return 0
 	}
 	if j.Route.Stream {
--- a/entry/direct/view.go
+++ b/entry/direct/view.go
@@ -19,25 +19,25 @@
 )
 
 const (
-	// silentEngine and silentService are how long an endpoint may send nothing
-	// while requests wait there before it is passed over. A busy engine sends
-	// an event every few milliseconds over all its streams; a service answers
-	// in some ten.
-	silentEngine  = 1200 * time.Millisecond
-	silentService = 500 * time.Millisecond
-	// retryRatio and retrySlack are the parts of the operator's bounds on
-	// repeats that the entries use; the rest is for the edges of the operator's
-	// windows and for entries that are not known yet.
-	retryRatio = 0.85
-	retrySlack = 0.6
-	// driftPart and driftTokens bound by how much less output an endpoint may owe
-	// than the peers were told: an eighth, and twenty tokens. Each event of each
-	// stream changes it, and is told as soon as it changes a prediction.
-	driftPart   = 8
-	driftTokens = 20
-	// fewEntries is the least number of entries among which the slack is split
-	// while not all of them are known.
-	fewEntries = 4
+	// engineSilenceBound and serviceSilenceBound are how long an endpoint may send nothing
+	// while requests wait there before it is skipped. A busy engine sends an event every few
+	// milliseconds over all its streams; a service answers in about ten milliseconds.
+	engineSilenceBound  = 1200 * time.Millisecond
+	serviceSilenceBound = 500 * time.Millisecond
+	// retryRatioShare and retrySlackShare are the shares of the operator's bounds on retries
+	// that the entries use. The rest covers the edges of the operator's measuring windows and
+	// entries that are not known yet.
+	retryRatioShare = 0.85
+	retrySlackShare = 0.6
+	// driftFraction and driftTokens bound how far the outstanding output of an endpoint may
+	// differ from the value last reported to the peers: by an eighth, and by twenty tokens.
+	// Each event of each stream changes the output, but only a difference that changes a
+	// prediction is reported.
+	driftFraction = 8
+	driftTokens   = 20
+	// minSlackEntries is the least number of entries among which the slack is divided while
+	// not all of them are known.
+	minSlackEntries = 4
 )
 
 // view is what the entry knows of endpoints, customers and the other entries'
@@ -53,159 +53,162 @@
 	limits    *limit.Book
 	quota     *quota.Book
 	rollouts  *canary.Book
-	// peers holds what each peer has in flight, by endpoint.
-	peers map[string]map[string]wire.Held
-	// heardAt is when each peer's last tally came.
-	heardAt map[string]time.Time
-	// changedHeld and changedUsed are what the peers have not been told yet.
-	changedHeld map[string]bool
-	changedUsed map[string]bool
-	waits       waits
-	// share returns this entry's share in the limit of an endpoint.
-	share func(e *endpoint) limit.Share
+	// heldByPeer holds each peer's work in flight, by peer and endpoint.
+	heldByPeer map[string]map[string]wire.Held
+	// tallyAt is when each peer's last tally arrived.
+	tallyAt map[string]time.Time
+	// unreportedWork and unreportedUsage are the endpoints and customers whose changes have
+	// not been reported to the peers yet.
+	unreportedWork  map[string]bool
+	unreportedUsage map[string]bool
+	queueCounts     queueCounts
+	// limitShare returns this entry's share of an endpoint's rate limit.
+	limitShare func(e *endpoint) limit.Share
 }
 
-// pool is what the entry learns of a pool.
+// pool is the state that the entry keeps for a pool.
 type pool struct {
 	name      string
 	learner   *admit.Learner
 	budget    *retry.Budget
 	endpoints []*endpoint
-	// trial holds the endpoints of a version that is on trial.
-	trial []*endpoint
-	// tiers are those in use, in order.
+	// trialEndpoints holds the endpoints of a version that is on trial.
+	trialEndpoints []*endpoint
+	// tiers are the tiers in use, highest first.
 	tiers []route.Tier
-	// layout divides the endpoints into shards; owners holds the owner of each as of
-	// ownedAt.
-	layout  shard.Layout
-	shards  map[shard.Key]*part
-	owners  map[shard.Key]string
-	ownedAt time.Time
-	// scratch is the argument of the last decision, kept to spare allocation.
+	// layout divides the endpoints into shards; owners holds the owner of each shard as of
+	// ownersAt.
+	layout   shard.Layout
+	shards   map[shard.Key]*poolShard
+	owners   map[shard.Key]string
+	ownersAt time.Time
+	// scratch is the argument of the last decision, kept to avoid allocation.
 	scratch []admit.Endpoint
-	line    await.Line[*waiter]
+	queue   await.Line[*waiter]
 }
 
-// part is a shard of a pool.
-type part struct {
+// poolShard is a shard of a pool.
+type poolShard struct {
 	key       shard.Key
 	endpoints []*endpoint
-	// line holds the requests that wait for a slot of the shard. It is empty unless
+	// queue holds the requests that wait for a slot of the shard. It is empty unless
 	// this entry owns the shard.
-	line await.Line[*waiter]
+	queue await.Line[*waiter]
 }
 
-// endpoint is one endpoint with the entry's own requests there.
+// endpoint is an endpoint with the work in flight there.
 type endpoint struct {
 	route.Endpoint
-	own hold
-	// others sums up what peers have there.
-	others hold
-	// told is the output of own when the peers were last told of it.
-	told int
-	// toldRequests is the same for its requests.
-	toldRequests int
-	// heard is when the last byte came from it, since when own work began to
-	// wait there.
-	heard, since time.Time
-	// excess is how many more requests than were counted it said to have at
-	// excessAt, when it declined one.
-	excess   int
-	excessAt time.Time
+	ownWork inFlight
+	// peerWork is the sum of the peers' work there.
+	peerWork inFlight
+	// reportedOutput is ownWork.outputTokens as last reported to the peers.
+	reportedOutput int
+	// reportedRequests is the same for ownWork.requests.
+	reportedRequests int
+	// lastByteAt is when the last byte came from the endpoint, waitingSince when own work
+	// began to wait there.
+	lastByteAt, waitingSince time.Time
+	// declineExcess is how many more requests than were counted the endpoint said it had at
+	// declinedAt, when it declined one.
+	declineExcess int
+	declinedAt    time.Time
 	// movedAt is when another endpoint last answered at its address.
 	movedAt time.Time
-	// warm is when it is as fast as it gets.
-	warm time.Duration
+	// warmAt is when the endpoint reaches its full speed, as a time since the director's
+	// start.
+	warmAt time.Duration
 }
 
-// list takes in what the instance list says of the endpoint.
-func (e *endpoint) list(listed route.Endpoint, now time.Duration) {
+// applyListing applies what the instance list says about the endpoint.
+func (e *endpoint) applyListing(listed route.Endpoint, now time.Duration) {
 	if listed.Cold != e.Cold {
-		e.warm = now + listed.Cold
+		e.warmAt = now + listed.Cold
 	}
 	e.Endpoint = listed
 }
 
-// awayFor is how long an endpoint is passed over whose address belongs to another
-// one: the instance list tells of it soon.
-const awayFor = time.Second
+// movedTimeout is how long an endpoint is skipped after another one has answered at its
+// address. By then the instance list should have been updated.
+const movedTimeout = time.Second
 
-// away reports whether another endpoint has lately answered at the address.
-func (e *endpoint) away(now time.Time) bool {
-	return !e.movedAt.IsZero() && now.Sub(e.movedAt) < awayFor
+// hasMoved reports whether another endpoint has recently answered at the address.
+func (e *endpoint) hasMoved(now time.Time) bool {
+	return !e.movedAt.IsZero() && now.Sub(e.movedAt) < movedTimeout
 }
 
-// excessFor is how long an endpoint that has declined a request is taken for having
-// more of them than are counted, fewer as time passes.
-const excessFor = 500 * time.Millisecond
+// declineDecay is how long an endpoint that has declined a request is assumed to have more
+// requests than are counted. The assumed excess decreases over this time.
+const declineDecay = 500 * time.Millisecond
 
-// uncounted returns how many more requests than are counted the endpoint seems to
+// uncountedRequests returns how many more requests than are counted the endpoint is assumed to
 // have.
-func (e *endpoint) uncounted(now time.Time) int {
-	left := excessFor - now.Sub(e.excessAt)
-	if e.excess == 0 || left <= 0 {
+func (e *endpoint) uncountedRequests(now time.Time) int {
+	remaining := declineDecay - now.Sub(e.declinedAt)
+	if e.declineExcess == 0 || remaining <= 0 {
 		return 0
 	}
-	return int(math.Ceil(float64(e.excess) * float64(left) / float64(excessFor)))
+	return int(math.Ceil(float64(e.declineExcess) * float64(remaining) / float64(declineDecay)))
 }
 
-// declined notes that the endpoint has declined a request, which is not counted any
-// more. load is how many requests it said that it has, zero if it did not say.
-func (e *endpoint) declined(now time.Time, load, slots int) {
-	e.excess, e.excessAt = max(max(load, slots)-e.own.requests-e.others.requests, 0), now
+// recordDecline records that the endpoint has declined a request, which is no longer counted.
+// load is how many requests it said it has, zero if it did not say.
+func (e *endpoint) recordDecline(now time.Time, load, slots int) {
+	e.declineExcess, e.declinedAt = max(max(load, slots)-e.ownWork.requests-e.peerWork.requests, 0), now
 }
 
-// hold is work in flight.
-type hold struct{ requests, prompt, output, tokens int }
+// inFlight is an amount of work in flight: the requests, the prompt tokens still to be
+// processed, the output tokens still expected, and the tokens held in the KV cache.
+type inFlight struct{ requests, promptTokens, outputTokens, kvTokens int }
 
-func (h *hold) add(o hold, sign int) {
-	h.requests += sign * o.requests
-	h.prompt += sign * o.prompt
-	h.output += sign * o.output
-	h.tokens += sign * o.tokens
+func (w *inFlight) add(other inFlight, sign int) {
+	w.requests += sign * other.requests
+	w.promptTokens += sign * other.promptTokens
+	w.outputTokens += sign * other.outputTokens
+	w.kvTokens += sign * other.kvTokens
 }
 
 func newView(zone string, rollouts canary.Rule) *view {
 	return &view{
 		zone: zone, table: route.NewTable(route.Config{}), endpoints: make(map[string]*endpoint),
 		pools: make(map[string]*pool), trust: trust.New(), poison: poison.New(), limits: limit.New(), quota: quota.New(), rollouts: canary.New(rollouts),
-		peers: make(map[string]map[string]wire.Held), changedHeld: make(map[string]bool), changedUsed: make(map[string]bool),
-		waits: newWaits(), heardAt: make(map[string]time.Time),
+		heldByPeer: make(map[string]map[string]wire.Held), unreportedWork: make(map[string]bool), unreportedUsage: make(map[string]bool),
+		queueCounts: newQueueCounts(), tallyAt: make(map[string]time.Time),
 	}
 }
 
-// pool returns the state of a pool, made at the first use.
+// pool returns the state of a pool, which is created on first use.
 func (v *view) pool(name string, repeats Repeats, entries int) *pool {
 	p := v.pools[name]
 	if p == nil {
 		p = &pool{name: name, learner: admit.NewLearner(), budget: retry.New(retry.Config{
-			Ratio: repeats.Ratio * retryRatio,
-			Burst: max(int(repeats.Slack*retrySlack)/max(entries, fewEntries), 1),
+			Ratio: repeats.Ratio * retryRatioShare,
+			Burst: max(int(repeats.Slack*retrySlackShare)/max(entries, minSlackEntries), 1),
 		})}
 		v.pools[name] = p
 		p.tiers = v.table.Tiers(name)
-		v.group(p)
+		v.assignEndpoints(p)
 	}
 	return p
 }
 
-// setEndpoints takes in the endpoints of a pool and divides them into shards.
-func (p *pool) setEndpoints(all []*endpoint) {
-	p.endpoints = all
+// setEndpoints sets the endpoints of a pool and divides them into shards.
+func (p *pool) setEndpoints(endpoints []*endpoint) {
+	p.endpoints = endpoints
 	zones := make(map[string]int)
-	for _, e := range all {
+	for _, e := range endpoints {
 		zones[e.Zone]++
 	}
 	p.layout, p.owners = shard.NewLayout(zones), nil
 	old := p.shards
-	p.shards = make(map[shard.Key]*part)
-	for _, e := range all {
+	p.shards = make(map[shard.Key]*poolShard)
+	for _, e := range endpoints {
 		k := p.layout.Key(e.ID, e.Zone)
 		s := p.shards[k]
 		if s == nil {
-			// What waits for a slot of the shard stays in its line.
+			// Requests that wait for a slot of the shard stay in its queue.
 			if s = old[k]; s == nil {
-				s = &part{key: k}
+				s = &poolShard{key: k}
 			}
 			s.endpoints = nil
 			p.shards[k] = s
@@ -214,8 +217,9 @@
 	}
 }
 
-// members returns the endpoints of a pool that are used for something.
-func (v *view) members(name string, use canary.Use) []*endpoint {
+// endpointsUsedFor returns the endpoints of a pool that are used for the given purpose and are
+// not leaving.
+func (v *view) endpointsUsedFor(name string, use canary.Use) []*endpoint {
 	var out []*endpoint
 	for i := range v.roster.Endpoints {
 		e := v.endpoints[v.roster.Endpoints[i].ID]
@@ -226,93 +230,93 @@
 	return out
 }
 
-// group takes in what the endpoints of a pool are used for.
-func (v *view) group(p *pool) {
-	p.setEndpoints(v.members(p.name, canary.Service))
-	p.trial = v.members(p.name, canary.Trial)
+// assignEndpoints updates which endpoints of a pool are in service and on trial.
+func (v *view) assignEndpoints(p *pool) {
+	p.setEndpoints(v.endpointsUsedFor(p.name, canary.Service))
+	p.trialEndpoints = v.endpointsUsedFor(p.name, canary.Trial)
 }
 
-func (v *view) groupAll() {
+func (v *view) assignAllEndpoints() {
 	v.rollouts.Changed()
 	for _, p := range v.pools {
-		v.group(p)
+		v.assignEndpoints(p)
 	}
 }
 
-// setRoster takes in a newer instance list and returns the addresses that no
-// longer belong to the endpoint they belonged to.
-func (v *view) setRoster(r route.Roster, now time.Duration) (gone []string) {
+// setRoster applies a newer instance list and returns the addresses that no longer belong to
+// the endpoint they belonged to.
+func (v *view) setRoster(r route.Roster, now time.Duration) (staleAddrs []string) {
 	old := v.endpoints
 	v.roster, v.endpoints = r, make(map[string]*endpoint, len(r.Endpoints))
 	for _, listed := range r.Endpoints {
 		e := old[listed.ID]
 		if e != nil && e.Born == listed.Born && e.Pool == listed.Pool {
 			if e.Addr != listed.Addr {
-				gone = append(gone, e.Addr)
+				staleAddrs = append(staleAddrs, e.Addr)
 				e.movedAt = time.Time{}
 			}
-			e.list(listed, now)
+			e.applyListing(listed, now)
 			v.endpoints[listed.ID] = e
 			continue
 		}
 		e = new(endpoint)
-		e.list(listed, now)
+		e.applyListing(listed, now)
 		v.endpoints[listed.ID] = e
 	}
 	for id, e := range old {
 		if v.endpoints[id] == e {
 			continue
 		}
-		gone = append(gone, e.Addr)
-		if !e.Leaving && v.poison.MayHaveCrashed(now, e.start()) {
-			v.poison.Crashed(now, e.start())
+		staleAddrs = append(staleAddrs, e.Addr)
+		if !e.Leaving && v.poison.MayHaveCrashed(now, e.startID()) {
+			v.poison.Crashed(now, e.startID())
 		}
 		v.trust.Forget(id)
 		if p := v.pools[e.Pool]; p != nil {
 			p.learner.Forget(id)
 		}
 	}
-	v.keepLimits()
-	v.listVersions(now)
-	v.groupAll()
-	v.countOthers()
-	return gone
+	v.forgetStaleLimits()
+	v.updateVersions(now)
+	v.assignAllEndpoints()
+	v.recountPeerWork()
+	return staleAddrs
 }
 
-// age returns how long ago the peers that have requests at an endpoint told last, the
-// longest of these times; zero if none has any.
-func (v *view) age(endpoint string, now time.Time) time.Duration {
+// peerReportAge returns the age of the oldest of the last tallies of those peers that have
+// requests at an endpoint; zero if no peer has any.
+func (v *view) peerReportAge(endpoint string, now time.Time) time.Duration {
 	var age time.Duration
-	for peer, held := range v.peers {
+	for peer, held := range v.heldByPeer {
 		if _, ok := held[endpoint]; ok {
-			age = max(age, now.Sub(v.heardAt[peer]))
+			age = max(age, now.Sub(v.tallyAt[peer]))
 		}
 	}
 	return age
 }
 
-// heard takes in a peer's tally.
-func (v *view) heard(peer string, anew bool, t *wire.Tally) {
-	v.heardAt[peer] = time.Now()
-	if anew {
+// applyTally applies a peer's tally.
+func (v *view) applyTally(peer string, restarted bool, t *wire.Tally) {
+	v.tallyAt[peer] = time.Now()
+	if restarted {
 		v.quota.Forget(peer)
 		v.limits.Forget(peer)
 	}
 	if t.Whole {
-		v.drop(peer)
+		v.forgetPeer(peer)
 	}
 	for _, u := range t.Used {
 		v.quota.Told(peer, u.Customer, u.Total)
 	}
-	v.waits.heard(peer, t.Waiting)
-	held := v.peers[peer]
+	v.queueCounts.applyReport(peer, t.Waiting)
+	held := v.heldByPeer[peer]
 	if held == nil {
 		held = make(map[string]wire.Held)
-		v.peers[peer] = held
+		v.heldByPeer[peer] = held
 	}
 	for _, h := range t.Held {
-		v.count(held[h.Endpoint], -1)
-		v.count(h, 1)
+		v.addPeerWork(held[h.Endpoint], -1)
+		v.addPeerWork(h, 1)
 		if h.Requests == 0 {
 			delete(held, h.Endpoint)
 			continue
@@ -321,63 +325,64 @@
 	}
 }
 
-// count adds what a peer has at an endpoint to what all peers have there, or
-// takes it away.
-func (v *view) count(h wire.Held, sign int) {
+// addPeerWork adds the work of a peer at an endpoint to the sum over all peers, or subtracts
+// it if sign is -1.
+func (v *view) addPeerWork(h wire.Held, sign int) {
 	if e := v.endpoints[h.Endpoint]; e != nil && h.Requests > 0 {
-		e.others.add(hold{int(h.Requests), int(h.Prompt), int(h.Output), int(h.Tokens)}, sign)
+		e.peerWork.add(inFlight{int(h.Requests), int(h.Prompt), int(h.Output), int(h.Tokens)}, sign)
 	}
 }
 
-// drop forgets what a peer has in flight.
-func (v *view) drop(peer string) {
-	for _, h := range v.peers[peer] {
-		v.count(h, -1)
+// forgetPeer forgets the work of a peer that is in flight or queued.
+func (v *view) forgetPeer(peer string) {
+	for _, h := range v.heldByPeer[peer] {
+		v.addPeerWork(h, -1)
 	}
-	delete(v.peers, peer)
-	delete(v.heardAt, peer)
-	v.waits.drop(peer)
+	delete(v.heldByPeer, peer)
+	delete(v.tallyAt, peer)
+	v.queueCounts.forgetPeer(peer)
 }
 
-// lost drops the work of a peer that is silent: if it is dead the endpoints
-// have dropped its requests too.
-func (v *view) lost(peer string) {
-	v.drop(peer)
+// handlePeerLoss drops the work of a peer that is silent: if it is dead, the endpoints have
+// dropped its requests too.
+func (v *view) handlePeerLoss(peer string) {
+	v.forgetPeer(peer)
 }
 
-// countOthers counts anew what peers have at the endpoints of a new list.
-func (v *view) countOthers() {
+// recountPeerWork recounts the peers' work at the endpoints of a new list.
+func (v *view) recountPeerWork() {
 	for _, e := range v.endpoints {
-		e.others = hold{}
+		e.peerWork = inFlight{}
 	}
-	for _, held := range v.peers {
+	for _, held := range v.heldByPeer {
 		for _, h := range held {
-			v.count(h, 1)
+			v.addPeerWork(h, 1)
 		}
 	}
 }
 
-// describe fills the argument of a decision for the endpoints of a pool.
-func (v *view) describe(p *pool, cfg *route.Pool, now time.Time, since time.Duration) []admit.Endpoint {
-	return v.describeFor(p, p.endpoints, v.zone, cfg, now, since)
+// describePool returns the state of a pool's endpoints as the argument of a decision.
+func (v *view) describePool(p *pool, cfg *route.Pool, now time.Time, sinceStart time.Duration) []admit.Endpoint {
+	return v.describeEndpoints(p, p.endpoints, v.zone, cfg, now, sinceStart)
 }
 
-// describeFor does the same for some of the endpoints, as an entry of a zone sees them.
-func (v *view) describeFor(p *pool, endpoints []*endpoint, zone string, cfg *route.Pool, now time.Time, since time.Duration) []admit.Endpoint {
+// describeEndpoints does the same for some of the endpoints, as an entry in the given zone
+// sees them. The result is valid until the next call for the pool.
+func (v *view) describeEndpoints(p *pool, endpoints []*endpoint, zone string, cfg *route.Pool, now time.Time, sinceStart time.Duration) []admit.Endpoint {
 	out := p.scratch[:0]
-	silent := silentService
+	silenceBound := serviceSilenceBound
 	if cfg.Engine {
-		silent = silentEngine
+		silenceBound = engineSilenceBound
 	}
 	for _, e := range endpoints {
-		sum := e.others
-		sum.add(e.own, 1)
-		sum.requests += e.uncounted(now)
+		sum := e.peerWork
+		sum.add(e.ownWork, 1)
+		sum.requests += e.uncountedRequests(now)
 		out = append(out, admit.Endpoint{
-			Limit: v.limitOf(e, since),
-			Near:  e.Zone == zone, Usable: v.trust.Usable(since, e.ID) && !e.silent(now, silent) && !e.away(now), Slots: e.slots(cfg),
-			Requests: sum.requests, Prompt: sum.prompt, Output: sum.output,
-			Tokens: sum.tokens, Memory: cfg.KVTokens, Pace: p.learner.Pace(e.ID),
+			Limit: v.endpointLimit(e, sinceStart),
+			Near:  e.Zone == zone, Usable: v.trust.Usable(sinceStart, e.ID) && !e.isSilent(now, silenceBound) && !e.hasMoved(now), Slots: e.slots(cfg),
+			Requests: sum.requests, Prompt: sum.promptTokens, Output: sum.outputTokens,
+			Tokens: sum.kvTokens, Memory: cfg.KVTokens, Pace: p.learner.Pace(e.ID),
 		})
 	}
 	p.scratch = out
@@ -392,22 +397,21 @@
 	return e.Slots
 }
 
-// silent reports whether work has waited at the endpoint for longer than limit
+// isSilent reports whether work has waited at the endpoint for longer than limit
 // without a byte from it.
-func (e *endpoint) silent(now time.Time, limit time.Duration) bool {
-	if e.own.requests == 0 {
+func (e *endpoint) isSilent(now time.Time, limit time.Duration) bool {
+	if e.ownWork.requests == 0 {
 		return false
 	}
-	last := e.since
-	if e.heard.After(last) {
-		last = e.heard
+	last := e.waitingSince
+	if e.lastByteAt.After(last) {
+		last = e.lastByteAt
 	}
 	return now.Sub(last) > limit
 }
 
-// rank returns the place of a tier among those in use in the pool, zero the
-// highest.
-func (p *pool) rank(t route.Tier) int {
+// tierRank returns the position of a tier among those in use in the pool; zero is the highest.
+func (p *pool) tierRank(t route.Tier) int {
 	n, _ := slices.BinarySearchFunc(p.tiers, t, route.Tier.Compare)
 	return n
 }
--- a/entry/direct/visit.go
+++ b/entry/direct/visit.go
@@ -17,82 +17,82 @@
 	"lycheepond/core/wire"
 )
 
-// yields reports whether the entry leaves a free slot of an endpoint to others
-// that wait. Those that its own requests have left, and of which nobody else knows
-// yet, it takes itself.
-func (d *Director) yields(e *endpoint, free int, part float64, now time.Time) bool {
-	if part >= 1 || e.own.requests < e.toldRequests {
+// yieldsSlot reports whether the entry leaves a free slot of an endpoint to other entries with
+// queued requests. It does not yield the slots that its own requests have freed and that no
+// other entry knows of yet.
+func (d *Director) yieldsSlot(e *endpoint, freeSlots int, entryShare float64, now time.Time) bool {
+	if entryShare >= 1 || e.ownWork.requests < e.reportedRequests {
 		return false
 	}
-	return await.Lot(d.cfg.Addr, e.ID, d.since(now)) >= part*float64(max(free, 1))
+	return await.Lot(d.cfg.Addr, e.ID, d.sinceStart(now)) >= entryShare*float64(max(freeSlots, 1))
 }
 
-// trial is how a job is to be placed.
-type trial struct {
-	// avoid is the endpoint that has failed it, empty if there is none.
-	avoid string
-	// output is how many tokens are still expected.
-	output int
-	// part is the part of the requests that wait that are this entry's.
-	part float64
-	// behind is set if others go before it.
-	behind bool
-	// room is set if it is to go only where a new request would be sent.
-	room bool
-	// shard is the shard to place it in, nil for the whole pool.
-	shard *part
-	// zone is that of the entry for which a shard's owner places it.
+// placementOptions says how a job is to be placed.
+type placementOptions struct {
+	// avoidID is the endpoint that has failed the job, empty if there is none.
+	avoidID string
+	// outputTokens is how many output tokens are still expected.
+	outputTokens int
+	// entryShare is this entry's share of the queued requests.
+	entryShare float64
+	// isBehind is set if other requests go first.
+	isBehind bool
+	// needsRoom is set if the job may go only where a new request would be sent.
+	needsRoom bool
+	// shard is the shard to place the job in, nil for the whole pool.
+	shard *poolShard
+	// zone is the zone of the entry for which a shard's owner places the job.
 	zone string
 }
 
-// place decides where a job goes and counts it there. Refused, it returns a try
-// that holds nothing but what the refusal was based on. d.mu is held.
-func (d *Director) place(j *Job, how trial) (*visit, admit.Decision) {
+// placeJob chooses an endpoint for a job and counts the job there. If it refuses the job, the
+// returned attempt holds only what the refusal was based on. The caller holds d.mu.
+func (d *Director) placeJob(j *Job, opts placementOptions) (*attempt, admit.Decision) {
 	now := time.Now()
-	heard, known := d.cfg.Reach()
-	p := d.v.pool(j.Pool.Name, d.cfg.Repeats, known)
-	req := d.request(j, p, now)
-	req.Behind, req.Counted = how.behind, how.shard != nil
+	reachableEntries, knownEntries := d.cfg.Reach()
+	p := d.view.pool(j.Pool.Name, d.cfg.Repeats, knownEntries)
+	req := d.placementRequest(j, p, now)
+	req.Behind, req.Counted = opts.isBehind, opts.shard != nil
 	if j.Pool.Engine {
-		req.Output = how.output
+		req.Output = opts.outputTokens
 	}
-	endpoints, zone := p.endpoints, d.v.zone
-	if how.shard != nil {
-		endpoints, zone = how.shard.endpoints, how.zone
+	endpoints, zone := p.endpoints, d.view.zone
+	if opts.shard != nil {
+		endpoints, zone = opts.shard.endpoints, opts.zone
 	}
 	for i, e := range endpoints {
-		if e.ID == how.avoid {
+		if e.ID == opts.avoidID {
 			req.Avoid = i
 		}
 	}
-	if how.avoid != "" {
-		// What was admitted once is not refused for its second try: its caller
-		// has waited already.
+	if opts.avoidID != "" {
+		// A job that was admitted once is not refused for its second attempt: its caller has
+		// waited already.
 		req.Due = math.MaxInt64
-		if !how.room {
+		if !opts.needsRoom {
 			req.Target = math.MaxInt64
 		}
 	}
-	all := d.v.describeFor(p, endpoints, zone, j.Pool, now, d.since(now))
+	candidates := d.view.describeEndpoints(p, endpoints, zone, j.Pool, now, d.sinceStart(now))
 	for i, e := range endpoints {
-		all[i].Apart = await.Apart(d.cfg.Addr, e.ID)
-		all[i].Yield = d.yields(e, all[i].Slots-all[i].Requests, how.part, now)
+		candidates[i].Apart = await.Apart(d.cfg.Addr, e.ID)
+		candidates[i].Yield = d.yieldsSlot(e, candidates[i].Slots-candidates[i].Requests, opts.entryShare, now)
 	}
-	dec := admit.Decide(req, all)
-	if how.room && dec.Endpoint >= 0 && (!all[dec.Endpoint].Usable || dec.Endpoint == req.Avoid) {
-		// Where no other endpoint is usable, the one that is late is as good as any.
+	dec := admit.Decide(req, candidates)
+	if opts.needsRoom && dec.Endpoint >= 0 && (!candidates[dec.Endpoint].Usable || dec.Endpoint == req.Avoid) {
+		// If no other endpoint is usable, the late one is as good as any.
 		dec = admit.Decision{Endpoint: -1, First: dec.First, Wait: dec.Wait, Why: admit.NoEndpoint}
 	}
 	if dec.Endpoint < 0 {
-		return &visit{basis: Basis{Predicted: dec.First, Wait: dec.Wait, Heard: heard, Known: known}}, dec
+		return &attempt{placement: Placement{PredictedFirst: dec.First, PredictedWait: dec.Wait, ReachableEntries: reachableEntries, KnownEntries: knownEntries}}, dec
 	}
-	return d.begin(j, p, endpoints[dec.Endpoint], all[dec.Endpoint], req, dec, now), dec
+	return d.startAttempt(j, p, endpoints[dec.Endpoint], candidates[dec.Endpoint], req, dec, now), dec
 }
 
-// request returns what placement needs to know of a job.
-func (d *Director) request(j *Job, p *pool, now time.Time) admit.Request {
+// placementRequest returns what placement needs to know of a job.
+func (d *Director) placementRequest(j *Job, p *pool, now time.Time) admit.Request {
 	req := admit.Request{
-		Rank: p.rank(j.Tier), Ranks: len(p.tiers), Target: j.Route.Target, Due: j.due().Sub(now), Left: j.End().Sub(now), Avoid: -1,
+		Rank: p.tierRank(j.Tier), Ranks: len(p.tiers), Target: j.Route.Target, Due: j.firstEventDue().Sub(now), Left: j.End().Sub(now), Avoid: -1,
 	}
 	if j.Pool.Engine {
 		req.Prompt, req.Output = j.Prompt, j.Output
@@ -100,313 +100,315 @@
 	return req
 }
 
-// begin counts a job at the endpoint that was chosen for it. d.mu is held.
-func (d *Director) begin(j *Job, p *pool, e *endpoint, chosen admit.Endpoint, req admit.Request, dec admit.Decision, now time.Time) *visit {
-	heard, known := d.cfg.Reach()
-	v := &visit{
-		d: d, pool: p, e: e, id: e.ID, addr: e.Addr, alone: len(p.endpoints) < 2, sent: now,
-		free: chosen.Requests < chosen.Slots, ahead: chosen.Prompt + req.Prompt,
-		wait: dec.Wait, rest: dec.First - dec.Wait,
-		basis: Basis{Endpoint: e.ID, Predicted: dec.First, Wait: dec.Wait, Ahead: chosen.Requests, Prompt: chosen.Prompt + req.Prompt, Heard: heard, Known: known},
-		held:  holdOf(j, req.Output), fingerprint: j.fingerprint, route: j.Route.Name, version: e.Version,
-	}
-	v.basis.Age = d.v.age(e.ID, now)
-	v.taken = chosen.Limited
-	if v.taken {
-		d.v.limits.Take(e.start())
-	}
-	d.observe(v, p, chosen)
-	v.count(now)
-	d.v.trust.Sent(d.since(now), e.ID)
-	return v
+// startAttempt counts a job at the endpoint that was chosen for it. The caller holds d.mu.
+func (d *Director) startAttempt(j *Job, p *pool, e *endpoint, chosen admit.Endpoint, req admit.Request, dec admit.Decision, now time.Time) *attempt {
+	reachableEntries, knownEntries := d.cfg.Reach()
+	a := &attempt{
+		d: d, pool: p, endpoint: e, id: e.ID, sentAddr: e.Addr, isOnlyEndpoint: len(p.endpoints) < 2, sentAt: now,
+		hadFreeSlot: chosen.Requests < chosen.Slots, promptAhead: chosen.Prompt + req.Prompt,
+		predictedWait: dec.Wait, predictedService: dec.First - dec.Wait,
+		placement: Placement{Endpoint: e.ID, PredictedFirst: dec.First, PredictedWait: dec.Wait, RequestsAhead: chosen.Requests, PromptTokensAhead: chosen.Prompt + req.Prompt, ReachableEntries: reachableEntries, KnownEntries: knownEntries},
+		work:      jobWork(j, req.Output), fingerprint: j.fingerprint, route: j.Route.Name, version: e.Version,
+	}
+	a.placement.PeerReportAge = d.view.peerReportAge(e.ID, now)
+	a.tookToken = chosen.Limited
+	if a.tookToken {
+		d.view.limits.Take(e.startID())
+	}
+	d.recordPlacement(a, p, chosen)
+	a.countWork(now)
+	d.view.trust.Sent(d.sinceStart(now), e.ID)
+	return a
 }
 
-// holdOf returns what a try of a job counts for, with the output that is expected.
-func holdOf(j *Job, output int) hold {
+// jobWork returns the work that an attempt of a job counts for; output is the expected output
+// in tokens.
+func jobWork(j *Job, output int) inFlight {
 	if !j.Pool.Engine {
-		return hold{requests: 1}
+		return inFlight{requests: 1}
 	}
-	return hold{requests: 1, prompt: j.Prompt, output: output, tokens: j.Prompt + output}
+	return inFlight{requests: 1, promptTokens: j.Prompt, outputTokens: output, kvTokens: j.Prompt + output}
 }
 
-// count counts the try at its endpoint; d.mu is held.
-func (v *visit) count(now time.Time) {
-	if v.e.own.requests == 0 {
-		v.e.since = now
+// countWork counts the attempt at its endpoint. The caller holds d.mu.
+func (a *attempt) countWork(now time.Time) {
+	if a.endpoint.ownWork.requests == 0 {
+		a.endpoint.waitingSince = now
 	}
-	v.e.own.add(v.held, 1)
-	v.d.v.changedHeld[v.id] = true
+	a.endpoint.ownWork.add(a.work, 1)
+	a.d.view.unreportedWork[a.id] = true
 }
 
-// observe measures how old what a try was placed by is, and whether its endpoint was
-// full by that.
-func (d *Director) observe(v *visit, p *pool, e admit.Endpoint) {
-	pool := meter.Label{Key: "pool", Value: p.name}
-	meter.Milliseconds(d.cfg.Metrics.Histogram("view_age_ms", pool), v.basis.Age)
+// recordPlacement records in the metrics how old the knowledge behind a placement was, and
+// whether the endpoint was full according to it.
+func (d *Director) recordPlacement(a *attempt, p *pool, e admit.Endpoint) {
+	label := meter.Label{Key: "pool", Value: p.name}
+	meter.Milliseconds(d.cfg.Metrics.Histogram("view_age_ms", label), a.placement.PeerReportAge)
 	if e.Requests >= e.Slots {
-		d.cfg.Metrics.Counter("placed_beyond_slots", pool).Inc(1)
+		d.cfg.Metrics.Counter("placed_beyond_slots", label).Inc(1)
 	}
 }
 
-// reserve places a job for a try that follows v and takes a repeat for it, unless
-// that is free. It takes both, or neither and returns what is lacking.
-func (d *Director) reserve(j *Job, v *visit, how trial, free bool) (*visit, string) {
+// reserve places a job for an attempt that follows a and takes a retry from the budget for it,
+// unless free is set. It takes both, or neither and returns what is missing.
+func (d *Director) reserve(j *Job, a *attempt, opts placementOptions, free bool) (*attempt, string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !free && !v.pool.budget.Spend() {
+	if !free && !a.pool.budget.Spend() {
 		return nil, "no repeat left in the budget"
 	}
-	next, dec := d.place(j, how)
+	next, dec := d.placeJob(j, opts)
 	if dec.Endpoint >= 0 {
 		return next, ""
 	}
 	if !free {
-		v.pool.budget.Return()
+		a.pool.budget.Return()
 	}
 	return nil, dec.Why.String()
 }
 
-// giveBack gives up what reserve returned, and its repeat unless the job was sent.
-func (d *Director) giveBack(v *visit) {
-	if v.exchange != nil && v.exchange.drop() {
-		v.abandon()
+// cancelReserved cancels what reserve returned. The retry goes back to the budget unless the
+// job was sent.
+func (d *Director) cancelReserved(a *attempt) {
+	if a.exchange != nil && a.exchange.cancelAndWait() {
+		a.abandon()
 		return
 	}
-	v.withdraw()
-	d.unspend(v)
+	a.withdraw()
+	d.returnRetry(a)
 }
 
-// unspend gives back a repeat that was not needed.
-func (d *Director) unspend(v *visit) {
+// returnRetry returns a retry that was not needed to the budget.
+func (d *Director) returnRetry(a *attempt) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	v.pool.budget.Return()
+	a.pool.budget.Return()
 }
 
-// earn credits the pool's budget for a first try.
-func (d *Director) earn(v *visit) {
+// earnRetry credits the pool's retry budget for a first attempt.
+func (d *Director) earnRetry(a *attempt) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	v.pool.budget.Earn(1)
+	a.pool.budget.Earn(1)
 }
 
-// visit is one try of a job at an endpoint.
-type visit struct {
+// attempt is one dispatch of a job to an endpoint.
+type attempt struct {
 	d    *Director
 	pool *pool
-	// e is only touched with d.mu held; id and addr are copies of what it was
-	// when the try was sent.
-	e        *endpoint
-	id, addr string
-	// alone is set if there was no other endpoint to go to.
-	alone bool
-	sent  time.Time
-	// free is set if there was a free slot when the try was sent and ahead is
-	// how many prompt tokens had to be read before its first event.
-	free  bool
-	ahead int
-	// wait is the predicted wait for a slot and rest the rest of the predicted
-	// time to the first event.
-	wait, rest time.Duration
-	basis      Basis
-	// held is what the try still holds there.
-	held hold
-	// first is when the first part of the answer's body came, last when the
-	// latest did; tokens counts the output tokens since the first.
-	first, last time.Time
-	tokens      int
-	// silent is set if its endpoint was found to have sent nothing for too long by
-	// a process that ran, in the wait that ended last.
-	silent bool
-	over   bool
-	// exchange is set if the try was sent beside another one.
+	// endpoint is accessed only with d.mu held; id and sentAddr are copies of its ID and
+	// address when the attempt was sent.
+	endpoint     *endpoint
+	id, sentAddr string
+	// isOnlyEndpoint is set if there was no other endpoint to go to.
+	isOnlyEndpoint bool
+	sentAt         time.Time
+	// hadFreeSlot is set if there was a free slot when the attempt was sent. promptAhead is
+	// how many prompt tokens had to be processed before its first event.
+	hadFreeSlot bool
+	promptAhead int
+	// predictedWait is the predicted wait for a slot, predictedService the rest of the
+	// predicted time to the first event.
+	predictedWait, predictedService time.Duration
+	placement                       Placement
+	// work is what the attempt still counts for at the endpoint.
+	work inFlight
+	// firstAt is when the first part of the answer's body arrived, lastAt when the latest one
+	// did. laterTokens counts the output tokens after the first part.
+	firstAt, lastAt time.Time
+	laterTokens     int
+	// wasSilent is set if, in the latest wait, the endpoint sent nothing for too long while
+	// this process was running.
+	wasSilent bool
+	ended     bool
+	// exchange is set if the attempt was sent as a replacement.
 	exchange *exchange
-	// place is set while another entry counts the try.
-	place *place
+	// ownerPlacement is set while another entry counts the attempt.
+	ownerPlacement *ownerPlacement
 	// fingerprint is the job's, zero for a job of another entry.
 	fingerprint poison.Fingerprint
-	// taken is set if the try has taken a token of its endpoint's limit, trial if the
-	// endpoint's version is on trial.
-	taken, trial bool
-	// route is the job's, empty for a job of another entry; version is the endpoint's when
-	// the try was sent.
+	// tookToken is set if the attempt has taken a token of the endpoint's rate limit, isTrial
+	// if the endpoint's version is on trial.
+	tookToken, isTrial bool
+	// route is the name of the job's route, empty for a job of another entry. version is the
+	// endpoint's version when the attempt was sent.
 	route, version string
 }
 
-// head notes that the answer's head has come.
-func (v *visit) head(m Meta) {
-	v.d.mu.Lock()
-	defer v.d.mu.Unlock()
-	v.e.heard = time.Now()
-	if m.Slots > 0 && v.e.Slots == 0 {
-		v.e.Slots = m.Slots
+// recordHead records that the answer's head has arrived.
+func (a *attempt) recordHead(m Meta) {
+	a.d.mu.Lock()
+	defer a.d.mu.Unlock()
+	a.endpoint.lastByteAt = time.Now()
+	if m.Slots > 0 && a.endpoint.Slots == 0 {
+		a.endpoint.Slots = m.Slots
 	}
 	if !m.WrongEndpoint {
-		v.observeLimit(m)
+		a.observeLimit(m)
 	}
 	if !m.WrongEndpoint && !m.NotRun {
-		v.reached()
+		a.countReached()
 	}
 }
 
-// progress notes that tokens of output have come.
-func (v *visit) progress(tokens int) {
+// recordProgress records that output tokens have arrived.
+func (a *attempt) recordProgress(tokens int) {
 	now := time.Now()
-	v.d.mu.Lock()
-	defer v.d.mu.Unlock()
-	v.e.heard = now
-	defer v.note(now, tokens, wire.PlaceOpen)
-	if v.first.IsZero() {
-		v.first = now
-		v.basis.First = now.Sub(v.sent)
-		v.sample(now, canary.Sample{Kind: canary.FirstEvent, Took: v.basis.First})
-		v.release(hold{prompt: v.held.prompt})
-		defer v.d.advance(v.pool)
-		if v.free && v.held.tokens > 0 {
-			v.pool.learner.First(v.e.ID, v.ahead, now.Sub(v.sent))
-		} else if v.held.tokens > 0 {
-			v.pool.learner.Waited(v.wait, now.Sub(v.sent)-v.rest)
+	a.d.mu.Lock()
+	defer a.d.mu.Unlock()
+	a.endpoint.lastByteAt = now
+	defer a.notifyOwner(now, tokens, wire.PlaceOpen)
+	if a.firstAt.IsZero() {
+		a.firstAt = now
+		a.placement.TimeToFirst = now.Sub(a.sentAt)
+		a.observeSample(now, canary.Sample{Kind: canary.FirstEvent, Took: a.placement.TimeToFirst})
+		a.releaseWork(inFlight{promptTokens: a.work.promptTokens})
+		defer a.d.dispatchQueued(a.pool)
+		if a.hadFreeSlot && a.work.kvTokens > 0 {
+			a.pool.learner.First(a.endpoint.ID, a.promptAhead, now.Sub(a.sentAt))
+		} else if a.work.kvTokens > 0 {
+			a.pool.learner.Waited(a.predictedWait, now.Sub(a.sentAt)-a.predictedService)
 		}
 	} else {
-		v.tokens += tokens
+		a.laterTokens += tokens
 	}
-	v.last = now
-	v.release(hold{output: min(tokens, v.held.output)})
+	a.lastAt = now
+	a.releaseWork(inFlight{outputTokens: min(tokens, a.work.outputTokens)})
 }
 
-// release takes o out of what the try holds; d.mu is held.
-func (v *visit) release(o hold) {
-	v.held.add(o, -1)
-	if v.place != nil {
+// releaseWork subtracts part from the work of the attempt. The caller holds d.mu.
+func (a *attempt) releaseWork(part inFlight) {
+	a.work.add(part, -1)
+	if a.ownerPlacement != nil {
 		return
 	}
-	v.e.own.add(o, -1)
-	if o.requests != 0 || o.prompt != 0 || v.e.drifted() {
-		v.d.v.changedHeld[v.e.ID] = true
+	a.endpoint.ownWork.add(part, -1)
+	if part.requests != 0 || part.promptTokens != 0 || a.endpoint.outputDrifted() {
+		a.d.view.unreportedWork[a.endpoint.ID] = true
 	}
 }
 
-// drifted reports whether the output that the endpoint owes differs from what
-// the peers were told by more than matters.
-func (e *endpoint) drifted() bool {
-	off := e.told - e.own.output
-	return max(off, -off) > e.told/driftPart+driftTokens
+// outputDrifted reports whether the outstanding output of the endpoint differs too much from
+// the value last reported to the peers.
+func (e *endpoint) outputDrifted() bool {
+	drift := e.reportedOutput - e.ownWork.outputTokens
+	return max(drift, -drift) > e.reportedOutput/driftFraction+driftTokens
 }
 
-// end notes how the try ended. It may be called more than once; the first call
-// counts.
-func (v *visit) end(r trust.Result) {
-	if !v.finish() {
+// finish ends the attempt with a result. Calls after the first one have no effect.
+func (a *attempt) finish(r trust.Result) {
+	if !a.markEnded() {
 		return
 	}
-	switch v.settle(r) {
+	switch a.recordResult(r) {
 	case trust.Lost:
-		logs.Warn(v.d.cfg.Log, logs.EventEndpointAway, zap.String("endpoint", v.id), zap.String("result", r.String()))
+		logs.Warn(a.d.cfg.Log, logs.EventEndpointAway, zap.String("endpoint", a.id), zap.String("result", r.String()))
 	case trust.Regained:
-		logs.Info(v.d.cfg.Log, logs.EventEndpointBack, zap.String("endpoint", v.id))
+		logs.Info(a.d.cfg.Log, logs.EventEndpointBack, zap.String("endpoint", a.id))
 	}
 }
 
-// finish ends the try and reports whether it had not ended before.
-func (v *visit) finish() bool {
-	ended := v.over
-	v.over = true
-	return !ended
+// markEnded marks the attempt as ended and reports whether it had not ended before.
+func (a *attempt) markEnded() bool {
+	wasEnded := a.ended
+	a.ended = true
+	return !wasEnded
 }
 
-// settle takes a result into all that is known of the endpoint.
-func (v *visit) settle(r trust.Result) trust.Change {
+// recordResult applies a result to everything that is known of the endpoint.
+func (a *attempt) recordResult(r trust.Result) trust.Change {
 	now := time.Now()
-	v.d.mu.Lock()
-	defer v.d.mu.Unlock()
-	if v.held.tokens > 0 {
-		v.pool.learner.Output(v.e.ID, v.tokens, v.last.Sub(v.first))
-	} else if v.free && r == trust.Good {
-		v.pool.learner.First(v.e.ID, 0, now.Sub(v.sent))
-	}
-	v.result(now, r)
-	v.release(v.held)
-	v.note(now, 0, wire.PlaceResult+uint8(r))
-	change := v.d.v.trust.Ended(v.d.since(now), v.e.ID, r)
+	a.d.mu.Lock()
+	defer a.d.mu.Unlock()
+	if a.work.kvTokens > 0 {
+		a.pool.learner.Output(a.endpoint.ID, a.laterTokens, a.lastAt.Sub(a.firstAt))
+	} else if a.hadFreeSlot && r == trust.Good {
+		a.pool.learner.First(a.endpoint.ID, 0, now.Sub(a.sentAt))
+	}
+	a.observeResult(now, r)
+	a.releaseWork(a.work)
+	a.notifyOwner(now, 0, wire.PlaceResult+uint8(r))
+	change := a.d.view.trust.Ended(a.d.sinceStart(now), a.endpoint.ID, r)
 	if r == trust.Broken {
-		v.runLost()
+		a.recordLostRun()
 	}
-	v.d.advance(v.pool)
+	a.d.dispatchQueued(a.pool)
 	return change
 }
 
-// abandon ends a try without a verdict on the endpoint.
-func (v *visit) abandon() {
-	if !v.finish() {
+// abandon ends an attempt without a result for the endpoint.
+func (a *attempt) abandon() {
+	if !a.markEnded() {
 		return
 	}
-	v.d.mu.Lock()
-	defer v.d.mu.Unlock()
-	v.unfinished(time.Now())
-	v.drop()
+	a.d.mu.Lock()
+	defer a.d.mu.Unlock()
+	a.observeUnfinished(time.Now())
+	a.releaseAll()
 }
 
-// withdraw ends a try that was not sent to its endpoint.
-func (v *visit) withdraw() {
-	v.abandon()
-	v.unsent()
+// withdraw ends an attempt that was not sent to its endpoint.
+func (a *attempt) withdraw() {
+	a.abandon()
+	a.returnReservations()
 }
 
-// drop takes back what the try counts for; d.mu is held.
-func (v *visit) drop() {
-	v.release(v.held)
-	v.note(time.Now(), 0, wire.PlaceDropped)
-	v.d.advance(v.pool)
+// releaseAll releases the remaining work of the attempt. The caller holds d.mu.
+func (a *attempt) releaseAll() {
+	a.releaseWork(a.work)
+	a.notifyOwner(time.Now(), 0, wire.PlaceDropped)
+	a.d.dispatchQueued(a.pool)
 }
 
-// declined ends a try that the endpoint did not run; load is how many requests it
-// says that it has, zero if it does not say.
-func (v *visit) declined(load int) {
-	if !v.finish() {
+// handleDecline ends an attempt that the endpoint did not run. load is how many requests it
+// says it has, zero if it does not say.
+func (a *attempt) handleDecline(load int) {
+	if !a.markEnded() {
 		return
 	}
-	v.d.mu.Lock()
-	defer v.d.mu.Unlock()
-	v.d.cfg.Metrics.Counter("tries_declined").Inc(1)
-	v.release(v.held)
-	if v.place != nil {
-		v.place.load = load
+	a.d.mu.Lock()
+	defer a.d.mu.Unlock()
+	a.d.cfg.Metrics.Counter("tries_declined").Inc(1)
+	a.releaseWork(a.work)
+	if a.ownerPlacement != nil {
+		a.ownerPlacement.reportedRequests = load
 	}
-	v.note(time.Now(), 0, wire.PlaceDeclined)
-	v.e.declined(time.Now(), load, v.e.Slots)
-	v.d.advance(v.pool)
+	a.notifyOwner(time.Now(), 0, wire.PlaceDeclined)
+	a.endpoint.recordDecline(time.Now(), load, a.endpoint.Slots)
+	a.d.dispatchQueued(a.pool)
 }
 
-// misplaced ends a try that another endpoint declined, which has the address now.
-func (v *visit) misplaced() {
-	if !v.finish() {
+// handleMoved ends an attempt that was declined by another endpoint, which has the address
+// now.
+func (a *attempt) handleMoved() {
+	if !a.markEnded() {
 		return
 	}
-	v.d.mu.Lock()
-	defer v.d.mu.Unlock()
+	a.d.mu.Lock()
+	defer a.d.mu.Unlock()
 	now := time.Now()
-	v.release(v.held)
-	v.note(now, 0, wire.PlaceMoved)
-	v.e.movedAt = now
-	v.d.crashed(v.e)
-	logs.Warn(v.d.cfg.Log, logs.EventEndpointMoved, zap.String("endpoint", v.id), zap.String("remote", v.addr))
-	v.d.advance(v.pool)
+	a.releaseWork(a.work)
+	a.notifyOwner(now, 0, wire.PlaceMoved)
+	a.endpoint.movedAt = now
+	a.d.recordCrash(a.endpoint)
+	logs.Warn(a.d.cfg.Log, logs.EventEndpointMoved, zap.String("endpoint", a.id), zap.String("remote", a.sentAddr))
+	a.d.dispatchQueued(a.pool)
 }
 
-// outOfTime ends a try that was not over when the time was up: a fault of the
-// endpoint only if it had sent nothing for longer than is in order. After a stop of
-// the process the time says nothing of that: what has come is yet to be read.
-func (v *visit) outOfTime() {
-	if v.silent {
-		v.end(trust.Broken)
+// handleTimeout ends an attempt that was running when its time was up. This is a fault of the
+// endpoint only if it was silent for longer than allowed. After a pause of the process the
+// elapsed time does not show that, because data that has arrived may not have been read yet.
+func (a *attempt) handleTimeout() {
+	if a.wasSilent {
+		a.finish(trust.Broken)
 		return
 	}
-	v.abandon()
+	a.abandon()
 }
 
-// connLimit is how many connections this entry may have to the endpoint: its
-// part of what all may have together.
-func (v *visit) connLimit(p *route.Pool, entries int) int {
+// connLimit returns how many connections this entry may have to the endpoint: its share of
+// those that all entries may have together. Zero means that there is no limit.
+func (a *attempt) connLimit(p *route.Pool, entries int) int {
 	if p.MaxConns <= 0 {
 		return 0
 	}
--- a/entry/direct/wait.go
+++ b/entry/direct/wait.go
@@ -8,168 +8,170 @@
 	"lycheepond/core/await"
 )
 
-// waiter is a job in the line of its pool, or of a shard.
+// waiter is a job in the queue of its pool or of a shard.
 type waiter struct {
-	job *Job
-	how lineup
-	// wait is its place in the line, since when it entered that and patience for how
-	// long it stays at most.
-	wait     *await.Wait[*waiter]
-	since    time.Time
-	patience time.Duration
-	// placed is closed once the job has left the line for an endpoint; visit and
-	// dec are set before. Until then they are the refusal that it gets.
-	placed chan struct{}
-	visit  *visit
-	dec    admit.Decision
+	job     *Job
+	options queueOptions
+	// ticket is the job's place in the queue, queuedAt when it was queued and maxWait how long
+	// it may stay there.
+	ticket   *await.Wait[*waiter]
+	queuedAt time.Time
+	maxWait  time.Duration
+	// dispatched is closed once the job has left the queue for an endpoint; attempt and
+	// decision are set before. Until then they are the refusal that the job gets.
+	dispatched chan struct{}
+	attempt    *attempt
+	decision   admit.Decision
 }
 
-// lineup says where a job is placed and waits.
-type lineup struct {
+// queueOptions says where a job is placed and may wait.
+type queueOptions struct {
 	// shard is nil for the whole pool.
-	shard *part
-	// zone is that of the entry which sends the job.
+	shard *poolShard
+	// zone is the zone of the entry that sends the job.
 	zone string
-	// stand is set if it may wait.
-	stand bool
+	// mayWait is set if the job may be queued.
+	mayWait bool
 }
 
-// waiting returns the line of the pool or of one of its shards.
-func (p *pool) waiting(s *part) *await.Line[*waiter] {
+// queueOf returns the queue of the pool, or of the shard s if it is not nil.
+func (p *pool) queueOf(s *poolShard) *await.Line[*waiter] {
 	if s != nil {
-		return &s.line
+		return &s.queue
 	}
-	return &p.line
+	return &p.queue
 }
 
-// enter places a job, at once or after it has stood in line.
-func (d *Director) enter(ctx context.Context, j *Job) (*visit, admit.Decision) {
+// admitJob places a job at once or after it has been queued, or refuses it.
+func (d *Director) admitJob(ctx context.Context, j *Job) (*attempt, admit.Decision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, known := d.cfg.Reach()
-	p := d.v.pool(j.Pool.Name, d.cfg.Repeats, known)
-	if v, dec, ok := d.tryOut(j, p); ok {
-		return v, dec
+	_, knownEntries := d.cfg.Reach()
+	p := d.view.pool(j.Pool.Name, d.cfg.Repeats, knownEntries)
+	if a, dec, ok := d.placeOnTrial(j, p); ok {
+		return a, dec
 	}
-	if d.sharded(known) {
-		if v, dec, ok := d.enterShard(ctx, j, p); ok {
-			return v, dec
+	if d.usesShardOwners(knownEntries) {
+		if a, dec, ok := d.placeInShards(ctx, j, p); ok {
+			return a, dec
 		}
 	}
-	return d.queue(ctx, j, p, lineup{stand: true})
+	return d.placeOrWait(ctx, j, p, queueOptions{mayWait: true})
 }
 
-// queue places a job, at once or after it has stood in line. d.mu is held, but not
-// while the job stands.
-func (d *Director) queue(ctx context.Context, j *Job, p *pool, how lineup) (*visit, admit.Decision) {
-	v, dec, w := d.line(j, p, how)
+// placeOrWait places a job at once or after it has been queued, or refuses it. The caller
+// holds d.mu, which is released while the job is queued.
+func (d *Director) placeOrWait(ctx context.Context, j *Job, p *pool, opts queueOptions) (*attempt, admit.Decision) {
+	a, dec, w := d.placeOrEnqueue(j, p, opts)
 	if w == nil {
-		return v, dec
+		return a, dec
 	}
 	d.mu.Unlock()
-	w.stand(ctx)
+	w.awaitDispatch(ctx)
 	d.mu.Lock()
-	return d.leave(w, p)
+	return d.leaveQueue(w, p)
 }
 
-// line places a job, refuses it or puts it into line; it returns the waiter if it did.
-// d.mu is held.
-func (d *Director) line(j *Job, p *pool, how lineup) (*visit, admit.Decision, *waiter) {
+// placeOrEnqueue places, refuses or queues a job; it returns the waiter of a queued one. The
+// caller holds d.mu.
+func (d *Director) placeOrEnqueue(j *Job, p *pool, opts queueOptions) (*attempt, admit.Decision, *waiter) {
 	now := time.Now()
-	at := d.standing(j, p)
-	l := p.waiting(how.shard)
-	ahead := l.Ahead(at)
-	c := d.crowd(1, p, j, how)
-	v, dec := d.place(j, trial{output: j.Output, behind: ahead > 0 || c.Blocked(), part: c.Part(), shard: how.shard, zone: how.zone})
-	if dec.Why != admit.Full || !how.stand {
-		return v, dec, nil
+	position := d.queuePosition(j, p)
+	queue := p.queueOf(opts.shard)
+	ahead := queue.Ahead(position)
+	c := d.competition(1, p, j, opts)
+	a, dec := d.placeJob(j, placementOptions{outputTokens: j.Output, isBehind: ahead > 0 || c.Blocked(), entryShare: c.Part(), shard: opts.shard, zone: opts.zone})
+	if dec.Why != admit.Full || !opts.mayWait {
+		return a, dec, nil
 	}
-	patience := await.Patience(j.Route.Target, j.due().Sub(now), dec.First-dec.Wait)
-	if turn := time.Duration(ahead+c.First+c.Beside+1) * dec.Turn; turn > patience {
+	maxWait := await.Patience(j.Route.Target, j.firstEventDue().Sub(now), dec.First-dec.Wait)
+	if turn := time.Duration(ahead+c.First+c.Beside+1) * dec.Turn; turn > maxWait {
 		dec.Retry = max(dec.Retry, turn)
-		return v, dec, nil
+		return a, dec, nil
 	}
-	w := &waiter{job: j, how: how, since: now, patience: patience, placed: make(chan struct{}), visit: v, dec: dec}
-	w.wait = l.Add(w, at)
-	d.v.waits.count(tierIn{j.Pool.Name, j.Tier}, 1)
+	w := &waiter{job: j, options: opts, queuedAt: now, maxWait: maxWait, dispatched: make(chan struct{}), attempt: a, decision: dec}
+	w.ticket = queue.Add(w, position)
+	d.view.queueCounts.addOwn(poolTier{j.Pool.Name, j.Tier}, 1)
 	return nil, admit.Decision{}, w
 }
 
-// standing returns where a job stands in line.
-func (d *Director) standing(j *Job, p *pool) await.Place {
-	at := await.Place{Tier: j.Tier, Due: d.since(j.due())}
+// queuePosition returns the sort key by which a job is queued.
+func (d *Director) queuePosition(j *Job, p *pool) await.Place {
+	position := await.Place{Tier: j.Tier, Due: d.sinceStart(j.firstEventDue())}
 	if j.Pool.Engine {
-		at.Work = p.learner.Pace("").Work(j.Prompt, j.Output)
+		position.Work = p.learner.Pace("").Work(j.Prompt, j.Output)
 	}
-	return at
+	return position
 }
 
-// leave takes a job out of the line, if it still stands there, and returns what has
-// become of it. d.mu is held.
-func (d *Director) leave(w *waiter, p *pool) (*visit, admit.Decision) {
-	if p.waiting(w.how.shard).Remove(w.wait) {
-		d.v.waits.count(tierIn{w.job.Pool.Name, w.job.Tier}, -1)
-		w.visit.basis.Stood = time.Since(w.since)
+// leaveQueue removes a job from the queue, if it is still there, and returns the outcome of
+// its wait. The caller holds d.mu.
+func (d *Director) leaveQueue(w *waiter, p *pool) (*attempt, admit.Decision) {
+	if p.queueOf(w.options.shard).Remove(w.ticket) {
+		d.view.queueCounts.addOwn(poolTier{w.job.Pool.Name, w.job.Tier}, -1)
+		w.attempt.placement.QueuedFor = time.Since(w.queuedAt)
 	} else {
-		w.visit.basis.Stood = w.visit.sent.Sub(w.since)
+		w.attempt.placement.QueuedFor = w.attempt.sentAt.Sub(w.queuedAt)
 	}
-	return w.visit, w.dec
+	return w.attempt, w.decision
 }
 
-// crowd returns what competes with a job for free slots: in a shard nobody, as all
-// that wait for it stand in its line. joining is one if the job is not in the line
-// yet. d.mu is held.
-func (d *Director) crowd(joining int, p *pool, j *Job, how lineup) await.Crowd {
-	if how.shard != nil {
+// competition returns what competes with a job for free slots. In a shard nothing does,
+// because all requests for it wait in its queue. joining is one if the job is not in the queue
+// yet. The caller holds d.mu.
+func (d *Director) competition(joining int, p *pool, j *Job, opts queueOptions) await.Crowd {
+	if opts.shard != nil {
 		return await.Crowd{Own: 1}
 	}
 	now := time.Now()
-	in := tierIn{j.Pool.Name, j.Tier}
-	free := admit.Free(d.v.describe(p, j.Pool, now, d.since(now)))
-	return d.v.waits.crowd(in, d.v.waits.own[in]+joining, free)
+	key := poolTier{j.Pool.Name, j.Tier}
+	free := admit.Free(d.view.describePool(p, j.Pool, now, d.sinceStart(now)))
+	return d.view.queueCounts.competition(key, d.view.queueCounts.own[key]+joining, free)
 }
 
-// stand returns when the job has left the line, its patience is over or ctx has
+// awaitDispatch returns when the job has left the queue, its longest wait is over or ctx has
 // ended.
-func (w *waiter) stand(ctx context.Context) {
-	timer := time.NewTimer(w.patience)
+func (w *waiter) awaitDispatch(ctx context.Context) {
+	timer := time.NewTimer(w.maxWait)
 	defer timer.Stop()
 	select {
-	case <-w.placed:
+	case <-w.dispatched:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// advance sends the jobs that wait in a pool and for which there is room now; d.mu
-// is held.
-func (d *Director) advance(p *pool) {
-	d.offer(p, &p.line)
+// dispatchQueued dispatches the queued jobs of a pool for which there is room now. The caller
+// holds d.mu.
+func (d *Director) dispatchQueued(p *pool) {
+	d.dispatchFrom(p, &p.queue)
 	for _, s := range p.shards {
-		d.offer(p, &s.line)
+		d.dispatchFrom(p, &s.queue)
 	}
 }
 
-// offer sends the jobs of a line for which there is room now; d.mu is held.
-func (d *Director) offer(p *pool, l *await.Line[*waiter]) {
-	l.Offer(func(w *await.Wait[*waiter]) (sent, more bool) {
-		j, how := w.Value.job, w.Value.how
-		c := d.crowd(0, p, j, how)
-		v, dec := d.place(j, trial{output: j.Output, behind: c.Blocked(), part: c.Part(), shard: how.shard, zone: how.zone})
+// dispatchFrom dispatches the jobs of a queue for which there is room now. The caller holds
+// d.mu.
+func (d *Director) dispatchFrom(p *pool, queue *await.Line[*waiter]) {
+	queue.Offer(func(w *await.Wait[*waiter]) (sent, more bool) {
+		j, opts := w.Value.job, w.Value.options
+		c := d.competition(0, p, j, opts)
+		a, dec := d.placeJob(j, placementOptions{outputTokens: j.Output, isBehind: c.Blocked(), entryShare: c.Part(), shard: opts.shard, zone: opts.zone})
 		if dec.Endpoint < 0 {
-			// One that waits for its prompt's sake keeps no other from a slot.
+			// A job that waits because of its prompt does not keep others from a slot.
 			return false, dec.Why != admit.Full
 		}
-		w.Value.visit, w.Value.dec = v, dec
-		d.v.waits.count(tierIn{j.Pool.Name, j.Tier}, -1)
-		close(w.Value.placed)
+		w.Value.attempt, w.Value.decision = a, dec
+		d.view.queueCounts.addOwn(poolTier{j.Pool.Name, j.Tier}, -1)
+		close(w.Value.dispatched)
 		return true, true
 	})
 }
 
-// advanceAll sends what waits in any pool and finds room; d.mu is held.
-func (d *Director) advanceAll() {
-	for _, p := range d.v.pools {
-		d.advance(p)
+// dispatchAllQueued dispatches the queued jobs of all pools for which there is room now. The
+// caller holds d.mu.
+func (d *Director) dispatchAllQueued() {
+	for _, p := range d.view.pools {
+		d.dispatchQueued(p)
 	}
 }
--- a/entry/direct/waits.go
+++ b/entry/direct/waits.go
@@ -6,122 +6,123 @@
 	"lycheepond/core/wire"
 )
 
-// tierIn is a tier of a pool.
-type tierIn struct {
+// poolTier identifies a tier of a pool.
+type poolTier struct {
 	pool string
 	tier route.Tier
 }
 
-// waits counts the requests that wait for slots, here and at the peers.
-type waits struct {
-	// own and others leave out what is zero.
-	own, others map[tierIn]int
-	// peers holds what each peer told.
-	peers map[string]map[tierIn]int
-	// changed holds what the peers have not been told yet.
-	changed map[tierIn]bool
+// queueCounts counts the requests that wait for slots, at this entry and at the peers.
+type queueCounts struct {
+	// own and peerTotals hold no zero counts.
+	own, peerTotals map[poolTier]int
+	// byPeer holds what each peer has reported.
+	byPeer map[string]map[poolTier]int
+	// unreported holds the tiers whose own count has not been reported since it changed.
+	unreported map[poolTier]bool
 }
 
-func newWaits() waits {
-	return waits{
-		own: make(map[tierIn]int), others: make(map[tierIn]int),
-		peers: make(map[string]map[tierIn]int), changed: make(map[tierIn]bool),
+func newQueueCounts() queueCounts {
+	return queueCounts{
+		own: make(map[poolTier]int), peerTotals: make(map[poolTier]int),
+		byPeer: make(map[string]map[poolTier]int), unreported: make(map[poolTier]bool),
 	}
 }
 
-// add adds n to a count and leaves out what is zero.
-func add(counts map[tierIn]int, t tierIn, n int) {
+// addCount adds n to a count and removes the count if it becomes zero.
+func addCount(counts map[poolTier]int, t poolTier, n int) {
 	counts[t] += n
 	if counts[t] == 0 {
 		delete(counts, t)
 	}
 }
 
-// count notes that n more of the entry's own requests wait.
-func (s *waits) count(t tierIn, n int) {
-	add(s.own, t, n)
-	s.changed[t] = true
+// addOwn adds n to the entry's own waiting requests.
+func (s *queueCounts) addOwn(t poolTier, n int) {
+	addCount(s.own, t, n)
+	s.unreported[t] = true
 }
 
-// heard takes in what a peer told.
-func (s *waits) heard(peer string, told []wire.Waiting) {
-	if len(told) == 0 {
+// applyReport applies what a peer has reported.
+func (s *queueCounts) applyReport(peer string, report []wire.Waiting) {
+	if len(report) == 0 {
 		return
 	}
-	known := s.peers[peer]
-	if known == nil {
-		known = make(map[tierIn]int)
-		s.peers[peer] = known
+	last := s.byPeer[peer]
+	if last == nil {
+		last = make(map[poolTier]int)
+		s.byPeer[peer] = last
 	}
-	for _, w := range told {
-		t := tierIn{w.Pool, route.Tier{Customer: w.Customer, Route: w.Route}}
-		add(s.others, t, int(w.Requests)-known[t])
-		add(known, t, int(w.Requests)-known[t])
+	for _, w := range report {
+		t := poolTier{w.Pool, route.Tier{Customer: w.Customer, Route: w.Route}}
+		addCount(s.peerTotals, t, int(w.Requests)-last[t])
+		addCount(last, t, int(w.Requests)-last[t])
 	}
 }
 
-// ahead returns how many requests of a tier or a higher one wait at a peer, or here if
-// own is set.
-func (s *waits) ahead(peer string, in tierIn, own bool) int {
-	counts := s.peers[peer]
+// countAhead returns how many requests of the same or a higher tier wait at a peer, or at this
+// entry if own is set.
+func (s *queueCounts) countAhead(peer string, key poolTier, own bool) int {
+	counts := s.byPeer[peer]
 	if own {
 		counts = s.own
 	}
 	n := 0
 	for t, c := range counts {
-		if t.pool == in.pool && t.tier.Compare(in.tier) <= 0 {
+		if t.pool == key.pool && t.tier.Compare(key.tier) <= 0 {
 			n += c
 		}
 	}
 	return n
 }
 
-// drop forgets what a peer told.
-func (s *waits) drop(peer string) {
-	for t, n := range s.peers[peer] {
-		add(s.others, t, -n)
+// forgetPeer forgets what a peer has reported.
+func (s *queueCounts) forgetPeer(peer string) {
+	for t, n := range s.byPeer[peer] {
+		addCount(s.peerTotals, t, -n)
 	}
-	delete(s.peers, peer)
+	delete(s.byPeer, peer)
 }
 
-// tell returns what has changed since it was last told, or all of it.
-func (s *waits) tell(all bool) []wire.Waiting {
+// report returns the own counts that have changed since they were last reported, or all of
+// them.
+func (s *queueCounts) report(full bool) []wire.Waiting {
 	var out []wire.Waiting
-	if all {
+	if full {
 		for t, n := range s.own {
-			out = append(out, t.waiting(n))
+			out = append(out, t.toWire(n))
 		}
 		return out
 	}
-	for t := range s.changed {
-		out = append(out, t.waiting(s.own[t]))
+	for t := range s.unreported {
+		out = append(out, t.toWire(s.own[t]))
 	}
-	clear(s.changed)
+	clear(s.unreported)
 	return out
 }
 
-// of returns what a peer told.
-func (s *waits) of(peer string) []wire.Waiting {
+// peerReport returns what a peer has reported.
+func (s *queueCounts) peerReport(peer string) []wire.Waiting {
 	var out []wire.Waiting
-	for t, n := range s.peers[peer] {
-		out = append(out, t.waiting(n))
+	for t, n := range s.byPeer[peer] {
+		out = append(out, t.toWire(n))
 	}
 	return out
 }
 
-func (t tierIn) waiting(n int) wire.Waiting {
+func (t poolTier) toWire(n int) wire.Waiting {
 	return wire.Waiting{Pool: t.pool, Customer: t.tier.Customer, Route: t.tier.Route, Requests: uint32(n)}
 }
 
-// crowd returns what competes with a request of a tier that joins the other
-// requests of its tier here.
-func (s *waits) crowd(in tierIn, own, free int) await.Crowd {
+// competition returns what competes with a request of a tier for the free slots. own is how
+// many requests of that tier wait at this entry, including this one.
+func (s *queueCounts) competition(key poolTier, own, free int) await.Crowd {
 	c := await.Crowd{Own: own, Free: free}
-	for t, n := range s.others {
-		if t.pool != in.pool {
+	for t, n := range s.peerTotals {
+		if t.pool != key.pool {
 			continue
 		}
-		switch order := t.tier.Compare(in.tier); {
+		switch order := t.tier.Compare(key.tier); {
 		case order < 0:
 			c.First += n
 		case order == 0:
--- a/entry/direct/watch.go
+++ b/entry/direct/watch.go
@@ -11,167 +11,171 @@
 	"lycheepond/core/meter"
 )
 
-// askAgain is how often it is asked anew whether a late try can be replaced.
-// Room and repeats come up as other requests end, each some ten milliseconds; a
-// tenth of usual targets is soon enough, and each question costs a placement.
-const askAgain = 100 * time.Millisecond
-
-// lookAgain is how long after its timer went off a try is looked at once more. A
-// process that goes on after a stop has read all its streams within some
-// milliseconds; a fiftieth of the shortest silence costs a silent one little.
-const lookAgain = 20 * time.Millisecond
-
-// watch gives a try up when its endpoint has sent nothing for too long, and only
-// for another one that has its place and its repeat already and has not declined.
-// While there is none the answer is awaited: a late one is worth more to its
-// caller than none.
-type watch struct {
-	t      *task
-	v      *visit
-	cancel context.CancelCauseFunc
-	// exchanges carries the next tries to the goroutine that sends them; ended is
-	// closed at its end.
-	exchanges chan *exchange
-	ended     chan struct{}
+// replacementInterval is the time between two searches for a replacement of a late attempt.
+// Room and retries become available as other requests end, about every ten milliseconds. A
+// tenth of the usual targets is soon enough, and each search costs a placement.
+const replacementInterval = 100 * time.Millisecond
+
+// silenceRecheck is the time between the expiry of the silence timer and a second check. A
+// process that resumes after a pause has read all its streams within some milliseconds. A
+// fiftieth of the shortest silence bound is a small delay for an endpoint that is really
+// silent.
+const silenceRecheck = 20 * time.Millisecond
+
+// watchdog gives up an attempt whose endpoint has sent nothing for too long, but only in favor
+// of a replacement that has its placement and its retry and has not declined. While there is
+// none, the answer is awaited: a late answer is worth more to the caller than none.
+type watchdog struct {
+	task    *task
+	attempt *attempt
+	cancel  context.CancelCauseFunc
+	// replacements carries the replacements to the goroutine that sends them; senderDone is
+	// closed when that ends.
+	replacements chan *exchange
+	senderDone   chan struct{}
 
 	mu    sync.Mutex
 	timer *time.Timer
-	// ran and sends are the task's, this try and those beside it included.
-	ran, sends int
-	// armed is set while something is waited for that may be given up. head tells
-	// what, since from when on and bound for how long at most; output is how many
-	// tokens were still expected then.
-	armed, head bool
-	since       time.Time
-	bound       time.Duration
-	output      int
-	// waiting is set from wait to came.
-	waiting bool
-	// looked is set while the timer has gone off once and nothing was asked yet, and
-	// silent once it was: the endpoint had sent nothing at the second look.
-	looked, silent bool
-	// kept is set once the log tells that the try was late and went on.
-	kept bool
-	// next is the try in this one's place. It may still be dropped until taken is
-	// set, for why; from then on nothing of this one is passed on.
-	next  *visit
-	taken bool
-	why   *lateError
+	// runCount and sendCount are the task's, including this attempt and its replacements.
+	runCount, sendCount int
+	// timerArmed is set during a wait that may be given up. awaitingHead says what is awaited,
+	// waitStart since when, and bound for how long at most. expectedOutput is how many output
+	// tokens were still expected at the start of the wait.
+	timerArmed, awaitingHead bool
+	waitStart                time.Time
+	bound                    time.Duration
+	expectedOutput           int
+	// isWaiting is set from startWait to endWait.
+	isWaiting bool
+	// firstCheckDone is set between the first and the second check of the timer.
+	// silenceConfirmed is set once the endpoint had sent nothing at the second check either.
+	firstCheckDone, silenceConfirmed bool
+	// loggedLate is set once the log says that the attempt is late and goes on.
+	loggedLate bool
+	// replacement is the attempt that is to take the place of this one. It may still be
+	// dropped until switched is set; from then on nothing of this attempt is forwarded.
+	// silence is the reason for the replacement.
+	replacement *attempt
+	switched    bool
+	silence     *silenceError
 }
 
-func (t *task) watch(v *visit, cancel context.CancelCauseFunc) *watch {
-	return &watch{
-		t: t, v: v, cancel: cancel, ran: t.ran + 1, sends: t.sends,
-		exchanges: make(chan *exchange, 1), ended: make(chan struct{}),
+func (t *task) newWatchdog(a *attempt, cancel context.CancelCauseFunc) *watchdog {
+	return &watchdog{
+		task: t, attempt: a, cancel: cancel, runCount: t.runCount + 1, sendCount: t.sendCount,
+		replacements: make(chan *exchange, 1), senderDone: make(chan struct{}),
 	}
 }
 
-// wait begins a wait for the endpoint; a bound of zero means to its end.
-func (w *watch) wait(bound time.Duration, head bool) {
+// startWait begins a wait for the endpoint. With a bound of zero it is not given up.
+func (w *watchdog) startWait(bound time.Duration, awaitingHead bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.since, w.bound, w.head, w.waiting = time.Now(), bound, head, true
-	w.looked, w.silent = false, false
-	if bound <= 0 || w.next != nil {
+	w.waitStart, w.bound, w.awaitingHead, w.isWaiting = time.Now(), bound, awaitingHead, true
+	w.firstCheckDone, w.silenceConfirmed = false, false
+	if bound <= 0 || w.replacement != nil {
 		return
 	}
-	w.armed, w.output = true, w.t.output()
+	w.timerArmed, w.expectedOutput = true, w.task.remainingOutput()
 	if w.timer == nil {
-		w.timer = time.AfterFunc(bound, w.late)
+		w.timer = time.AfterFunc(bound, w.handleTimeout)
 		return
 	}
 	w.timer.Reset(bound)
 }
 
-// came ends a wait, whatever came of it.
-func (w *watch) came() {
+// endWait ends a wait, whatever its result.
+func (w *watchdog) endWait() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.armed, w.waiting = false, false
+	w.timerArmed, w.isWaiting = false, false
 	if w.timer != nil {
 		w.timer.Stop()
 	}
-	w.v.basis.Silent, w.v.basis.Bound = time.Since(w.since), w.bound
-	w.v.silent = w.silent
+	w.attempt.placement.Silence, w.attempt.placement.SilenceBound = time.Since(w.waitStart), w.bound
+	w.attempt.wasSilent = w.silenceConfirmed
 }
 
-// replaced returns the try that replaces this one, nil if none does.
-func (w *watch) replaced() *visit {
+// currentReplacement returns the attempt that replaces this one, nil if there is none.
+func (w *watchdog) currentReplacement() *attempt {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.next
+	return w.replacement
 }
 
-// late is called when the endpoint has sent nothing for the bound.
-func (w *watch) late() {
-	since, output, due := w.due()
-	if !due {
+// handleTimeout is called when the endpoint has sent nothing for the bound.
+func (w *watchdog) handleTimeout() {
+	waitStart, expectedOutput, confirmed := w.confirmSilence()
+	if !confirmed {
 		return
 	}
-	next, lack := w.another(trial{avoid: w.v.id, output: output, part: 1, room: true})
-	if !w.replace(since, next, lack) && next != nil {
-		// What was waited for has come meanwhile.
-		w.t.d.giveBack(next)
+	replacement, missing := w.reserveReplacement(placementOptions{avoidID: w.attempt.id, outputTokens: expectedOutput, entryShare: 1, needsRoom: true})
+	if !w.launchReplacement(waitStart, replacement, missing) && replacement != nil {
+		// The awaited data has arrived in the meantime.
+		w.task.d.cancelReserved(replacement)
 	}
 }
 
-// due reports whether it is to be asked for another try, for the wait that began
-// at since. After a stop of the process the timer goes off before the bytes are
-// read that came meanwhile, so it takes a second look with still nothing there.
-func (w *watch) due() (since time.Time, output int, ok bool) {
+// confirmSilence reports whether a replacement is needed for the wait that began at waitStart.
+// After a pause of the process the timer expires before the bytes are read that arrived in the
+// meantime. The endpoint therefore counts as silent only if there is still nothing at a second
+// check.
+func (w *watchdog) confirmSilence() (waitStart time.Time, expectedOutput int, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.armed || time.Since(w.since) < w.bound {
-		return w.since, w.output, false
+	if !w.timerArmed || time.Since(w.waitStart) < w.bound {
+		return w.waitStart, w.expectedOutput, false
 	}
-	w.looked = !w.looked
-	if w.looked {
-		w.timer.Reset(lookAgain)
-		return w.since, w.output, false
+	w.firstCheckDone = !w.firstCheckDone
+	if w.firstCheckDone {
+		w.timer.Reset(silenceRecheck)
+		return w.waitStart, w.expectedOutput, false
 	}
-	w.silent = true
-	return w.since, w.output, true
+	w.silenceConfirmed = true
+	return w.waitStart, w.expectedOutput, true
 }
 
-// another returns a try that may replace this one, or what it lacks.
-func (w *watch) another(how trial) (*visit, string) {
+// reserveReplacement returns an attempt that may replace this one, or nil and what is missing
+// for it.
+func (w *watchdog) reserveReplacement(opts placementOptions) (*attempt, string) {
 	w.mu.Lock()
-	ran, sends := w.ran, w.sends
+	runCount, sendCount := w.runCount, w.sendCount
 	w.mu.Unlock()
-	if lack := w.t.lacks(ran, sends); lack != "" {
-		return nil, lack
+	if missing := w.task.missingForRetry(runCount, sendCount); missing != "" {
+		return nil, missing
 	}
-	return w.t.d.reserve(w.t.job, w.v, how, false)
+	return w.task.d.reserve(w.task.job, w.attempt, opts, false)
 }
 
-// replace has the next try sent beside this one, or goes on waiting if there is
-// none. It returns false if the wait that began at since is over.
-func (w *watch) replace(since time.Time, next *visit, lack string) bool {
+// launchReplacement has the replacement sent while this attempt goes on, or continues to wait
+// if there is none. It returns false if the wait that began at waitStart is over.
+func (w *watchdog) launchReplacement(waitStart time.Time, replacement *attempt, missing string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.armed || !w.since.Equal(since) {
+	if !w.timerArmed || !w.waitStart.Equal(waitStart) {
 		return false
 	}
-	why := &lateError{head: w.head, bound: w.bound}
-	if next == nil {
-		w.timer.Reset(askAgain)
-		w.note(why, lack)
+	silence := &silenceError{awaitingHead: w.awaitingHead, bound: w.bound}
+	if replacement == nil {
+		w.timer.Reset(replacementInterval)
+		w.logAwaited(silence, missing)
 		return true
 	}
-	w.armed, w.next, w.why = false, next, why
-	next.exchange = w.t.exchange(next)
-	w.exchanges <- next.exchange
+	w.timerArmed, w.replacement, w.silence = false, replacement, silence
+	replacement.exchange = w.task.newExchange(replacement)
+	w.replacements <- replacement.exchange
 	return true
 }
 
-// note writes once that a late try goes on for want of another; w.mu is held.
-func (w *watch) note(why *lateError, lack string) {
-	if w.kept {
+// logAwaited logs once that a late attempt goes on because it has no replacement. The caller
+// holds w.mu.
+func (w *watchdog) logAwaited(silence *silenceError, missing string) {
+	if w.loggedLate {
 		return
 	}
-	w.kept = true
-	d := w.t.d
-	d.cfg.Metrics.Counter("tries_awaited", meter.Label{Key: "why", Value: kindOf(why)}).Inc(1)
-	logs.Info(d.cfg.Log, logs.EventAnswerLate, zap.String("request_id", w.t.job.ID), zap.String("endpoint", w.v.id),
-		zap.String("why", why.Error()), zap.String("lacks", lack))
+	w.loggedLate = true
+	d := w.task.d
+	d.cfg.Metrics.Counter("tries_awaited", meter.Label{Key: "why", Value: cancelKind(silence)}).Inc(1)
+	logs.Info(d.cfg.Log, logs.EventAnswerLate, zap.String("request_id", w.task.job.ID), zap.String("endpoint", w.attempt.id),
+		zap.String("why", silence.Error()), zap.String("lacks", missing))
 }
--- a/entry/door/answer.go
+++ b/entry/door/answer.go
@@ -62,12 +62,12 @@
 func (a *answer) serve(j *direct.Job) {
 	a.until(j.End().Add(writeExtra))
 	res := a.door.cfg.Serve(a.r.Context(), j, direct.Sink{Head: a.head, Write: a.write, Flush: a.flush})
-	no := &Refusal{Retry: min(res.Retry, max(time.Until(j.Deadline)/3, 0)), Reason: res.Why}
+	no := &Refusal{Retry: min(res.RetryAfter, max(time.Until(j.Deadline)/3, 0)), Reason: res.Reason}
 	switch res.Outcome {
 	case direct.Complete:
 		a.end()
 		return
-	case direct.Broken, direct.Left, direct.Cut:
+	case direct.Broken, direct.CallerLeft, direct.ClosedByEntry:
 		// Closing the connection without the end of the body is the one way to
 		// tell the caller that what it has is not whole.
 		panic(http.ErrAbortHandler)
@@ -77,8 +77,8 @@
 		no.Status = http.StatusServiceUnavailable
 	case direct.Quarantined:
 		// A retry within the deadline would be refused again.
-		no.Status, no.Retry = http.StatusServiceUnavailable, res.Retry
-	case direct.Late:
+		no.Status, no.Retry = http.StatusServiceUnavailable, res.RetryAfter
+	case direct.TimedOut:
 		no.Status = http.StatusGatewayTimeout
 	default:
 		no.Status = http.StatusBadGateway
--- a/entry/door/answer_test.go
+++ b/entry/door/answer_test.go
@@ -54,7 +54,7 @@
 		for err == nil {
 			err = s.Write(make([]byte, 1<<20))
 		}
-		return direct.Result{Outcome: direct.Left, Why: "caller left"}
+		return direct.Result{Outcome: direct.CallerLeft, Reason: "caller left"}
 	})
 	st.timeout.Store(int64(100 * time.Millisecond))
 	c, err := st.dial()
@@ -108,7 +108,7 @@
 	t.Parallel()
 	st := newStand(t, time.Second, func(_ context.Context, j *direct.Job, s direct.Sink) direct.Result {
 		if j.ID == "/no" {
-			return direct.Result{Outcome: direct.Refused, Retry: time.Second}
+			return direct.Result{Outcome: direct.Refused, RetryAfter: time.Second}
 		}
 		return fine(context.Background(), j, s)
 	})
--- a/entry/door/door.go
+++ b/entry/door/door.go
@@ -224,7 +224,7 @@
 		a.refuse(no)
 		return
 	}
-	j.Accepted = accepted
+	j.AcceptedAt = accepted
 	if j.Deadline.IsZero() {
 		j.Deadline = accepted.Add(j.Route.Timeout)
 	}
--- a/entry/door/grace_test.go
+++ b/entry/door/grace_test.go
@@ -20,7 +20,7 @@
 	st := newStand(t, 2*time.Second, func(ctx context.Context, _ *direct.Job, _ direct.Sink) direct.Result {
 		began <- true
 		<-ctx.Done()
-		return direct.Result{Outcome: direct.Refused, Why: "the process stops"}
+		return direct.Result{Outcome: direct.Refused, Reason: "the process stops"}
 	})
 	c, err := st.dial()
 	if err != nil {
--- a/entry/door/stand_test.go
+++ b/entry/door/stand_test.go
@@ -90,7 +90,7 @@
 func fine(_ context.Context, _ *direct.Job, s direct.Sink) direct.Result {
 	s.Head(http.StatusOK, http.Header{}, 2)
 	if s.Write([]byte("ok")) != nil {
-		return direct.Result{Outcome: direct.Left, Why: "caller left"}
+		return direct.Result{Outcome: direct.CallerLeft, Reason: "caller left"}
 	}
 	return direct.Result{Outcome: direct.Complete}
 }
