--- a/entry/direct/direct.go
+++ b/entry/direct/direct.go
@@ -140,7 +140,7 @@
 	d.dispatchAllQueued()
 	d.mu.Unlock()
 	for _, addr := range staleAddrs {
-		d.cfg.Client.Drop(addr)
+		d.cfg.Client.CloseIdle(addr)
 	}
 	return true
 }
@@ -281,7 +281,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-sweepTicker.C:
-			d.cfg.Client.Sweep()
+			d.cfg.Client.CloseExpired()
 		case <-probeTicker.C:
 			d.dispatchLimited()
 			d.evaluateRollouts()
@@ -320,12 +320,12 @@
 
 // probeEndpoint opens a connection to an endpoint and records the result.
 func (d *Director) probeEndpoint(ctx context.Context, id, addr string) {
-	err := d.cfg.Client.Reach(ctx, addr)
+	err := d.cfg.Client.Connect(ctx, addr)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if now := d.sinceStart(time.Now()); err != nil {
 		d.view.trust.Ended(now, id, trust.Unreachable)
-		if e := d.view.endpoints[id]; e != nil && e.Addr == addr && hop.Refused(err) {
+		if e := d.view.endpoints[id]; e != nil && e.Addr == addr && hop.IsRefused(err) {
 			d.recordCrash(e)
 		}
 	} else {
--- a/entry/direct/plain.go
+++ b/entry/direct/plain.go
@@ -23,10 +23,10 @@
 	start := time.Now()
 	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedAnswer))
 	a.placement.Silence, a.placement.SilenceBound = time.Since(start), 0
-	if err == nil && !answer.Whole() && !impliesNotRun(answer.Status) {
+	if err == nil && !answer.Complete() && !impliesNotRun(answer.Status) {
 		return t.sendLongAnswer(answer, a, body)
 	}
-	if err != nil || !answer.Whole() {
+	if err != nil || !answer.Complete() {
 		if t.ctx.Err() != nil {
 			return attemptResult{wasReceived: true, mayHaveRun: true, result: Result{Reason: "time is up"}}
 		}
--- a/entry/direct/poison.go
+++ b/entry/direct/poison.go
@@ -85,7 +85,7 @@
 // recordRefusedConnection records a crash of the endpoint if err says that nothing listens at
 // its address.
 func (a *attempt) recordRefusedConnection(err error) {
-	if !hop.Refused(err) {
+	if !hop.IsRefused(err) {
 		return
 	}
 	a.d.mu.Lock()
--- a/entry/direct/send.go
+++ b/entry/direct/send.go
@@ -16,7 +16,7 @@
 	j := t.job
 	r := &hop.Request{
 		Method: j.Method, Target: j.Target, Host: j.Host, Header: j.Header.Clone(), Body: j.Body,
-		Once: j.Route.Once(), Own: func(status int, h http.Header) bool { return t.d.cfg.Own(j.ID, status, h) },
+		AtMostOnce: j.Route.Once(), IsAnswer: func(status int, h http.Header) bool { return t.d.cfg.Own(j.ID, status, h) },
 	}
 	last := j.LastEvent
 	if t.lastEventID != "" {
--- a/entry/hop/conn.go
+++ b/entry/hop/conn.go
@@ -15,41 +15,41 @@
 )
 
 const (
-	// inlineBody is the largest body that is written before the answer is read.
-	// It fits the smallest send buffer; a larger one could block for as long as
-	// the endpoint answers without reading.
-	inlineBody = 8 << 10
-	// maxForeign is how many answers to other requests are skipped before a
-	// connection is given up.
-	maxForeign = 4
-	readBuffer = 4 << 10
+	// maxInlineBody is the size in bytes of the largest body that is written before the answer
+	// is read. It fits the smallest send buffer; writing a larger one could block for as long
+	// as the endpoint answers without reading.
+	maxInlineBody = 8 << 10
+	// maxForeignAnswers is how many answers to other requests are skipped before the
+	// connection is closed.
+	maxForeignAnswers = 4
+	readBufferSize    = 4 << 10
 )
 
-// conn is one connection to an endpoint; it carries one request at a time.
+// conn is a connection to an endpoint. It carries one request at a time.
 type conn struct {
 	client *Client
 	addr   string
 	net    net.Conn
 	r      *bufio.Reader
-	// since is when the last answer ended and keep how long the connection may
-	// be idle after it.
-	since time.Time
-	keep  time.Duration
+	// idleSince is when the last answer ended, idleTimeout how long the connection may be idle
+	// after that.
+	idleSince   time.Time
+	idleTimeout time.Duration
 }
 
 func newConn(c *Client, addr string, nc net.Conn) *conn {
-	return &conn{client: c, addr: addr, net: nc, r: bufio.NewReaderSize(nc, readBuffer), keep: keptTime}
+	return &conn{client: c, addr: addr, net: nc, r: bufio.NewReaderSize(nc, readBufferSize), idleTimeout: defaultIdleTimeout}
 }
 
 func (k *conn) close() {
 	k.net.Close()
-	k.client.release(k.addr)
+	k.client.releaseConn(k.addr)
 }
 
-// quiet reports whether an idle connection is open and nothing has arrived on
-// it. Bytes that came without a request are no answer, and a connection that the
-// endpoint has closed would lose the next request.
-func (k *conn) quiet() bool {
+// isQuiet reports whether an idle connection is open and nothing has arrived on it. Bytes that
+// arrive without a request are not an answer, and on a connection that the endpoint has closed
+// the next request would be lost.
+func (k *conn) isQuiet() bool {
 	if k.r.Buffered() > 0 {
 		return false
 	}
@@ -69,75 +69,75 @@
 
 // exchange writes r and reads the head of its answer.
 func (k *conn) exchange(ctx context.Context, r *Request) (*Answer, error) {
-	unhook := context.AfterFunc(ctx, func() { k.net.SetDeadline(time.Unix(1, 0)) })
-	head := r.head()
-	inline := len(r.Body) <= inlineBody
-	if inline {
+	stopCancel := context.AfterFunc(ctx, func() { k.net.SetDeadline(time.Unix(1, 0)) })
+	head := r.encodeHead()
+	isInline := len(r.Body) <= maxInlineBody
+	if isInline {
 		head = append(head, r.Body...)
 	}
 	if n, err := k.net.Write(head); err != nil {
-		unhook()
+		stopCancel()
 		if n == 0 {
-			return nil, errors.Join(ErrNotSent, ended(ctx, err))
+			return nil, errors.Join(ErrNotSent, cancelCause(ctx, err))
 		}
-		return nil, errors.Join(ErrUnknown, ended(ctx, err))
+		return nil, errors.Join(ErrUnknown, cancelCause(ctx, err))
 	}
-	var written chan error
-	if !inline {
-		written = make(chan error, 1)
+	var bodyWritten chan error
+	if !isInline {
+		bodyWritten = make(chan error, 1)
 		go func() {
 			_, err := k.net.Write(r.Body)
-			written <- err
+			bodyWritten <- err
 		}()
 	}
-	resp, err := k.answer(r)
+	resp, err := k.readAnswer(r)
 	if err != nil {
-		unhook()
-		return nil, errors.Join(ErrUnknown, ended(ctx, err))
+		stopCancel()
+		return nil, errors.Join(ErrUnknown, cancelCause(ctx, err))
 	}
 	return &Answer{
 		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength,
-		conn: k, body: resp.Body, last: resp.Close, written: written, unhook: unhook,
-		ended: func(err error) error { return ended(ctx, err) },
+		conn: k, body: resp.Body, closesConn: resp.Close, bodyWritten: bodyWritten, stopCancel: stopCancel,
+		replaceErr: func(err error) error { return cancelCause(ctx, err) },
 	}, nil
 }
 
-// ended returns the cause of ctx if its end made an exchange fail with err, and
-// else err. Cancelled reads and dials fail as late ones do; taken as they are,
-// they could not be told from an endpoint that failed.
-func ended(ctx context.Context, err error) error {
-	var late net.Error
-	if ctx.Err() != nil && errors.As(err, &late) && (late.Timeout() || errors.Is(err, context.Canceled)) {
+// cancelCause returns the cause of ctx if the end of ctx made an exchange fail with err, and
+// otherwise err. Cancelled reads and dials fail like timeouts; without the cause they could
+// not be told from those of an endpoint that failed.
+func cancelCause(ctx context.Context, err error) error {
+	var netErr net.Error
+	if ctx.Err() != nil && errors.As(err, &netErr) && (netErr.Timeout() || errors.Is(err, context.Canceled)) {
 		return context.Cause(ctx)
 	}
 	return err
 }
 
-// answer reads heads until one belongs to r. An endpoint may send a second
-// answer to an earlier request, early or late, where that to r is expected.
-func (k *conn) answer(r *Request) (*http.Response, error) {
-	for foreign := 0; foreign < maxForeign; {
+// readAnswer reads answers until one belongs to r. An endpoint may send a second answer to an
+// earlier request, early or late, where the answer to r is expected.
+func (k *conn) readAnswer(r *Request) (*http.Response, error) {
+	for skipped := 0; skipped < maxForeignAnswers; {
 		resp, err := http.ReadResponse(k.r, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, err
 		}
 		if resp.StatusCode < 200 {
-			// An endpoint that says it is at work is waited for as any other.
+			// An interim response does not count as an answer to another request.
 			continue
 		}
-		if r.Own(resp.StatusCode, resp.Header) {
+		if r.IsAnswer(resp.StatusCode, resp.Header) {
 			return resp, nil
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
 			return nil, errors.Join(errors.New("hop: answer to another request"), err)
 		}
-		foreign++
+		skipped++
 	}
 	return nil, errors.New("hop: too many answers to other requests")
 }
 
-// head returns the head of r as it goes over the wire.
-func (r *Request) head() []byte {
+// encodeHead returns the head of r in wire format.
+func (r *Request) encodeHead() []byte {
 	var b bytes.Buffer
 	b.Grow(1024 + len(r.Body))
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
@@ -153,83 +153,84 @@
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is the length of the body, -1 if it is not known.
+	// Length is the length of the body in bytes, -1 if it is not known.
 	Length int64
 
 	conn *conn
 	body io.Reader
-	// whole is set once the body was read to its proper end.
-	whole bool
-	// last is set if the endpoint closes the connection after this answer.
-	last bool
-	// written tells that the request's body is out; nil if it was before the
-	// answer came.
-	written chan error
-	unhook  func() bool
-	// ended returns what an error of the connection means.
-	ended func(error) error
+	// isComplete is set once the body has been read to its proper end.
+	isComplete bool
+	// closesConn is set if the endpoint closes the connection after this answer.
+	closesConn bool
+	// bodyWritten receives the result of writing the request's body. It is nil if the body was
+	// written before the answer was read.
+	bodyWritten chan error
+	stopCancel  func() bool
+	// replaceErr replaces an error of the connection by the cause of the request's context if
+	// that has ended.
+	replaceErr func(error) error
 }
 
-// Read reads the body. It returns io.EOF only at the proper end of a whole body,
-// and the cause of the request's context if that has ended.
+// Read reads the body. It returns io.EOF only at the proper end of a complete body, and the
+// cause of the request's context if that has ended.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if err == io.EOF {
-		a.whole = true
+		a.isComplete = true
 		return n, err
 	}
-	return n, a.ended(err)
+	return n, a.replaceErr(err)
 }
 
-// Buffered reports whether more of the body has arrived, so that a reader that
-// passes it on can wait with flushing.
+// Buffered reports whether more of the body has already arrived, so that a reader that
+// forwards it can delay flushing.
 func (a *Answer) Buffered() bool { return a.conn.r.Buffered() > 0 }
 
-// Whole reports whether the body was read to its end.
-func (a *Answer) Whole() bool { return a.whole }
+// Complete reports whether the body has been read to its end.
+func (a *Answer) Complete() bool { return a.isComplete }
 
-// Close ends the request. The connection is kept if the answer was whole and
-// nothing else came with it; else it is closed, which stops the endpoint's work.
+// Close ends the request. The connection is kept if the answer was complete and nothing else
+// came with it. Otherwise it is closed, which makes the endpoint stop its work.
 func (a *Answer) Close() {
-	stopped := a.unhook()
+	stopped := a.stopCancel()
 	k := a.conn
-	if !stopped || !a.whole || a.last || !a.sent() || k.r.Buffered() > 0 {
+	if !stopped || !a.isComplete || a.closesConn || !a.isBodySent() || k.r.Buffered() > 0 {
 		k.close()
 		return
 	}
-	k.keep = keepTime(a.Header)
-	if k.keep <= 0 {
+	k.idleTimeout = keepAliveTimeout(a.Header)
+	if k.idleTimeout <= 0 {
 		k.close()
 		return
 	}
-	k.client.keep(k)
+	k.client.returnIdle(k)
 }
 
-// sent reports whether the request's body is out. An endpoint that answered
-// before reading it would take what is still to come for the next request.
-func (a *Answer) sent() bool {
-	if a.written == nil {
+// isBodySent reports whether the request's body has been written. An endpoint that answered
+// before reading the body would take what is still to come for the next request.
+func (a *Answer) isBodySent() bool {
+	if a.bodyWritten == nil {
 		return true
 	}
 	select {
-	case err := <-a.written:
+	case err := <-a.bodyWritten:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// keepTime returns how long a connection may be idle, from the endpoint's
+// keepAliveTimeout returns how long a connection may be idle, according to the endpoint's
 // Keep-Alive header.
-func keepTime(h http.Header) time.Duration {
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if n, err := strconv.Atoi(value); err == nil {
-			return min(time.Duration(n)*time.Second-keptMargin, time.Minute)
+			return min(time.Duration(n)*time.Second-idleTimeoutMargin, time.Minute)
 		}
 	}
-	return keptTime
+	return defaultIdleTimeout
 }
