--- a/entry/heads/heads.go
+++ b/entry/heads/heads.go
@@ -1,5 +1,5 @@
-// Package heads knows which headers concern one connection only and are not
-// passed on, neither from a caller to an endpoint nor back.
+// Package heads distinguishes the headers that concern a single connection from those that are
+// forwarded between caller and endpoint.
 package heads
 
 import (
@@ -7,29 +7,28 @@
 	"strings"
 )
 
-// perHop are the headers of one connection, as HTTP names them. Content-Length is
-// set anew by whoever writes the message.
-var perHop = map[string]bool{
+// hopByHop holds the hop-by-hop headers of HTTP, by canonical name. Content-Length is among
+// them because whoever writes the message sets it anew.
+var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Transfer-Encoding": true,
 	"Te": true, "Trailer": true, "Upgrade": true, "Content-Length": true,
 }
 
-// PerHop reports whether a header, by its canonical name, concerns one
+// IsHopByHop reports whether a header, given by its canonical name, concerns a single
 // connection only.
-func PerHop(name string) bool { return perHop[name] }
+func PerHop(name string) bool { return hopByHop[name] }
 
-// Forward returns the headers of a request that are passed on: all but those
-// that concern the caller's connection, those that it names there itself
-// included.
+// EndToEnd returns the headers of a request that are forwarded: all except those that concern
+// the caller's connection, including those that its Connection header names.
 func Forward(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
-		if !perHop[name] {
+		if !hopByHop[name] {
 			out[name] = values
 		}
 	}
-	for _, named := range h.Values("Connection") {
-		for name := range strings.SplitSeq(named, ",") {
+	for _, list := range h.Values("Connection") {
+		for name := range strings.SplitSeq(list, ",") {
 			out.Del(strings.TrimSpace(name))
 		}
 	}
@@ -37,7 +36,7 @@
 	return out
 }
 
-// Size returns how many bytes the names and values of headers take.
+// Size returns the total length in bytes of the names and values of headers.
 func Size(h http.Header) int {
 	n := 0
 	for name, values := range h {
