--- a/entry/door/door.go
+++ b/entry/door/door.go
@@ -206,7 +206,7 @@
 		}
 	}()
 	t := d.cfg.Table()
-	if d.conns.Late(r) {
+	if d.conns.ArrivedDuringStop(r) {
 		a.refuse(&Refusal{Status: http.StatusServiceUnavailable, Retry: leavingRetry, Reason: "leaving"})
 		return
 	}
--- a/entry/kept/ahead_test.go
+++ b/entry/kept/ahead_test.go
@@ -8,62 +8,62 @@
 	"time"
 )
 
-// The first bytes of a request come in one packet with the request before it, and
-// are fewer than the four that the server waits for. They were read with a request
-// that is served, so the connection must not count as idle.
-func TestFirstBytesBehindARequest(t *testing.T) {
+// The first bytes of a request arrive in one packet with the previous request, and are fewer
+// than the four that the server waits for. They were read together with a request that is
+// served, so the connection must not count as idle.
+func TestPartialNextRequestIsNotIdle(t *testing.T) {
 	for _, stop := range []bool{false, true} {
-		st := newStand(t, ok)
-		c := dial(t, st.addr)
+		srv := newTestServer(t, answerOK)
+		c := dial(t, srv.addr)
 		io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\nGET")
-		if err := c.answer(); err != nil {
+		if err := c.readAnswer(); err != nil {
 			t.Fatal(err)
 		}
-		k := st.one(t)
-		await(t, "the server to wait", func() bool {
+		k := srv.onlyConn(t)
+		waitFor(t, "the server to wait for data", func() bool {
 			k.mu.Lock()
 			defer k.mu.Unlock()
-			return k.waiting && (k.phase == idle || k.phase == begun)
+			return k.serverWaiting && (k.phase == phaseIdle || k.phase == phaseReading)
 		})
-		st.bound.Store(int64(time.Millisecond))
+		srv.bound.Store(int64(time.Millisecond))
 		k.mu.Lock()
-		k.bound = time.Millisecond
+		k.idleBound = time.Millisecond
 		k.mu.Unlock()
 		time.Sleep(10 * time.Millisecond)
 		if stop {
-			go st.set.Drain(t.Context())
-			time.Sleep(2 * settle)
+			go srv.set.Drain(t.Context())
+			time.Sleep(2 * newConnGrace)
 		} else {
-			st.set.Sweep()
+			srv.set.Sweep()
 		}
 		io.WriteString(c, " / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
-		if err := c.answer(); err != nil {
+		if err := c.readAnswer(); err != nil {
 			t.Errorf("stop %v: %v", stop, err)
 		}
 	}
 }
 
-// A large body is read past the server's buffer, in larger steps. Behind it the
-// connection is idle like any other, and is closed at the bound on idle time.
-func TestIdleBehindALargeBody(t *testing.T) {
-	st := newStand(t, func(w http.ResponseWriter, r *http.Request) {
+// A large body is read past the server's buffer, in larger steps. After it the connection is
+// idle like any other and is closed at the idle bound.
+func TestIdleAfterLargeBody(t *testing.T) {
+	srv := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 		io.CopyBuffer(struct{ io.Writer }{io.Discard}, struct{ io.Reader }{r.Body}, make([]byte, 64<<10))
-		ok(w, r)
+		answerOK(w, r)
 	})
-	c := dial(t, st.addr)
+	c := dial(t, srv.addr)
 	const size = 1 << 20
 	fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n", size)
 	c.Write(make([]byte, size))
-	if err := c.answer(); err != nil {
+	if err := c.readAnswer(); err != nil {
 		t.Fatal(err)
 	}
-	st.in(t, idle)
-	k := st.one(t)
+	srv.awaitPhase(t, phaseIdle)
+	k := srv.onlyConn(t)
 	k.mu.Lock()
-	k.since = k.since.Add(-time.Hour)
+	k.phaseSince = k.phaseSince.Add(-time.Hour)
 	k.mu.Unlock()
-	st.set.Sweep()
-	if n := st.counter("connections_closed", IdleBound); n != 1 {
+	srv.set.Sweep()
+	if n := srv.counter("connections_closed", IdleBound); n != 1 {
 		t.Errorf("%d connections closed as idle", n)
 	}
 }
--- a/entry/kept/bench_test.go
+++ b/entry/kept/bench_test.go
@@ -17,7 +17,7 @@
 	for _, plain := range []bool{true, false} {
 		b.Run(fmt.Sprint("plain=", plain), func(b *testing.B) {
 			s := New(Config{Bound: func() time.Duration { return time.Minute }, Metrics: meter.New(), Log: zap.NewNop()})
-			server := &http.Server{Handler: http.HandlerFunc(ok)}
+			server := &http.Server{Handler: http.HandlerFunc(answerOK)}
 			var ln net.Listener
 			var err error
 			if plain {
@@ -38,7 +38,7 @@
 			c := &client{Conn: nc, r: bufio.NewReader(nc)}
 			b.ReportAllocs()
 			for b.Loop() {
-				if err := c.ask("/"); err != nil {
+				if err := c.get("/"); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/entry/kept/conn.go
+++ b/entry/kept/conn.go
@@ -10,130 +10,133 @@
 	"time"
 )
 
-// phase is what a connection carries.
+// phase is what a connection is carrying.
 type phase uint8
 
 const (
-	// fresh has carried nothing yet.
-	fresh phase = iota
-	// idle carries nothing after an answer.
-	idle
-	// begun carries the beginning of a request.
-	begun
-	// busy carries a request that was handed on.
-	busy
-	// closed is closed by this process.
-	closed
+	// phaseNew means that the connection has carried nothing yet.
+	phaseNew phase = iota
+	// phaseIdle means that the connection carries nothing after an answer.
+	phaseIdle
+	// phaseReading means that the beginning of a request has arrived.
+	phaseReading
+	// phaseServing means that a request was handed to the handler.
+	phaseServing
+	// phaseClosed means that this process closed the connection.
+	phaseClosed
 )
 
-// conn is one accepted connection. A byte leaves the kernel in the same step, under
-// mu, that makes the connection begun. Bytes that came with the request before count
-// once the server waits for more of them. As idle or in a planned stop a connection
-// is closed only while it is fresh or idle, the server waits with an empty buffer
-// and no byte lies in the kernel, in one step under mu too. So neither cuts a
-// request of which a byte was read. A slow head and the end of the grace may; and
-// an answer that goes out during a planned stop ends its connection, also for what
-// was pipelined behind it, which then is not handed on.
+// conn is an accepted connection.
+//
+// A byte is read from the kernel and the phase becomes phaseReading in one step under mu.
+// Bytes that were read together with the previous request count once the server waits for more
+// of them. In a planned stop, or when it is idle for too long, a connection is closed only
+// while it is new or idle, the server waits with an empty buffer and the kernel holds no byte,
+// also in one step under mu. So neither interrupts a request of which a byte was read.
+//
+// A slow head and the end of the grace may interrupt one. Moreover, an answer that is sent
+// during a planned stop ends its connection, and requests that were pipelined after it are not
+// handed to the handler.
 type conn struct {
 	*net.TCPConn
 	set *Set
 	raw syscall.RawConn
-	// step is take; to, n and err are what it reads into and what came of it.
-	// They belong to the goroutine that reads.
-	step func(fd uintptr) bool
-	to   []byte
-	n    int
-	err  error
-	// room is the size of the server's buffer: it is empty at the first read, which
-	// asks for all of it. Later ones may read a body past the buffer, and ask for
-	// more.
-	room int
+	// readStep is the method readAvailable. readBuf is what it reads into; readLen and readErr
+	// are its result. They belong to the goroutine that reads.
+	readStep func(fd uintptr) bool
+	readBuf  []byte
+	readLen  int
+	readErr  error
+	// serverBufSize is the size of the server's buffer, which is empty at the first read, so
+	// that the first read asks for all of it. Later reads may read a body past the buffer and
+	// ask for more.
+	serverBufSize int
 
 	mu    sync.Mutex
 	phase phase
-	// since is when phase began, bound the largest bound on idle time in force
-	// since the last answer.
-	since time.Time
-	bound time.Duration
-	// waiting is set while the server waits for more than it holds. Before that a
-	// connection may look idle while a request lies in the server's buffer.
-	waiting bool
-	// ahead is set when the server has read a byte behind the request it serves.
-	ahead bool
-	// late is set if the last request began to arrive after a planned stop had begun,
-	// behind another one.
-	late bool
-	// cancel ends the contexts of requests; nil until the server asked for one.
+	// phaseSince is when the phase began, idleBound the largest idle bound in force since the
+	// last answer.
+	phaseSince time.Time
+	idleBound  time.Duration
+	// serverWaiting is set while the server waits for more than it holds. Before that, a
+	// connection may look idle while a request is in the server's buffer.
+	serverWaiting bool
+	// readAhead is set when the server has read a byte after the request that it serves.
+	readAhead bool
+	// beganDuringStop is set if the last request began to arrive after the start of a planned
+	// stop, on a connection that had carried another request before.
+	beganDuringStop bool
+	// cancel cancels the contexts of requests; nil until the server has asked for one.
 	cancel context.CancelCauseFunc
 }
 
 func newConn(s *Set, nc *net.TCPConn, raw syscall.RawConn) *conn {
-	c := &conn{TCPConn: nc, set: s, raw: raw, since: time.Now()}
-	c.step = c.take
+	c := &conn{TCPConn: nc, set: s, raw: raw, phaseSince: time.Now()}
+	c.readStep = c.readAvailable
 	return c
 }
 
-// Read reads what has arrived, or waits. One goroutine reads at a time.
+// Read reads what has arrived, or waits for data. One goroutine reads at a time.
 func (c *conn) Read(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
-	c.to, c.n, c.err = p, 0, nil
-	err := c.raw.Read(c.step)
-	c.to = nil
+	c.readBuf, c.readLen, c.readErr = p, 0, nil
+	err := c.raw.Read(c.readStep)
+	c.readBuf = nil
 	if err == nil {
-		err = c.err
+		err = c.readErr
 	}
 	if err != nil {
 		c.mu.Lock()
-		c.waiting = false
+		c.serverWaiting = false
 		c.mu.Unlock()
 	}
-	return c.n, c.failure(err)
+	return c.readLen, c.wrapError(err)
 }
 
-// take reads from the kernel, unless the connection is closed, and reports whether
-// there was anything.
-func (c *conn) take(fd uintptr) bool {
+// readAvailable reads from the kernel, unless the connection is closed. It returns false if
+// there was nothing to read yet.
+func (c *conn) readAvailable(fd uintptr) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.waiting = false
-	if c.room == 0 {
-		c.room = len(c.to)
+	c.serverWaiting = false
+	if c.serverBufSize == 0 {
+		c.serverBufSize = len(c.readBuf)
 	}
-	if c.phase == closed {
-		c.err = net.ErrClosed
+	if c.phase == phaseClosed {
+		c.readErr = net.ErrClosed
 		return true
 	}
-	n, err := read(int(fd), c.to)
+	n, err := readFD(int(fd), c.readBuf)
 	switch {
 	case err == syscall.EAGAIN:
-		c.waiting = true
-		if c.phase == idle && len(c.to) < c.room {
+		c.serverWaiting = true
+		if c.phase == phaseIdle && len(c.readBuf) < c.serverBufSize {
 			// The rest of the server's buffer holds the beginning of a request.
-			c.begin()
+			c.beginRequest()
 		}
 		return false
 	case err != nil:
-		c.err = err
+		c.readErr = err
 		return true
 	case n == 0:
-		c.err = io.EOF
+		c.readErr = io.EOF
 		return true
 	}
-	c.n = n
+	c.readLen = n
 	switch c.phase {
-	case fresh, idle:
-		c.begin()
-	case busy:
-		// The standard server reads a single byte while a handler runs, to
-		// notice callers that leave; it is the first of the next request.
-		c.ahead = len(c.to) == 1
+	case phaseNew, phaseIdle:
+		c.beginRequest()
+	case phaseServing:
+		// While a handler runs, net/http reads a single byte in order to notice callers that
+		// leave. It is the first byte of the next request.
+		c.readAhead = len(c.readBuf) == 1
 	}
 	return true
 }
 
-func read(fd int, p []byte) (int, error) {
+func readFD(fd int, p []byte) (int, error) {
 	for {
 		n, err := syscall.Read(fd, p)
 		if err != syscall.EINTR {
@@ -142,67 +145,68 @@
 	}
 }
 
-// SetReadDeadline sets the deadline. The standard server sets one on an idle
-// connection only to read a head whose beginning it holds already: its own bound
-// on idle time is off.
+// SetReadDeadline sets the read deadline. On an idle connection net/http sets one only in
+// order to read a head of which it already holds the beginning, because its own idle timeout
+// is off.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
-	if c.phase == idle && !t.IsZero() {
-		c.turn(begun)
+	if c.phase == phaseIdle && !t.IsZero() {
+		c.setPhase(phaseReading)
 	}
 	c.mu.Unlock()
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// failure gives an error the form that the standard server knows.
-func (c *conn) failure(err error) error {
+// wrapError gives an error the form that net/http expects.
+func (c *conn) wrapError(err error) error {
 	if err == nil || err == io.EOF {
 		return err
 	}
-	var op *net.OpError
-	if errors.As(err, &op) {
-		err = op.Err
+	var opErr *net.OpError
+	if errors.As(err, &opErr) {
+		err = opErr.Err
 	}
 	return &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: err}
 }
 
-// begin notes that a request begins to arrive; mu is held.
-func (c *conn) begin() {
-	c.late = c.phase != fresh && c.set.stopping.Load()
-	c.turn(begun)
+// beginRequest records that a request begins to arrive. The caller holds mu.
+func (c *conn) beginRequest() {
+	c.beganDuringStop = c.phase != phaseNew && c.set.stopping.Load()
+	c.setPhase(phaseReading)
 }
 
-// turn changes the phase; mu is held.
-func (c *conn) turn(p phase) {
-	c.phase, c.since = p, time.Now()
+// setPhase changes the phase. The caller holds mu.
+func (c *conn) setPhase(p phase) {
+	c.phase, c.phaseSince = p, time.Now()
 }
 
-// claim closes the connection if may allows it, which is called under mu. It
-// reports whether it did.
-func (c *conn) claim(why Why, may func(age time.Duration) (bound time.Duration, ok bool)) bool {
+// closeIf closes the connection if allowed returns true, and reports whether it did. allowed
+// is called with mu held and gets the time since the phase began.
+func (c *conn) closeIf(reason Reason, allowed func(age time.Duration) (bound time.Duration, ok bool)) bool {
 	c.mu.Lock()
-	age := time.Since(c.since)
-	bound, ok := may(age)
-	if !ok || c.phase == closed {
+	age := time.Since(c.phaseSince)
+	bound, ok := allowed(age)
+	if !ok || c.phase == phaseClosed {
 		c.mu.Unlock()
 		return false
 	}
-	c.phase = closed
+	c.phase = phaseClosed
 	if c.cancel != nil {
-		c.cancel(&Closed{Why: why, Since: age, Bound: bound})
+		c.cancel(&ClosedError{Reason: reason, Age: age, Bound: bound})
 	}
 	c.mu.Unlock()
 	c.TCPConn.Close()
-	c.set.note(c, why, age, bound)
+	c.set.recordClosed(c, reason, age, bound)
 	return true
 }
 
-// quiet reports that the server waits for more and nothing has arrived; mu is held.
-// What arrived while the process did not run still lies in the kernel.
-func (c *conn) quiet() bool { return c.waiting && c.empty() }
+// isQuiet reports whether the server waits for more and nothing has arrived. What arrived
+// while the process did not run is still in the kernel. The caller holds mu.
+func (c *conn) isQuiet() bool { return c.serverWaiting && c.hasNoUnread() }
 
-// empty reports that nothing has arrived that the server has not read; mu is held.
-func (c *conn) empty() bool {
+// hasNoUnread reports whether nothing has arrived that the server has not read. The caller
+// holds mu.
+func (c *conn) hasNoUnread() bool {
 	arrived := false
 	err := c.raw.Control(func(fd uintptr) {
 		var b [1]byte
@@ -212,5 +216,5 @@
 	return err == nil && !arrived
 }
 
-// unused reports that the connection carries nothing; mu is held.
-func (c *conn) unused() bool { return (c.phase == fresh || c.phase == idle) && c.quiet() }
+// isUnused reports whether the connection carries nothing. The caller holds mu.
+func (c *conn) isUnused() bool { return (c.phase == phaseNew || c.phase == phaseIdle) && c.isQuiet() }
--- a/entry/kept/drain.go
+++ b/entry/kept/drain.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// settle is how long a new connection has carried nothing before a planned stop
-	// closes it. Whoever has just connected is about to send; the time covers a lost
-	// packet (200 ms until it is sent again).
-	settle = 300 * time.Millisecond
-	// lastAccept is how long a stop waits until the server has seen that its
-	// listener is closed: it does at once, unless the process hardly gets to run.
-	lastAccept = time.Second
-	// drainPause is the time between two looks at the connections.
-	drainPause = 20 * time.Millisecond
+	// newConnGrace is how long a new connection must have carried nothing before a planned
+	// stop closes it. A caller that has just connected is about to send; the time covers a
+	// lost packet, which is sent again after 200 ms.
+	newConnGrace = 300 * time.Millisecond
+	// acceptTimeout is how long a stop waits until the server has noticed that its listener is
+	// closed. The server notices at once, unless the process hardly gets any CPU time.
+	acceptTimeout = time.Second
+	// drainInterval is the time between two checks of the connections.
+	drainInterval = 20 * time.Millisecond
 )
 
-// listener hands connections to the server that are known to the set.
+// listener adds the connections that it accepts to a set.
 type listener struct {
 	*net.TCPListener
 	set *Set
 }
 
-// Listen opens the set's listener. It is to be called once.
+// Listen opens the listener of the set. It must be called only once.
 func (s *Set) Listen(addr string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -43,12 +43,11 @@
 	return &listener{TCPListener: tcp, set: s}, nil
 }
 
-// Accept returns the next connection, and http.ErrServerClosed once Drain has
-// begun.
+// Accept returns the next connection, or http.ErrServerClosed once Drain has begun.
 func (l *listener) Accept() (net.Conn, error) {
 	nc, err := l.AcceptTCP()
 	if err != nil {
-		return nil, l.set.refused(err)
+		return nil, l.set.acceptError(err)
 	}
 	raw, err := nc.SyscallConn()
 	if err != nil {
@@ -61,17 +60,17 @@
 	return c, nil
 }
 
-// refused returns the error of the listener as the server is to see it.
-func (s *Set) refused(err error) error {
+// acceptError returns an error of the listener as the server should see it.
+func (s *Set) acceptError(err error) error {
 	if !s.stopping.Load() || !errors.Is(err, net.ErrClosed) {
 		return err
 	}
-	s.unheard.Do(func() { close(s.deaf) })
+	s.acceptEndedOnce.Do(func() { close(s.acceptEnded) })
 	return http.ErrServerClosed
 }
 
-// all returns the connections there are.
-func (s *Set) all() []*conn {
+// connections returns the open connections.
+func (s *Set) connections() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]*conn, 0, len(s.conns))
@@ -81,51 +80,51 @@
 	return out
 }
 
-// Sweep closes connections that have been idle for longer than the bound. Callers
-// keep to the largest bound that has held since their connection became idle: a
-// lower one that comes later does not cut them.
+// CloseExpired closes the connections that have been idle for longer than the bound. For each
+// connection the largest bound counts that was in force since it became idle, as its caller
+// may rely on that: lowering the bound does not affect it.
 func (s *Set) Sweep() {
-	now := s.cfg.Bound()
-	for _, c := range s.all() {
-		c.claim(IdleBound, func(age time.Duration) (time.Duration, bool) {
-			c.bound = max(c.bound, now)
-			return c.bound, c.phase == idle && age > c.bound && c.unused()
+	bound := s.cfg.Bound()
+	for _, c := range s.connections() {
+		c.closeIf(IdleBound, func(age time.Duration) (time.Duration, bool) {
+			c.idleBound = max(c.idleBound, bound)
+			return c.idleBound, c.phase == phaseIdle && age > c.idleBound && c.isUnused()
 		})
-		c.claimSlow()
+		c.closeIfSlow()
 	}
 }
 
-// claimSlow closes a connection of whose request only a part comes.
-func (c *conn) claimSlow() {
-	c.claim(SlowHead, func(age time.Duration) (time.Duration, bool) {
-		return slowHead, c.phase == begun && age > slowHead && c.quiet()
+// closeIfSlow closes a connection on which only a part of a request has arrived in
+// maxHeadTime.
+func (c *conn) closeIfSlow() {
+	c.closeIf(SlowHead, func(age time.Duration) (time.Duration, bool) {
+		return maxHeadTime, c.phase == phaseReading && age > maxHeadTime && c.isQuiet()
 	})
 }
 
-// Drain closes the listener and then each connection as it becomes idle, until
-// none is left: every request that was read is answered, and its handler has
-// returned. If ctx ends before, Drain returns its error and leaves the rest to
-// Close.
+// Drain closes the listener and then each connection as it becomes idle, until none is left:
+// every request that was read is answered and its handler has returned. If ctx ends earlier,
+// Drain returns its error and leaves the remaining connections to Close.
 func (s *Set) Drain(ctx context.Context) error {
 	s.stopping.Store(true)
 	s.mu.Lock()
 	ln := s.ln
 	s.mu.Unlock()
 	if ln != nil {
-		s.unlisten(ctx, ln)
+		s.closeListener(ctx, ln)
 	}
-	tick := time.NewTicker(drainPause)
+	tick := time.NewTicker(drainInterval)
 	defer tick.Stop()
 	for {
-		left := s.all()
-		if len(left) == 0 {
+		remaining := s.connections()
+		if len(remaining) == 0 {
 			return nil
 		}
-		for _, c := range left {
-			c.claim(PlannedStop, func(age time.Duration) (time.Duration, bool) {
-				return settle, (c.phase == idle || age > settle) && c.unused()
+		for _, c := range remaining {
+			c.closeIf(PlannedStop, func(age time.Duration) (time.Duration, bool) {
+				return newConnGrace, (c.phase == phaseIdle || age > newConnGrace) && c.isUnused()
 			})
-			c.claimSlow()
+			c.closeIfSlow()
 		}
 		select {
 		case <-ctx.Done():
@@ -135,55 +134,55 @@
 	}
 }
 
-// unlisten closes the listener. It waits until the server has accepted what has
-// connected, since a listener that closes resets it, whatever was sent, and until
-// the last that was accepted is known to the set. Callers who go on connecting do
-// not hold the stop up for longer than settle.
-func (s *Set) unlisten(ctx context.Context, ln *net.TCPListener) {
-	line, cancel := context.WithTimeout(ctx, settle)
-	defer cancel()
+// closeListener closes the listener. Before that it waits until the server has accepted the
+// queued connections, since closing the listener resets them, whatever was sent on them. After
+// it, it waits until the last accepted connection is known to the set. Callers that keep
+// connecting delay the stop by newConnGrace at most.
+func (s *Set) closeListener(ctx context.Context, ln *net.TCPListener) {
+	queueCtx, cancelQueue := context.WithTimeout(ctx, newConnGrace)
+	defer cancelQueue()
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
-	for queued(ln) && line.Err() == nil {
+	for hasQueuedConns(ln) && queueCtx.Err() == nil {
 		select {
-		case <-line.Done():
+		case <-queueCtx.Done():
 		case <-tick.C:
 		}
 	}
 	ln.Close()
-	// Its own bound: that of the line is over if callers go on connecting.
-	last, done := context.WithTimeout(ctx, lastAccept)
-	defer done()
+	// This wait has its own timeout: that of queueCtx has expired if callers keep connecting.
+	acceptCtx, cancelAccept := context.WithTimeout(ctx, acceptTimeout)
+	defer cancelAccept()
 	select {
-	case <-last.Done():
-	case <-s.deaf:
+	case <-acceptCtx.Done():
+	case <-s.acceptEnded:
 	}
 }
 
-// queued reports whether connections wait to be accepted.
-func queued(ln *net.TCPListener) bool {
+// hasQueuedConns reports whether connections wait to be accepted.
+func hasQueuedConns(ln *net.TCPListener) bool {
 	raw, err := ln.SyscallConn()
 	if err != nil {
 		return false
 	}
 	ready := 0
 	err = raw.Control(func(fd uintptr) {
-		poll, err := syscall.EpollCreate1(syscall.EPOLL_CLOEXEC)
+		epoll, err := syscall.EpollCreate1(syscall.EPOLL_CLOEXEC)
 		if err != nil {
 			return
 		}
-		defer syscall.Close(poll)
-		if syscall.EpollCtl(poll, syscall.EPOLL_CTL_ADD, int(fd), &syscall.EpollEvent{Events: syscall.EPOLLIN}) == nil {
-			ready, _ = syscall.EpollWait(poll, make([]syscall.EpollEvent, 1), 0)
+		defer syscall.Close(epoll)
+		if syscall.EpollCtl(epoll, syscall.EPOLL_CTL_ADD, int(fd), &syscall.EpollEvent{Events: syscall.EPOLLIN}) == nil {
+			ready, _ = syscall.EpollWait(epoll, make([]syscall.EpollEvent, 1), 0)
 		}
 	})
 	return err == nil && ready > 0
 }
 
-// Cancel ends the contexts of requests with a cause. Their connections stay open, so
-// that their handlers may still answer.
+// Cancel cancels the contexts of all requests with a cause. The connections stay open, so that
+// the handlers may still answer.
 func (s *Set) Cancel(cause error) {
-	for _, c := range s.all() {
+	for _, c := range s.connections() {
 		c.mu.Lock()
 		if c.cancel != nil {
 			c.cancel(cause)
@@ -193,8 +192,8 @@
 }
 
 // Close closes all connections, whatever they carry.
-func (s *Set) Close(why Why) {
-	for _, c := range s.all() {
-		c.claim(why, func(time.Duration) (time.Duration, bool) { return 0, true })
+func (s *Set) Close(reason Reason) {
+	for _, c := range s.connections() {
+		c.closeIf(reason, func(time.Duration) (time.Duration, bool) { return 0, true })
 	}
 }
--- a/entry/kept/kept.go
+++ b/entry/kept/kept.go
@@ -1,8 +1,10 @@
-// Package kept keeps a server's connections between requests and closes those
-// that are idle for too long or that a planned stop ends. The standard server
-// calls a connection idle until it has read the whole head of the next request;
-// closed on that evidence it may take a request with it that was read already.
-// Here reading the first byte and closing exclude each other.
+// Package kept tracks the connections of a server between requests and closes those that have
+// been idle for too long or are ended by a planned stop.
+//
+// net/http calls a connection idle until it has read the whole head of the next request.
+// Closing a connection on that basis may interrupt a request that has been read in part. In
+// this package, reading the first byte of a request and closing the connection exclude each
+// other.
 package kept
 
 import (
@@ -19,50 +21,50 @@
 	"lycheepond/core/meter"
 )
 
-// slowHead is how long a connection may hold the beginning of a request. The
-// server's own bound on heads, which starts later, is to end it first.
-const slowHead = 15 * time.Second
+// maxHeadTime is how long a connection may hold only the beginning of a request. The server's
+// own timeout for heads, which starts later, should normally end it first.
+const maxHeadTime = 15 * time.Second
 
-// Config is what a Set depends on.
+// Config holds the settings and dependencies of a Set.
 type Config struct {
-	// Bound returns how long a connection may be idle. It may change.
+	// IdleBound returns how long a connection may be idle. The value may change between calls.
 	Bound   func() time.Duration
 	Metrics *meter.Set
 	Log     *zap.Logger
 }
 
-// Set is the connections of one server. Attach it to the server, let the server
-// serve a listener of Listen, and have each handler ask Admit first.
+// Set holds the connections of one server. To use it, attach it to the server, have the server
+// serve the listener returned by Listen, and have each handler call Admit first.
 type Set struct {
 	cfg Config
 
 	mu    sync.Mutex
 	conns map[*conn]struct{}
-	// ln is nil until Listen; stopping is set before Drain closes it.
+	// ln is nil until Listen is called; stopping is set before Drain closes it.
 	ln       *net.TCPListener
 	stopping atomic.Bool
-	// deaf is closed, once, when the server has seen that ln is closed.
-	deaf    chan struct{}
-	unheard sync.Once
+	// acceptEnded is closed, once, when the server has noticed that ln is closed.
+	acceptEnded     chan struct{}
+	acceptEndedOnce sync.Once
 }
 
 // New returns an empty set.
 func New(cfg Config) *Set {
-	return &Set{cfg: cfg, conns: make(map[*conn]struct{}), deaf: make(chan struct{})}
+	return &Set{cfg: cfg, conns: make(map[*conn]struct{}), acceptEnded: make(chan struct{})}
 }
 
-// Attach makes the set follow the connections of a server, and the server write
-// to the set's log. The server must have no IdleTimeout and no ReadTimeout: it
-// would close idle connections by itself.
+// Attach makes the set follow the connections of a server and the server write to the set's
+// log. The server must have no IdleTimeout and no ReadTimeout, because it would then close
+// idle connections itself.
 func (s *Set) Attach(server *http.Server) {
-	server.ConnState = s.state
-	server.ConnContext = s.context
+	server.ConnState = s.connState
+	server.ConnContext = s.connContext
 	server.ErrorLog = logs.Server(s.cfg.Log)
 }
 
-// context gives requests a context that ends with a *Closed as its cause when
-// this process closes their connection.
-func (s *Set) context(ctx context.Context, nc net.Conn) context.Context {
+// connContext returns the context for the requests of a connection. It is cancelled with a
+// *ClosedError as its cause when this process closes the connection.
+func (s *Set) connContext(ctx context.Context, nc net.Conn) context.Context {
 	c, ok := nc.(*conn)
 	if !ok {
 		return ctx
@@ -77,34 +79,35 @@
 // connKey is the key of a request's connection in its context.
 type connKey struct{}
 
-// state follows the server.
-func (s *Set) state(nc net.Conn, to http.ConnState) {
+// connState follows the state changes that the server reports.
+func (s *Set) connState(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*conn)
 	if !ok {
 		return
 	}
-	switch to {
+	switch state {
 	case http.StateClosed, http.StateHijacked:
-		// Only now has the handler returned.
-		s.forget(c)
+		// The handler has returned only now.
+		s.removeConn(c)
 	case http.StateActive:
-		c.active()
+		c.beginServing()
 	case http.StateIdle:
-		c.rest(s.cfg.Bound())
-		s.last(c)
+		c.endServing(s.cfg.Bound())
+		s.closeAfterAnswer(c)
 	}
 }
 
-// last ends a connection with its answer if a planned stop has begun meanwhile: the
-// answer's head may have gone out before that and not have said so. What the caller
-// has sent by now is Late.
-func (s *Set) last(c *conn) {
+// closeAfterAnswer closes a connection after its answer if a planned stop has begun in the
+// meantime: the answer's head may have been sent before that without saying that the
+// connection ends. A request that the caller has already sent is refused by means of
+// ArrivedDuringStop.
+func (s *Set) closeAfterAnswer(c *conn) {
 	if s.stopping.Load() {
-		c.claim(PlannedStop, func(time.Duration) (time.Duration, bool) { return 0, c.phase == idle && c.empty() })
+		c.closeIf(PlannedStop, func(time.Duration) (time.Duration, bool) { return 0, c.phase == phaseIdle && c.hasNoUnread() })
 	}
 }
 
-func (s *Set) forget(c *conn) {
+func (s *Set) removeConn(c *conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
@@ -115,63 +118,63 @@
 	}
 }
 
-// active notes that the server has a request. One that the server had in its
-// buffer has not come through Read again.
-func (c *conn) active() {
+// beginServing records that the server has a request. A request that was already in the
+// server's buffer does not pass through Read again.
+func (c *conn) beginServing() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase == closed {
+	if c.phase == phaseClosed {
 		return
 	}
-	c.ahead = false
-	c.turn(busy)
+	c.readAhead = false
+	c.setPhase(phaseServing)
 }
 
-// rest notes that the server has answered.
-func (c *conn) rest(bound time.Duration) {
+// endServing records that the server has answered.
+func (c *conn) endServing(bound time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase == closed {
+	if c.phase == phaseClosed {
 		return
 	}
-	c.bound, c.waiting = bound, false
-	if c.ahead {
-		c.begin()
+	c.idleBound, c.serverWaiting = bound, false
+	if c.readAhead {
+		c.beginRequest()
 		return
 	}
-	c.turn(idle)
+	c.setPhase(phaseIdle)
 }
 
-// Admit reports whether a request may be handed on. If not, its connection was
-// closed by this process and nobody would get an answer: the handler panics with
+// Admit reports whether a request may be handed on. If not, this process has closed its
+// connection and the caller would not get an answer: the handler must panic with
 // http.ErrAbortHandler.
 func (s *Set) Admit(r *http.Request) bool {
-	no := Cause(r.Context())
-	if no == nil {
+	cause := Cause(r.Context())
+	if cause == nil {
 		return true
 	}
-	s.cfg.Metrics.Counter("requests_crossed", no.Label()).Inc(1)
-	logs.Warn(s.cfg.Log, logs.EventRequestCrossed, zap.Stringer("why", no.Why), zap.Duration("idle", no.Since),
-		zap.Duration("bound", no.Bound), zap.String("caller", r.RemoteAddr))
+	s.cfg.Metrics.Counter("requests_crossed", cause.Label()).Inc(1)
+	logs.Warn(s.cfg.Log, logs.EventRequestCrossed, zap.Stringer("why", cause.Reason), zap.Duration("idle", cause.Age),
+		zap.Duration("bound", cause.Bound), zap.String("caller", r.RemoteAddr))
 	return false
 }
 
-// Late reports whether a request began to arrive after Drain had begun, behind
-// another one on its connection. It is to be refused: the process may not last until
-// its answer's end.
-func (s *Set) Late(r *http.Request) bool {
+// ArrivedDuringStop reports whether a request began to arrive after Drain had begun, on a
+// connection that had carried another request before. It must be refused, because the process
+// may not last until the end of its answer.
+func (s *Set) ArrivedDuringStop(r *http.Request) bool {
 	c, ok := r.Context().Value(connKey{}).(*conn)
 	if !ok {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.late
+	return c.beganDuringStop
 }
 
-// note writes that a connection was closed to log and metrics.
-func (s *Set) note(c *conn, why Why, age, bound time.Duration) {
-	s.cfg.Metrics.Counter("connections_closed", why.label()).Inc(1)
-	logs.Info(s.cfg.Log, logs.EventConnectionClosed, zap.Stringer("why", why), zap.Duration("since", age),
+// recordClosed records in the log and the metrics that a connection was closed.
+func (s *Set) recordClosed(c *conn, reason Reason, age, bound time.Duration) {
+	s.cfg.Metrics.Counter("connections_closed", reason.label()).Inc(1)
+	logs.Info(s.cfg.Log, logs.EventConnectionClosed, zap.Stringer("why", reason), zap.Duration("since", age),
 		zap.Duration("bound", bound), zap.Stringer("caller", c.RemoteAddr()))
 }
--- a/entry/kept/kept_test.go
+++ b/entry/kept/kept_test.go
@@ -15,21 +15,21 @@
 	"lycheepond/core/meter"
 )
 
-// Requests come at the moment in which their connections are swept. Each of them
-// is either answered or was never handed on.
-func TestSweepCutsNoRequest(t *testing.T) {
+// Requests arrive at the moment in which their connections are checked. Each of them must
+// either be answered or never be handed on.
+func TestCloseExpiredInterruptsNoRequest(t *testing.T) {
 	const clients, bound, rounds = 200, 20 * time.Millisecond, 40
-	st := newStand(t, func(w http.ResponseWriter, r *http.Request) {
+	srv := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(time.Millisecond)
-		ok(w, r)
+		answerOK(w, r)
 	})
-	st.bound.Store(int64(bound))
+	srv.bound.Store(int64(bound))
 	ctx, stop := context.WithCancel(t.Context())
 	swept := make(chan struct{})
 	go func() {
 		defer close(swept)
 		for ctx.Err() == nil {
-			st.set.Sweep()
+			srv.set.Sweep()
 		}
 	}()
 	var answered atomic.Int64
@@ -39,9 +39,9 @@
 			var c *client
 			for n := range rounds {
 				if c == nil {
-					c = dial(t, st.addr)
+					c = dial(t, srv.addr)
 				}
-				if c.ask("/") != nil {
+				if c.get("/") != nil {
 					c.Close()
 					c = nil
 				} else {
@@ -54,46 +54,46 @@
 	all.Wait()
 	stop()
 	<-swept
-	if st.cut.Load() > 0 || st.handed.Load() != answered.Load() {
-		t.Errorf("%d requests were handed on, %d answered, %d saw their connection closed", st.handed.Load(), answered.Load(), st.cut.Load())
+	if srv.interrupted.Load() > 0 || srv.admitted.Load() != answered.Load() {
+		t.Errorf("%d requests were handed on, %d answered, %d interrupted by a closed connection", srv.admitted.Load(), answered.Load(), srv.interrupted.Load())
 	}
-	if st.counter("connections_closed", IdleBound) == 0 {
-		t.Error("no connection was closed: nothing was tried")
+	if srv.counter("connections_closed", IdleBound) == 0 {
+		t.Error("no connection was closed: the test shows nothing")
 	}
-	if n := st.counter("requests_crossed", IdleBound); n > 0 {
+	if n := srv.counter("requests_crossed", IdleBound); n > 0 {
 		t.Errorf("%d requests were read on connections that were closed as idle", n)
 	}
 }
 
-// The head of a request comes in parts. From its first byte on the connection is
-// not idle, although the server has no request yet.
-func TestBegunRequestIsNotIdle(t *testing.T) {
-	st := newStand(t, ok)
-	c := dial(t, st.addr)
-	if err := c.ask("/"); err != nil {
+// The head of a request arrives in parts. From its first byte on the connection is not idle,
+// although the server has no request yet.
+func TestPartialHeadIsNotIdle(t *testing.T) {
+	srv := newTestServer(t, answerOK)
+	c := dial(t, srv.addr)
+	if err := c.get("/"); err != nil {
 		t.Fatal(err)
 	}
-	st.bound.Store(0)
+	srv.bound.Store(0)
 	io.WriteString(c, "G")
-	st.in(t, begun)
-	st.set.Sweep()
+	srv.awaitPhase(t, phaseReading)
+	srv.set.Sweep()
 	io.WriteString(c, "ET / HTTP/1.1\r\nHost: a\r\n")
-	st.set.Sweep()
+	srv.set.Sweep()
 	io.WriteString(c, "\r\n")
-	if err := c.answer(); err != nil {
+	if err := c.readAnswer(); err != nil {
 		t.Error(err)
 	}
 }
 
-// The process did not run for a while, and what callers sent meanwhile lies in the
-// kernel when the sweep comes first.
-func TestBytesInTheKernelKeepAConnection(t *testing.T) {
+// The process did not run for a while, and what callers sent in the meantime is in the kernel
+// when CloseExpired runs first.
+func TestUnreadBytesKeepConnectionOpen(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	out := dial(t, ln.Addr().String())
+	caller := dial(t, ln.Addr().String())
 	nc, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -106,14 +106,14 @@
 	s := New(Config{Bound: func() time.Duration { return 0 }, Metrics: meter.New(), Log: zap.NewNop()})
 	c := newConn(s, nc.(*net.TCPConn), raw)
 	s.conns[c] = struct{}{}
-	c.rest(0)
-	// The server waits and was not woken yet.
-	c.waiting = true
-	io.WriteString(out, "GET")
-	await(t, "the bytes", func() bool {
+	c.endServing(0)
+	// The server waits and has not been woken up yet.
+	c.serverWaiting = true
+	io.WriteString(caller, "GET")
+	waitFor(t, "the bytes", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return !c.quiet()
+		return !c.isQuiet()
 	})
 	time.Sleep(2 * time.Millisecond)
 	s.Sweep()
@@ -121,8 +121,8 @@
 	if n, err := c.Read(p); n != 3 || err != nil {
 		t.Fatalf("read %d bytes and %v", n, err)
 	}
-	c.rest(0)
-	c.waiting = true
+	c.endServing(0)
+	c.serverWaiting = true
 	time.Sleep(time.Millisecond)
 	s.Sweep()
 	if n, err := c.Read(p); n != 0 || err == nil {
@@ -130,58 +130,58 @@
 	}
 }
 
-// A lower bound comes into force. Callers whose connections became idle under the
-// older one keep to that.
-func TestLowerBoundHoldsFromTheNextAnswer(t *testing.T) {
-	st := newStand(t, ok)
-	c := dial(t, st.addr)
-	if err := c.ask("/"); err != nil {
+// A lower bound comes into force. The older one still applies to connections that became idle
+// under it.
+func TestLowerBoundAppliesAfterNextAnswer(t *testing.T) {
+	srv := newTestServer(t, answerOK)
+	c := dial(t, srv.addr)
+	if err := c.get("/"); err != nil {
 		t.Fatal(err)
 	}
-	st.in(t, idle)
-	st.bound.Store(int64(time.Millisecond))
+	srv.awaitPhase(t, phaseIdle)
+	srv.bound.Store(int64(time.Millisecond))
 	time.Sleep(10 * time.Millisecond)
-	st.set.Sweep()
-	if err := c.ask("/"); err != nil {
+	srv.set.Sweep()
+	if err := c.get("/"); err != nil {
 		t.Fatal(err)
 	}
-	st.in(t, idle)
+	srv.awaitPhase(t, phaseIdle)
 	time.Sleep(10 * time.Millisecond)
-	st.set.Sweep()
-	if err := c.ask("/"); err == nil {
-		t.Error("the connection was kept beyond the bound that it became idle under")
+	srv.set.Sweep()
+	if err := c.get("/"); err == nil {
+		t.Error("the connection was kept for longer than the bound under which it became idle")
 	}
 }
 
-// The bound is raised and lowered again while a connection is idle. The larger one
-// was in force, so its caller may rely on it until the next answer.
-func TestRaisedBoundHoldsUntilTheNextAnswer(t *testing.T) {
-	st := newStand(t, ok)
-	st.bound.Store(int64(time.Millisecond))
-	c := dial(t, st.addr)
-	if err := c.ask("/"); err != nil {
+// The bound is raised and lowered again while a connection is idle. The larger bound was in
+// force, so the caller may rely on it until the next answer.
+func TestRaisedBoundAppliesUntilNextAnswer(t *testing.T) {
+	srv := newTestServer(t, answerOK)
+	srv.bound.Store(int64(time.Millisecond))
+	c := dial(t, srv.addr)
+	if err := c.get("/"); err != nil {
 		t.Fatal(err)
 	}
-	st.in(t, idle)
+	srv.awaitPhase(t, phaseIdle)
 	for _, bound := range []time.Duration{time.Minute, time.Millisecond} {
-		st.bound.Store(int64(bound))
+		srv.bound.Store(int64(bound))
 		time.Sleep(10 * time.Millisecond)
-		st.set.Sweep()
+		srv.set.Sweep()
 	}
-	if err := c.ask("/"); err != nil {
+	if err := c.get("/"); err != nil {
 		t.Error(err)
 	}
 }
 
-// The caller leaves by itself: that is not the process's doing.
-func TestCallerThatLeavesIsNoCause(t *testing.T) {
-	began, cause := make(chan bool), make(chan *Closed, 1)
-	st := newStand(t, func(_ http.ResponseWriter, r *http.Request) {
+// A caller that leaves on its own must not count as a connection closed by this process.
+func TestDepartedCallerSetsNoCause(t *testing.T) {
+	began, cause := make(chan bool), make(chan *ClosedError, 1)
+	srv := newTestServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		began <- true
 		<-r.Context().Done()
 		cause <- Cause(r.Context())
 	})
-	c := dial(t, st.addr)
+	c := dial(t, srv.addr)
 	io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	<-began
 	c.Close()
@@ -190,21 +190,21 @@
 	}
 }
 
-// A caller sends its next request before it has the last answer.
-func TestRequestsSentAhead(t *testing.T) {
-	st := newStand(t, func(w http.ResponseWriter, r *http.Request) {
+// A caller sends its next requests before it has received the last answer.
+func TestPipelinedRequests(t *testing.T) {
+	srv := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(5 * time.Millisecond)
-		ok(w, r)
+		answerOK(w, r)
 	})
-	st.bound.Store(0)
-	c := dial(t, st.addr)
+	srv.bound.Store(0)
+	c := dial(t, srv.addr)
 	const n = 20
 	for range n {
 		io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	}
 	for i := range n {
-		st.set.Sweep()
-		if err := c.answer(); err != nil {
+		srv.set.Sweep()
+		if err := c.readAnswer(); err != nil {
 			t.Fatalf("answer %d: %v", i, err)
 		}
 	}
--- a/entry/kept/stand_test.go
+++ b/entry/kept/stand_test.go
@@ -15,52 +15,52 @@
 	"lycheepond/core/meter"
 )
 
-// stand is a server with a set, for one test.
-type stand struct {
+// testServer is a server with a set, for one test.
+type testServer struct {
 	set   *Set
 	addr  string
 	bound atomic.Int64
-	// handed counts requests that were handed on, cut those that then saw their
-	// connection closed by the set.
-	handed, cut atomic.Int64
-	served      chan error
+	// admitted counts requests that were handed on, interrupted those whose connection was
+	// then closed by the set.
+	admitted, interrupted atomic.Int64
+	serveErr              chan error
 }
 
-func newStand(t *testing.T, h http.HandlerFunc) *stand {
+func newTestServer(t *testing.T, h http.HandlerFunc) *testServer {
 	t.Helper()
-	st := &stand{served: make(chan error, 1)}
-	st.bound.Store(int64(time.Minute))
-	st.set = New(Config{
-		Bound:   func() time.Duration { return time.Duration(st.bound.Load()) },
+	srv := &testServer{serveErr: make(chan error, 1)}
+	srv.bound.Store(int64(time.Minute))
+	srv.set = New(Config{
+		Bound:   func() time.Duration { return time.Duration(srv.bound.Load()) },
 		Metrics: meter.New(), Log: zap.NewNop(),
 	})
-	ln, err := st.set.Listen("127.0.0.1:0")
+	ln, err := srv.set.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	st.addr = ln.Addr().String()
+	srv.addr = ln.Addr().String()
 	server := &http.Server{ReadHeaderTimeout: 10 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !st.set.Admit(r) {
+		if !srv.set.Admit(r) {
 			panic(http.ErrAbortHandler)
 		}
-		st.handed.Add(1)
+		srv.admitted.Add(1)
 		h(w, r)
 		if Cause(r.Context()) != nil {
-			st.cut.Add(1)
+			srv.interrupted.Add(1)
 		}
 	})}
-	st.set.Attach(server)
-	go func() { st.served <- server.Serve(ln) }()
+	srv.set.Attach(server)
+	go func() { srv.serveErr <- server.Serve(ln) }()
 	t.Cleanup(func() { server.Close() })
-	return st
+	return srv
 }
 
-// counter reads a counter of the set.
-func (st *stand) counter(name string, why Why) int64 {
-	return st.set.cfg.Metrics.Counter(name, why.label()).Count()
+// counter returns the value of a counter of the set.
+func (srv *testServer) counter(name string, reason Reason) int64 {
+	return srv.set.cfg.Metrics.Counter(name, reason.label()).Count()
 }
 
-// client is one kept connection.
+// client is a kept connection.
 type client struct {
 	net.Conn
 	r *bufio.Reader
@@ -76,8 +76,8 @@
 	return &client{Conn: nc, r: bufio.NewReader(nc)}
 }
 
-// answer reads one answer.
-func (c *client) answer() error {
+// readAnswer reads one answer.
+func (c *client) readAnswer() error {
 	c.SetReadDeadline(time.Now().Add(time.Minute))
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
@@ -87,14 +87,14 @@
 	return err
 }
 
-func (c *client) ask(path string) error {
+func (c *client) get(path string) error {
 	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: a\r\n\r\n", path); err != nil {
 		return err
 	}
-	return c.answer()
+	return c.readAnswer()
 }
 
-func await(t *testing.T, what string, f func() bool) {
+func waitFor(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); !f(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -103,25 +103,25 @@
 	}
 }
 
-// one returns the only connection of the set.
-func (st *stand) one(t *testing.T) *conn {
+// onlyConn returns the only connection of the set.
+func (srv *testServer) onlyConn(t *testing.T) *conn {
 	t.Helper()
-	all := st.set.all()
-	if len(all) != 1 {
-		t.Fatalf("%d connections", len(all))
+	conns := srv.set.connections()
+	if len(conns) != 1 {
+		t.Fatalf("%d connections", len(conns))
 	}
-	return all[0]
+	return conns[0]
 }
 
-// in waits until the only connection is in a phase and the server waits for more.
-func (st *stand) in(t *testing.T, p phase) {
+// awaitPhase waits until the only connection is in a phase and the server waits for more data.
+func (srv *testServer) awaitPhase(t *testing.T, p phase) {
 	t.Helper()
-	c := st.one(t)
-	await(t, "the phase", func() bool {
+	c := srv.onlyConn(t)
+	waitFor(t, "the phase", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.phase == p && c.waiting
+		return c.phase == p && c.serverWaiting
 	})
 }
 
-func ok(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }
+func answerOK(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }
--- a/entry/kept/why.go
+++ b/entry/kept/why.go
@@ -10,52 +10,52 @@
 	"lycheepond/core/meter"
 )
 
-// Why is the reason for which this process closed a connection.
-type Why uint8
+// Reason is the reason why this process closed a connection.
+type Reason uint8
 
-// The reasons.
+// The reasons for closing a connection.
 const (
-	// IdleBound is that no request came for longer than the bound allows.
-	IdleBound Why = iota
-	// SlowHead is that a request began to arrive and its head did not end.
+	// IdleBound means that no request arrived for longer than the bound allows.
+	IdleBound Reason = iota
+	// SlowHead means that a request began to arrive and its head was not complete in time.
 	SlowHead
-	// PlannedStop is that the process stops and the connection was idle.
+	// PlannedStop means that the process is stopping and the connection was idle.
 	PlannedStop
-	// GraceOver is that a request outlived the grace of a planned stop.
+	// GraceExpired means that a request outlived the grace of a planned stop.
 	GraceOver
-	whys
+	reasonCount
 )
 
-var whyNames = [whys]string{"idle bound", "slow head", "planned stop", "end of the grace"}
+var reasonNames = [reasonCount]string{"idle bound", "slow head", "planned stop", "end of the grace"}
 
-func (w Why) String() string { return whyNames[w] }
+func (r Reason) String() string { return reasonNames[r] }
 
-func (w Why) label() meter.Label {
-	return meter.Label{Key: "why", Value: strings.ReplaceAll(w.String(), " ", "_")}
+func (r Reason) label() meter.Label {
+	return meter.Label{Key: "why", Value: strings.ReplaceAll(r.String(), " ", "_")}
 }
 
-// Closed is the cause with which the context of a request ends when this process
+// ClosedError is the cause with which the context of a request is cancelled when this process
 // closes the request's connection.
-type Closed struct {
-	Why Why
-	// Since is how long the connection had been in the state that it was closed
-	// in: idle, or busy with a request.
-	Since time.Duration
-	// Bound is the bound on Since; zero if the reason has none.
+type ClosedError struct {
+	Reason Reason
+	// Age is how long the connection had been in the state in which it was closed: idle, or
+	// serving a request.
+	Age time.Duration
+	// Bound is the bound on Age; zero if the reason has none.
 	Bound time.Duration
 }
 
-func (c *Closed) Error() string {
-	return fmt.Sprintf("kept: this process closed the connection after %v (%s): send the request again on another", c.Since.Round(time.Millisecond), c.Why)
+func (c *ClosedError) Error() string {
+	return fmt.Sprintf("kept: this process closed the connection after %v (%s): send the request again on another", c.Age.Round(time.Millisecond), c.Reason)
 }
 
-// Label is the label of counters.
-func (c *Closed) Label() meter.Label { return c.Why.label() }
+// Label returns the metrics label for the reason.
+func (c *ClosedError) Label() meter.Label { return c.Reason.label() }
 
-// Cause returns why this process closed the connection that ctx belongs to, and
-// nil if it did not.
-func Cause(ctx context.Context) *Closed {
-	var c *Closed
+// Cause returns why this process closed the connection that ctx belongs to, or nil if it did
+// not.
+func Cause(ctx context.Context) *ClosedError {
+	var c *ClosedError
 	if errors.As(context.Cause(ctx), &c) {
 		return c
 	}
