--- a/entry/door/body.go
+++ b/entry/door/body.go
@@ -13,103 +13,106 @@
 )
 
 const (
-	// bodyTime is how long a caller may send nothing of the body: longer than any
-	// line pauses for lost packets.
-	bodyTime = 15 * time.Second
-	// shortBody is how long a body is read whatever time the request has left:
-	// most bodies come with the head, and direct tells what the time is short for.
-	shortBody = time.Second
-	// defaultBody bounds the body while the operator sets no bound.
-	defaultBody = 4 << 20
-	// smallBody is the size up to which a body is read whatever is held: it
-	// costs no more than the request's head.
-	smallBody = 16 << 10
-	// memoryRetry is when to come back to an entry that holds too many bodies:
-	// most are sent on within some ten milliseconds.
-	memoryRetry = 200 * time.Millisecond
+	// bodyIdleTimeout is how long a caller may send nothing of the body. No connection pauses
+	// for that long because of lost packets.
+	bodyIdleTimeout = 15 * time.Second
+	// minBodyTime is the least time for which a body is read, even if the request has less
+	// time left. Most bodies arrive together with the head, and package direct then reports
+	// that the time is too short.
+	minBodyTime = time.Second
+	// defaultBodyLimit bounds a body in bytes if the operator sets no limit.
+	defaultBodyLimit = 4 << 20
+	// smallBodySize is the size in bytes up to which a body is read regardless of the memory
+	// in use. Such a body costs no more than the head of the request.
+	smallBodySize = 16 << 10
+	// memoryRetryAfter is the delay after which a caller should retry if too many bodies are
+	// held. Most bodies are sent on within about ten milliseconds.
+	memoryRetryAfter = 200 * time.Millisecond
 )
 
-// errMemory reports that the bodies of all requests take too much memory.
-var errMemory = errors.New("door: too many large bodies at once: send the request again a moment later")
+// errBodyMemory reports that the bodies of all requests take too much memory.
+var errBodyMemory = errors.New("door: too many large bodies at once: send the request again a moment later")
 
-// meteredBody counts what is read of a body among all that are held. Large
-// bodies that come together would otherwise use up the process's memory, and end
-// it with every other request in it. Bodies are counted as they come: those sent
-// in chunks do not tell their size.
+// meteredBody counts the bytes read of a body towards the total of all bodies held. Otherwise
+// large bodies that arrive together could exhaust the memory of the process and end it
+// together with all other requests. Bytes are counted as they arrive, because bodies sent in
+// chunks do not state their size.
 type meteredBody struct {
 	io.ReadCloser
-	// held is what the bodies of all requests take, limit the most they may.
-	held  *atomic.Int64
-	limit int64
-	// own is this body's part of held.
-	own int64
+	// totalHeld is the number of bytes held of the bodies of all requests, limit the most it
+	// may be.
+	totalHeld *atomic.Int64
+	limit     int64
+	// ownBytes is this body's part of totalHeld.
+	ownBytes int64
 }
 
-// Read reads the body until too much is held. A small body is read in any case.
+// Read reads the body and fails if too much is held. A small body is read in any case.
 func (m *meteredBody) Read(p []byte) (int, error) {
-	if m.own > smallBody && m.held.Load() > m.limit {
-		return 0, errMemory
+	if m.ownBytes > smallBodySize && m.totalHeld.Load() > m.limit {
+		return 0, errBodyMemory
 	}
 	n, err := m.ReadCloser.Read(p)
-	m.own += int64(n)
-	m.held.Add(int64(n))
+	m.ownBytes += int64(n)
+	m.totalHeld.Add(int64(n))
 	return n, err
 }
 
-// release takes the body out of the count.
-func (m *meteredBody) release() { m.held.Add(-m.own) }
+// release subtracts the body from the total.
+func (m *meteredBody) release() { m.totalHeld.Add(-m.ownBytes) }
 
 func bodyLimit(t *route.Table) int64 {
 	if limit := t.Config().Limits.BodyBytes; limit > 0 {
 		return int64(limit)
 	}
-	return defaultBody
+	return defaultBodyLimit
 }
 
-// patient reads a body for as long as its caller sends and the request lasts. The
-// size of a body says nothing of whether the caller still sends, so what is bounded
-// is the silence between two parts.
-type patient struct {
+// idleTimeoutReader reads a body for as long as its caller sends and the request lasts. Since
+// the size of a body does not show whether its caller is still sending, the time between two
+// parts is limited and not the total time.
+type idleTimeoutReader struct {
 	body io.Reader
 	rc   *http.ResponseController
-	// end is when nobody waits for the body any more.
-	end time.Time
+	// deadline is when nobody waits for the body any more.
+	deadline time.Time
 }
 
 // Read implements io.Reader.
-func (p *patient) Read(b []byte) (int, error) {
-	until := time.Now().Add(bodyTime)
-	if p.end.Before(until) {
-		until = p.end
+func (r *idleTimeoutReader) Read(b []byte) (int, error) {
+	deadline := time.Now().Add(bodyIdleTimeout)
+	if r.deadline.Before(deadline) {
+		deadline = r.deadline
 	}
-	p.rc.SetReadDeadline(until)
-	return p.body.Read(b)
+	r.rc.SetReadDeadline(deadline)
+	return r.body.Read(b)
 }
 
-// read reads the body of a request.
-func read(w http.ResponseWriter, r *http.Request, t *route.Table, j *direct.Job) *Refusal {
-	p := &patient{body: http.MaxBytesReader(w, r.Body, bodyLimit(t)), rc: http.NewResponseController(w), end: j.End()}
-	if short := time.Now().Add(shortBody); p.end.Before(short) {
-		p.end = short
+// readBody reads the body of a request into j. It returns a refusal if the body could not be
+// read to its end.
+func readBody(w http.ResponseWriter, r *http.Request, t *route.Table, j *direct.Job) *Refusal {
+	body := &idleTimeoutReader{body: http.MaxBytesReader(w, r.Body, bodyLimit(t)), rc: http.NewResponseController(w), deadline: j.End()}
+	if earliest := time.Now().Add(minBodyTime); body.deadline.Before(earliest) {
+		body.deadline = earliest
 	}
 	var err error
-	j.Body, err = io.ReadAll(p)
+	j.Body, err = io.ReadAll(body)
 	if err == nil {
-		p.rc.SetReadDeadline(time.Time{})
+		body.rc.SetReadDeadline(time.Time{})
 		return nil
 	}
-	// The rest of the body may never come: the answer must not wait for it, and the
-	// deadline stays for what the server still reads before it closes.
+	// The rest of the body may never arrive. The answer must not wait for it, and the read
+	// deadline stays in force for what the server still reads before it closes the connection.
 	w.Header().Set("Connection", "close")
-	return unread(err)
+	return bodyRefusal(err)
 }
 
-// unread says what a body that was not read to its end means.
-func unread(err error) *Refusal {
+// bodyRefusal returns the refusal for a body that could not be read to its end.
+func bodyRefusal(err error) *Refusal {
 	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.Is(err, errMemory):
-		return &Refusal{Status: http.StatusServiceUnavailable, Retry: memoryRetry, Reason: "no memory for the body"}
+	case errors.Is(err, errBodyMemory):
+		return &Refusal{Status: http.StatusServiceUnavailable, RetryAfter: memoryRetryAfter, Reason: "no memory for the body"}
 	case errors.As(err, &tooLarge):
 		return &Refusal{Status: http.StatusRequestEntityTooLarge, Reason: "body too large"}
 	case errors.Is(err, os.ErrDeadlineExceeded):
--- a/entry/door/body_test.go
+++ b/entry/door/body_test.go
@@ -17,14 +17,14 @@
 	"lycheepond/entry/direct"
 )
 
-// oneConn is a listener that accepts one connection.
-type oneConn struct {
+// singleConnListener is a listener that accepts one connection.
+type singleConnListener struct {
 	conns chan net.Conn
 	net.Listener
 }
 
 // Accept implements net.Listener.
-func (l *oneConn) Accept() (net.Conn, error) {
+func (l *singleConnListener) Accept() (net.Conn, error) {
 	if c, ok := <-l.conns; ok {
 		return c, nil
 	}
@@ -32,116 +32,117 @@
 }
 
 // Close implements net.Listener.
-func (l *oneConn) Close() error {
+func (l *singleConnListener) Close() error {
 	close(l.conns)
 	return nil
 }
 
-// bodySize is what the callers of these tests announce.
+// bodySize is the size in bytes of the body that the callers in these tests announce.
 const bodySize = 1 << 20
 
-// sending has a caller send a body, on a clock of its own. The route gives it
-// timeout. write sends the body, or a part of it. It returns the answer's status,
-// when it came and when the connection had ended.
-func sending(t *testing.T, timeout time.Duration, write func(c net.Conn)) (status int, answered, ended time.Duration) {
+// sendBody has a caller send a body, with a fake clock. timeout is the route's timeout. write
+// sends the body or a part of it. The results are the status of the answer, when it arrived
+// and when the connection had ended.
+func sendBody(t *testing.T, timeout time.Duration, write func(c net.Conn)) (status int, answered, ended time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &route.Route{Name: "r", Timeout: timeout}
-		d := New(Config{
+		s := New(Config{
 			Memory: 2 * bodySize, ID: func(*http.Request) string { return "x" }, Log: zap.NewNop(),
 			Accept:   func(*http.Request, *route.Table) (*direct.Job, *Refusal) { return &direct.Job{Route: r}, nil },
 			Table:    func() *route.Table { return route.NewTable(route.Config{}) },
 			Informed: func() bool { return true },
 			Serve: func(_ context.Context, j *direct.Job, s direct.Sink) direct.Result {
 				if len(j.Body) != bodySize {
-					t.Errorf("a body of %d bytes is served", len(j.Body))
+					t.Errorf("a body of %d bytes was served", len(j.Body))
 				}
 				s.Head(http.StatusOK, nil, 0)
 				return direct.Result{Outcome: direct.Complete}
 			},
 		})
-		near, far := net.Pipe()
-		ln := &oneConn{conns: make(chan net.Conn, 1)}
-		ln.conns <- far
-		server := &http.Server{Handler: http.HandlerFunc(d.serve)}
+		clientConn, serverConn := net.Pipe()
+		ln := &singleConnListener{conns: make(chan net.Conn, 1)}
+		ln.conns <- serverConn
+		server := &http.Server{Handler: http.HandlerFunc(s.serve)}
 		done := make(chan error, 2)
 		go func() { done <- server.Serve(ln) }()
-		began := time.Now()
+		start := time.Now()
 		go func() {
-			fmt.Fprintf(near, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", bodySize)
-			write(near)
+			fmt.Fprintf(clientConn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", bodySize)
+			write(clientConn)
 			done <- nil
 		}()
-		near.SetReadDeadline(began.Add(20 * bodyTime))
-		in := bufio.NewReader(near)
+		clientConn.SetReadDeadline(start.Add(20 * bodyIdleTimeout))
+		in := bufio.NewReader(clientConn)
 		res, err := http.ReadResponse(in, nil)
 		if err != nil {
 			t.Errorf("no answer: %v", err)
 		} else {
-			status, answered = res.StatusCode, time.Since(began)
+			status, answered = res.StatusCode, time.Since(start)
 			if status != http.StatusOK {
 				in.WriteTo(new(strings.Builder))
-				ended = time.Since(began)
+				ended = time.Since(start)
 			}
 		}
-		near.Close()
+		clientConn.Close()
 		server.Close()
 		<-done
 		<-done
-		// A connection that is closed with a part of the body lingers for half a second.
+		// A connection that is closed with a part of the body unread lingers for half a
+		// second.
 		time.Sleep(time.Second)
 	})
 	return status, answered, ended
 }
 
-// steadily sends the body in equal pieces, one each second.
-func steadily(takes time.Duration) func(c net.Conn) {
+// steadySender sends the body in equal pieces, one per second.
+func steadySender(duration time.Duration) func(c net.Conn) {
 	return func(c net.Conn) {
-		n := int(takes / time.Second)
+		n := int(duration / time.Second)
 		piece := make([]byte, bodySize/n+1)
-		for left := bodySize; left > 0; left -= len(piece) {
+		for remaining := bodySize; remaining > 0; remaining -= len(piece) {
 			time.Sleep(time.Second)
-			if _, err := c.Write(piece[:min(left, len(piece))]); err != nil {
+			if _, err := c.Write(piece[:min(remaining, len(piece))]); err != nil {
 				return
 			}
 		}
 	}
 }
 
-// A caller on a thin line sends a large body steadily, for longer than it may be
-// silent. It is served. With one deadline for the whole body it got "status 400 after
-// 26s" while it sent, which callers do not send again.
+// A caller on a slow connection sends a large body steadily, for longer than it may be silent.
+// It must be served. With one deadline for the whole body it would get "status 400 after 26s"
+// while it sends, and callers do not retry after that status.
 func TestSteadySenderIsServed(t *testing.T) {
-	status, after, _ := sending(t, 10*bodyTime, steadily(3*bodyTime))
+	status, after, _ := sendBody(t, 10*bodyIdleTimeout, steadySender(3*bodyIdleTimeout))
 	if status != http.StatusOK {
 		t.Errorf("status %d after %v", status, after)
 	}
 }
 
-// A caller sends half of its body and then nothing more. It is told so once it has
-// been silent for too long, and its connection ends: nobody waits for it for good.
-// With the deadline taken away at the end of the reading there was "no answer: read
-// pipe: i/o timeout": before it answers, the server reads the rest of the body.
+// A caller sends half of its body and nothing more. It must get a refusal once it has been
+// silent for too long, and its connection must end, so that nothing waits for it forever. If
+// the deadline is removed when the reading fails, the test reports "no answer: read pipe: i/o
+// timeout", because the server reads the rest of the body before it answers.
 func TestSilentSenderIsRefused(t *testing.T) {
-	status, answered, ended := sending(t, 10*bodyTime, func(c net.Conn) { c.Write(make([]byte, bodySize/2)) })
-	if status != http.StatusRequestTimeout || answered > bodyTime+time.Second || ended > bodyTime+2*time.Second {
+	status, answered, ended := sendBody(t, 10*bodyIdleTimeout, func(c net.Conn) { c.Write(make([]byte, bodySize/2)) })
+	if status != http.StatusRequestTimeout || answered > bodyIdleTimeout+time.Second || ended > bodyIdleTimeout+2*time.Second {
 		t.Errorf("status %d after %v, connection ended after %v", status, answered, ended)
 	}
 }
 
-// A caller sends steadily, but its request is over before the body is whole. It is
-// told then that the request has not run.
-func TestBodyIsNotAwaitedBeyondTheRequestsEnd(t *testing.T) {
-	const timeout = 2 * bodyTime
-	status, answered, ended := sending(t, timeout, steadily(3*bodyTime))
+// A caller sends steadily, but its request ends before the body is complete. It must be told
+// then that the request has not run.
+func TestBodyReadEndsAtDeadline(t *testing.T) {
+	const timeout = 2 * bodyIdleTimeout
+	status, answered, ended := sendBody(t, timeout, steadySender(3*bodyIdleTimeout))
 	if status != http.StatusRequestTimeout || answered > timeout+time.Second || ended > timeout+2*time.Second {
 		t.Errorf("status %d after %v, connection ended after %v", status, answered, ended)
 	}
 }
 
-// A request has no time left as it comes, with its body. It is handed on, so that
-// it is told what it lacks, and does not look like one whose caller has left.
-func TestBodyOfARequestWithoutTimeIsRead(t *testing.T) {
-	status, answered, _ := sending(t, 0, func(c net.Conn) { c.Write(make([]byte, bodySize)) })
+// A request arrives with its body and has no time left. It must be handed on, so that its
+// caller gets the reason and the request does not look like one whose caller has left.
+func TestBodyOfExpiredRequestIsRead(t *testing.T) {
+	status, answered, _ := sendBody(t, 0, func(c net.Conn) { c.Write(make([]byte, bodySize)) })
 	if status != http.StatusOK {
 		t.Errorf("status %d after %v", status, answered)
 	}
--- a/entry/door/door.go
+++ b/entry/door/door.go
@@ -1,6 +1,6 @@
-// Package door is the entry's HTTP server for plain requests, which it hands to
-// package direct: it reads them, writes answers so that a broken one is seen to
-// be broken, and stops without cutting anybody off.
+// Package door is the entry's HTTP server for plain requests, which it hands to package
+// direct. It reads the requests, writes the answers so that callers can detect a broken one,
+// and stops without interrupting requests.
 package door
 
 import (
@@ -21,220 +21,224 @@
 )
 
 const (
-	// headerTime is how long a caller may take to send the headers: slower than
-	// any that means to be served.
-	headerTime = 10 * time.Second
-	// maxHeader bounds the headers; operators set lower bounds that callers keep.
-	maxHeader = 64 << 10
-	// defaultIdle is how long a connection may be idle while the operator does
-	// not say.
-	defaultIdle = 75 * time.Second
-	// noConfigRetry is when to come back to an entry without configuration: after
-	// a start it takes some ten milliseconds to read it, longer only while the
-	// platform and all peers are away.
-	noConfigRetry = 150 * time.Millisecond
-	// leavingRetry is when to come back to another entry than one that stops: at
-	// once, but for a caller that would not wait at all between two tries.
-	leavingRetry = 10 * time.Millisecond
-	// notice is how long a balancer that asks each second may take to miss two
+	// headerTimeout is how long a caller may take to send the headers. Any caller that wants
+	// to be served is faster.
+	headerTimeout = 10 * time.Second
+	// maxHeaderBytes bounds the headers. Operators set lower limits, which callers keep to.
+	maxHeaderBytes = 64 << 10
+	// defaultIdleTimeout is how long a connection may be idle if the operator sets no limit.
+	defaultIdleTimeout = 75 * time.Second
+	// noConfigRetryAfter is the delay after which a caller should retry at an entry without a
+	// configuration. After its start an entry reads it within about ten milliseconds, and
+	// takes longer only while the platform and all peers are unreachable.
+	noConfigRetryAfter = 150 * time.Millisecond
+	// leavingRetryAfter is the delay after which a caller should retry at another entry when
+	// this one is stopping. A retry at once would do; the delay is for callers that would
+	// otherwise not wait at all between two attempts.
+	leavingRetryAfter = 10 * time.Millisecond
+	// balancerNoticeTime is how long a balancer that checks every second may take to miss two
 	// answers, with a margin.
-	notice = 2600 * time.Millisecond
-	// lastCall is how much of the grace is kept for closing.
-	lastCall = 700 * time.Millisecond
-	// lastWords is the part of lastCall in which callers are told what became of
-	// requests that are not over: a lost packet is sent again in it.
-	lastWords = 400 * time.Millisecond
+	balancerNoticeTime = 2600 * time.Millisecond
+	// closeReserve is how much of the grace is reserved for ending the requests and
+	// connections that remain.
+	closeReserve = 700 * time.Millisecond
+	// cancelGrace is the part of closeReserve in which callers are told the outcome of
+	// requests that have not ended. A lost packet is sent again within this time.
+	cancelGrace = 400 * time.Millisecond
 )
 
 // Refusal is the answer to a request that is not accepted.
 type Refusal struct {
 	Status int
-	// Retry is when to come back; zero if that would not help.
-	Retry  time.Duration
-	Reason string
+	// RetryAfter is the time after which to retry; zero if a retry would not help.
+	RetryAfter time.Duration
+	Reason     string
 }
 
-// Config is what a Door depends on.
+// Config holds the settings and dependencies of a Server.
 type Config struct {
+	// ListenAddr is the address for callers, ReadyAddr the one for the balancer's readiness check.
 	Listen, Ready string
-	// ReadyPath is what the balancer asks for.
+	// ReadyPath is the path of the balancer's readiness check.
 	ReadyPath string
-	Grace     time.Duration
-	// Memory is how many bytes the bodies of all requests may take at once.
+	// Grace is how long a planned stop may take.
+	Grace time.Duration
+	// BodyMemory is how many bytes the bodies of all requests may take at once.
 	Memory int64
-	// ID returns the ID that the caller gave a request.
+	// RequestID returns the ID that the caller gave a request.
 	ID func(r *http.Request) string
-	// Accept reads the head of a request into a job without a body.
+	// ParseHead turns the head of a request into a job without a body, or refuses the request.
 	Accept func(r *http.Request, t *route.Table) (*direct.Job, *Refusal)
 	// Table returns the configuration in force.
 	Table func() *route.Table
-	// Informed reports whether configuration and instance list are known.
+	// HasSynced reports whether the configuration and the instance list are known.
 	Informed func() bool
 	Serve    func(ctx context.Context, j *direct.Job, s direct.Sink) direct.Result
-	// Running returns how many jobs have no final answer yet.
+	// RunningJobs returns how many jobs have no final answer yet.
 	Running func() int
 	Metrics *meter.Set
 	Log     *zap.Logger
 }
 
-// Door serves callers.
+// Server serves callers.
 type Door struct {
 	cfg Config
-	// conns are the callers' connections.
-	conns   *kept.Set
-	leaving atomic.Bool
+	// conns holds the callers' connections.
+	conns    *kept.Set
+	stopping atomic.Bool
 
-	// bodies is how many bytes of bodies are held or about to be read.
-	bodies atomic.Int64
+	// heldBodyBytes is how many bytes of bodies are held or about to be read.
+	heldBodyBytes atomic.Int64
 }
 
-// New returns a door that does nothing until Run.
+// New returns a server that does nothing until Run is called.
 func New(cfg Config) *Door {
-	d := &Door{cfg: cfg}
-	d.conns = kept.New(kept.Config{Bound: d.bound, Metrics: cfg.Metrics, Log: cfg.Log})
-	return d
+	s := &Door{cfg: cfg}
+	s.conns = kept.New(kept.Config{Bound: s.idleBound, Metrics: cfg.Metrics, Log: cfg.Log})
+	return s
 }
 
-// Run serves until ctx ends, and then stops within the grace: the balancer is
-// told at once, running requests are served to their end.
-func (d *Door) Run(ctx context.Context) error {
-	front, err := d.conns.Listen(d.cfg.Listen)
+// Run serves until ctx ends and then stops within the grace: the balancer is informed at once,
+// and running requests are served to their end.
+func (s *Door) Run(ctx context.Context) error {
+	ln, err := s.conns.Listen(s.cfg.Listen)
 	if err != nil {
 		return err
 	}
-	ready, err := net.Listen("tcp", d.cfg.Ready)
+	readyLn, err := net.Listen("tcp", s.cfg.Ready)
 	if err != nil {
-		front.Close()
+		ln.Close()
 		return err
 	}
-	return d.serveOn(ctx, front, ready)
+	return s.serveOn(ctx, ln, readyLn)
 }
 
-// serveOn serves callers on front and the balancer on ready.
-func (d *Door) serveOn(ctx context.Context, front, ready net.Listener) error {
-	server := &http.Server{Handler: http.HandlerFunc(d.serve), ReadHeaderTimeout: headerTime, MaxHeaderBytes: maxHeader}
-	d.conns.Attach(server)
-	asked := &http.Server{
-		Handler: http.HandlerFunc(d.ready), ReadHeaderTimeout: headerTime, IdleTimeout: defaultIdle, ErrorLog: logs.Server(d.cfg.Log),
+// serveOn serves callers on ln and the balancer on readyLn.
+func (s *Door) serveOn(ctx context.Context, ln, readyLn net.Listener) error {
+	server := &http.Server{Handler: http.HandlerFunc(s.serve), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes}
+	s.conns.Attach(server)
+	readyServer := &http.Server{
+		Handler: http.HandlerFunc(s.serveReady), ReadHeaderTimeout: headerTimeout, IdleTimeout: defaultIdleTimeout, ErrorLog: logs.Server(s.cfg.Log),
 	}
 	defer server.Close()
-	ended := make(chan error, 2)
-	go func() { ended <- server.Serve(front) }()
-	go func() { ended <- asked.Serve(ready) }()
-	defer asked.Close()
+	serveErrs := make(chan error, 2)
+	go func() { serveErrs <- server.Serve(ln) }()
+	go func() { serveErrs <- readyServer.Serve(readyLn) }()
+	defer readyServer.Close()
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
 		select {
-		case err := <-ended:
-			// What was read is answered all the same.
-			d.stop()
+		case err := <-serveErrs:
+			// Requests that were read are answered all the same.
+			s.stop()
 			return err
 		case <-tick.C:
-			d.conns.Sweep()
+			s.conns.Sweep()
 		case <-ctx.Done():
-			d.stop()
+			s.stop()
 			return nil
 		}
 	}
 }
 
-// stop ends the server. For a moment it goes on accepting, since the balancer
-// still sends connections here; each answer tells its caller to use another.
-func (d *Door) stop() {
-	began := time.Now()
-	d.leaving.Store(true)
-	logs.Info(d.cfg.Log, logs.EventLeaving, zap.Int("running", d.cfg.Running()))
-	end := began.Add(d.cfg.Grace - lastCall)
-	time.Sleep(min(notice, d.cfg.Grace/2))
-	ctx, cancel := context.WithDeadline(context.Background(), end)
+// stop stops the server. It goes on accepting connections for a moment, because the balancer
+// still sends some here. Each answer tells its caller to use another connection.
+func (s *Door) stop() {
+	start := time.Now()
+	s.stopping.Store(true)
+	logs.Info(s.cfg.Log, logs.EventLeaving, zap.Int("running", s.cfg.Running()))
+	deadline := start.Add(s.cfg.Grace - closeReserve)
+	time.Sleep(min(balancerNoticeTime, s.cfg.Grace/2))
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	// The server's own Shutdown may close a connection of which it has read a
-	// part of a request, and return while that request runs.
-	if err := d.conns.Drain(ctx); err != nil {
-		logs.Warn(d.cfg.Log, logs.EventStopped, zap.Int("interrupted", d.cfg.Running()))
-		d.interrupt()
+	// http.Server.Shutdown may close a connection on which it has read a part of a request,
+	// and return while that request runs.
+	if err := s.conns.Drain(ctx); err != nil {
+		logs.Warn(s.cfg.Log, logs.EventStopped, zap.Int("interrupted", s.cfg.Running()))
+		s.cancelRemaining()
 		return
 	}
-	logs.Info(d.cfg.Log, logs.EventStopped)
+	logs.Info(s.cfg.Log, logs.EventStopped)
 }
 
-// interrupt ends what outlived the grace. What became of a request whose answer has
-// not begun is told on its open connection: a closed one tells its caller nothing.
-func (d *Door) interrupt() {
-	d.conns.Cancel(direct.ErrEnding)
-	ctx, cancel := context.WithTimeout(context.Background(), lastWords)
+// cancelRemaining ends the requests that outlived the grace. A request whose answer has not
+// begun is answered on its open connection, because closing the connection would tell the
+// caller nothing about the outcome.
+func (s *Door) cancelRemaining() {
+	s.conns.Cancel(direct.ErrEnding)
+	ctx, cancel := context.WithTimeout(context.Background(), cancelGrace)
 	defer cancel()
-	if d.conns.Drain(ctx) != nil {
-		d.conns.Close(kept.GraceOver)
+	if s.conns.Drain(ctx) != nil {
+		s.conns.Close(kept.GraceOver)
 	}
 }
 
-// Leaving reports whether a planned stop has begun.
-func (d *Door) Leaving() bool { return d.leaving.Load() }
+// IsStopping reports whether a planned stop has begun.
+func (s *Door) Leaving() bool { return s.stopping.Load() }
 
-// bound returns how long a connection may be idle. It changes with the operator's
-// configuration, which a server's fixed IdleTimeout cannot follow.
-func (d *Door) bound() time.Duration {
-	if limit := d.cfg.Table().Config().Limits.IdleTime; limit > 0 {
+// idleBound returns how long a connection may be idle. The value changes with the operator's
+// configuration, which the fixed IdleTimeout of a server cannot follow.
+func (s *Door) idleBound() time.Duration {
+	if limit := s.cfg.Table().Config().Limits.IdleTime; limit > 0 {
 		return limit
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
-// ready answers the balancer. An entry without configuration or instance list
-// would refuse all that it got.
-func (d *Door) ready(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != d.cfg.ReadyPath {
+// serveReady answers the balancer's readiness check. An entry without a configuration or an
+// instance list would refuse every request.
+func (s *Door) serveReady(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Path != s.cfg.ReadyPath {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if d.Leaving() || !d.cfg.Informed() {
+	if s.Leaving() || !s.cfg.Informed() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-func (d *Door) serve(w http.ResponseWriter, r *http.Request) {
-	if !d.conns.Admit(r) {
+func (s *Door) serve(w http.ResponseWriter, r *http.Request) {
+	if !s.conns.Admit(r) {
 		panic(http.ErrAbortHandler)
 	}
-	accepted := time.Now()
-	a := d.answerTo(w, r, accepted)
+	acceptedAt := time.Now()
+	a := s.newAnswer(w, r, acceptedAt)
 	defer func() {
 		if v := recover(); v != nil {
-			a.panicked(v)
+			a.handlePanic(v)
 		}
 	}()
-	t := d.cfg.Table()
-	if d.conns.ArrivedDuringStop(r) {
-		a.refuse(&Refusal{Status: http.StatusServiceUnavailable, Retry: leavingRetry, Reason: "leaving"})
+	t := s.cfg.Table()
+	if s.conns.ArrivedDuringStop(r) {
+		a.refuse(&Refusal{Status: http.StatusServiceUnavailable, RetryAfter: leavingRetryAfter, Reason: "leaving"})
 		return
 	}
-	if !d.cfg.Informed() {
-		// Nothing is known of routes and keys, so neither may be called unknown.
-		a.refuse(&Refusal{Status: http.StatusServiceUnavailable, Retry: noConfigRetry, Reason: "no configuration yet"})
+	if !s.cfg.Informed() {
+		// No routes and keys are known yet, so none of them may be called unknown.
+		a.refuse(&Refusal{Status: http.StatusServiceUnavailable, RetryAfter: noConfigRetryAfter, Reason: "no configuration yet"})
 		return
 	}
 	if limit := t.Config().Limits.HeaderBytes; limit > 0 && heads.Size(r.Header) > limit {
 		a.refuse(&Refusal{Status: http.StatusRequestHeaderFieldsTooLarge, Reason: "headers too large"})
 		return
 	}
-	j, no := d.cfg.Accept(r, t)
-	if no != nil {
-		a.refuse(no)
+	j, refusal := s.cfg.Accept(r, t)
+	if refusal != nil {
+		a.refuse(refusal)
 		return
 	}
-	j.AcceptedAt = accepted
+	j.AcceptedAt = acceptedAt
 	if j.Deadline.IsZero() {
-		j.Deadline = accepted.Add(j.Route.Timeout)
-	}
-	m := &meteredBody{ReadCloser: r.Body, held: &d.bodies, limit: d.cfg.Memory}
-	r.Body = m
-	defer m.release()
-	no = read(w, r, t, j)
-	a.read = true
-	if no != nil {
-		a.refuse(no)
+		j.Deadline = acceptedAt.Add(j.Route.Timeout)
+	}
+	body := &meteredBody{ReadCloser: r.Body, totalHeld: &s.heldBodyBytes, limit: s.cfg.Memory}
+	r.Body = body
+	defer body.release()
+	refusal = readBody(w, r, t, j)
+	a.bodyRead = true
+	if refusal != nil {
+		a.refuse(refusal)
 		return
 	}
 	a.serve(j)
--- a/entry/door/slow_body_test.go
+++ b/entry/door/slow_body_test.go
@@ -8,52 +8,52 @@
 	"time"
 )
 
-// A request is refused by its head while its body still comes, for longer than a
-// caller may take to read a refusal. The standard server reads the rest of a small
-// body before it writes the head of an answer, so a deadline that began before is
-// over by then, and the caller gets a closed connection in place of the refusal.
-func TestRefusalOfASlowBody(t *testing.T) {
+// A request is refused by its head while its body is still arriving, for longer than a caller
+// may take to read a refusal. net/http reads the rest of a small body before it writes the
+// head of an answer. A write deadline that was set before has passed by then, and the caller
+// would find a closed connection instead of the refusal.
+func TestRefusalDuringSlowBody(t *testing.T) {
 	t.Parallel()
-	st := newStand(t, grace, fine)
-	st.informed.Store(false)
-	c, err := st.dial()
+	srv := newTestServer(t, longGrace, answerOK)
+	srv.hasSynced.Store(false)
+	c, err := srv.dial()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	fmt.Fprint(c, "POST /slow HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\n01234")
-	time.Sleep(lastTime + 500*time.Millisecond)
+	time.Sleep(minWriteTime + 500*time.Millisecond)
 	io.WriteString(c, "56789")
-	if got := c.answer(); got != http.StatusServiceUnavailable {
+	if got := c.readStatus(); got != http.StatusServiceUnavailable {
 		t.Errorf("got %d", got)
 	}
-	if line := st.log.line("answer_not_taken"); line != "" {
+	if line := srv.log.firstLine("answer_not_taken"); line != "" {
 		t.Errorf("the log blames the caller: %s", line)
 	}
 }
 
-// A caller sends half of a body and nothing more. Once its time is over it is told
-// so, and holds neither its connection nor a planned stop.
-func TestHalfBodyIsRefused(t *testing.T) {
+// A caller sends half of a body and nothing more. Once its time is over it must get a refusal,
+// and must not keep its connection or delay a planned stop.
+func TestIncompleteBodyIsRefused(t *testing.T) {
 	t.Parallel()
-	for _, informed := range []bool{true, false} {
-		t.Run(fmt.Sprintf("informed %v", informed), func(t *testing.T) {
+	for _, synced := range []bool{true, false} {
+		t.Run(fmt.Sprintf("informed %v", synced), func(t *testing.T) {
 			t.Parallel()
-			st := newStand(t, grace, fine)
-			st.informed.Store(informed)
-			c, err := st.dial()
+			srv := newTestServer(t, longGrace, answerOK)
+			srv.hasSynced.Store(synced)
+			c, err := srv.dial()
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer c.Close()
 			fmt.Fprint(c, "POST /half HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\n01234")
-			c.SetReadDeadline(time.Now().Add(bodyTime + 2*lastTime))
+			c.SetReadDeadline(time.Now().Add(bodyIdleTimeout + 2*minWriteTime))
 			resp, err := http.ReadResponse(c.r, nil)
 			if err != nil {
-				t.Fatalf("after %v: %v", bodyTime+2*lastTime, err)
+				t.Fatalf("after %v: %v", bodyIdleTimeout+2*minWriteTime, err)
 			}
 			want := http.StatusServiceUnavailable
-			if informed {
+			if synced {
 				want = http.StatusRequestTimeout
 			}
 			if resp.StatusCode != want || !resp.Close {
@@ -63,40 +63,40 @@
 	}
 }
 
-// A refusal of a request with Expect: 100-continue asks for no body: the caller
-// has not begun to send it and waits for this answer.
-func TestRefusalAsksForNoBody(t *testing.T) {
+// The refusal of a request with Expect: 100-continue must not request the body: the caller has
+// not begun to send it and waits for this answer.
+func TestRefusalDoesNotRequestBody(t *testing.T) {
 	t.Parallel()
-	st := newStand(t, grace, fine)
-	st.informed.Store(false)
-	c, err := st.dial()
+	srv := newTestServer(t, longGrace, answerOK)
+	srv.hasSynced.Store(false)
+	c, err := srv.dial()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	fmt.Fprint(c, "POST /expect HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 10\r\n\r\n")
-	if got := c.answer(); got != http.StatusServiceUnavailable {
+	if got := c.readStatus(); got != http.StatusServiceUnavailable {
 		t.Errorf("got %d", got)
 	}
 }
 
-// A body is too large to be read for the sake of its connection. Its caller, who
-// waits for a refusal before it sends on, is told at once.
-func TestRefusalOfALargeBodyIsToldAtOnce(t *testing.T) {
+// A body is too large to be read in order to keep its connection. The caller, which waits for
+// a refusal before it sends more, must get it at once.
+func TestLargeBodyIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
-	st := newStand(t, grace, fine)
-	st.informed.Store(false)
-	c, err := st.dial()
+	srv := newTestServer(t, longGrace, answerOK)
+	srv.hasSynced.Store(false)
+	c, err := srv.dial()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	began := time.Now()
-	fmt.Fprintf(c, "POST /large HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n01234", maxRest+6)
-	if got := c.answer(); got != http.StatusServiceUnavailable {
+	start := time.Now()
+	fmt.Fprintf(c, "POST /large HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n01234", maxDiscardBytes+6)
+	if got := c.readStatus(); got != http.StatusServiceUnavailable {
 		t.Errorf("got %d", got)
 	}
-	if took := time.Since(began); took >= bodyTime {
-		t.Errorf("told after %v", took)
+	if took := time.Since(start); took >= bodyIdleTimeout {
+		t.Errorf("refused after %v", took)
 	}
 }
--- a/entry/door/stand_test.go
+++ b/entry/door/stand_test.go
@@ -21,59 +21,59 @@
 	"lycheepond/entry/kept"
 )
 
-// stand is a door without endpoints, for one test.
-type stand struct {
-	door    *Door
+// testServer is a server without endpoints, for one test.
+type testServer struct {
+	server  *Door
 	addr    string
-	log     output
+	log     logBuffer
 	metrics *meter.Set
-	// idle is the operator's bound on idle time, timeout that of the route.
-	idle, timeout atomic.Int64
-	informed      atomic.Bool
-	// handed counts requests that reached Serve, cut those whose connection the
+	// idleBound is the operator's idle bound, routeTimeout the timeout of the route.
+	idleBound, routeTimeout atomic.Int64
+	hasSynced               atomic.Bool
+	// admitted counts the requests that reached Serve, interrupted those whose connection the
 	// process had closed when Serve returned.
-	handed, cut, running atomic.Int64
-	stop                 context.CancelFunc
-	// ready is the balancer's listener.
-	ready net.Listener
-	ended chan error
+	admitted, interrupted, running atomic.Int64
+	stop                           context.CancelFunc
+	// readyLn is the listener for the balancer's readiness check.
+	readyLn net.Listener
+	runErr  chan error
 }
 
-// output keeps the log. A test may hold back whoever writes a line of an event.
-type output struct {
-	mu    sync.Mutex
-	lines bytes.Buffer
-	event string
-	held  chan bool
+// logBuffer keeps the log. A test may block the goroutine that writes a line of an event.
+type logBuffer struct {
+	mu           sync.Mutex
+	lines        bytes.Buffer
+	blockedEvent string
+	blocked      chan bool
 }
 
-// Write keeps a line. The first one of the event that is held waits.
-func (o *output) Write(line []byte) (int, error) {
+// Write keeps a line. The first line of the blocked event waits.
+func (o *logBuffer) Write(line []byte) (int, error) {
 	o.mu.Lock()
 	o.lines.Write(line)
-	var held chan bool
-	if o.held != nil && bytes.Contains(line, []byte(`"event":"`+o.event+`"`)) {
-		held, o.held = o.held, nil
+	var blocked chan bool
+	if o.blocked != nil && bytes.Contains(line, []byte(`"event":"`+o.blockedEvent+`"`)) {
+		blocked, o.blocked = o.blocked, nil
 	}
 	o.mu.Unlock()
-	if held != nil {
-		held <- true
-		<-held
+	if blocked != nil {
+		blocked <- true
+		<-blocked
 	}
 	return len(line), nil
 }
 
-// hold returns a channel that tells that a line of an event waits, and lets it go
-// on.
-func (o *output) hold(event string) chan bool {
+// blockOn returns a channel that delivers a value once a line of the event waits. Sending a
+// value to it lets the line continue.
+func (o *logBuffer) blockOn(event string) chan bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.event, o.held = event, make(chan bool)
-	return o.held
+	o.blockedEvent, o.blocked = event, make(chan bool)
+	return o.blocked
 }
 
-// line returns the first line of an event, empty if there is none.
-func (o *output) line(event string) string {
+// firstLine returns the first line of an event, empty if there is none.
+func (o *logBuffer) firstLine(event string) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for l := range strings.Lines(o.lines.String()) {
@@ -86,8 +86,8 @@
 
 type serveFunc func(ctx context.Context, j *direct.Job, s direct.Sink) direct.Result
 
-// fine answers with a short body.
-func fine(_ context.Context, _ *direct.Job, s direct.Sink) direct.Result {
+// answerOK answers with a short body.
+func answerOK(_ context.Context, _ *direct.Job, s direct.Sink) direct.Result {
 	s.Head(http.StatusOK, http.Header{}, 2)
 	if s.Write([]byte("ok")) != nil {
 		return direct.Result{Outcome: direct.CallerLeft, Reason: "caller left"}
@@ -95,52 +95,52 @@
 	return direct.Result{Outcome: direct.Complete}
 }
 
-func newStand(t *testing.T, grace time.Duration, serve serveFunc) *stand {
+func newTestServer(t *testing.T, grace time.Duration, serve serveFunc) *testServer {
 	t.Helper()
-	st := &stand{metrics: meter.New(), ended: make(chan error, 1)}
-	st.idle.Store(int64(time.Minute))
-	st.timeout.Store(int64(time.Minute))
-	st.informed.Store(true)
-	st.door = New(Config{
+	srv := &testServer{metrics: meter.New(), runErr: make(chan error, 1)}
+	srv.idleBound.Store(int64(time.Minute))
+	srv.routeTimeout.Store(int64(time.Minute))
+	srv.hasSynced.Store(true)
+	srv.server = New(Config{
 		Listen: anyPort, Ready: anyPort, ReadyPath: "/readyz", Grace: grace, Memory: 64 << 20,
 		ID: func(r *http.Request) string { return r.URL.Path },
 		Accept: func(r *http.Request, _ *route.Table) (*direct.Job, *Refusal) {
-			return &direct.Job{ID: r.URL.Path, Route: &route.Route{Timeout: time.Duration(st.timeout.Load())}}, nil
+			return &direct.Job{ID: r.URL.Path, Route: &route.Route{Timeout: time.Duration(srv.routeTimeout.Load())}}, nil
 		},
 		Table: func() *route.Table {
-			return route.NewTable(route.Config{Limits: route.Limits{IdleTime: time.Duration(st.idle.Load())}})
+			return route.NewTable(route.Config{Limits: route.Limits{IdleTime: time.Duration(srv.idleBound.Load())}})
 		},
-		Informed: st.informed.Load,
+		Informed: srv.hasSynced.Load,
 		Serve: func(ctx context.Context, j *direct.Job, s direct.Sink) direct.Result {
-			st.handed.Add(1)
-			st.running.Add(1)
-			defer st.running.Add(-1)
+			srv.admitted.Add(1)
+			srv.running.Add(1)
+			defer srv.running.Add(-1)
 			res := serve(ctx, j, s)
 			if kept.Cause(ctx) != nil {
-				st.cut.Add(1)
+				srv.interrupted.Add(1)
 			}
 			return res
 		},
-		Running: func() int { return int(st.running.Load()) },
-		Metrics: st.metrics, Log: logs.NewTo(&st.log, "info", "entry"),
+		Running: func() int { return int(srv.running.Load()) },
+		Metrics: srv.metrics, Log: logs.NewTo(&srv.log, "info", "entry"),
 	})
 	ctx, stop := context.WithCancel(context.Background())
-	st.stop = stop
-	front, err := st.door.conns.Listen(anyPort)
+	srv.stop = stop
+	ln, err := srv.server.conns.Listen(anyPort)
 	if err != nil {
 		t.Fatal(err)
 	}
-	st.addr = front.Addr().String()
-	if st.ready, err = net.Listen("tcp", st.door.cfg.Ready); err != nil {
+	srv.addr = ln.Addr().String()
+	if srv.readyLn, err = net.Listen("tcp", srv.server.cfg.Ready); err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
-		st.ended <- st.door.serveOn(ctx, front, st.ready)
+		defer close(stopped)
+		srv.runErr <- srv.server.serveOn(ctx, ln, srv.readyLn)
 	}()
-	await(t, "the door", func() bool {
-		nc, err := net.Dial("tcp", st.addr)
+	waitFor(t, "the server", func() bool {
+		nc, err := net.Dial("tcp", srv.addr)
 		if err == nil {
 			nc.Close()
 		}
@@ -148,15 +148,15 @@
 	})
 	t.Cleanup(func() {
 		stop()
-		<-ended
+		<-stopped
 	})
-	return st
+	return srv
 }
 
-// anyPort has the system choose a port that nobody listens on.
+// anyPort has the system choose a free port.
 const anyPort = "127.0.0.1:0"
 
-func await(t *testing.T, what string, f func() bool) {
+func waitFor(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); !f(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -165,41 +165,41 @@
 	}
 }
 
-// client is one kept connection.
+// client is a kept connection.
 type client struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func (st *stand) dial() (*client, error) {
-	nc, err := net.Dial("tcp", st.addr)
+func (srv *testServer) dial() (*client, error) {
+	nc, err := net.Dial("tcp", srv.addr)
 	if err != nil {
 		return nil, err
 	}
 	return &client{Conn: nc, r: bufio.NewReader(nc)}, nil
 }
 
-// connect returns a connection that has got an answer and is idle since.
-func (st *stand) connect(t *testing.T) *client {
+// connectIdle returns a connection that has received an answer and has been idle since.
+func (srv *testServer) connectIdle(t *testing.T) *client {
 	t.Helper()
-	c, err := st.dial()
+	c, err := srv.dial()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	if got := c.ask("/first"); got != http.StatusOK {
+	if got := c.get("/first"); got != http.StatusOK {
 		t.Fatalf("the first answer: %d", got)
 	}
 	return c
 }
 
-func (c *client) send(path string) error {
+func (c *client) sendRequest(path string) error {
 	_, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: a\r\n\r\n", path)
 	return err
 }
 
-// answer returns the status of a whole answer, zero if there is none.
-func (c *client) answer() int {
+// readStatus returns the status of a complete answer, zero if there is none.
+func (c *client) readStatus() int {
 	c.SetReadDeadline(time.Now().Add(time.Minute))
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
@@ -211,9 +211,9 @@
 	return resp.StatusCode
 }
 
-func (c *client) ask(path string) int {
-	if c.send(path) != nil {
+func (c *client) get(path string) int {
+	if c.sendRequest(path) != nil {
 		return 0
 	}
-	return c.answer()
+	return c.readStatus()
 }
