--- a/entry/direct/beside_test.go
+++ b/entry/direct/beside_test.go
@@ -18,8 +18,9 @@
 
 // silenceCase is a way in which an attempt becomes late.
 type silenceCase struct {
-	name       string
-	route      route.Route
+	name  string
+	route route.Route
+	// pauseAfter is the position of the pause in the late endpoint's answer.
 	pauseAfter int
 	// bound is how long the endpoint may be silent. The replacement is sent at the second
 	// check after it.
@@ -34,8 +35,8 @@
 }
 
 // newPausingBeforeHead returns an endpoint that pauses before the head of its answer.
-func (l silenceCase) newPausingBeforeHead(t *testing.T, pause time.Duration) *testEndpoint {
-	if l.route.Stream {
+func (sc silenceCase) newPausingBeforeHead(t *testing.T, pause time.Duration) *testEndpoint {
+	if sc.route.Stream {
 		return newPausing(t, beforeHead, pause)
 	}
 	return newPausing(t, beforeUnary, pause)
@@ -45,13 +46,13 @@
 // yet. The caller must get the answer that comes first, whole, and the request to the other
 // endpoint must be cancelled.
 func TestLateEndpointThatResumesIsKept(t *testing.T) {
-	for _, l := range silenceCases {
-		t.Run(l.name, func(t *testing.T) {
+	for _, sc := range silenceCases {
+		t.Run(sc.name, func(t *testing.T) {
 			t.Parallel()
-			slow, other := newPausing(t, l.pauseAfter, l.bound+silenceRecheck+maxOverlap/2), l.newPausingBeforeHead(t, time.Minute)
-			h := newHarness(t, l.route, slow, other)
+			slow, other := newPausing(t, sc.pauseAfter, sc.bound+silenceRecheck+maxOverlap/2), sc.newPausingBeforeHead(t, time.Minute)
+			h := newHarness(t, sc.route, slow, other)
 			got := h.send(t.Context(), "x", callerAnswer{})
-			if got.Outcome != Complete || got.body.String() != l.want || got.Placement.Endpoint != "a" {
+			if got.Outcome != Complete || got.body.String() != sc.want || got.Placement.Endpoint != "a" {
 				t.Errorf("%v of endpoint %s, %q: %q", got.Outcome, got.Placement.Endpoint, got.Reason, got.body.String())
 			}
 			if !eventually(func() bool { return other.cancelled.Load() == 1 }) || slow.cancelled.Load() != 0 {
@@ -60,8 +61,8 @@
 			if a, b := slow.runs.Load(), other.runs.Load(); a != 1 || b != 1 {
 				t.Errorf("ran %d times at the late endpoint, %d at the other", a, b)
 			}
-			if left := h.spendRetries(); left != harnessRetries-1 {
-				t.Errorf("%d retries were taken", harnessRetries-left)
+			if remaining := h.spendRetries(); remaining != harnessRetries-1 {
+				t.Errorf("%d retries were taken", harnessRetries-remaining)
 			}
 			if !h.isIdle() {
 				t.Error("work is still counted at an endpoint")
@@ -70,23 +71,23 @@
 	}
 }
 
-// The replacement takes long to answer. Two endpoints must not go on working on one answer, so
-// the late one must be cancelled before that.
+// The replacement takes long to answer. Two endpoints must not keep working on one answer, so
+// the late attempt must be cancelled before that.
 func TestOverlapWithReplacementIsBounded(t *testing.T) {
-	for _, l := range silenceCases {
-		t.Run(l.name, func(t *testing.T) {
+	for _, sc := range silenceCases {
+		t.Run(sc.name, func(t *testing.T) {
 			t.Parallel()
-			slow := newPausing(t, l.pauseAfter, time.Minute)
-			var beside atomic.Int64
-			other := newTestEndpoint(t, func(s *testEndpoint, c net.Conn, req *http.Request) {
+			slow := newPausing(t, sc.pauseAfter, time.Minute)
+			var overlapNS atomic.Int64
+			other := newTestEndpoint(t, func(e *testEndpoint, c net.Conn, req *http.Request) {
 				start := time.Now()
 				eventually(func() bool { return slow.cancelled.Load() > 0 })
-				beside.Store(int64(time.Since(start)))
-				if !s.pause(c, maxOverlap) {
+				overlapNS.Store(int64(time.Since(start)))
+				if !e.pause(c, maxOverlap) {
 					return
 				}
-				if !l.route.Stream {
-					writeWhole(c, http.StatusOK, l.want)
+				if !sc.route.Stream {
+					writeWhole(c, http.StatusOK, sc.want)
 					return
 				}
 				writeStreamHead(c)
@@ -95,13 +96,13 @@
 				}
 				writeStreamEnd(c)
 			})
-			h := newHarness(t, l.route, slow, other)
+			h := newHarness(t, sc.route, slow, other)
 			got := h.send(t.Context(), "x", callerAnswer{})
-			if got.Outcome != Complete || got.body.String() != l.want || got.Placement.Endpoint != "b" {
+			if got.Outcome != Complete || got.body.String() != sc.want || got.Placement.Endpoint != "b" {
 				t.Errorf("%v of endpoint %s, %q: %q", got.Outcome, got.Placement.Endpoint, got.Reason, got.body.String())
 			}
-			if both := time.Duration(beside.Load()); both > maxObservedOverlap {
-				t.Errorf("both endpoints worked for %v", both)
+			if overlap := time.Duration(overlapNS.Load()); overlap > maxObservedOverlap {
+				t.Errorf("both endpoints worked for %v", overlap)
 			}
 		})
 	}
@@ -142,20 +143,20 @@
 // and no work may stay counted at an endpoint.
 func TestEndpointsAnswerSimultaneously(t *testing.T) {
 	const requests, step, answer = 48, 500 * time.Microsecond, 20 * time.Millisecond
-	for _, l := range silenceCases {
-		t.Run(l.name, func(t *testing.T) {
+	for _, sc := range silenceCases {
+		t.Run(sc.name, func(t *testing.T) {
 			t.Parallel()
 			var n atomic.Int32
-			slow := newPausingEach(t, l.pauseAfter, func() time.Duration {
-				return l.bound + silenceRecheck + answer + time.Duration(n.Add(1)-requests/3)*step
+			slow := newPausingEach(t, sc.pauseAfter, func() time.Duration {
+				return sc.bound + silenceRecheck + answer + time.Duration(n.Add(1)-requests/3)*step
 			})
-			other := l.newPausingBeforeHead(t, answer)
-			h := newHarness(t, l.route, slow, other)
+			other := sc.newPausingBeforeHead(t, answer)
+			h := newHarness(t, sc.route, slow, other)
 			var all sync.WaitGroup
 			for i := range requests {
 				all.Go(func() {
 					got := h.send(t.Context(), fmt.Sprint(i), callerAnswer{})
-					if got.Outcome != Complete || got.body.String() != l.want {
+					if got.Outcome != Complete || got.body.String() != sc.want {
 						t.Errorf("%v, %q: %q", got.Outcome, got.Reason, got.body.String())
 					}
 				})
--- a/entry/direct/cause_test.go
+++ b/entry/direct/cause_test.go
@@ -33,19 +33,19 @@
 
 // newPausingEach is like newPausing, with a separate pause for each request.
 func newPausingEach(t *testing.T, n int, pause func() time.Duration) *testEndpoint {
-	return newTestEndpoint(t, func(s *testEndpoint, c net.Conn, req *http.Request) {
+	return newTestEndpoint(t, func(e *testEndpoint, c net.Conn, req *http.Request) {
 		if n == beforeUnary {
-			if s.pause(c, pause()) {
+			if e.pause(c, pause()) {
 				writeWhole(c, http.StatusOK, "answer")
 			}
 			return
 		}
-		if n == beforeHead && !s.pause(c, pause()) {
+		if n == beforeHead && !e.pause(c, pause()) {
 			return
 		}
 		writeStreamHead(c)
 		for i := lastEventOf(req) + 1; i <= 4; i++ {
-			if i == n+1 && !s.pause(c, pause()) {
+			if i == n+1 && !e.pause(c, pause()) {
 				return
 			}
 			writeChunk(c, streamEvent(i))
@@ -56,10 +56,10 @@
 
 const fourEvents = "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\n"
 
-// Guards against a log that calls every answer that ended early broken: it would not tell an
-// endpoint that broke off from an entry that gave up the attempt.
+// Guards against a log that calls every answer that ended early broken. Such a log would not
+// tell an endpoint that broke off from an entry that gave up the attempt.
 func TestLogNamesCauseOfEndedAttempt(t *testing.T) {
-	prompt := func(t *testing.T) *testEndpoint { return newPausing(t, 9, 0) }
+	newPrompt := func(t *testing.T) *testEndpoint { return newPausing(t, 9, 0) }
 	for _, tt := range []struct {
 		name      string
 		route     route.Route
@@ -75,7 +75,7 @@
 		}), "stream broke off: unexpected EOF", "", 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			second := prompt(t)
+			second := newPrompt(t)
 			if !tt.route.Stream {
 				second = newPausing(t, beforeUnary, 0)
 			}
@@ -105,31 +105,31 @@
 // An entry that closes its caller's connection by mistake must not log "caller left".
 func TestLogNamesWhoClosedCallerConnection(t *testing.T) {
 	for _, tt := range []struct {
-		name    string
-		cause   error
-		failing error
-		outcome Outcome
-		why     string
-		level   string
+		name     string
+		cause    error
+		writeErr error
+		outcome  Outcome
+		why      string
+		level    string
 	}{
 		{"the caller", nil, nil, CallerLeft, "caller left", "info"},
 		{"the entry", errors.New("connection idle for 1s"), nil, ClosedByEntry, "connection idle for 1s", "warn"},
-		{"a caller that is gone", nil, net.ErrClosed, CallerLeft, "caller left", "info"},
+		{"a caller that has left", nil, net.ErrClosed, CallerLeft, "caller left", "info"},
 		{"a caller that does not read", nil, os.ErrDeadlineExceeded, ClosedByEntry, "caller did not take the answer in time", "warn"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancelCause(t.Context())
 			defer cancel(nil)
-			endpoint := newTestEndpoint(t, func(s *testEndpoint, c net.Conn, _ *http.Request) {
+			endpoint := newTestEndpoint(t, func(e *testEndpoint, c net.Conn, _ *http.Request) {
 				writeStreamHead(c)
 				writeChunk(c, streamEvent(1))
-				if tt.failing == nil {
+				if tt.writeErr == nil {
 					cancel(tt.cause)
 				}
-				s.pause(c, 5*time.Second)
+				e.pause(c, 5*time.Second)
 			})
 			h := newHarness(t, streamRoute, endpoint)
-			got := h.send(ctx, "x", callerAnswer{writeErr: tt.failing})
+			got := h.send(ctx, "x", callerAnswer{writeErr: tt.writeErr})
 			if got.Outcome != tt.outcome || !strings.HasPrefix(got.Reason, tt.why) {
 				t.Errorf("%v, %q", got.Outcome, got.Reason)
 			}
@@ -140,7 +140,7 @@
 			if why, level := h.loggedField(event, "why"); level != tt.level {
 				t.Errorf("%s at level %q, why %v", event, level, why)
 			}
-			if n := h.counterValue("tries_given_up", "untaken"); n > 0 != (tt.failing == os.ErrDeadlineExceeded) {
+			if n := h.counterValue("tries_given_up", "untaken"); n > 0 != (tt.writeErr == os.ErrDeadlineExceeded) {
 				t.Errorf("%d answers that the caller did not accept", n)
 			}
 			if !h.isIdle() {
--- a/entry/direct/crowd_test.go
+++ b/entry/direct/crowd_test.go
@@ -53,9 +53,9 @@
 
 // requestResult is the result of one request.
 type requestResult struct {
-	at      time.Duration
-	tier    int
-	refused bool
+	decidedAt time.Duration
+	tier      int
+	refused   bool
 	// metTarget is set if the first event came within the target.
 	metTarget bool
 	// isRetry is set for a request that was refused before.
@@ -72,8 +72,8 @@
 // engines, and returns the result of each request.
 func (w workload) replay(t *testing.T) []requestResult {
 	var (
-		mu    sync.Mutex
-		fates []requestResult
+		mu      sync.Mutex
+		results []requestResult
 	)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -114,7 +114,7 @@
 					}, func(r requestResult) {
 						mu.Lock()
 						defer mu.Unlock()
-						fates = append(fates, r)
+						results = append(results, r)
 					}, &running)
 				})
 			}
@@ -123,35 +123,35 @@
 		stop()
 		running.Wait()
 	})
-	return fates
+	return results
 }
 
 // broadcastTallies sends the tallies of an entry to the others, as often as entries do.
-func broadcastTallies(ctx context.Context, from int, directors []*Director) {
+func broadcastTallies(ctx context.Context, sender int, directors []*Director) {
 	for first := true; ctx.Err() == nil; first = false {
 		time.Sleep(tallyInterval)
-		tally := directors[from].Tally(first)
+		tally := directors[sender].Tally(first)
 		if !first && !tally.News() {
 			continue
 		}
 		tally.Whole = first
 		for i, d := range directors {
-			if i != from {
-				d.Heard(fmt.Sprint("entry-", from), first, &wire.Tally{Held: tally.Held, Waiting: tally.Waiting, Whole: first})
+			if i != sender {
+				d.Heard(fmt.Sprint("entry-", sender), first, &wire.Tally{Held: tally.Held, Waiting: tally.Waiting, Whole: first})
 			}
 		}
 	}
 }
 
 // send sends one kind of request through one entry.
-func (w workload) send(rnd *rand.Rand, d *Director, cfg *route.Config, k int, start time.Time, serve func(*attempt, *Job), note func(requestResult), running *sync.WaitGroup) {
+func (w workload) send(rnd *rand.Rand, d *Director, cfg *route.Config, k int, start time.Time, serve func(*attempt, *Job), record func(requestResult), running *sync.WaitGroup) {
 	for n := 0; ; n++ {
-		at := time.Since(start)
-		if at > w.duration {
+		elapsed := time.Since(start)
+		if elapsed > w.duration {
 			return
 		}
 		rate := w.kinds[k].rate / float64(w.entries)
-		if at > w.burstAt && at < w.burstAt+w.burstFor {
+		if elapsed > w.burstAt && elapsed < w.burstAt+w.burstFor {
 			rate *= w.burst
 		}
 		time.Sleep(time.Duration(rnd.ExpFloat64() / rate * float64(time.Second)))
@@ -164,19 +164,19 @@
 		}
 		running.Go(func() {
 			a, dec := d.admitJob(context.Background(), j)
-			r := requestResult{at: time.Since(start), tier: w.kinds[k].tier, refused: dec.Endpoint < 0}
+			r := requestResult{decidedAt: time.Since(start), tier: w.kinds[k].tier, refused: dec.Endpoint < 0}
 			if r.refused && w.retriesRefused {
 				time.Sleep(dec.Retry)
 				again := *j
 				again.AcceptedAt = time.Now()
 				a, dec = d.admitJob(context.Background(), &again)
-				r = requestResult{at: time.Since(start), tier: r.tier, refused: dec.Endpoint < 0, isRetry: true}
+				r = requestResult{decidedAt: time.Since(start), tier: r.tier, refused: dec.Endpoint < 0, isRetry: true}
 			}
 			if !r.refused {
 				serve(a, j)
 				r.metTarget = !a.firstAt.IsZero() && a.firstAt.Sub(now) <= replayTarget
 			}
-			note(r)
+			record(r)
 		})
 	}
 }
@@ -184,8 +184,8 @@
 // inversions counts the requests of the highest tier, those of them that were refused, and
 // those refused while a request of a lower tier was admitted. The last two events must be no
 // further apart than within, the time in which entries learn of each other's admissions.
-func inversions(fates []requestResult, within time.Duration) (top, refused, inverted int) {
-	for _, r := range fates {
+func inversions(results []requestResult, within time.Duration) (top, refused, inverted int) {
+	for _, r := range results {
 		if r.tier != 0 {
 			continue
 		}
@@ -194,8 +194,8 @@
 			continue
 		}
 		refused++
-		for _, other := range fates {
-			if other.tier > 0 && !other.refused && max(other.at-r.at, r.at-other.at) <= within {
+		for _, other := range results {
+			if other.tier > 0 && !other.refused && max(other.decidedAt-r.decidedAt, r.decidedAt-other.decidedAt) <= within {
 				inverted++
 				break
 			}
@@ -204,8 +204,8 @@
 	return top, refused, inverted
 }
 
-// A third of the engines is gone and twice the usual load arrives. The engines could serve the
-// highest tier. But if each entry compares every request with only its own share of one
+// A third of the engines has failed and twice the usual load arrives. The engines could serve
+// the highest tier. But if each entry compares every request with only its own share of one
 // engine's wait, lower tiers keep filling the queues in which the highest tier then waits: its
 // callers are refused while less urgent requests are served. With thirty entries, all of them
 // learn of a free slot at the same time and several send to it.
@@ -227,10 +227,10 @@
 			burst: 2.2, burstAt: 2 * time.Second, burstFor: 2500 * time.Millisecond,
 			kinds: []requestKind{{0, 50 * tt.scale, 2890, 50}, {1, 59 * tt.scale, 1800, 22}, {2, 21 * tt.scale, 543, 280}},
 		}
-		fates := w.replay(t)
-		top, refused, inverted := inversions(fates, tallyInterval)
+		results := w.replay(t)
+		top, refused, inverted := inversions(results, tallyInterval)
 		inTime := 0
-		for _, r := range fates {
+		for _, r := range results {
 			if r.tier == 0 && r.metTarget {
 				inTime++
 			}
@@ -249,7 +249,7 @@
 // after more than its target is served too late even if there is room then, and its retry may
 // hit the next burst.
 func TestRefusedCallersMeetTargetOnRetry(t *testing.T) {
-	back, inTime := 0, 0
+	retried, inTime := 0, 0
 	for seed := range uint64(8) {
 		w := workload{
 			entries: 4, engines: 9, slots: 7, duration: 6 * time.Second, seed: seed, retriesRefused: true,
@@ -258,18 +258,18 @@
 		}
 		for _, r := range w.replay(t) {
 			if r.isRetry && r.tier < 2 {
-				back++
+				retried++
 				if r.metTarget {
 					inTime++
 				}
 			}
 		}
 	}
-	t.Logf("%d requests of the two higher tiers were retried, %d of them were served in time", back, inTime)
-	if back == 0 {
+	t.Logf("%d requests of the two higher tiers were retried, %d of them were served in time", retried, inTime)
+	if retried == 0 {
 		t.Fatal("no request was refused: the test shows nothing")
 	}
-	if inTime*4 < back {
-		t.Errorf("%d of %d retried requests were served in time", inTime, back)
+	if inTime*4 < retried {
+		t.Errorf("%d of %d retried requests were served in time", inTime, retried)
 	}
 }
--- a/entry/direct/ending_test.go
+++ b/entry/direct/ending_test.go
@@ -31,14 +31,14 @@
 		t.Run(tt.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancelCause(t.Context())
 			defer cancel(nil)
-			endpoint := newTestEndpoint(t, func(s *testEndpoint, c net.Conn, _ *http.Request) {
+			endpoint := newTestEndpoint(t, func(e *testEndpoint, c net.Conn, _ *http.Request) {
 				if tt.begins {
 					writeStreamHead(c)
 					writeChunk(c, streamEvent(1))
 					time.Sleep(100 * time.Millisecond)
 				}
 				cancel(ErrEnding)
-				s.pause(c, 5*time.Second)
+				e.pause(c, 5*time.Second)
 			})
 			h := newHarness(t, tt.route, endpoint)
 			if tt.unsent {
--- a/entry/direct/hand_test.go
+++ b/entry/direct/hand_test.go
@@ -19,7 +19,7 @@
 func TestSlowStreamKeptWhenReplacementDeclines(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
-		serve func(s *testEndpoint, c net.Conn, req *http.Request)
+		serve func(e *testEndpoint, c net.Conn, req *http.Request)
 	}{
 		{"declines", func(_ *testEndpoint, c net.Conn, _ *http.Request) { writeWhole(c, http.StatusServiceUnavailable, "") }},
 		{"closes", func(*testEndpoint, net.Conn, *http.Request) {}},
--- a/entry/direct/late_test.go
+++ b/entry/direct/late_test.go
@@ -18,10 +18,10 @@
 }
 
 // An endpoint becomes slow: it sends nothing for longer than an answer may pause, and then
-// goes on. If the entry's timer ends the attempt before it is known whether there is a retry,
-// an attempt and room elsewhere, and there is not, the caller loses an answer that was on its
-// way. Its stream breaks off, or it gets a 502 instead of a late answer, and the entry's log
-// says
+// goes on. If the entry's timer ends the attempt before the entry has checked for a retry, an
+// attempt and room elsewhere, and one of them is missing, the caller loses an answer that was
+// on its way. Its stream breaks off, or it gets a 502 instead of a late answer, and the
+// entry's log says
 //
 //	"outcome":"broken","why":"endpoint silent for 1s; no repeat left in the budget"
 //	"outcome":"unknown","why":"no head of the answer for 50ms; no repeat left in the budget"
@@ -33,11 +33,11 @@
 	for _, tt := range []struct {
 		name  string
 		route route.Route
-		// after is the position of the pause, which is longer than the silence bound that
+		// pauseAfter is the position of the pause, which is longer than the silence bound that
 		// applies if there is a retry.
-		after int
-		pause time.Duration
-		want  string
+		pauseAfter int
+		pause      time.Duration
+		want       string
 	}{
 		{"plain", unaryRoute, beforeUnary, 3 * unaryRoute.Target, "answer"},
 		{"stream without a head", streamRoute, beforeHead, longer, fourEvents},
@@ -45,20 +45,20 @@
 		{"stream", streamRoute, 2, longer, fourEvents},
 	} {
 		for _, lack := range []struct {
-			what string
-			of   func(h *harness)
+			name  string
+			apply func(h *harness)
 			// logged is what the log says is missing; nil if the attempt may not be given up.
 			logged any
 		}{
-			{"repeat", func(h *harness) { h.spendRetries() }, "no repeat left in the budget"},
+			{"retry", func(h *harness) { h.spendRetries() }, "no repeat left in the budget"},
 			{"room", fillOther, "full"},
 			{"attempt", func(h *harness) { h.cfg.Routes[0].Attempts = 1 }, nil},
 		} {
-			t.Run(tt.name+", no "+lack.what, func(t *testing.T) {
+			t.Run(tt.name+", no "+lack.name, func(t *testing.T) {
 				t.Parallel()
-				slow, other := newPausing(t, tt.after, tt.pause), newPausing(t, tt.after, 0)
+				slow, other := newPausing(t, tt.pauseAfter, tt.pause), newPausing(t, tt.pauseAfter, 0)
 				h := newHarness(t, tt.route, slow, other)
-				lack.of(h)
+				lack.apply(h)
 				got := h.send(t.Context(), "x", callerAnswer{})
 				if got.Outcome != Complete || got.status != http.StatusOK || got.body.String() != tt.want {
 					t.Errorf("%v, %q: status %d, %q", got.Outcome, got.Reason, got.status, got.body.String())
@@ -94,11 +94,11 @@
 // An endpoint that stays silent is replaced by another one if that has room.
 func TestSilentEndpointIsReplaced(t *testing.T) {
 	for _, r := range []route.Route{unaryRoute, streamRoute} {
-		after, want := beforeUnary, "answer"
+		pauseAfter, want := beforeUnary, "answer"
 		if r.Stream {
-			after, want = 2, fourEvents
+			pauseAfter, want = 2, fourEvents
 		}
-		silent, other := newPausing(t, after, time.Minute), newPausing(t, after, 0)
+		silent, other := newPausing(t, pauseAfter, time.Minute), newPausing(t, pauseAfter, 0)
 		h := newHarness(t, r, silent, other)
 		got := h.send(t.Context(), "x", callerAnswer{})
 		if got.Outcome != Complete || got.body.String() != want {
@@ -133,16 +133,16 @@
 	}
 }
 
-// Endpoints answer at the moment in which they would be given up. Whatever comes first, each
-// caller must get its answer whole and once, no request may run more often than retries were
-// taken for it, and unused reservations must be returned.
+// Endpoints answer at the moment when their attempts would be replaced. Whatever comes first,
+// each caller must get its answer whole and once, no request may run more often than retries
+// were taken for it, and unused reservations must be returned.
 func TestAnswersArriveAsAttemptsAreReplaced(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		route route.Route
-		after int
-		bound time.Duration
-		want  string
+		name       string
+		route      route.Route
+		pauseAfter int
+		bound      time.Duration
+		want       string
 	}{
 		{"plain", unaryRoute, beforeUnary, unaryRoute.Target, "answer"},
 		{"head", streamRoute, beforeHead, 2 * streamRoute.Target, fourEvents},
@@ -154,7 +154,7 @@
 			var endpoints []*testEndpoint
 			for range 2 {
 				var n atomic.Int32
-				endpoints = append(endpoints, newPausingEach(t, tt.after, func() time.Duration {
+				endpoints = append(endpoints, newPausingEach(t, tt.pauseAfter, func() time.Duration {
 					return tt.bound + silenceRecheck + time.Duration(n.Add(1)-requests/3)*step
 				}))
 			}
--- a/entry/direct/place_test.go
+++ b/entry/direct/place_test.go
@@ -28,11 +28,12 @@
 	route, outputTokens int
 }
 
-// newEntryPair returns two entries and a pool of so many engines with one slot each.
+// newEntryPair returns two entries and a pool of the given number of engines with one slot
+// each.
 func newEntryPair(t *testing.T, engines int) *entryPair {
 	t.Helper()
-	c := &entryPair{outputTokens: 100}
-	c.cfg = route.Config{
+	p := &entryPair{outputTokens: 100}
+	p.cfg = route.Config{
 		Revision: 1, Pools: []route.Pool{{Name: "p", Engine: true, Slots: 1}},
 		Routes: []route.Route{
 			{Name: "high", Target: time.Second, Timeout: 10 * time.Second, Shares: []route.Share{{Pool: "p", Weight: 1}}},
@@ -53,36 +54,36 @@
 					return []relay.Entry{{Name: "asker", Zone: "z", Capacity: 100}, {Name: "owner", Zone: "z", Capacity: 800}}
 				},
 				Send: func(_ string, m wire.Message) bool {
-					if c.linkDown.Load() {
+					if p.linkDown.Load() {
 						return false
 					}
-					go c.session.Take(m)
+					go p.session.Take(m)
 					return true
 				},
 			},
 		})
-		d.SetConfig(c.cfg)
+		d.SetConfig(p.cfg)
 		d.SetRoster(roster)
 		return d
 	}
-	c.requester, c.owner = entry("asker"), entry("owner")
-	c.session = c.owner.Session(t.Context(), "z", func(m wire.Message) error {
-		if !c.linkDown.Load() {
-			go c.requester.Acked("owner", m.(*wire.PlaceAck))
+	p.requester, p.owner = entry("asker"), entry("owner")
+	p.session = p.owner.Session(t.Context(), "z", func(m wire.Message) error {
+		if !p.linkDown.Load() {
+			go p.requester.Acked("owner", m.(*wire.PlaceAck))
 		}
 		return nil
 	})
 	t.Cleanup(func() {
-		c.session.Close()
+		p.session.Close()
 		time.Sleep(2 * sessionGrace)
 	})
-	return c
+	return p
 }
 
-func (c *entryPair) job() *Job {
+func (p *entryPair) job() *Job {
 	now := time.Now()
-	r := &c.cfg.Routes[c.route]
-	return &Job{ID: "1", Route: r, Tier: r.TierOf(nil), Pool: &c.cfg.Pools[0], AcceptedAt: now, Deadline: now.Add(10 * time.Second), Prompt: 100, Output: c.outputTokens}
+	r := &p.cfg.Routes[p.route]
+	return &Job{ID: "1", Route: r, Tier: r.TierOf(nil), Pool: &p.cfg.Pools[0], AcceptedAt: now, Deadline: now.Add(10 * time.Second), Prompt: 100, Output: p.outputTokens}
 }
 
 // ownRequests returns how many requests an entry counts as its own at an endpoint.
@@ -96,22 +97,22 @@
 // it.
 func TestOwnerCountsGrantedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newEntryPair(t, 1)
-		a, dec := c.requester.admitJob(t.Context(), c.job())
+		p := newEntryPair(t, 1)
+		a, dec := p.requester.admitJob(t.Context(), p.job())
 		if dec.Endpoint < 0 || a.id != "a" || a.placement.Owner != "owner" {
 			t.Fatalf("placed at %q by %q: %v", a.id, a.placement.Owner, dec.Why)
 		}
-		if ownRequests(c.owner, "a") != 1 || ownRequests(c.requester, "a") != 0 {
-			t.Errorf("the owner counts %d requests, the requester %d", ownRequests(c.owner, "a"), ownRequests(c.requester, "a"))
+		if ownRequests(p.owner, "a") != 1 || ownRequests(p.requester, "a") != 0 {
+			t.Errorf("the owner counts %d requests, the requester %d", ownRequests(p.owner, "a"), ownRequests(p.requester, "a"))
 		}
-		if _, dec := c.requester.admitJob(t.Context(), c.job()); dec.Endpoint >= 0 {
+		if _, dec := p.requester.admitJob(t.Context(), p.job()); dec.Endpoint >= 0 {
 			t.Error("a second request was placed at an engine with one slot")
 		}
 		a.recordProgress(10)
 		a.finish(trust.Good)
 		synctest.Wait()
-		if ownRequests(c.owner, "a") != 0 {
-			t.Errorf("the owner counts %d requests after the end", ownRequests(c.owner, "a"))
+		if ownRequests(p.owner, "a") != 0 {
+			t.Errorf("the owner counts %d requests after the end", ownRequests(p.owner, "a"))
 		}
 	})
 }
@@ -119,16 +120,16 @@
 // Guards against a request that is queued at its owner and misses the slot that becomes free.
 func TestRequestQueuesAtOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newEntryPair(t, 1)
-		c.outputTokens = 20
-		first, _ := c.requester.admitJob(t.Context(), c.job())
+		p := newEntryPair(t, 1)
+		p.outputTokens = 20
+		first, _ := p.requester.admitJob(t.Context(), p.job())
 		time.AfterFunc(50*time.Millisecond, func() {
 			first.recordProgress(20)
 			first.finish(trust.Good)
 		})
 		// The lowest tier has no share of an engine's queue.
-		c.route = 1
-		a, dec := c.requester.admitJob(t.Context(), c.job())
+		p.route = 1
+		a, dec := p.requester.admitJob(t.Context(), p.job())
 		if dec.Endpoint < 0 {
 			t.Fatalf("refused: %v", dec.Why)
 		}
@@ -143,17 +144,17 @@
 // counted.
 func TestGrantOfDepartedCallerIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newEntryPair(t, 1)
-		first, _ := c.requester.admitJob(t.Context(), c.job())
+		p := newEntryPair(t, 1)
+		first, _ := p.requester.admitJob(t.Context(), p.job())
 		ctx, leave := context.WithTimeout(t.Context(), 20*time.Millisecond)
 		defer leave()
-		if _, dec := c.requester.admitJob(ctx, c.job()); dec.Endpoint >= 0 {
+		if _, dec := p.requester.admitJob(ctx, p.job()); dec.Endpoint >= 0 {
 			t.Fatal("placed")
 		}
 		synctest.Wait()
 		first.finish(trust.Good)
 		synctest.Wait()
-		if n := ownRequests(c.owner, "a"); n != 0 {
+		if n := ownRequests(p.owner, "a"); n != 0 {
 			t.Errorf("the owner counts %d requests", n)
 		}
 	})
@@ -162,10 +163,10 @@
 // A frozen owner must not hold up the requests of its shards.
 func TestSilentOwnerIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newEntryPair(t, 2)
-		c.session.reply = func(wire.Message) error { return nil }
+		p := newEntryPair(t, 2)
+		p.session.reply = func(wire.Message) error { return nil }
 		start := time.Now()
-		a, dec := c.requester.admitJob(t.Context(), c.job())
+		a, dec := p.requester.admitJob(t.Context(), p.job())
 		if dec.Endpoint < 0 || a.placement.Owner != "" {
 			t.Fatalf("placed by %q: %v", a.placement.Owner, dec.Why)
 		}
@@ -173,11 +174,11 @@
 			t.Errorf("the first request was held up for %v", took)
 		}
 		synctest.Wait()
-		if ownRequests(c.owner, "a")+ownRequests(c.owner, "b") != 0 {
+		if ownRequests(p.owner, "a")+ownRequests(p.owner, "b") != 0 {
 			t.Error("the owner still counts a placement that was given up")
 		}
 		start = time.Now()
-		if _, dec := c.requester.admitJob(t.Context(), c.job()); dec.Endpoint < 0 || time.Since(start) > 0 {
+		if _, dec := p.requester.admitJob(t.Context(), p.job()); dec.Endpoint < 0 || time.Since(start) > 0 {
 			t.Errorf("the second request was held up for %v: %v", time.Since(start), dec.Why)
 		}
 	})
@@ -187,26 +188,26 @@
 // look free to all entries.
 func TestRequestsCountedAfterLinkLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newEntryPair(t, 1)
-		a, _ := c.requester.admitJob(t.Context(), c.job())
+		p := newEntryPair(t, 1)
+		a, _ := p.requester.admitJob(t.Context(), p.job())
 		a.recordProgress(10)
 		synctest.Wait()
-		c.linkDown.Store(true)
-		c.requester.Parted("owner")
-		c.session.Close()
-		if ownRequests(c.requester, "a") != 1 || ownRequests(c.owner, "a") != 1 {
-			t.Errorf("right after the link loss the requester counts %d requests, the owner %d", ownRequests(c.requester, "a"), ownRequests(c.owner, "a"))
+		p.linkDown.Store(true)
+		p.requester.Parted("owner")
+		p.session.Close()
+		if ownRequests(p.requester, "a") != 1 || ownRequests(p.owner, "a") != 1 {
+			t.Errorf("right after the link loss the requester counts %d requests, the owner %d", ownRequests(p.requester, "a"), ownRequests(p.owner, "a"))
 		}
-		if reported := c.requester.Tally(false).Held; len(reported) != 1 || reported[0].Requests != 1 {
+		if reported := p.requester.Tally(false).Held; len(reported) != 1 || reported[0].Requests != 1 {
 			t.Errorf("reported to the peers: %+v", reported)
 		}
 		time.Sleep(2 * sessionGrace)
-		if ownRequests(c.owner, "a") != 0 {
-			t.Errorf("the owner still counts %d requests", ownRequests(c.owner, "a"))
+		if ownRequests(p.owner, "a") != 0 {
+			t.Errorf("the owner still counts %d requests", ownRequests(p.owner, "a"))
 		}
 		a.finish(trust.Good)
-		if ownRequests(c.requester, "a") != 0 {
-			t.Errorf("the requester counts %d requests after the end", ownRequests(c.requester, "a"))
+		if ownRequests(p.requester, "a") != 0 {
+			t.Errorf("the requester counts %d requests after the end", ownRequests(p.requester, "a"))
 		}
 	})
 }
@@ -214,14 +215,14 @@
 // The link breaks while a placement request is pending.
 func TestLinkLostDuringPlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newEntryPair(t, 2)
-		c.session.reply = func(wire.Message) error { return nil }
+		p := newEntryPair(t, 2)
+		p.session.reply = func(wire.Message) error { return nil }
 		time.AfterFunc(10*time.Millisecond, func() {
-			c.linkDown.Store(true)
-			c.requester.Parted("owner")
+			p.linkDown.Store(true)
+			p.requester.Parted("owner")
 		})
 		start := time.Now()
-		a, dec := c.requester.admitJob(t.Context(), c.job())
+		a, dec := p.requester.admitJob(t.Context(), p.job())
 		if dec.Endpoint < 0 || a.placement.Owner != "" || time.Since(start) != 10*time.Millisecond {
 			t.Errorf("placed by %q after %v: %v", a.placement.Owner, time.Since(start), dec.Why)
 		}
@@ -232,24 +233,24 @@
 // to be leaving.
 func TestGrantAtLeavingEndpointIsDeclined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newEntryPair(t, 1)
+		p := newEntryPair(t, 1)
 		r := route.Roster{Revision: 2, Endpoints: []route.Endpoint{
 			{ID: "a", Born: 1, Pool: "p", Addr: "a", Zone: "z", Slots: 1, Leaving: true},
 			{ID: "b", Born: 1, Pool: "p", Addr: "b", Zone: "z", Slots: 1},
 		}}
-		c.requester.SetRoster(r)
-		a, dec := c.requester.admitJob(t.Context(), c.job())
+		p.requester.SetRoster(r)
+		a, dec := p.requester.admitJob(t.Context(), p.job())
 		if dec.Endpoint < 0 || a.id != "b" {
 			t.Errorf("placed at %q: %v", a.id, dec.Why)
 		}
 		synctest.Wait()
-		if ownRequests(c.owner, "a") != 0 {
+		if ownRequests(p.owner, "a") != 0 {
 			t.Error("the owner still counts a placement that was declined")
 		}
 		// An endpoint that only the owner knows is used.
 		r.Revision, r.Endpoints = 3, []route.Endpoint{{ID: "c", Born: 1, Pool: "p", Addr: "c", Zone: "z", Slots: 1}}
-		c.owner.SetRoster(r)
-		if a, dec := c.requester.admitJob(t.Context(), c.job()); dec.Endpoint < 0 || a.id != "c" || a.sentAddr != "c" {
+		p.owner.SetRoster(r)
+		if a, dec := p.requester.admitJob(t.Context(), p.job()); dec.Endpoint < 0 || a.id != "c" || a.sentAddr != "c" {
 			t.Errorf("placed at %q: %v", a.id, dec.Why)
 		}
 	})
@@ -259,11 +260,11 @@
 // Guards against choosing it again and again.
 func TestDeclineRaisesLoadEstimate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newEntryPair(t, 1)
-		a, _ := c.requester.admitJob(t.Context(), c.job())
+		p := newEntryPair(t, 1)
+		a, _ := p.requester.admitJob(t.Context(), p.job())
 		a.handleDecline(30)
 		synctest.Wait()
-		for _, d := range []*Director{c.requester, c.owner} {
+		for _, d := range []*Director{p.requester, p.owner} {
 			d.mu.Lock()
 			e := d.view.endpoints["a"]
 			if got := e.uncountedRequests(time.Now()); got != 30 {
@@ -274,7 +275,7 @@
 			}
 			d.mu.Unlock()
 		}
-		if _, dec := c.requester.admitJob(t.Context(), c.job()); dec.Endpoint >= 0 {
+		if _, dec := p.requester.admitJob(t.Context(), p.job()); dec.Endpoint >= 0 {
 			t.Error("the next request was placed at the full endpoint")
 		}
 	})
@@ -284,12 +285,12 @@
 // that is sent to the crashed one while that is still listed.
 func TestMovedEndpointIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newEntryPair(t, 2)
-		a, _ := c.requester.admitJob(t.Context(), c.job())
+		p := newEntryPair(t, 2)
+		a, _ := p.requester.admitJob(t.Context(), p.job())
 		a.handleMoved()
 		synctest.Wait()
 		for range 3 {
-			next, dec := c.requester.admitJob(t.Context(), c.job())
+			next, dec := p.requester.admitJob(t.Context(), p.job())
 			if dec.Endpoint >= 0 && next.id == a.id {
 				t.Fatalf("placed at %q again", a.id)
 			}
@@ -298,7 +299,7 @@
 				synctest.Wait()
 			}
 		}
-		for _, d := range []*Director{c.requester, c.owner} {
+		for _, d := range []*Director{p.requester, p.owner} {
 			d.mu.Lock()
 			if e := d.view.endpoints[a.id]; !e.hasMoved(time.Now()) || e.hasMoved(time.Now().Add(movedTimeout)) || e.ownWork.requests != 0 {
 				t.Errorf("%s: the endpoint is not skipped for a while: %+v", d.cfg.Addr, e)
--- a/entry/direct/rig_test.go
+++ b/entry/direct/rig_test.go
@@ -39,13 +39,13 @@
 }
 
 // newTestEndpoint returns an endpoint that serves each request with serve.
-func newTestEndpoint(t *testing.T, serve func(s *testEndpoint, c net.Conn, req *http.Request)) *testEndpoint {
+func newTestEndpoint(t *testing.T, serve func(e *testEndpoint, c net.Conn, req *http.Request)) *testEndpoint {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &testEndpoint{addr: ln.Addr().String()}
+	e := &testEndpoint{addr: ln.Addr().String()}
 	var open sync.WaitGroup
 	t.Cleanup(func() {
 		ln.Close()
@@ -63,19 +63,19 @@
 				if err != nil {
 					return
 				}
-				s.runs.Add(1)
-				serve(s, c, req)
+				e.runs.Add(1)
+				serve(e, c, req)
 			})
 		}
 	})
-	return s
+	return e
 }
 
 // pause waits for d and reports whether the request is still wanted then.
-func (s *testEndpoint) pause(c net.Conn, d time.Duration) bool {
+func (e *testEndpoint) pause(c net.Conn, d time.Duration) bool {
 	c.SetReadDeadline(time.Now().Add(d))
 	if _, err := c.Read(make([]byte, 1)); err != nil && !isTimeout(err) {
-		s.cancelled.Add(1)
+		e.cancelled.Add(1)
 		return false
 	}
 	return true
@@ -130,12 +130,12 @@
 	h.cfg = route.Config{Revision: 1, Routes: []route.Route{r}, Pools: []route.Pool{{Name: "p"}}}
 	h.d.SetConfig(h.cfg)
 	roster := route.Roster{Revision: 1}
-	for i, s := range endpoints {
+	for i, e := range endpoints {
 		zone := "far"
 		if i == 0 {
 			zone = "near"
 		}
-		roster.Endpoints = append(roster.Endpoints, route.Endpoint{ID: name(i), Born: 1, Pool: "p", Addr: s.addr, Zone: zone, Slots: harnessSlots})
+		roster.Endpoints = append(roster.Endpoints, route.Endpoint{ID: name(i), Born: 1, Pool: "p", Addr: e.addr, Zone: zone, Slots: harnessSlots})
 	}
 	h.d.SetRoster(roster)
 	return h
@@ -143,7 +143,7 @@
 
 func name(i int) string { return string(rune('a' + i)) }
 
-// callerAnswer is what a caller got.
+// callerAnswer is what a caller got. Its last two fields control the caller's writes.
 type callerAnswer struct {
 	Result
 	status int
--- a/entry/direct/shards_test.go
+++ b/entry/direct/shards_test.go
@@ -8,7 +8,7 @@
 // In a pool of 46 engines the highest tier alone takes nearly all slots. Guards against shards
 // so small that one of them refuses the highest tier while others serve lower ones.
 func TestShardsDoNotRefuseHighestTier(t *testing.T) {
-	c := fleet{
+	f := fleet{
 		workload: workload{
 			entries: 25, engines: 46, slots: 9, duration: 4 * time.Second, seed: 5,
 			burst: 1.5, burstAt: 1500 * time.Millisecond, burstFor: 2 * time.Second,
@@ -16,7 +16,7 @@
 		},
 		usesOwners: true,
 	}
-	top, refused, inverted := inversions(c.replay(t).requests, tallyInterval)
+	top, refused, inverted := inversions(f.replay(t).requests, tallyInterval)
 	t.Logf("of %d requests of the highest tier %d refused, %d of them while a lower tier was admitted", top, refused, inverted)
 	if inverted*100 > top*2 {
 		t.Errorf("%d of %d of the highest tier refused while a lower tier was admitted", inverted, top)
--- a/entry/direct/size_test.go
+++ b/entry/direct/size_test.go
@@ -46,15 +46,15 @@
 // tallyTiming returns the time between two tallies of an entry and their latency through a
 // hub, in a fleet of so many entries. hub is set for an entry that forwards tallies or owns a
 // shard.
-func tallyTiming(entries int, hub bool) (every, way time.Duration) {
-	each := 2500 * time.Microsecond * time.Duration(entries)
+func tallyTiming(entries int, hub bool) (interval, latency time.Duration) {
+	scaled := 2500 * time.Microsecond * time.Duration(entries)
 	switch {
 	case entries <= 8:
 		return 25 * time.Millisecond, oneWay
 	case hub:
-		each = 5 * time.Millisecond * time.Duration(16+entries/16)
+		scaled = 5 * time.Millisecond * time.Duration(16+entries/16)
 	}
-	return max(25*time.Millisecond, each), 50 * time.Millisecond
+	return max(25*time.Millisecond, scaled), 50 * time.Millisecond
 }
 
 // hasLargeCapacity reports whether an entry is one of those with much capacity.
@@ -73,24 +73,24 @@
 	return &countingEngine{testEngine: testEngine{slots: make(chan struct{}, slots)}, stopped: make(chan struct{})}
 }
 
-func (b *countingEngine) count(n int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.requests += n
-	b.maxRequests = max(b.maxRequests, b.requests)
+func (e *countingEngine) count(n int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.requests += n
+	e.maxRequests = max(e.maxRequests, e.requests)
 }
 
 // run serves a request, or breaks it off when the engine ends.
-func (b *countingEngine) run(a *attempt, prompt, output int) {
-	b.count(1)
-	defer b.count(-1)
+func (e *countingEngine) run(a *attempt, prompt, output int) {
+	e.count(1)
+	defer e.count(-1)
 	select {
-	case b.slots <- struct{}{}:
-	case <-b.stopped:
+	case e.slots <- struct{}{}:
+	case <-e.stopped:
 		a.finish(trust.Broken)
 		return
 	}
-	defer func() { <-b.slots }()
+	defer func() { <-e.slots }()
 	steps := 4
 	pauses := []time.Duration{30*time.Millisecond + time.Duration(prompt)*9*time.Microsecond}
 	for range steps {
@@ -100,7 +100,7 @@
 		select {
 		case <-time.After(p):
 			a.recordProgress(max(output/(steps+1), 1))
-		case <-b.stopped:
+		case <-e.stopped:
 			a.finish(trust.Broken)
 			return
 		}
@@ -117,15 +117,15 @@
 	queue []func()
 }
 
-func (p *messageLink) send(f func()) {
-	p.mu.Lock()
-	p.queue = append(p.queue, f)
-	p.mu.Unlock()
+func (l *messageLink) send(f func()) {
+	l.mu.Lock()
+	l.queue = append(l.queue, f)
+	l.mu.Unlock()
 	time.AfterFunc(oneWay, func() {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		first := p.queue[0]
-		p.queue = p.queue[1:]
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		first := l.queue[0]
+		l.queue = l.queue[1:]
 		first()
 	})
 }
@@ -146,18 +146,18 @@
 	session           *Session
 }
 
-func (w *network) send(from, to string, m wire.Message) bool {
-	w.mu.Lock()
-	l := w.connections[[2]string{from, to}]
+func (n *network) send(from, to string, m wire.Message) bool {
+	n.mu.Lock()
+	l := n.connections[[2]string{from, to}]
 	if l == nil {
 		l = new(connection)
-		w.connections[[2]string{from, to}] = l
-		l.session = w.directors[to].Session(w.ctx, w.zones[from], func(m wire.Message) error {
-			l.inbound.send(func() { w.directors[from].Acked(to, m.(*wire.PlaceAck)) })
+		n.connections[[2]string{from, to}] = l
+		l.session = n.directors[to].Session(n.ctx, n.zones[from], func(m wire.Message) error {
+			l.inbound.send(func() { n.directors[from].Acked(to, m.(*wire.PlaceAck)) })
 			return nil
 		})
 	}
-	w.mu.Unlock()
+	n.mu.Unlock()
 	l.outbound.send(func() { l.session.Take(m) })
 	return true
 }
@@ -172,7 +172,7 @@
 	maxExcess float64
 }
 
-func (c fleet) replay(t *testing.T) replayResult {
+func (f fleet) replay(t *testing.T) replayResult {
 	var (
 		mu  sync.Mutex
 		out replayResult
@@ -183,26 +183,26 @@
 		engines := make(map[string]*countingEngine)
 		roster := route.Roster{Revision: 1}
 		add := func(id string, i int) {
-			engines[id] = newCountingEngine(c.slots)
+			engines[id] = newCountingEngine(f.slots)
 			roster.Endpoints = append(roster.Endpoints, route.Endpoint{
-				ID: id, Born: 1, Pool: "p", Addr: id, Zone: fmt.Sprint("z", i%sizeZones), Slots: c.slots,
+				ID: id, Born: 1, Pool: "p", Addr: id, Zone: fmt.Sprint("z", i%sizeZones), Slots: f.slots,
 			})
 		}
-		for i := range c.engines {
+		for i := range f.engines {
 			add(fmt.Sprint("engine-", i), i)
 		}
-		cfg := route.Config{Revision: 1, Pools: []route.Pool{{Name: "p", Engine: true, Slots: c.slots}}}
-		for i := range c.kinds {
+		cfg := route.Config{Revision: 1, Pools: []route.Pool{{Name: "p", Engine: true, Slots: f.slots}}}
+		for i := range f.kinds {
 			cfg.Routes = append(cfg.Routes, route.Route{
-				Name: fmt.Sprint("r", i), Tier: c.kinds[i].tier, Target: replayTarget, Timeout: 5 * time.Second, Shares: []route.Share{{Pool: "p", Weight: 1}},
+				Name: fmt.Sprint("r", i), Tier: f.kinds[i].tier, Target: replayTarget, Timeout: 5 * time.Second, Shares: []route.Share{{Pool: "p", Weight: 1}},
 			})
 		}
-		w := &network{ctx: ctx, directors: make(map[string]*Director), zones: make(map[string]string), connections: make(map[[2]string]*connection)}
+		n := &network{ctx: ctx, directors: make(map[string]*Director), zones: make(map[string]string), connections: make(map[[2]string]*connection)}
 		var (
 			directors []*Director
 			peers     []relay.Entry
 		)
-		for i := range c.entries {
+		for i := range f.entries {
 			name, zone := fmt.Sprint("entry-", i), fmt.Sprint("z", i%sizeZones)
 			capacity := uint32(144)
 			if hasLargeCapacity(i) {
@@ -211,15 +211,15 @@
 			peers = append(peers, relay.Entry{Name: name, Zone: zone, Capacity: capacity})
 			d := New(Config{
 				Addr: name, Zone: zone, Repeats: Repeats{Ratio: 0.2, Slack: 50}, Client: hop.New(), Metrics: meter.New(), Log: zap.NewNop(),
-				Reach: func() (int, int) { return c.entries, c.entries },
+				Reach: func() (int, int) { return f.entries, f.entries },
 			})
-			if c.usesOwners {
+			if f.usesOwners {
 				d.cfg.Peers = Peers{
 					Self: name, Entries: func() []relay.Entry { return peers }, Link: func([]string) {},
-					Send: func(to string, m wire.Message) bool { return w.send(name, to, m) },
+					Send: func(to string, m wire.Message) bool { return n.send(name, to, m) },
 				}
 			}
-			w.directors[name], w.zones[name] = d, zone
+			n.directors[name], n.zones[name] = d, zone
 			directors = append(directors, d)
 			d.SetConfig(cfg)
 			d.SetRoster(roster)
@@ -231,54 +231,54 @@
 			mu.Unlock()
 			e.run(a, j.Prompt, j.Output)
 		}
-		note := func(r requestResult) {
+		record := func(r requestResult) {
 			mu.Lock()
 			defer mu.Unlock()
 			out.requests = append(out.requests, r)
 		}
 		for i, d := range directors {
-			running.Go(func() { c.broadcastTallies(ctx, i, directors) })
-			for k := range c.kinds {
-				rnd := rand.New(rand.NewPCG(c.seed, uint64(i*len(c.kinds)+k)))
-				running.Go(func() { c.send(rnd, d, &cfg, k, start, serve, note, &running) })
+			running.Go(func() { f.broadcastTallies(ctx, i, directors) })
+			for k := range f.kinds {
+				rnd := rand.New(rand.NewPCG(f.seed, uint64(i*len(f.kinds)+k)))
+				running.Go(func() { f.send(rnd, d, &cfg, k, start, serve, record, &running) })
 			}
 		}
 		running.Go(func() {
-			rnd := rand.New(rand.NewPCG(c.seed, 1<<40))
-			lost := int(c.lostFraction * float64(c.engines))
-			time.Sleep(c.burstAt)
+			rnd := rand.New(rand.NewPCG(f.seed, 1<<40))
+			lost := int(f.lostFraction * float64(f.engines))
+			time.Sleep(f.burstAt)
 			mu.Lock()
 			for _, e := range roster.Endpoints[:lost] {
 				close(engines[e.ID].stopped)
 			}
 			roster.Endpoints = append([]route.Endpoint(nil), roster.Endpoints[lost:]...)
 			mu.Unlock()
-			c.distributeRoster(rnd, &roster, directors, &running)
-			time.Sleep(c.replacedAfter)
+			f.distributeRoster(rnd, &roster, directors, &running)
+			time.Sleep(f.replacedAfter)
 			mu.Lock()
 			roster.Endpoints = append([]route.Endpoint(nil), roster.Endpoints...)
 			for i := range lost {
 				add(fmt.Sprint("new-", i), i)
 			}
 			mu.Unlock()
-			c.distributeRoster(rnd, &roster, directors, &running)
+			f.distributeRoster(rnd, &roster, directors, &running)
 		})
 		running.Go(func() {
-			for time.Since(start) < c.duration {
+			for time.Since(start) < f.duration {
 				time.Sleep(5 * time.Millisecond)
-				over, slots := 0, 0
+				excess, slots := 0, 0
 				mu.Lock()
 				for _, e := range engines {
 					e.mu.Lock()
-					over += max(e.requests-c.slots, 0)
-					slots += c.slots
+					excess += max(e.requests-f.slots, 0)
+					slots += f.slots
 					e.mu.Unlock()
 				}
-				out.maxExcess = max(out.maxExcess, float64(over)/float64(slots))
+				out.maxExcess = max(out.maxExcess, float64(excess)/float64(slots))
 				mu.Unlock()
 			}
 		})
-		time.Sleep(c.duration + 5*time.Second)
+		time.Sleep(f.duration + 5*time.Second)
 		stop()
 		running.Wait()
 		for _, e := range engines {
@@ -289,13 +289,13 @@
 }
 
 // distributeRoster has a new instance list reach the entries, each after a different time.
-func (c fleet) distributeRoster(rnd *rand.Rand, r *route.Roster, directors []*Director, running *sync.WaitGroup) {
+func (f fleet) distributeRoster(rnd *rand.Rand, r *route.Roster, directors []*Director, running *sync.WaitGroup) {
 	r.Revision++
 	list := *r
 	for _, d := range directors {
-		after := time.Duration(rnd.Float64() * float64(time.Second))
+		delay := time.Duration(rnd.Float64() * float64(time.Second))
 		running.Go(func() {
-			time.Sleep(after)
+			time.Sleep(delay)
 			d.SetRoster(list)
 		})
 	}
@@ -303,20 +303,20 @@
 
 // broadcastTallies sends the tallies of an entry to the others, as often as entries of such a
 // fleet do.
-func (c fleet) broadcastTallies(ctx context.Context, from int, directors []*Director) {
-	every, way := tallyTiming(c.entries, hasLargeCapacity(from))
-	time.Sleep(every * time.Duration(from) / time.Duration(len(directors)))
+func (f fleet) broadcastTallies(ctx context.Context, sender int, directors []*Director) {
+	interval, latency := tallyTiming(f.entries, hasLargeCapacity(sender))
+	time.Sleep(interval * time.Duration(sender) / time.Duration(len(directors)))
 	for first := true; ctx.Err() == nil; first = false {
-		time.Sleep(every)
-		tally := directors[from].Tally(first)
+		time.Sleep(interval)
+		tally := directors[sender].Tally(first)
 		if !first && !tally.News() {
 			continue
 		}
 		t := &wire.Tally{Held: tally.Held, Waiting: tally.Waiting, Whole: first}
-		time.AfterFunc(way, func() {
+		time.AfterFunc(latency, func() {
 			for i, d := range directors {
-				if i != from {
-					d.Heard(fmt.Sprint("entry-", from), first, t)
+				if i != sender {
+					d.Heard(fmt.Sprint("entry-", sender), first, t)
 				}
 			}
 		})
@@ -340,13 +340,13 @@
 // Guards against engines overloaded by many entries, each of which sends to the slots that
 // looked free to all of them a while ago.
 func TestManyEntriesDoNotOverloadEngines(t *testing.T) {
-	fewestMax := 0
+	baseMax := 0
 	for _, entries := range []int{5, 30, 103, 420} {
 		if entries > *maxFleetEntries {
 			continue
 		}
-		c := burstFleet(entries)
-		got := c.replay(t)
+		f := burstFleet(entries)
+		got := f.replay(t)
 		top, refused, inverted := inversions(got.requests, tallyInterval)
 		inTime, served := 0, 0
 		for _, r := range got.requests {
@@ -358,18 +358,18 @@
 			}
 		}
 		t.Logf("%d entries: at most %d requests at an engine of %d slots, %.2f of all slots in excess; of %d of the highest tier %d in time, %d refused, %d of them while a lower tier was admitted; %d of %d served",
-			entries, got.maxRequests, c.slots, got.maxExcess, top, inTime, refused, inverted, served, len(got.requests))
+			entries, got.maxRequests, f.slots, got.maxExcess, top, inTime, refused, inverted, served, len(got.requests))
 		if refused*20 > top {
 			t.Errorf("%d entries: %d of %d of the highest tier refused", entries, refused, top)
 		}
 		if !shard.Needed(entries) {
 			continue
 		}
-		if fewestMax == 0 {
-			fewestMax = got.maxRequests
+		if baseMax == 0 {
+			baseMax = got.maxRequests
 		}
-		if got.maxRequests > fewestMax+c.slots {
-			t.Errorf("%d entries: %d requests at an engine of %d slots, %d with fewer entries", entries, got.maxRequests, c.slots, fewestMax)
+		if got.maxRequests > baseMax+f.slots {
+			t.Errorf("%d entries: %d requests at an engine of %d slots, %d with fewer entries", entries, got.maxRequests, f.slots, baseMax)
 		}
 		if got.maxExcess > 0.5 {
 			t.Errorf("%d entries: %.2f of all slots in excess", entries, got.maxExcess)
--- a/entry/direct/stopped_test.go
+++ b/entry/direct/stopped_test.go
@@ -30,8 +30,8 @@
 
 // A process is paused for a moment while its streams wait for their next events. When it
 // resumes, the timers of all streams expire before the bytes are read that arrived in the
-// meantime. If that ends the attempts, all streams of the process are run again at another
-// endpoint at once, their answers so far are thrown away, and no retries are left when an
+// meantime. If that ends the attempts, all streams of the process run again at another
+// endpoint at once, their answers so far are discarded, and no retries are left when an
 // endpoint does fail. With a single check each attempt was "given up for endpoint b though the
 // event had come".
 func TestProcessPauseIsNotEndpointSilence(t *testing.T) {
--- a/entry/direct/view_test.go
+++ b/entry/direct/view_test.go
@@ -134,8 +134,8 @@
 }
 
 // Each event of each stream reduces the outstanding output of an endpoint. If every change
-// were reported, this would be most of what entries send each other, across availability zones
-// as well, and no decision would differ by it.
+// were reported, these reports would be most of the traffic between entries, also across
+// availability zones, and no decision would change because of them.
 func TestOnlyRelevantChangesAreReported(t *testing.T) {
 	v, p := newPoolView("a")
 	d := &Director{view: v, start: time.Now(), cfg: Config{Reach: func() (int, int) { return 1, 1 }}}
