--- a/entry/direct/session.go
+++ b/entry/direct/session.go
@@ -13,12 +13,12 @@
 	"lycheepond/core/wire"
 )
 
-// keepFor is for how long the places of a peer whose link has ended are still taken:
-// until its tallies tell what it has there, or it counts as silent.
-const keepFor = 300 * time.Millisecond
+// sessionGrace is how long the placements of a peer whose link has ended are still counted: by
+// then the peer's tallies report what it has there, or the peer counts as silent.
+const sessionGrace = 300 * time.Millisecond
 
-// Session is what one peer has asked for over one link. Take and Close are called by
-// one goroutine.
+// Session holds the placements that one peer has requested over one link. Handle and Close are
+// called by one goroutine.
 type Session struct {
 	d     *Director
 	zone  string
@@ -26,137 +26,138 @@
 	// ctx ends with the session.
 	ctx  context.Context
 	stop context.CancelFunc
-	// standing counts the goroutines of requests that stand in line.
-	standing sync.WaitGroup
-	// granted holds the places that the peer has, waiting what ends the wait of those
-	// that it has none for yet. Director's mutex guards both.
-	granted map[uint64]*visit
-	waiting map[uint64]context.CancelFunc
+	// waiters counts the goroutines of queued requests.
+	waiters sync.WaitGroup
+	// placements holds the attempts that are placed for the peer, cancelWaits the functions
+	// that end the wait of its queued requests. Director's mutex guards both.
+	placements  map[uint64]*attempt
+	cancelWaits map[uint64]context.CancelFunc
 }
 
-// Session begins to place requests for a peer of a zone.
+// NewSession returns a session that places requests for a peer in a zone. reply sends a
+// message to the peer.
 func (d *Director) Session(ctx context.Context, zone string, reply func(m wire.Message) error) *Session {
-	s := &Session{d: d, zone: zone, reply: reply, granted: make(map[uint64]*visit), waiting: make(map[uint64]context.CancelFunc)}
+	s := &Session{d: d, zone: zone, reply: reply, placements: make(map[uint64]*attempt), cancelWaits: make(map[uint64]context.CancelFunc)}
 	s.ctx, s.stop = context.WithCancel(ctx)
 	return s
 }
 
-// Take takes in what the peer asks or notes.
+// Handle processes a placement request or a note of the peer.
 func (s *Session) Take(m wire.Message) {
 	switch m := m.(type) {
 	case *wire.PlaceRequest:
-		s.ask(m)
+		s.handleRequest(m)
 	case *wire.PlaceReport:
-		s.note(m)
+		s.handleNote(m)
 	}
 }
 
-// Close ends the session and frees the places of the peer a while later.
+// Close ends the session and releases the placements of the peer after sessionGrace.
 func (s *Session) Close() {
 	s.stop()
-	s.standing.Wait()
-	time.AfterFunc(keepFor, func() {
+	s.waiters.Wait()
+	time.AfterFunc(sessionGrace, func() {
 		s.d.mu.Lock()
 		defer s.d.mu.Unlock()
-		for _, v := range s.granted {
-			v.drop()
+		for _, a := range s.placements {
+			a.releaseAll()
 		}
-		clear(s.granted)
+		clear(s.placements)
 	})
 }
 
-// ask places a request or puts it into line.
-func (s *Session) ask(m *wire.PlaceRequest) {
+// handleRequest places, queues or refuses a request of the peer.
+func (s *Session) handleRequest(m *wire.PlaceRequest) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
-	_, known := s.d.cfg.Reach()
-	cfg, ok := s.d.v.table.Pool(m.Pool)
+	_, knownEntries := s.d.cfg.Reach()
+	cfg, ok := s.d.view.table.Pool(m.Pool)
 	if !ok {
 		_ = s.reply(&wire.PlaceReply{ID: m.ID})
 		return
 	}
-	p := s.d.v.pool(m.Pool, s.d.cfg.Repeats, known)
-	part := p.shards[shard.Key{Zone: m.Zone, Index: m.ShardIndex}]
-	if part == nil {
+	p := s.d.view.pool(m.Pool, s.d.cfg.Repeats, knownEntries)
+	target := p.shards[shard.Key{Zone: m.Zone, Index: m.ShardIndex}]
+	if target == nil {
 		_ = s.reply(&wire.PlaceReply{ID: m.ID})
 		return
 	}
-	j := jobOf(m, cfg)
-	v, dec, w := s.d.line(j, p, lineup{shard: part, zone: s.zone, stand: m.MayQueue})
+	j := jobFromRequest(m, cfg)
+	a, dec, w := s.d.placeOrEnqueue(j, p, queueOptions{shard: target, zone: s.zone, mayWait: m.MayQueue})
 	if w == nil {
-		s.answer(m.ID, v, dec)
+		s.sendDecision(m.ID, a, dec)
 		return
 	}
 	ctx, cancel := context.WithCancel(s.ctx)
-	s.waiting[m.ID] = cancel
-	s.standing.Go(func() {
+	s.cancelWaits[m.ID] = cancel
+	s.waiters.Go(func() {
 		defer cancel()
-		w.stand(ctx)
+		w.awaitDispatch(ctx)
 		s.d.mu.Lock()
 		defer s.d.mu.Unlock()
-		delete(s.waiting, m.ID)
-		v, dec := s.d.leave(w, p)
+		delete(s.cancelWaits, m.ID)
+		a, dec := s.d.leaveQueue(w, p)
 		if ctx.Err() == nil {
-			s.answer(m.ID, v, dec)
+			s.sendDecision(m.ID, a, dec)
 		} else if dec.Endpoint >= 0 {
-			v.drop()
+			a.releaseAll()
 		}
 	})
 }
 
-// jobOf returns what placement needs to know of a request.
-func jobOf(m *wire.PlaceRequest, cfg *route.Pool) *Job {
+// jobFromRequest returns a job with what placement needs to know of a peer's request.
+func jobFromRequest(m *wire.PlaceRequest, cfg *route.Pool) *Job {
 	now := time.Now()
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 	return &Job{
 		Route: &route.Route{Target: us(m.TargetUS), Timeout: math.MaxInt64}, Pool: cfg, Tier: route.Tier{Customer: m.CustomerTier, Route: m.RouteTier},
-		Accepted: now.Add(us(m.TargetLeftUS - m.TargetUS)), Deadline: now.Add(us(m.DeadlineLeftUS)), Prompt: int(m.PromptTokens), Output: int(m.OutputTokens),
+		AcceptedAt: now.Add(us(m.TargetLeftUS - m.TargetUS)), Deadline: now.Add(us(m.DeadlineLeftUS)), Prompt: int(m.PromptTokens), Output: int(m.OutputTokens),
 	}
 }
 
-// answer tells the peer what was decided; Director's mutex is held.
-func (s *Session) answer(id uint64, v *visit, dec admit.Decision) {
-	b := v.basis
+// sendDecision sends a decision to the peer. The caller holds Director's mutex.
+func (s *Session) sendDecision(id uint64, a *attempt, dec admit.Decision) {
+	p := a.placement
 	m := &wire.PlaceReply{
-		ID: id, Decided: true, RosterRevision: s.d.v.roster.Revision, RefusalReason: uint8(dec.Reason), RetryAfterUS: dec.RetryAfter.Microseconds(), SlotIntervalUS: dec.SlotInterval.Microseconds(),
-		FirstEventUS: dec.FirstEvent.Microseconds(), WaitUS: dec.SlotWait.Microseconds(), QueuedUS: b.Stood.Microseconds(),
+		ID: id, Decided: true, RosterRevision: s.d.view.roster.Revision, RefusalReason: uint8(dec.Reason), RetryAfterUS: dec.RetryAfter.Microseconds(), SlotIntervalUS: dec.SlotInterval.Microseconds(),
+		FirstEventUS: dec.FirstEvent.Microseconds(), WaitUS: dec.SlotWait.Microseconds(), QueuedUS: p.QueuedFor.Microseconds(),
 	}
 	if dec.Endpoint >= 0 {
-		m.Endpoint, m.Addr, m.Slots = v.id, v.addr, v.e.Slots
-		m.RequestsAhead, m.PromptTokens, m.HadFreeSlot = uint32(max(b.Ahead, 0)), uint32(max(b.Prompt, 0)), v.free
-		s.granted[id] = v
+		m.Endpoint, m.Addr, m.Slots = a.id, a.sentAddr, a.endpoint.Slots
+		m.RequestsAhead, m.PromptTokens, m.HadFreeSlot = uint32(max(p.RequestsAhead, 0)), uint32(max(p.PromptTokensAhead, 0)), a.hadFreeSlot
+		s.placements[id] = a
 	}
-	// A link that cannot take it ends, and with it the session.
+	// If the link cannot take the message, the link ends and with it the session.
 	_ = s.reply(m)
 }
 
-// note takes in what has become of a place.
-func (s *Session) note(m *wire.PlaceReport) {
+// handleNote applies what the peer reports about a placement.
+func (s *Session) handleNote(m *wire.PlaceReport) {
 	s.d.mu.Lock()
-	v := s.granted[m.ID]
-	if v == nil {
-		if cancel := s.waiting[m.ID]; cancel != nil && m.Outcome != wire.PlaceOpen {
+	a := s.placements[m.ID]
+	if a == nil {
+		if cancel := s.cancelWaits[m.ID]; cancel != nil && m.Outcome != wire.PlaceOpen {
 			cancel()
 		}
 		s.d.mu.Unlock()
 		return
 	}
-	v.e.heard = time.Now()
+	a.endpoint.lastByteAt = time.Now()
 	if m.Outcome != wire.PlaceOpen {
-		delete(s.granted, m.ID)
+		delete(s.placements, m.ID)
 	}
 	s.d.mu.Unlock()
 	if m.OutputTokens > 0 || m.Outcome == wire.PlaceOpen {
-		v.progress(int(m.OutputTokens))
+		a.recordProgress(int(m.OutputTokens))
 	}
 	switch {
 	case m.Outcome == wire.PlaceDropped:
-		v.abandon()
+		a.abandon()
 	case m.Outcome == wire.PlaceDeclined:
-		v.declined(int(m.EndpointRequests))
+		a.handleDecline(int(m.EndpointRequests))
 	case m.Outcome == wire.PlaceMoved:
-		v.misplaced()
+		a.handleMoved()
 	case m.Outcome >= wire.PlaceResult:
-		v.end(trust.Result(m.Outcome - wire.PlaceResult))
+		a.finish(trust.Result(m.Outcome - wire.PlaceResult))
 	}
 }
