--- a/entry/caller/accept.go
+++ b/entry/caller/accept.go
@@ -200,7 +200,7 @@
 // forwardedHeaders returns the headers to pass on.
 func forwardedHeaders(h http.Header) []wire.Field {
 	out := make([]wire.Field, 0, len(h))
-	for name, values := range heads.Forward(h) {
+	for name, values := range heads.EndToEnd(h) {
 		if droppedHeaders[name] {
 			continue
 		}
--- a/entry/caller/reply.go
+++ b/entry/caller/reply.go
@@ -55,7 +55,7 @@
 	h := r.w.Header()
 	for _, f := range header {
 		name := http.CanonicalHeaderKey(f.Name)
-		if !droppedHeaders[name] && !heads.PerHop(name) {
+		if !droppedHeaders[name] && !heads.IsHopByHop(name) {
 			h.Add(name, f.Value)
 		}
 	}
--- a/entry/direct/beside.go
+++ b/entry/direct/beside.go
@@ -158,7 +158,7 @@
 
 // isUsable reports whether an answer may be forwarded to the caller.
 func (t *task) isUsable(answer *hop.Answer) bool {
-	m := t.d.cfg.Read(answer)
+	m := t.d.cfg.ReadMeta(answer)
 	switch {
 	case m.NotRun || m.WrongEndpoint || impliesNotRun(answer.Status) || answer.Status >= http.StatusInternalServerError:
 		return false
@@ -178,13 +178,13 @@
 		return got
 	}
 	defer x.answer.Close()
-	m := t.d.cfg.Read(x.answer)
+	m := t.d.cfg.ReadMeta(x.answer)
 	x.attempt.recordHead(m)
 	if m.NotRun || m.WrongEndpoint {
 		if m.WrongEndpoint {
 			x.attempt.handleMoved()
 		} else {
-			x.attempt.handleDecline(m.Load)
+			x.attempt.handleDecline(m.Requests)
 		}
 		return attemptResult{wasReceived: true, result: Result{Reason: "endpoint did not run it"}}
 	}
--- a/entry/direct/canary.go
+++ b/entry/direct/canary.go
@@ -23,7 +23,7 @@
 
 // SetOrder applies a rollout order as the platform has it, with the state and the target in
 // its status.
-func (d *Director) Order(o canary.Order, s canary.State, target string) {
+func (d *Director) SetOrder(o canary.Order, s canary.State, target string) {
 	d.updateRollouts(func(now time.Duration) {
 		d.view.rollouts.AddOrder(now, o, 0)
 		d.view.rollouts.MergeStored(now, o.Pool, target, s, o.Revision)
@@ -31,18 +31,18 @@
 }
 
 // CancelOrder records that the platform has no rollout order for a pool at a revision.
-func (d *Director) Cancel(pool string, revision int64) {
+func (d *Director) CancelOrder(pool string, revision int64) {
 	d.updateRollouts(func(now time.Duration) { d.view.rollouts.CancelOrder(now, pool, revision) })
 }
 
 // MarkOrdersRead records that all rollout orders of the platform as of a time are known.
-func (d *Director) OrdersRead(asOf time.Time) {
+func (d *Director) MarkOrdersRead(asOf time.Time) {
 	d.updateRollouts(func(time.Duration) { d.view.rollouts.RecordOrdersRead(d.sinceStart(asOf)) })
 }
 
 // AwaitsOrders reports whether endpoints are held back until the rollout orders have been
 // read.
-func (d *Director) OrdersUnsure() bool {
+func (d *Director) AwaitsOrders() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.view.rollouts.AwaitsOrders()
@@ -103,7 +103,7 @@
 	if e == nil || d.view.queueCounts.competition(poolTier{p.name, j.Tier}, 0, 0).HigherTier > 0 || p.queue.CountAhead(d.queuePosition(j, p)) > 0 {
 		return nil, admit.Decision{}, false
 	}
-	_, knownEntries := d.cfg.Reach()
+	_, knownEntries := d.cfg.EntryCounts()
 	req := d.placementRequest(j, p, now)
 	q := canary.Request{Route: j.Route.Name, ExpectedDuration: p.learner.Pace(e.ID).HoldTime(req.PromptTokens, req.OutputTokens), Entries: knownEntries, Random: rand.Float64()}
 	if !d.view.rollouts.AdmitToTrial(d.sinceStart(now), p.name, q) {
@@ -258,7 +258,7 @@
 	if !d.view.rollouts.Active() {
 		return nil
 	}
-	_, knownEntries := d.cfg.Reach()
+	_, knownEntries := d.cfg.EntryCounts()
 	var out []wire.Rollout
 	if resend && d.view.rollouts.OrdersKnown() {
 		// An empty report says that this entry knows all orders.
--- a/entry/direct/crowd_test.go
+++ b/entry/direct/crowd_test.go
@@ -96,8 +96,8 @@
 		var directors []*Director
 		for i := range w.entries {
 			d := New(Config{
-				Addr: fmt.Sprint("entry-", i), Repeats: Repeats{Ratio: 0.2, Slack: 50}, Metrics: meter.New(), Log: zap.NewNop(),
-				Reach: func() (int, int) { return w.entries, w.entries },
+				Addr: fmt.Sprint("entry-", i), RetryBudget: RetryBudget{Ratio: 0.2, Slack: 50}, Metrics: meter.New(), Log: zap.NewNop(),
+				EntryCounts: func() (int, int) { return w.entries, w.entries },
 			})
 			d.SetConfig(cfg)
 			d.SetRoster(roster)
@@ -110,7 +110,7 @@
 				rnd := rand.New(rand.NewPCG(w.seed, uint64(i*len(w.kinds)+k)))
 				running.Go(func() {
 					w.send(rnd, d, &cfg, k, start, func(a *attempt, j *Job) {
-						engines[a.id].serve(a, j.Prompt, j.Output)
+						engines[a.id].serve(a, j.PromptTokens, j.OutputTokens)
 					}, func(r requestResult) {
 						mu.Lock()
 						defer mu.Unlock()
@@ -137,7 +137,7 @@
 		tally.Full = first
 		for i, d := range directors {
 			if i != sender {
-				d.Heard(fmt.Sprint("entry-", sender), first, &wire.Tally{Endpoints: tally.Endpoints, Queues: tally.Queues, Full: first})
+				d.HandleTally(fmt.Sprint("entry-", sender), first, &wire.Tally{Endpoints: tally.Endpoints, Queues: tally.Queues, Full: first})
 			}
 		}
 	}
@@ -160,7 +160,7 @@
 		j := &Job{
 			ID: fmt.Sprint(d.cfg.Addr, k, n), Route: &cfg.Routes[k], Pool: &cfg.Pools[0], Tier: cfg.Routes[k].TierOf(nil),
 			AcceptedAt: now, Deadline: now.Add(5 * time.Second),
-			Prompt: int(size * float64(w.kinds[k].prompt)), Output: max(int(size*float64(w.kinds[k].output)), 10),
+			PromptTokens: int(size * float64(w.kinds[k].prompt)), OutputTokens: max(int(size*float64(w.kinds[k].output)), 10),
 		}
 		running.Go(func() {
 			a, dec := d.admitJob(context.Background(), j)
--- a/entry/direct/direct.go
+++ b/entry/direct/direct.go
@@ -26,7 +26,7 @@
 )
 
 // RetryBudget bounds how many requests all entries together may send again.
-type Repeats struct {
+type RetryBudget struct {
 	// Ratio is a share of a pool's requests, Slack a number of requests on top of it.
 	Ratio, Slack float64
 }
@@ -35,31 +35,31 @@
 type Config struct {
 	Zone string
 	// Addr is the address at which peers reach this entry.
-	Addr    string
-	Repeats Repeats
+	Addr        string
+	RetryBudget RetryBudget
 	// Tolerance is by how much customers may exceed their limits.
 	Tolerance quota.Tolerance
 	Client    *hop.Client
 	// EntryCounts returns how many entries this one can reach and how many may be running.
-	Reach func() (reachable, known int)
-	Peers Peers
+	EntryCounts func() (reachable, known int)
+	Peers       Peers
 	// StampHeaders sets the headers that tell the endpoint about the attempt.
-	Stamp func(r *hop.Request, o Order)
+	StampHeaders func(r *hop.Request, o AttemptInfo)
 	// IsAnswerTo reports whether the head of an answer belongs to the request with the given
 	// ID.
-	Own func(id string, status int, h http.Header) bool
+	IsAnswerTo func(id string, status int, h http.Header) bool
 	// ReadMeta reads the head of an answer.
-	Read func(a *hop.Answer) Meta
+	ReadMeta func(a *hop.Answer) Meta
 	// RolloutRule bounds how many requests a version that turns out to be bad may get.
 	// WriteRollout is called when the state of a rollout order is to be written; it must not
 	// block.
-	Rollouts     canary.Limit
+	RolloutRule  canary.Limit
 	WriteRollout func(w canary.StateWrite)
 	// OnQuarantine is called when a quarantine begins or is lifted. It must not block; it may
 	// be nil.
-	Quarantine func(c poison.Change)
-	Metrics    *meter.Set
-	Log        *zap.Logger
+	OnQuarantine func(c poison.Change)
+	Metrics      *meter.Set
+	Log          *zap.Logger
 }
 
 // Director serves requests. It is safe for concurrent use.
@@ -88,7 +88,7 @@
 // New returns a director without a configuration.
 func New(cfg Config) *Director {
 	d := &Director{
-		cfg: cfg, start: time.Now(), view: newView(cfg.Zone, cfg.Rollouts),
+		cfg: cfg, start: time.Now(), view: newView(cfg.Zone, cfg.RolloutRule),
 		pendingPlacements: make(map[uint64]*pendingPlacement), ownerAttempts: make(map[string]map[uint64]*attempt), ownerBackoff: make(map[string]time.Time),
 		answerTimes: cfg.Metrics.CustomerHistograms("customer_answer_ms"), retryTimes: cfg.Metrics.CustomerHistograms("customer_retry_ms"),
 	}
@@ -147,14 +147,14 @@
 
 // HasSynced reports whether a configuration, an instance list and the rollout orders are
 // known.
-func (d *Director) Informed() bool {
+func (d *Director) HasSynced() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.view.table.Revision() > 0 && d.view.roster.Revision > 0 && d.view.rollouts.OrdersKnown()
 }
 
 // RunningJobs returns how many jobs have no final answer yet.
-func (d *Director) Running() int {
+func (d *Director) RunningJobs() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.runningJobs
@@ -162,7 +162,7 @@
 
 // HandleTally applies a peer's tally. restarted is set for the first tally of a peer's
 // process, whose counters start at zero.
-func (d *Director) Heard(peer string, restarted bool, t *wire.Tally) {
+func (d *Director) HandleTally(peer string, restarted bool, t *wire.Tally) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.view.applyTally(peer, restarted, t)
@@ -173,7 +173,7 @@
 }
 
 // PeerTally returns everything that a peer has reported, as one tally.
-func (d *Director) Whole(peer string) *wire.Tally {
+func (d *Director) PeerTally(peer string) *wire.Tally {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	t := new(wire.Tally)
@@ -188,7 +188,7 @@
 }
 
 // HandlePeerLoss drops the work of a peer that has fallen silent.
-func (d *Director) Lost(peer string) {
+func (d *Director) HandlePeerLoss(peer string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.view.handlePeerLoss(peer)
@@ -198,7 +198,7 @@
 // Tally returns what the peers need to know: the changes since the last call, or everything if
 // full is set.
 func (d *Director) Tally(full bool) *wire.Tally {
-	reachableEntries, knownEntries := d.cfg.Reach()
+	reachableEntries, knownEntries := d.cfg.EntryCounts()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	v := d.view
@@ -286,7 +286,7 @@
 			d.dispatchLimited()
 			d.evaluateRollouts()
 			if owners := d.shardOwners(); len(owners) > 0 {
-				d.cfg.Peers.Link(owners)
+				d.cfg.Peers.KeepLinks(owners)
 			}
 			for id, addr := range d.endpointsToProbe() {
 				probes.Go(func() { d.probeEndpoint(ctx, id, addr) })
--- a/entry/direct/hand_test.go
+++ b/entry/direct/hand_test.go
@@ -29,7 +29,7 @@
 			slow, other := newPausing(t, 2, 3*minSilenceBound/2), newTestEndpoint(t, tt.serve)
 			h := newHarness(t, streamRoute, slow, other)
 			h.d.mu.Lock()
-			b := h.d.view.pool("p", h.d.cfg.Repeats, 1).budget
+			b := h.d.view.pool("p", h.d.cfg.RetryBudget, 1).budget
 			for b.Spend() {
 			}
 			b.Return()
--- a/entry/direct/job.go
+++ b/entry/direct/job.go
@@ -28,11 +28,11 @@
 	// waiting.
 	AcceptedAt, Deadline time.Time
 	// PromptTokens and OutputTokens are token counts, as far as the caller states them.
-	Prompt, Output int
+	PromptTokens, OutputTokens int
 	// Units is what the request counts against the customer's limit.
 	Units float64
 	// LastEventID is the ID of the last stream event that the caller has seen.
-	LastEvent string
+	LastEventID string
 	// fingerprint identifies what the request asks for; Serve sets it.
 	fingerprint poison.Fingerprint
 }
@@ -140,11 +140,11 @@
 
 // AttemptInfo is what the endpoint is told about an attempt in addition to the caller's
 // headers.
-type Order struct {
-	Endpoint  string
-	Customer  *route.Customer
-	Left      time.Duration
-	LastEvent string
+type AttemptInfo struct {
+	Endpoint    string
+	Customer    *route.Customer
+	TimeLeft    time.Duration
+	LastEventID string
 }
 
 // Meta is what the head of an endpoint's answer says.
@@ -160,9 +160,9 @@
 	Slots int
 	// Requests is how many requests the endpoint has, running and waiting; zero if it does not
 	// say.
-	Load int
+	Requests int
 	// HasRateLimit is set if the endpoint states a limit. RateLimit is that limit, in requests
 	// per second from all entries together.
-	Limited bool
-	Limit   float64
+	HasRateLimit bool
+	RateLimit    float64
 }
--- a/entry/direct/late_test.go
+++ b/entry/direct/late_test.go
@@ -14,7 +14,7 @@
 
 // fillOther fills the other endpoint with requests of another entry, many times its slots.
 func fillOther(h *harness) {
-	h.d.Heard("entry-2", true, &wire.Tally{Endpoints: []wire.EndpointLoad{{Endpoint: "b", Requests: 100 * harnessSlots}}})
+	h.d.HandleTally("entry-2", true, &wire.Tally{Endpoints: []wire.EndpointLoad{{Endpoint: "b", Requests: 100 * harnessSlots}}})
 }
 
 // An endpoint becomes slow: it sends nothing for longer than an answer may pause, and then
--- a/entry/direct/limit.go
+++ b/entry/direct/limit.go
@@ -15,11 +15,11 @@
 // endpoint's shard has the whole limit. Another entry has the share of one entry among all,
 // for requests that it places itself because it cannot reach the owner. The caller holds d.mu.
 func (d *Director) limitShare(e *endpoint) limit.Share {
-	reachableEntries, knownEntries := d.cfg.Reach()
+	reachableEntries, knownEntries := d.cfg.EntryCounts()
 	if !d.usesShardOwners(knownEntries) {
 		return limit.Share{RateShare: float64(reachableEntries) / float64(max(knownEntries, 1)), Rank: d.entryRank(), Entries: knownEntries}
 	}
-	p := d.view.pool(e.Pool, d.cfg.Repeats, knownEntries)
+	p := d.view.pool(e.Pool, d.cfg.RetryBudget, knownEntries)
 	if d.shardOwner(e.Pool, p, p.layout.Key(e.ID, e.Zone), time.Now()) == d.cfg.Peers.Self {
 		return limit.Share{RateShare: 1, Entries: 1}
 	}
@@ -58,8 +58,8 @@
 	if d.view.endpoints[a.id] != a.endpoint {
 		return
 	}
-	if d.view.limits.Observe(d.sinceStart(time.Now()), a.endpoint.startID(), d.sinceStart(a.sentAt), m.Limit, m.Limited) {
-		logs.Info(d.cfg.Log, logs.EventLimitChanged, zap.String("endpoint", a.id), zap.Bool("limited", m.Limited), zap.Float64("limit", m.Limit), zap.Time("sent", a.sentAt))
+	if d.view.limits.Observe(d.sinceStart(time.Now()), a.endpoint.startID(), d.sinceStart(a.sentAt), m.RateLimit, m.HasRateLimit) {
+		logs.Info(d.cfg.Log, logs.EventLimitChanged, zap.String("endpoint", a.id), zap.Bool("limited", m.HasRateLimit), zap.Float64("limit", m.RateLimit), zap.Time("sent", a.sentAt))
 	}
 }
 
--- a/entry/direct/place.go
+++ b/entry/direct/place.go
@@ -45,7 +45,7 @@
 	// Entries returns the reachable entries, including this one.
 	Entries func() []relay.Entry
 	// KeepLinks keeps links open to the given entries.
-	Link func(entries []string)
+	KeepLinks func(entries []string)
 	// Send sends a message to an entry; it reports false if there is no link to it.
 	Send func(entry string, m wire.Message) bool
 }
@@ -109,7 +109,7 @@
 
 // shardOwners returns the other entries that own shards of the configured pools.
 func (d *Director) shardOwners() []string {
-	_, knownEntries := d.cfg.Reach()
+	_, knownEntries := d.cfg.EntryCounts()
 	if !d.usesShardOwners(knownEntries) {
 		return nil
 	}
@@ -119,7 +119,7 @@
 	seen := make(map[string]bool)
 	var out []string
 	for _, c := range d.view.table.Config().Pools {
-		p := d.view.pool(c.Name, d.cfg.Repeats, knownEntries)
+		p := d.view.pool(c.Name, d.cfg.RetryBudget, knownEntries)
 		for k := range p.shards {
 			if o := d.shardOwner(c.Name, p, k, now); o != "" && o != d.cfg.Peers.Self && !seen[o] {
 				seen[o] = true
@@ -206,7 +206,7 @@
 		TargetUS: j.Route.Target.Microseconds(), TargetLeftUS: j.firstEventDue().Sub(now).Microseconds(), DeadlineLeftUS: j.End().Sub(now).Microseconds(), MayQueue: mayWait,
 	}
 	if j.Pool.Engine {
-		m.PromptTokens, m.OutputTokens = uint32(max(j.Prompt, 0)), uint32(max(j.Output, 0))
+		m.PromptTokens, m.OutputTokens = uint32(max(j.PromptTokens, 0)), uint32(max(j.OutputTokens, 0))
 	}
 	if !d.cfg.Peers.Send(owner, m) {
 		return nil, admit.Decision{}, false
@@ -254,7 +254,7 @@
 	if !m.Decided {
 		return nil, admit.Decision{}, false
 	}
-	reachableEntries, knownEntries := d.cfg.Reach()
+	reachableEntries, knownEntries := d.cfg.EntryCounts()
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 	dec := admit.Decision{Endpoint: -1, FirstEvent: us(m.FirstEventUS), SlotWait: us(m.WaitUS), RetryAfter: us(m.RetryAfterUS), SlotInterval: us(m.SlotIntervalUS), Reason: admit.Reason(m.RefusalReason)}
 	a := &attempt{placement: Placement{
@@ -275,7 +275,7 @@
 	dec.Endpoint, dec.Reason = 0, admit.Admitted
 	a.d, a.pool, a.endpoint, a.id, a.sentAddr = d, p, e, e.ID, e.Addr
 	a.isOnlyEndpoint, a.sentAt, a.hadFreeSlot, a.promptAhead, a.predictedWait, a.predictedService = len(p.endpoints) < 2, time.Now(), m.HadFreeSlot, int(m.PromptTokens), dec.SlotWait, dec.FirstEvent-dec.SlotWait
-	a.work, a.fingerprint, a.route, a.version = jobWork(j, j.Output), j.fingerprint, j.Route.Name, e.Version
+	a.work, a.fingerprint, a.route, a.version = jobWork(j, j.OutputTokens), j.fingerprint, j.Route.Name, e.Version
 	a.ownerPlacement = &ownerPlacement{owner: owner, id: m.ID, expectedOutput: a.work.outputTokens}
 	if d.ownerAttempts[owner] == nil {
 		d.ownerAttempts[owner] = make(map[uint64]*attempt)
@@ -285,7 +285,7 @@
 }
 
 // HandlePlaceAck processes an owner's answer to a placement request.
-func (d *Director) Acked(owner string, m *wire.PlaceReply) {
+func (d *Director) HandlePlaceAck(owner string, m *wire.PlaceReply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	pending := d.pendingPlacements[m.ID]
@@ -302,7 +302,7 @@
 
 // HandleLinkLost records that the link to an owner of shards has ended. The requests that the
 // owner counted are counted here from now on.
-func (d *Director) Parted(owner string) {
+func (d *Director) HandleLinkLost(owner string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for id, pending := range d.pendingPlacements {
--- a/entry/direct/place_test.go
+++ b/entry/direct/place_test.go
@@ -46,10 +46,10 @@
 	}
 	entry := func(self string) *Director {
 		d := New(Config{
-			Zone: "z", Addr: self, Repeats: Repeats{Ratio: 0.2, Slack: 50}, Client: hop.New(), Metrics: meter.New(), Log: zap.NewNop(),
-			Reach: func() (int, int) { return 20, 20 },
+			Zone: "z", Addr: self, RetryBudget: RetryBudget{Ratio: 0.2, Slack: 50}, Client: hop.New(), Metrics: meter.New(), Log: zap.NewNop(),
+			EntryCounts: func() (int, int) { return 20, 20 },
 			Peers: Peers{
-				Self: self, Link: func([]string) {},
+				Self: self, KeepLinks: func([]string) {},
 				Entries: func() []relay.Entry {
 					return []relay.Entry{{Name: "asker", Zone: "z", Capacity: 100}, {Name: "owner", Zone: "z", Capacity: 800}}
 				},
@@ -57,7 +57,7 @@
 					if p.linkDown.Load() {
 						return false
 					}
-					go p.session.Take(m)
+					go p.session.Handle(m)
 					return true
 				},
 			},
@@ -67,9 +67,9 @@
 		return d
 	}
 	p.requester, p.owner = entry("asker"), entry("owner")
-	p.session = p.owner.Session(t.Context(), "z", func(m wire.Message) error {
+	p.session = p.owner.NewSession(t.Context(), "z", func(m wire.Message) error {
 		if !p.linkDown.Load() {
-			go p.requester.Acked("owner", m.(*wire.PlaceReply))
+			go p.requester.HandlePlaceAck("owner", m.(*wire.PlaceReply))
 		}
 		return nil
 	})
@@ -83,7 +83,7 @@
 func (p *entryPair) job() *Job {
 	now := time.Now()
 	r := &p.cfg.Routes[p.route]
-	return &Job{ID: "1", Route: r, Tier: r.TierOf(nil), Pool: &p.cfg.Pools[0], AcceptedAt: now, Deadline: now.Add(10 * time.Second), Prompt: 100, Output: p.outputTokens}
+	return &Job{ID: "1", Route: r, Tier: r.TierOf(nil), Pool: &p.cfg.Pools[0], AcceptedAt: now, Deadline: now.Add(10 * time.Second), PromptTokens: 100, OutputTokens: p.outputTokens}
 }
 
 // ownRequests returns how many requests an entry counts as its own at an endpoint.
@@ -193,7 +193,7 @@
 		a.recordProgress(10)
 		synctest.Wait()
 		p.linkDown.Store(true)
-		p.requester.Parted("owner")
+		p.requester.HandleLinkLost("owner")
 		p.session.Close()
 		if ownRequests(p.requester, "a") != 1 || ownRequests(p.owner, "a") != 1 {
 			t.Errorf("right after the link loss the requester counts %d requests, the owner %d", ownRequests(p.requester, "a"), ownRequests(p.owner, "a"))
@@ -219,7 +219,7 @@
 		p.session.reply = func(wire.Message) error { return nil }
 		time.AfterFunc(10*time.Millisecond, func() {
 			p.linkDown.Store(true)
-			p.requester.Parted("owner")
+			p.requester.HandleLinkLost("owner")
 		})
 		start := time.Now()
 		a, dec := p.requester.admitJob(t.Context(), p.job())
--- a/entry/direct/poison.go
+++ b/entry/direct/poison.go
@@ -127,14 +127,14 @@
 		if !c.Released {
 			d.cfg.Metrics.Counter("quarantines").Inc(1)
 		}
-		if d.cfg.Quarantine != nil {
-			d.cfg.Quarantine(c)
+		if d.cfg.OnQuarantine != nil {
+			d.cfg.OnQuarantine(c)
 		}
 	}
 }
 
 // RestoreQuarantine restores a quarantine that began before this entry was started.
-func (d *Director) Restore(f poison.Fingerprint, age, left time.Duration, quarantines int) {
+func (d *Director) RestoreQuarantine(f poison.Fingerprint, age, left time.Duration, quarantines int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.view.poison.Restore(d.sinceStart(time.Now()), f, age, left, quarantines)
@@ -143,7 +143,7 @@
 
 // AddReports adds reports on suspect requests, rate limits and rollouts to a tally: the
 // changed ones, and with resend also those that a new peer needs.
-func (d *Director) Extend(t *wire.Tally, resend bool) {
+func (d *Director) AddReports(t *wire.Tally, resend bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	t.Suspects, t.Limits, t.Rollouts = d.suspectReports(resend), d.limitReports(resend), d.rolloutReports(resend)
--- a/entry/direct/rig_test.go
+++ b/entry/direct/rig_test.go
@@ -120,11 +120,11 @@
 	core, lines := observer.New(zap.InfoLevel)
 	h := &harness{metrics: meter.New(), logs: lines}
 	h.d = New(Config{
-		Zone: "near", Addr: "entry-1", Repeats: Repeats{Ratio: 1e-9, Slack: harnessRetries * minSlackEntries / retrySlackShare}, Client: hop.New(), Metrics: h.metrics, Log: zap.New(core),
-		Reach: func() (int, int) { return 1, 1 },
-		Stamp: func(r *hop.Request, o Order) { r.Header.Set("Last", o.LastEvent) },
-		Own:   func(string, int, http.Header) bool { return true },
-		Read:  func(*hop.Answer) Meta { return Meta{Signed: true} },
+		Zone: "near", Addr: "entry-1", RetryBudget: RetryBudget{Ratio: 1e-9, Slack: harnessRetries * minSlackEntries / retrySlackShare}, Client: hop.New(), Metrics: h.metrics, Log: zap.New(core),
+		EntryCounts:  func() (int, int) { return 1, 1 },
+		StampHeaders: func(r *hop.Request, o AttemptInfo) { r.Header.Set("Last", o.LastEventID) },
+		IsAnswerTo:   func(string, int, http.Header) bool { return true },
+		ReadMeta:     func(*hop.Answer) Meta { return Meta{Signed: true} },
 	})
 	r.Name, r.Shares = "r", []route.Share{{Pool: "p", Weight: 1}}
 	h.cfg = route.Config{Revision: 1, Routes: []route.Route{r}, Pools: []route.Pool{{Name: "p"}}}
@@ -190,7 +190,7 @@
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
 	n := 0
-	for h.d.view.pool("p", h.d.cfg.Repeats, 1).budget.Spend() {
+	for h.d.view.pool("p", h.d.cfg.RetryBudget, 1).budget.Spend() {
 		n++
 	}
 	return n
--- a/entry/direct/send.go
+++ b/entry/direct/send.go
@@ -16,14 +16,14 @@
 	j := t.job
 	r := &hop.Request{
 		Method: j.Method, Target: j.Target, Host: j.Host, Header: j.Header.Clone(), Body: j.Body,
-		AtMostOnce: j.Route.AtMostOnce(), IsAnswer: func(status int, h http.Header) bool { return t.d.cfg.Own(j.ID, status, h) },
+		AtMostOnce: j.Route.AtMostOnce(), IsAnswer: func(status int, h http.Header) bool { return t.d.cfg.IsAnswerTo(j.ID, status, h) },
 	}
-	last := j.LastEvent
+	last := j.LastEventID
 	if t.lastEventID != "" {
 		last = t.lastEventID
 	}
-	t.d.cfg.Stamp(r, Order{Endpoint: a.id, Customer: j.Customer, Left: time.Until(j.End()), LastEvent: last})
-	_, knownEntries := t.d.cfg.Reach()
+	t.d.cfg.StampHeaders(r, AttemptInfo{Endpoint: a.id, Customer: j.Customer, TimeLeft: time.Until(j.End()), LastEventID: last})
+	_, knownEntries := t.d.cfg.EntryCounts()
 	return t.d.cfg.Client.Do(ctx, a.sentAddr, a.connLimit(j.Pool, knownEntries), r)
 }
 
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, t.classifyError(a, err)
 	}
-	m := t.d.cfg.Read(answer)
+	m := t.d.cfg.ReadMeta(answer)
 	a.recordHead(m)
 	switch {
 	case m.WrongEndpoint:
@@ -52,7 +52,7 @@
 	case m.NotRun:
 		io.Copy(io.Discard, io.LimitReader(answer, maxBufferedAnswer))
 		answer.Close()
-		a.handleDecline(m.Load)
+		a.handleDecline(m.Requests)
 		return nil, attemptResult{wasReceived: true, result: Result{Reason: "endpoint did not run it"}}
 	case answer.Status < 300 && !m.Signed:
 		answer.Close()
--- a/entry/direct/serve.go
+++ b/entry/direct/serve.go
@@ -98,8 +98,8 @@
 		zap.String("request_id", j.ID), zap.String("route", j.Route.Name), zap.String("outcome", res.Outcome.String()), zap.Stringer("tier", j.Tier),
 		zap.Duration("took", took), zap.String("why", res.Reason), zap.Stringer("fingerprint", j.fingerprint), zap.Int64("config", d.Table().Revision()),
 	}
-	if j.Output > 0 {
-		fields = append(fields, zap.Int("input", j.Prompt), zap.Int("output", j.Output))
+	if j.OutputTokens > 0 {
+		fields = append(fields, zap.Int("input", j.PromptTokens), zap.Int("output", j.OutputTokens))
 	}
 	if j.Customer != nil {
 		fields = append(fields, zap.String("customer", j.Customer.Name))
--- a/entry/direct/session.go
+++ b/entry/direct/session.go
@@ -36,14 +36,14 @@
 
 // NewSession returns a session that places requests for a peer in a zone. reply sends a
 // message to the peer.
-func (d *Director) Session(ctx context.Context, zone string, reply func(m wire.Message) error) *Session {
+func (d *Director) NewSession(ctx context.Context, zone string, reply func(m wire.Message) error) *Session {
 	s := &Session{d: d, zone: zone, reply: reply, placements: make(map[uint64]*attempt), cancelWaits: make(map[uint64]context.CancelFunc)}
 	s.ctx, s.stop = context.WithCancel(ctx)
 	return s
 }
 
 // Handle processes a placement request or a note of the peer.
-func (s *Session) Take(m wire.Message) {
+func (s *Session) Handle(m wire.Message) {
 	switch m := m.(type) {
 	case *wire.PlaceRequest:
 		s.handleRequest(m)
@@ -70,13 +70,13 @@
 func (s *Session) handleRequest(m *wire.PlaceRequest) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
-	_, knownEntries := s.d.cfg.Reach()
+	_, knownEntries := s.d.cfg.EntryCounts()
 	cfg, ok := s.d.view.table.Pool(m.Pool)
 	if !ok {
 		_ = s.reply(&wire.PlaceReply{ID: m.ID})
 		return
 	}
-	p := s.d.view.pool(m.Pool, s.d.cfg.Repeats, knownEntries)
+	p := s.d.view.pool(m.Pool, s.d.cfg.RetryBudget, knownEntries)
 	target := p.shards[shard.Key{Zone: m.Zone, Index: m.ShardIndex}]
 	if target == nil {
 		_ = s.reply(&wire.PlaceReply{ID: m.ID})
@@ -111,7 +111,7 @@
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 	return &Job{
 		Route: &route.Route{Target: us(m.TargetUS), Timeout: math.MaxInt64}, Pool: cfg, Tier: route.Tier{Customer: m.CustomerTier, Route: m.RouteTier},
-		AcceptedAt: now.Add(us(m.TargetLeftUS - m.TargetUS)), Deadline: now.Add(us(m.DeadlineLeftUS)), Prompt: int(m.PromptTokens), Output: int(m.OutputTokens),
+		AcceptedAt: now.Add(us(m.TargetLeftUS - m.TargetUS)), Deadline: now.Add(us(m.DeadlineLeftUS)), PromptTokens: int(m.PromptTokens), OutputTokens: int(m.OutputTokens),
 	}
 }
 
--- a/entry/direct/size_test.go
+++ b/entry/direct/size_test.go
@@ -152,13 +152,13 @@
 	if l == nil {
 		l = new(connection)
 		n.connections[[2]string{from, to}] = l
-		l.session = n.directors[to].Session(n.ctx, n.zones[from], func(m wire.Message) error {
-			l.inbound.send(func() { n.directors[from].Acked(to, m.(*wire.PlaceReply)) })
+		l.session = n.directors[to].NewSession(n.ctx, n.zones[from], func(m wire.Message) error {
+			l.inbound.send(func() { n.directors[from].HandlePlaceAck(to, m.(*wire.PlaceReply)) })
 			return nil
 		})
 	}
 	n.mu.Unlock()
-	l.outbound.send(func() { l.session.Take(m) })
+	l.outbound.send(func() { l.session.Handle(m) })
 	return true
 }
 
@@ -210,12 +210,12 @@
 			}
 			peers = append(peers, relay.Entry{Name: name, Zone: zone, Capacity: capacity})
 			d := New(Config{
-				Addr: name, Zone: zone, Repeats: Repeats{Ratio: 0.2, Slack: 50}, Client: hop.New(), Metrics: meter.New(), Log: zap.NewNop(),
-				Reach: func() (int, int) { return f.entries, f.entries },
+				Addr: name, Zone: zone, RetryBudget: RetryBudget{Ratio: 0.2, Slack: 50}, Client: hop.New(), Metrics: meter.New(), Log: zap.NewNop(),
+				EntryCounts: func() (int, int) { return f.entries, f.entries },
 			})
 			if f.usesOwners {
 				d.cfg.Peers = Peers{
-					Self: name, Entries: func() []relay.Entry { return peers }, Link: func([]string) {},
+					Self: name, Entries: func() []relay.Entry { return peers }, KeepLinks: func([]string) {},
 					Send: func(to string, m wire.Message) bool { return n.send(name, to, m) },
 				}
 			}
@@ -229,7 +229,7 @@
 			mu.Lock()
 			e := engines[a.id]
 			mu.Unlock()
-			e.run(a, j.Prompt, j.Output)
+			e.run(a, j.PromptTokens, j.OutputTokens)
 		}
 		record := func(r requestResult) {
 			mu.Lock()
@@ -316,7 +316,7 @@
 		time.AfterFunc(latency, func() {
 			for i, d := range directors {
 				if i != sender {
-					d.Heard(fmt.Sprint("entry-", sender), first, t)
+					d.HandleTally(fmt.Sprint("entry-", sender), first, t)
 				}
 			}
 		})
--- a/entry/direct/task.go
+++ b/entry/direct/task.go
@@ -125,7 +125,7 @@
 }
 
 // remainingOutput returns how many output tokens are still expected.
-func (t *task) remainingOutput() int { return max(t.job.Output-t.sentTokens, 0) }
+func (t *task) remainingOutput() int { return max(t.job.OutputTokens-t.sentTokens, 0) }
 
 // failureResult returns the result of a job that is not sent again.
 func (t *task) failureResult(got attemptResult, reason string) Result {
--- a/entry/direct/view.go
+++ b/entry/direct/view.go
@@ -178,7 +178,7 @@
 }
 
 // pool returns the state of a pool, which is created on first use.
-func (v *view) pool(name string, repeats Repeats, entries int) *pool {
+func (v *view) pool(name string, repeats RetryBudget, entries int) *pool {
 	p := v.pools[name]
 	if p == nil {
 		p = &pool{name: name, learner: admit.NewLearner(), budget: retry.New(retry.Config{
--- a/entry/direct/view_test.go
+++ b/entry/direct/view_test.go
@@ -24,7 +24,7 @@
 func newPoolView(ids ...string) (*view, *pool) {
 	v := newView("z", canary.Limit{})
 	v.setRoster(newRoster(ids...), 0)
-	return v, v.pool("p", Repeats{Ratio: 0.2, Slack: 40}, 5)
+	return v, v.pool("p", RetryBudget{Ratio: 0.2, Slack: 40}, 5)
 }
 
 func (v *view) decide(p *pool) admit.Decision {
@@ -138,7 +138,7 @@
 // availability zones, and no decision would change because of them.
 func TestOnlyRelevantChangesAreReported(t *testing.T) {
 	v, p := newPoolView("a")
-	d := &Director{view: v, start: time.Now(), cfg: Config{Reach: func() (int, int) { return 1, 1 }}}
+	d := &Director{view: v, start: time.Now(), cfg: Config{EntryCounts: func() (int, int) { return 1, 1 }}}
 	e := v.endpoints["a"]
 	stream := &attempt{d: d, pool: p, endpoint: e, id: "a", work: inFlight{requests: 1, promptTokens: 100, outputTokens: 400, kvTokens: 500}}
 	e.ownWork.add(stream.work, 1)
--- a/entry/direct/visit.go
+++ b/entry/direct/visit.go
@@ -49,8 +49,8 @@
 // returned attempt holds only what the refusal was based on. The caller holds d.mu.
 func (d *Director) placeJob(j *Job, opts placementOptions) (*attempt, admit.Decision) {
 	now := time.Now()
-	reachableEntries, knownEntries := d.cfg.Reach()
-	p := d.view.pool(j.Pool.Name, d.cfg.Repeats, knownEntries)
+	reachableEntries, knownEntries := d.cfg.EntryCounts()
+	p := d.view.pool(j.Pool.Name, d.cfg.RetryBudget, knownEntries)
 	req := d.placementRequest(j, p, now)
 	req.OthersFirst, req.ExactCounts = opts.isBehind, opts.shard != nil
 	if j.Pool.Engine {
@@ -95,14 +95,14 @@
 		TierRank: p.tierRank(j.Tier), TierCount: len(p.tiers), Target: j.Route.Target, UntilTarget: j.firstEventDue().Sub(now), UntilDeadline: j.End().Sub(now), AvoidEndpoint: -1,
 	}
 	if j.Pool.Engine {
-		req.PromptTokens, req.OutputTokens = j.Prompt, j.Output
+		req.PromptTokens, req.OutputTokens = j.PromptTokens, j.OutputTokens
 	}
 	return req
 }
 
 // startAttempt counts a job at the endpoint that was chosen for it. The caller holds d.mu.
 func (d *Director) startAttempt(j *Job, p *pool, e *endpoint, chosen admit.Endpoint, req admit.Request, dec admit.Decision, now time.Time) *attempt {
-	reachableEntries, knownEntries := d.cfg.Reach()
+	reachableEntries, knownEntries := d.cfg.EntryCounts()
 	a := &attempt{
 		d: d, pool: p, endpoint: e, id: e.ID, sentAddr: e.Addr, isOnlyEndpoint: len(p.endpoints) < 2, sentAt: now,
 		hadFreeSlot: chosen.Requests < chosen.Slots, promptAhead: chosen.PromptTokens + req.PromptTokens,
@@ -127,7 +127,7 @@
 	if !j.Pool.Engine {
 		return inFlight{requests: 1}
 	}
-	return inFlight{requests: 1, promptTokens: j.Prompt, outputTokens: output, kvTokens: j.Prompt + output}
+	return inFlight{requests: 1, promptTokens: j.PromptTokens, outputTokens: output, kvTokens: j.PromptTokens + output}
 }
 
 // countWork counts the attempt at its endpoint. The caller holds d.mu.
--- a/entry/direct/wait.go
+++ b/entry/direct/wait.go
@@ -46,8 +46,8 @@
 func (d *Director) admitJob(ctx context.Context, j *Job) (*attempt, admit.Decision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, knownEntries := d.cfg.Reach()
-	p := d.view.pool(j.Pool.Name, d.cfg.Repeats, knownEntries)
+	_, knownEntries := d.cfg.EntryCounts()
+	p := d.view.pool(j.Pool.Name, d.cfg.RetryBudget, knownEntries)
 	if a, dec, ok := d.placeOnTrial(j, p); ok {
 		return a, dec
 	}
@@ -80,7 +80,7 @@
 	queue := p.queueOf(opts.shard)
 	ahead := queue.CountAhead(position)
 	c := d.competition(1, p, j, opts)
-	a, dec := d.placeJob(j, placementOptions{outputTokens: j.Output, isBehind: ahead > 0 || c.Blocked(), entryShare: c.Share(), shard: opts.shard, zone: opts.zone})
+	a, dec := d.placeJob(j, placementOptions{outputTokens: j.OutputTokens, isBehind: ahead > 0 || c.Blocked(), entryShare: c.Share(), shard: opts.shard, zone: opts.zone})
 	if dec.Reason != admit.Full || !opts.mayWait {
 		return a, dec, nil
 	}
@@ -99,7 +99,7 @@
 func (d *Director) queuePosition(j *Job, p *pool) await.Priority {
 	position := await.Priority{Tier: j.Tier, TargetAt: d.sinceStart(j.firstEventDue())}
 	if j.Pool.Engine {
-		position.HoldTime = p.learner.Pace("").HoldTime(j.Prompt, j.Output)
+		position.HoldTime = p.learner.Pace("").HoldTime(j.PromptTokens, j.OutputTokens)
 	}
 	return position
 }
@@ -156,7 +156,7 @@
 	queue.SendInOrder(func(w *await.Request[*waiter]) (sent, more bool) {
 		j, opts := w.Value.job, w.Value.options
 		c := d.competition(0, p, j, opts)
-		a, dec := d.placeJob(j, placementOptions{outputTokens: j.Output, isBehind: c.Blocked(), entryShare: c.Share(), shard: opts.shard, zone: opts.zone})
+		a, dec := d.placeJob(j, placementOptions{outputTokens: j.OutputTokens, isBehind: c.Blocked(), entryShare: c.Share(), shard: opts.shard, zone: opts.zone})
 		if dec.Endpoint < 0 {
 			// A job that waits because of its prompt does not keep others from a slot.
 			return false, dec.Reason != admit.Full
--- a/entry/door/answer.go
+++ b/entry/door/answer.go
@@ -29,7 +29,7 @@
 
 // answer is the answer to one request. It belongs to the goroutine of the request.
 type answer struct {
-	server *Door
+	server *Server
 	w      http.ResponseWriter
 	r      *http.Request
 	rc     *http.ResponseController
@@ -46,7 +46,7 @@
 
 // newAnswer returns the answer to a request. Until its job is known, the request may only be
 // refused.
-func (s *Door) newAnswer(w http.ResponseWriter, r *http.Request, acceptedAt time.Time) *answer {
+func (s *Server) newAnswer(w http.ResponseWriter, r *http.Request, acceptedAt time.Time) *answer {
 	a := &answer{server: s, w: w, r: r, rc: http.NewResponseController(w)}
 	a.setDeadline(acceptedAt.Add(minWriteTime))
 	return a
@@ -100,7 +100,7 @@
 // announceClose tells the caller to use another connection if a planned stop has begun,
 // possibly while the request was served: this connection is closed after the answer.
 func (a *answer) announceClose() {
-	if a.server.Leaving() {
+	if a.server.IsStopping() {
 		a.w.Header().Set("Connection", "close")
 	}
 }
@@ -138,14 +138,14 @@
 	a.loggedNotTaken = true
 	s := a.server
 	s.cfg.Metrics.Counter("answers_not_taken").Inc(1)
-	logs.Warn(s.cfg.Log, logs.EventAnswerNotRead, zap.String("request_id", s.cfg.ID(a.r)), zap.Duration("took", time.Since(a.startedAt)),
+	logs.Warn(s.cfg.Log, logs.EventAnswerNotRead, zap.String("request_id", s.cfg.RequestID(a.r)), zap.Duration("took", time.Since(a.startedAt)),
 		zap.Time("deadline", a.deadline), zap.String("caller", a.r.RemoteAddr))
 }
 
 // refuse answers a request that is not accepted, and logs it.
 func (a *answer) refuse(refusal *Refusal) {
 	s := a.server
-	logs.Info(s.cfg.Log, logs.EventRequestRefused, zap.String("request_id", s.cfg.ID(a.r)), zap.Int("status", refusal.Status), zap.String("why", refusal.Reason),
+	logs.Info(s.cfg.Log, logs.EventRequestRefused, zap.String("request_id", s.cfg.RequestID(a.r)), zap.Int("status", refusal.Status), zap.String("why", refusal.Reason),
 		zap.String("host", a.r.Host), zap.Int64("config", s.cfg.Table().Revision()))
 	a.writeRefusal(refusal)
 }
@@ -191,7 +191,7 @@
 	}
 	s := a.server
 	s.cfg.Metrics.Counter("handlers_panicked").Inc(1)
-	logs.LogPanic(s.cfg.Log, v, zap.String("request_id", s.cfg.ID(a.r)))
+	logs.LogPanic(s.cfg.Log, v, zap.String("request_id", s.cfg.RequestID(a.r)))
 	if !a.startedAt.IsZero() {
 		panic(http.ErrAbortHandler)
 	}
@@ -200,7 +200,7 @@
 
 func copyHeader(dst, src http.Header) {
 	for name, values := range src {
-		if !heads.PerHop(name) {
+		if !heads.IsHopByHop(name) {
 			dst[name] = values
 		}
 	}
--- a/entry/door/body_test.go
+++ b/entry/door/body_test.go
@@ -47,10 +47,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := &route.Route{Name: "r", Timeout: timeout}
 		s := New(Config{
-			Memory: 2 * bodySize, ID: func(*http.Request) string { return "x" }, Log: zap.NewNop(),
-			Accept:   func(*http.Request, *route.Table) (*direct.Job, *Refusal) { return &direct.Job{Route: r}, nil },
-			Table:    func() *route.Table { return route.NewTable(route.Config{}) },
-			Informed: func() bool { return true },
+			BodyMemory: 2 * bodySize, RequestID: func(*http.Request) string { return "x" }, Log: zap.NewNop(),
+			ParseHead: func(*http.Request, *route.Table) (*direct.Job, *Refusal) { return &direct.Job{Route: r}, nil },
+			Table:     func() *route.Table { return route.NewTable(route.Config{}) },
+			HasSynced: func() bool { return true },
 			Serve: func(_ context.Context, j *direct.Job, s direct.Sink) direct.Result {
 				if len(j.Body) != bodySize {
 					t.Errorf("a body of %d bytes was served", len(j.Body))
--- a/entry/door/door.go
+++ b/entry/door/door.go
@@ -58,30 +58,30 @@
 // Config holds the settings and dependencies of a Server.
 type Config struct {
 	// ListenAddr is the address for callers, ReadyAddr the one for the balancer's readiness check.
-	Listen, Ready string
+	ListenAddr, ReadyAddr string
 	// ReadyPath is the path of the balancer's readiness check.
 	ReadyPath string
 	// Grace is how long a planned stop may take.
 	Grace time.Duration
 	// BodyMemory is how many bytes the bodies of all requests may take at once.
-	Memory int64
+	BodyMemory int64
 	// RequestID returns the ID that the caller gave a request.
-	ID func(r *http.Request) string
+	RequestID func(r *http.Request) string
 	// ParseHead turns the head of a request into a job without a body, or refuses the request.
-	Accept func(r *http.Request, t *route.Table) (*direct.Job, *Refusal)
+	ParseHead func(r *http.Request, t *route.Table) (*direct.Job, *Refusal)
 	// Table returns the configuration in force.
 	Table func() *route.Table
 	// HasSynced reports whether the configuration and the instance list are known.
-	Informed func() bool
-	Serve    func(ctx context.Context, j *direct.Job, s direct.Sink) direct.Result
+	HasSynced func() bool
+	Serve     func(ctx context.Context, j *direct.Job, s direct.Sink) direct.Result
 	// RunningJobs returns how many jobs have no final answer yet.
-	Running func() int
-	Metrics *meter.Set
-	Log     *zap.Logger
+	RunningJobs func() int
+	Metrics     *meter.Set
+	Log         *zap.Logger
 }
 
 // Server serves callers.
-type Door struct {
+type Server struct {
 	cfg Config
 	// conns holds the callers' connections.
 	conns    *kept.Set
@@ -92,20 +92,20 @@
 }
 
 // New returns a server that does nothing until Run is called.
-func New(cfg Config) *Door {
-	s := &Door{cfg: cfg}
-	s.conns = kept.New(kept.Config{Bound: s.idleBound, Metrics: cfg.Metrics, Log: cfg.Log})
+func New(cfg Config) *Server {
+	s := &Server{cfg: cfg}
+	s.conns = kept.New(kept.Config{IdleBound: s.idleBound, Metrics: cfg.Metrics, Log: cfg.Log})
 	return s
 }
 
 // Run serves until ctx ends and then stops within the grace: the balancer is informed at once,
 // and running requests are served to their end.
-func (s *Door) Run(ctx context.Context) error {
-	ln, err := s.conns.Listen(s.cfg.Listen)
+func (s *Server) Run(ctx context.Context) error {
+	ln, err := s.conns.Listen(s.cfg.ListenAddr)
 	if err != nil {
 		return err
 	}
-	readyLn, err := net.Listen("tcp", s.cfg.Ready)
+	readyLn, err := net.Listen("tcp", s.cfg.ReadyAddr)
 	if err != nil {
 		ln.Close()
 		return err
@@ -114,7 +114,7 @@
 }
 
 // serveOn serves callers on ln and the balancer on readyLn.
-func (s *Door) serveOn(ctx context.Context, ln, readyLn net.Listener) error {
+func (s *Server) serveOn(ctx context.Context, ln, readyLn net.Listener) error {
 	server := &http.Server{Handler: http.HandlerFunc(s.serve), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes}
 	s.conns.Attach(server)
 	readyServer := &http.Server{
@@ -134,7 +134,7 @@
 			s.stop()
 			return err
 		case <-tick.C:
-			s.conns.Sweep()
+			s.conns.CloseExpired()
 		case <-ctx.Done():
 			s.stop()
 			return nil
@@ -144,10 +144,10 @@
 
 // stop stops the server. It goes on accepting connections for a moment, because the balancer
 // still sends some here. Each answer tells its caller to use another connection.
-func (s *Door) stop() {
+func (s *Server) stop() {
 	start := time.Now()
 	s.stopping.Store(true)
-	logs.Info(s.cfg.Log, logs.EventLeaving, zap.Int("running", s.cfg.Running()))
+	logs.Info(s.cfg.Log, logs.EventLeaving, zap.Int("running", s.cfg.RunningJobs()))
 	deadline := start.Add(s.cfg.Grace - closeReserve)
 	time.Sleep(min(balancerNoticeTime, s.cfg.Grace/2))
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
@@ -155,7 +155,7 @@
 	// http.Server.Shutdown may close a connection on which it has read a part of a request,
 	// and return while that request runs.
 	if err := s.conns.Drain(ctx); err != nil {
-		logs.Warn(s.cfg.Log, logs.EventStopped, zap.Int("interrupted", s.cfg.Running()))
+		logs.Warn(s.cfg.Log, logs.EventStopped, zap.Int("interrupted", s.cfg.RunningJobs()))
 		s.cancelRemaining()
 		return
 	}
@@ -165,21 +165,21 @@
 // cancelRemaining ends the requests that outlived the grace. A request whose answer has not
 // begun is answered on its open connection, because closing the connection would tell the
 // caller nothing about the outcome.
-func (s *Door) cancelRemaining() {
+func (s *Server) cancelRemaining() {
 	s.conns.Cancel(direct.ErrEnding)
 	ctx, cancel := context.WithTimeout(context.Background(), cancelGrace)
 	defer cancel()
 	if s.conns.Drain(ctx) != nil {
-		s.conns.Close(kept.GraceOver)
+		s.conns.Close(kept.GraceExpired)
 	}
 }
 
 // IsStopping reports whether a planned stop has begun.
-func (s *Door) Leaving() bool { return s.stopping.Load() }
+func (s *Server) IsStopping() bool { return s.stopping.Load() }
 
 // idleBound returns how long a connection may be idle. The value changes with the operator's
 // configuration, which the fixed IdleTimeout of a server cannot follow.
-func (s *Door) idleBound() time.Duration {
+func (s *Server) idleBound() time.Duration {
 	if limit := s.cfg.Table().Config().Limits.IdleTime; limit > 0 {
 		return limit
 	}
@@ -188,17 +188,17 @@
 
 // serveReady answers the balancer's readiness check. An entry without a configuration or an
 // instance list would refuse every request.
-func (s *Door) serveReady(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveReady(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != s.cfg.ReadyPath {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if s.Leaving() || !s.cfg.Informed() {
+	if s.IsStopping() || !s.cfg.HasSynced() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-func (s *Door) serve(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	if !s.conns.Admit(r) {
 		panic(http.ErrAbortHandler)
 	}
@@ -214,7 +214,7 @@
 		a.refuse(&Refusal{Status: http.StatusServiceUnavailable, RetryAfter: leavingRetryAfter, Reason: "leaving"})
 		return
 	}
-	if !s.cfg.Informed() {
+	if !s.cfg.HasSynced() {
 		// No routes and keys are known yet, so none of them may be called unknown.
 		a.refuse(&Refusal{Status: http.StatusServiceUnavailable, RetryAfter: noConfigRetryAfter, Reason: "no configuration yet"})
 		return
@@ -223,7 +223,7 @@
 		a.refuse(&Refusal{Status: http.StatusRequestHeaderFieldsTooLarge, Reason: "headers too large"})
 		return
 	}
-	j, refusal := s.cfg.Accept(r, t)
+	j, refusal := s.cfg.ParseHead(r, t)
 	if refusal != nil {
 		a.refuse(refusal)
 		return
@@ -232,7 +232,7 @@
 	if j.Deadline.IsZero() {
 		j.Deadline = acceptedAt.Add(j.Route.Timeout)
 	}
-	body := &meteredBody{ReadCloser: r.Body, totalHeld: &s.heldBodyBytes, limit: s.cfg.Memory}
+	body := &meteredBody{ReadCloser: r.Body, totalHeld: &s.heldBodyBytes, limit: s.cfg.BodyMemory}
 	r.Body = body
 	defer body.release()
 	refusal = readBody(w, r, t, j)
--- a/entry/door/grace_test.go
+++ b/entry/door/grace_test.go
@@ -53,7 +53,7 @@
 	c.sendRequest("/long")
 	<-began
 	srv.readyLn.Close()
-	waitFor(t, "the stop", srv.server.Leaving)
+	waitFor(t, "the stop", srv.server.IsStopping)
 	close(end)
 	if got := c.readStatus(); got != http.StatusOK {
 		t.Errorf("got %d", got)
--- a/entry/door/stand_test.go
+++ b/entry/door/stand_test.go
@@ -23,7 +23,7 @@
 
 // testServer is a server without endpoints, for one test.
 type testServer struct {
-	server  *Door
+	server  *Server
 	addr    string
 	log     logBuffer
 	metrics *meter.Set
@@ -102,15 +102,15 @@
 	srv.routeTimeout.Store(int64(time.Minute))
 	srv.hasSynced.Store(true)
 	srv.server = New(Config{
-		Listen: anyPort, Ready: anyPort, ReadyPath: "/readyz", Grace: grace, Memory: 64 << 20,
-		ID: func(r *http.Request) string { return r.URL.Path },
-		Accept: func(r *http.Request, _ *route.Table) (*direct.Job, *Refusal) {
+		ListenAddr: anyPort, ReadyAddr: anyPort, ReadyPath: "/readyz", Grace: grace, BodyMemory: 64 << 20,
+		RequestID: func(r *http.Request) string { return r.URL.Path },
+		ParseHead: func(r *http.Request, _ *route.Table) (*direct.Job, *Refusal) {
 			return &direct.Job{ID: r.URL.Path, Route: &route.Route{Timeout: time.Duration(srv.routeTimeout.Load())}}, nil
 		},
 		Table: func() *route.Table {
 			return route.NewTable(route.Config{Limits: route.Limits{IdleTime: time.Duration(srv.idleBound.Load())}})
 		},
-		Informed: srv.hasSynced.Load,
+		HasSynced: srv.hasSynced.Load,
 		Serve: func(ctx context.Context, j *direct.Job, s direct.Sink) direct.Result {
 			srv.admitted.Add(1)
 			srv.running.Add(1)
@@ -121,8 +121,8 @@
 			}
 			return res
 		},
-		Running: func() int { return int(srv.running.Load()) },
-		Metrics: srv.metrics, Log: logs.NewTo(&srv.log, "info", "entry"),
+		RunningJobs: func() int { return int(srv.running.Load()) },
+		Metrics:     srv.metrics, Log: logs.NewTo(&srv.log, "info", "entry"),
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	srv.stop = stop
@@ -131,7 +131,7 @@
 		t.Fatal(err)
 	}
 	srv.addr = ln.Addr().String()
-	if srv.readyLn, err = net.Listen("tcp", srv.server.cfg.Ready); err != nil {
+	if srv.readyLn, err = net.Listen("tcp", srv.server.cfg.ReadyAddr); err != nil {
 		t.Fatal(err)
 	}
 	stopped := make(chan struct{})
--- a/entry/heads/heads.go
+++ b/entry/heads/heads.go
@@ -16,11 +16,11 @@
 
 // IsHopByHop reports whether a header, given by its canonical name, concerns a single
 // connection only.
-func PerHop(name string) bool { return hopByHop[name] }
+func IsHopByHop(name string) bool { return hopByHop[name] }
 
 // EndToEnd returns the headers of a request that are forwarded: all except those that concern
 // the caller's connection, including those that its Connection header names.
-func Forward(h http.Header) http.Header {
+func EndToEnd(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
 		if !hopByHop[name] {
--- a/entry/heads/heads_test.go
+++ b/entry/heads/heads_test.go
@@ -15,7 +15,7 @@
 		"Connection": {"close, X-Mine", "x-other"}, "X-Mine": {"1"}, "X-Other": {"2"}, "Keep-Alive": {"timeout=5"},
 		"Expect": {"100-continue"}, "Accept": {"a", "b"},
 	}
-	got := Forward(h)
+	got := EndToEnd(h)
 	if names := slices.Sorted(maps.Keys(got)); !slices.Equal(names, []string{"Accept"}) || len(got["Accept"]) != 2 {
 		t.Errorf("forwards %v", got)
 	}
--- a/entry/kept/ahead_test.go
+++ b/entry/kept/ahead_test.go
@@ -34,7 +34,7 @@
 			go srv.set.Drain(t.Context())
 			time.Sleep(2 * newConnGrace)
 		} else {
-			srv.set.Sweep()
+			srv.set.CloseExpired()
 		}
 		io.WriteString(c, " / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
 		if err := c.readAnswer(); err != nil {
@@ -62,7 +62,7 @@
 	k.mu.Lock()
 	k.phaseSince = k.phaseSince.Add(-time.Hour)
 	k.mu.Unlock()
-	srv.set.Sweep()
+	srv.set.CloseExpired()
 	if n := srv.counter("connections_closed", IdleBound); n != 1 {
 		t.Errorf("%d connections closed as idle", n)
 	}
--- a/entry/kept/bench_test.go
+++ b/entry/kept/bench_test.go
@@ -16,7 +16,7 @@
 func BenchmarkRequest(b *testing.B) {
 	for _, plain := range []bool{true, false} {
 		b.Run(fmt.Sprint("plain=", plain), func(b *testing.B) {
-			s := New(Config{Bound: func() time.Duration { return time.Minute }, Metrics: meter.New(), Log: zap.NewNop()})
+			s := New(Config{IdleBound: func() time.Duration { return time.Minute }, Metrics: meter.New(), Log: zap.NewNop()})
 			server := &http.Server{Handler: http.HandlerFunc(answerOK)}
 			var ln net.Listener
 			var err error
--- a/entry/kept/drain.go
+++ b/entry/kept/drain.go
@@ -83,8 +83,8 @@
 // CloseExpired closes the connections that have been idle for longer than the bound. For each
 // connection the largest bound counts that was in force since it became idle, as its caller
 // may rely on that: lowering the bound does not affect it.
-func (s *Set) Sweep() {
-	bound := s.cfg.Bound()
+func (s *Set) CloseExpired() {
+	bound := s.cfg.IdleBound()
 	for _, c := range s.connections() {
 		c.closeIf(IdleBound, func(age time.Duration) (time.Duration, bool) {
 			c.idleBound = max(c.idleBound, bound)
--- a/entry/kept/drain_test.go
+++ b/entry/kept/drain_test.go
@@ -132,14 +132,14 @@
 	if err := srv.set.Drain(ctx); err != context.DeadlineExceeded {
 		t.Errorf("Drain returned %v", err)
 	}
-	srv.set.Close(GraceOver)
-	if got := <-cause; got == nil || got.Reason != GraceOver {
+	srv.set.Close(GraceExpired)
+	if got := <-cause; got == nil || got.Reason != GraceExpired {
 		t.Errorf("the cause is %v", got)
 	}
 	if err := <-answered; err == nil {
 		t.Error("the caller got an answer")
 	}
-	if n := srv.counter("connections_closed", GraceOver); n != 1 {
+	if n := srv.counter("connections_closed", GraceExpired); n != 1 {
 		t.Errorf("%d connections counted", n)
 	}
 }
@@ -160,7 +160,7 @@
 		k.phaseSince = k.phaseSince.Add(-maxHeadTime)
 		k.mu.Unlock()
 		if !stop {
-			srv.set.Sweep()
+			srv.set.CloseExpired()
 		} else if err := srv.set.Drain(t.Context()); err != nil {
 			t.Error(err)
 		}
@@ -176,7 +176,7 @@
 // A caller has connected and sent its request, and the server has not accepted the connection
 // yet. Closing the listener at this time would reset the connection.
 func TestQueuedConnectionIsDetected(t *testing.T) {
-	s := New(Config{Bound: func() time.Duration { return time.Minute }, Metrics: meter.New(), Log: zap.NewNop()})
+	s := New(Config{IdleBound: func() time.Duration { return time.Minute }, Metrics: meter.New(), Log: zap.NewNop()})
 	ln, err := s.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -204,7 +204,7 @@
 // listener is closed. The last accepted connection may not be known to the set by then. Drain
 // must wait for it and not find the set empty before.
 func TestDrainWaitsForLastAccept(t *testing.T) {
-	s := New(Config{Bound: func() time.Duration { return time.Minute }, Metrics: meter.New(), Log: zap.NewNop()})
+	s := New(Config{IdleBound: func() time.Duration { return time.Minute }, Metrics: meter.New(), Log: zap.NewNop()})
 	ln, err := s.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/entry/kept/kept.go
+++ b/entry/kept/kept.go
@@ -28,9 +28,9 @@
 // Config holds the settings and dependencies of a Set.
 type Config struct {
 	// IdleBound returns how long a connection may be idle. The value may change between calls.
-	Bound   func() time.Duration
-	Metrics *meter.Set
-	Log     *zap.Logger
+	IdleBound func() time.Duration
+	Metrics   *meter.Set
+	Log       *zap.Logger
 }
 
 // Set holds the connections of one server. To use it, attach it to the server, have the server
@@ -92,7 +92,7 @@
 	case http.StateActive:
 		c.beginServing()
 	case http.StateIdle:
-		c.endServing(s.cfg.Bound())
+		c.endServing(s.cfg.IdleBound())
 		s.closeAfterAnswer(c)
 	}
 }
--- a/entry/kept/kept_test.go
+++ b/entry/kept/kept_test.go
@@ -29,7 +29,7 @@
 	go func() {
 		defer close(swept)
 		for ctx.Err() == nil {
-			srv.set.Sweep()
+			srv.set.CloseExpired()
 		}
 	}()
 	var answered atomic.Int64
@@ -76,9 +76,9 @@
 	srv.bound.Store(0)
 	io.WriteString(c, "G")
 	srv.awaitPhase(t, phaseReading)
-	srv.set.Sweep()
+	srv.set.CloseExpired()
 	io.WriteString(c, "ET / HTTP/1.1\r\nHost: a\r\n")
-	srv.set.Sweep()
+	srv.set.CloseExpired()
 	io.WriteString(c, "\r\n")
 	if err := c.readAnswer(); err != nil {
 		t.Error(err)
@@ -103,7 +103,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(Config{Bound: func() time.Duration { return 0 }, Metrics: meter.New(), Log: zap.NewNop()})
+	s := New(Config{IdleBound: func() time.Duration { return 0 }, Metrics: meter.New(), Log: zap.NewNop()})
 	c := newConn(s, nc.(*net.TCPConn), raw)
 	s.conns[c] = struct{}{}
 	c.endServing(0)
@@ -116,7 +116,7 @@
 		return !c.isQuiet()
 	})
 	time.Sleep(2 * time.Millisecond)
-	s.Sweep()
+	s.CloseExpired()
 	p := make([]byte, 8)
 	if n, err := c.Read(p); n != 3 || err != nil {
 		t.Fatalf("read %d bytes and %v", n, err)
@@ -124,7 +124,7 @@
 	c.endServing(0)
 	c.serverWaiting = true
 	time.Sleep(time.Millisecond)
-	s.Sweep()
+	s.CloseExpired()
 	if n, err := c.Read(p); n != 0 || err == nil {
 		t.Errorf("read %d bytes and %v of a closed connection", n, err)
 	}
@@ -141,13 +141,13 @@
 	srv.awaitPhase(t, phaseIdle)
 	srv.bound.Store(int64(time.Millisecond))
 	time.Sleep(10 * time.Millisecond)
-	srv.set.Sweep()
+	srv.set.CloseExpired()
 	if err := c.get("/"); err != nil {
 		t.Fatal(err)
 	}
 	srv.awaitPhase(t, phaseIdle)
 	time.Sleep(10 * time.Millisecond)
-	srv.set.Sweep()
+	srv.set.CloseExpired()
 	if err := c.get("/"); err == nil {
 		t.Error("the connection was kept for longer than the bound under which it became idle")
 	}
@@ -166,7 +166,7 @@
 	for _, bound := range []time.Duration{time.Minute, time.Millisecond} {
 		srv.bound.Store(int64(bound))
 		time.Sleep(10 * time.Millisecond)
-		srv.set.Sweep()
+		srv.set.CloseExpired()
 	}
 	if err := c.get("/"); err != nil {
 		t.Error(err)
@@ -203,7 +203,7 @@
 		io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	}
 	for i := range n {
-		srv.set.Sweep()
+		srv.set.CloseExpired()
 		if err := c.readAnswer(); err != nil {
 			t.Fatalf("answer %d: %v", i, err)
 		}
--- a/entry/kept/stand_test.go
+++ b/entry/kept/stand_test.go
@@ -31,8 +31,8 @@
 	srv := &testServer{serveErr: make(chan error, 1)}
 	srv.bound.Store(int64(time.Minute))
 	srv.set = New(Config{
-		Bound:   func() time.Duration { return time.Duration(srv.bound.Load()) },
-		Metrics: meter.New(), Log: zap.NewNop(),
+		IdleBound: func() time.Duration { return time.Duration(srv.bound.Load()) },
+		Metrics:   meter.New(), Log: zap.NewNop(),
 	})
 	ln, err := srv.set.Listen("127.0.0.1:0")
 	if err != nil {
--- a/entry/kept/why.go
+++ b/entry/kept/why.go
@@ -22,7 +22,7 @@
 	// PlannedStop means that the process is stopping and the connection was idle.
 	PlannedStop
 	// GraceExpired means that a request outlived the grace of a planned stop.
-	GraceOver
+	GraceExpired
 	reasonCount
 )
 
--- a/entry/node.go
+++ b/entry/node.go
@@ -112,7 +112,7 @@
 
 // serve serves callers until ctx or a part ends.
 func (n *node) serve(ctx context.Context, p *parts) error {
-	conns := kept.New(kept.Config{Bound: func() time.Duration { return idleTimeout }, Metrics: n.meter, Log: n.log})
+	conns := kept.New(kept.Config{IdleBound: func() time.Duration { return idleTimeout }, Metrics: n.meter, Log: n.log})
 	ln, err := conns.Listen(n.cfg.Listen)
 	if err != nil {
 		return err
@@ -136,7 +136,7 @@
 	for {
 		select {
 		case <-tick.C:
-			conns.Sweep()
+			conns.CloseExpired()
 		case <-ctx.Done():
 			n.drain(conns)
 			return nil
@@ -174,7 +174,7 @@
 	}
 	if conns.Drain(grace) != nil {
 		logs.Warn(n.log, logs.EventStopped, zap.Int("interrupted", n.sched.Running()))
-		conns.Close(kept.GraceOver)
+		conns.Close(kept.GraceExpired)
 		return
 	}
 	logs.Info(n.log, logs.EventStopped)
