--- a/agent/admin/admin.go
+++ b/agent/admin/admin.go
@@ -1,4 +1,5 @@
-// Package admin is the agent's side towards operators.
+// Package admin serves the agent's HTTP interface for operators: health, metrics,
+// status and drain.
 package admin
 
 import (
@@ -16,22 +17,24 @@
 
 const headerTimeout = 10 * time.Second
 
-// Config is what a Server depends on.
+// Config holds the dependencies of a Server.
 type Config struct {
-	// Token is demanded of operators; empty demands none.
+	// Token is the bearer token that operators must send; if it is empty, no
+	// token is required.
 	Token   string
 	Metrics http.Handler
-	Status  func() any
-	// Ready reports whether the agent takes work.
+	// Status returns the value that GET /status encodes as JSON.
+	Status func() any
+	// Ready reports whether the agent accepts work.
 	Ready func() bool
-	// Drain begins a planned stop; it may be called again.
+	// Drain begins a planned stop. It may be called more than once.
 	Drain func(context.Context) error
-	// Panicked counts handlers that panicked.
-	Panicked func()
-	Log      *zap.Logger
+	// OnPanic is called when a handler has panicked.
+	OnPanic func()
+	Log     *zap.Logger
 }
 
-// Server answers operators.
+// Server serves the operators' interface.
 type Server struct {
 	cfg   Config
 	token *bearer.Token
@@ -40,10 +43,10 @@
 // New returns a Server that does nothing until Run.
 func New(cfg Config) *Server { return &Server{cfg: cfg, token: bearer.New(cfg.Token)} }
 
-// Run serves operators on ln until ctx ends.
+// Run serves requests on ln until ctx ends.
 func (s *Server) Run(ctx context.Context, ln net.Listener) error {
 	server := &http.Server{
-		Handler: logs.Guard(s.cfg.Log, s.cfg.Panicked, nil, s.Handler()), ReadHeaderTimeout: headerTimeout, ErrorLog: logs.Server(s.cfg.Log),
+		Handler: logs.Guard(s.cfg.Log, s.cfg.OnPanic, nil, s.Handler()), ReadHeaderTimeout: headerTimeout, ErrorLog: logs.Server(s.cfg.Log),
 	}
 	defer context.AfterFunc(ctx, func() { server.Close() })()
 	err := server.Serve(ln)
@@ -53,18 +56,18 @@
 	return err
 }
 
-// Handler returns the paths for operators.
+// Handler returns the handler for all paths of the interface.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("GET /readyz", s.ready)
-	mux.Handle("GET /metrics", s.demand(s.cfg.Metrics))
-	mux.Handle("GET /status", s.demand(http.HandlerFunc(s.status)))
-	mux.Handle("POST /drain", s.demand(http.HandlerFunc(s.drain)))
+	mux.Handle("GET /metrics", s.requireToken(s.cfg.Metrics))
+	mux.Handle("GET /status", s.requireToken(http.HandlerFunc(s.status)))
+	mux.Handle("POST /drain", s.requireToken(http.HandlerFunc(s.drain)))
 	return mux
 }
 
-// drain answers once the stop has begun, before it is complete.
+// drain replies when the planned stop has begun, before it is complete.
 func (s *Server) drain(w http.ResponseWriter, r *http.Request) {
 	if err := s.cfg.Drain(r.Context()); err != nil {
 		http.Error(w, "the planned stop did not begin: ask again, or send SIGTERM", http.StatusServiceUnavailable)
@@ -86,8 +89,8 @@
 	_ = json.NewEncoder(w).Encode(s.cfg.Status())
 }
 
-// demand lets only holders of the token through.
-func (s *Server) demand(next http.Handler) http.Handler {
+// requireToken rejects requests without the operators' token.
+func (s *Server) requireToken(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !s.token.Allows(r) {
 			http.Error(w, "operators' token missing or wrong: send Authorization: Bearer TOKEN (admin.token of the settings)", http.StatusUnauthorized)
--- a/agent/admin/admin_test.go
+++ b/agent/admin/admin_test.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-func TestDrain(t *testing.T) {
-	// Anyone who reaches the operators' port could take an endpoint out of
-	// service, so the stop begins only for a holder of the token.
-	begun := 0
+// Without the token check, anyone who reaches the operators' port could take an
+// endpoint out of service.
+func TestDrainRequiresToken(t *testing.T) {
+	drains := 0
 	s := New(Config{
 		Token: "op", Metrics: http.NotFoundHandler(), Status: func() any { return nil }, Ready: func() bool { return true },
-		Drain: func(context.Context) error { begun++; return nil },
+		Drain: func(context.Context) error { drains++; return nil },
 	})
 	for _, c := range []struct {
-		method, token string
-		status, begun int
+		method, token  string
+		status, drains int
 	}{
 		{http.MethodPost, "", http.StatusUnauthorized, 0},
 		{http.MethodPost, "guess", http.StatusUnauthorized, 0},
@@ -28,8 +28,8 @@
 		r.Header.Set("Authorization", "Bearer "+c.token)
 		w := httptest.NewRecorder()
 		s.Handler().ServeHTTP(w, r)
-		if w.Code != c.status || begun != c.begun {
-			t.Errorf("%s with token %q: status %d, begun %d", c.method, c.token, w.Code, begun)
+		if w.Code != c.status || drains != c.drains {
+			t.Errorf("%s with token %q: status %d, %d drains", c.method, c.token, w.Code, drains)
 		}
 	}
 }
--- a/agent/answer/bench_test.go
+++ b/agent/answer/bench_test.go
@@ -7,7 +7,7 @@
 	"lycheepond/core/wire"
 )
 
-// BenchmarkRelay carries one token from a producer to one follower.
+// BenchmarkRelay passes one token from a producer to one follower.
 func BenchmarkRelay(b *testing.B) {
 	ctx := context.Background()
 	l := New(new(Budget))
--- a/agent/answer/follow.go
+++ b/agent/answer/follow.go
@@ -9,56 +9,57 @@
 
 // Follower sends one answer under one ID to one link.
 type Follower struct {
-	// ID is the request that the receiver knows the answer by.
+	// ID is the request ID in the messages to the receiver.
 	ID ident.ID
-	// From is the first piece to send.
-	From uint32
-	// Send hands a message to the link and waits for room.
+	// FromSeq is the sequence number of the first chunk to send.
+	FromSeq uint32
+	// Send passes a message to the link and waits while the link's queue is full.
 	Send func(ctx context.Context, m wire.Message) error
-	// Load returns what the End says of the endpoint.
+	// Load returns the endpoint's load for the End message.
 	Load func() wire.Load
 }
 
-// step is what a follower does next, taken from the log under its lock.
+// step holds the messages that a follower sends next, copied from the log under
+// its lock.
 type step struct {
-	head   *wire.Head
-	chunks [][]byte
-	first  uint32
-	end    *wire.End
-	wake   <-chan struct{}
+	head     *wire.Head
+	chunks   [][]byte
+	firstSeq uint32
+	end      *wire.End
+	changed  <-chan struct{}
 }
 
-// Follow sends the answer until its end has been sent, the link fails or ctx
-// ends.
+// Follow sends the answer to f. It returns nil when the end has been sent, or an
+// error when the link fails or ctx ends.
 func (l *Log) Follow(ctx context.Context, f *Follower) error {
 	l.mu.Lock()
-	l.at[f] = f.From
+	l.nextSeqs[f] = f.FromSeq
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		delete(l.at, f)
-		l.changed()
+		delete(l.nextSeqs, f)
+		l.notifyChange()
 		l.mu.Unlock()
 	}()
-	headed := false
-	next := f.From
+	headSent := false
+	nextSeq := f.FromSeq
 	for {
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		s := l.next(f, headed, next)
+		s := l.nextStep(f, headSent, nextSeq)
 		if s.head != nil {
 			s.head.ID = f.ID
 			if err := f.Send(ctx, s.head); err != nil {
 				return err
 			}
-			headed = true
+			headSent = true
 		}
 		for i, data := range s.chunks {
-			if err := f.Send(ctx, &wire.Chunk{ID: f.ID, Seq: s.first + uint32(i), Data: data}); err != nil {
+			if err := f.Send(ctx, &wire.Chunk{ID: f.ID, Seq: s.firstSeq + uint32(i), Data: data}); err != nil {
 				return err
 			}
-			next = s.first + uint32(i) + 1
+			nextSeq = s.firstSeq + uint32(i) + 1
 		}
 		if s.end != nil {
 			s.end.ID, s.end.Load = f.ID, f.Load()
@@ -68,35 +69,35 @@
 			continue
 		}
 		select {
-		case <-s.wake:
+		case <-s.changed:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// maxBatch is how many pieces a follower takes at once.
-const maxBatch = 32
+// maxBatchChunks is the largest number of chunks that a follower copies at once.
+const maxBatchChunks = 32
 
-func (l *Log) next(f *Follower, headed bool, next uint32) step {
+func (l *Log) nextStep(f *Follower, headSent bool, nextSeq uint32) step {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.at[f] != next {
-		l.at[f] = next
-		l.changed()
+	if l.nextSeqs[f] != nextSeq {
+		l.nextSeqs[f] = nextSeq
+		l.notifyChange()
 	}
-	s := step{wake: l.wake}
-	if l.headed && !headed {
+	s := step{changed: l.changed}
+	if l.hasHead && !headSent {
 		s.head = &wire.Head{Status: l.status, Header: l.header}
 	}
-	if next < l.base {
-		s.end = &wire.End{Chunks: l.base, Bytes: l.bytes, Reason: wire.ReasonTooLong}
+	if nextSeq < l.firstSeq {
+		s.end = &wire.End{Chunks: l.firstSeq, Bytes: l.totalBytes, Reason: wire.ReasonTooLong}
 		return s
 	}
-	if have := l.base + uint32(len(l.chunks)); next < have {
-		n := min(have-next, maxBatch)
-		from := next - l.base
-		s.first = next
+	if endSeq := l.firstSeq + uint32(len(l.chunks)); nextSeq < endSeq {
+		n := min(endSeq-nextSeq, maxBatchChunks)
+		from := nextSeq - l.firstSeq
+		s.firstSeq = nextSeq
 		s.chunks = append(s.chunks, l.chunks[from:from+n]...)
 		return s
 	}
--- a/agent/answer/hand.go
+++ b/agent/answer/hand.go
@@ -14,19 +14,19 @@
 	return l.end != nil
 }
 
-// Export writes an answer that has ended into r, and returns false if it has
-// not. An answer of which pieces are no longer held is marked as gone.
+// Export writes the answer into r. It returns false if the answer has not ended.
+// If some chunks are no longer held, it sets r.AnswerDropped instead.
 func (l *Log) Export(r *wire.KeyRecord) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.end == nil {
 		return false
 	}
-	if l.base > 0 {
+	if l.firstSeq > 0 {
 		r.Gone = true
 		return true
 	}
-	if l.headed {
+	if l.hasHead {
 		r.Status, r.Header = l.status, l.header
 	}
 	r.Body = bytes.Join(l.chunks, nil)
@@ -34,12 +34,13 @@
 	return true
 }
 
-// Import returns the log of an answer that another process kept. Its pieces
-// are one now. What would exceed the budget is taken in as gone.
+// Import returns the log of an answer that another process kept. The body becomes
+// a single chunk. If the body would exceed the budget, it is dropped, and a
+// follower gets an End with ReasonTooLong.
 func Import(b *Budget, r *wire.KeyRecord) *Log {
 	l := New(b)
-	if r.Gone || b.Used()+int64(len(r.Body)) > MaxAll {
-		l.base = 1
+	if r.Gone || b.Used()+int64(len(r.Body)) > MaxTotalBytes {
+		l.firstSeq = 1
 		l.Close(wire.End{Reason: wire.ReasonTooLong})
 		return l
 	}
@@ -47,7 +48,7 @@
 		l.SetHead(int(r.Status), r.Header)
 	}
 	if len(r.Body) > 0 {
-		// An empty log takes any piece without waiting.
+		// An empty log accepts a chunk of any size without waiting.
 		_ = l.Append(context.Background(), r.Body)
 	}
 	l.Close(wire.End{Whole: r.Whole, Reason: r.Reason, Usage: r.Usage})
--- a/agent/answer/log.go
+++ b/agent/answer/log.go
@@ -1,9 +1,10 @@
-// Package answer keeps the answer of one run while it comes and for a while
-// after, so that a new link, or a retry with the same idempotency key, gets it
-// from the piece that it lacks.
+// Package answer keeps the answer of one run while it arrives and for some time
+// after. A new link, or a retry with the same idempotency key, gets the answer
+// from the first chunk that it lacks.
 //
-// The producer appends, each follower sends to one link. A follower that lags
-// holds the producer back at MaxRun; without followers the oldest pieces go.
+// The producer appends chunks, and each follower sends them to one link. A slow
+// follower blocks the producer when MaxAnswerBytes are held; without followers
+// the oldest chunks are dropped instead.
 package answer
 
 import (
@@ -15,15 +16,17 @@
 	"lycheepond/core/wire"
 )
 
-// Limits of what is kept. They follow from the budget of 32 MB a node.
+// Limits of the bytes held in memory. They follow from the 32 MB that an agent
+// may use.
 const (
-	// MaxRun is what one answer may hold in bytes.
-	MaxRun = 1 << 20
-	// MaxAll is what all answers of a process may hold before each is cut down
-	// to MaxTight.
-	MaxAll = 16 << 20
-	// MaxTight is what one answer may hold when MaxAll is exceeded.
-	MaxTight = 64 << 10
+	// MaxAnswerBytes is the limit of one answer in bytes.
+	MaxAnswerBytes = 1 << 20
+	// MaxTotalBytes is the limit of all answers of a process in bytes. While it is
+	// exceeded, MaxReducedBytes applies to each answer instead of MaxAnswerBytes.
+	MaxTotalBytes = 16 << 20
+	// MaxReducedBytes is the limit of one answer in bytes while MaxTotalBytes is
+	// exceeded.
+	MaxReducedBytes = 64 << 10
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -31,70 +34,74 @@
 // Budget counts the bytes that all logs of a process hold.
 type Budget struct{ used atomic.Int64 }
 
-// Used returns the bytes held.
+// Used returns the number of bytes held.
 func (b *Budget) Used() int64 { return b.used.Load() }
 
-// Over reports whether more than MaxAll is held.
-func (b *Budget) Over() bool { return b.used.Load() > MaxAll }
+// Exceeded reports whether more than MaxTotalBytes are held.
+func (b *Budget) Exceeded() bool { return b.used.Load() > MaxTotalBytes }
 
-// Log is one answer. It is safe for concurrent use.
+// Log holds the chunks of one answer. It is safe for concurrent use.
 type Log struct {
 	budget *Budget
 	mu     sync.Mutex
-	// wake is closed and replaced with every change.
-	wake   chan struct{}
-	status uint16
-	header []wire.Field
-	headed bool
-	// chunks are the pieces base, base+1, ... that are still held.
-	chunks [][]byte
-	base   uint32
-	held   int
-	bytes  uint64
-	crc    uint32
-	// end is set once and last; nothing is appended after it.
+	// changed is closed and replaced at every change.
+	changed chan struct{}
+	status  uint16
+	header  []wire.Field
+	hasHead bool
+	// chunks holds the chunks firstSeq, firstSeq+1, ... that have not been dropped.
+	chunks   [][]byte
+	firstSeq uint32
+	// heldBytes is the number of bytes in chunks.
+	heldBytes int
+	// totalBytes and crc cover all chunks that were ever appended.
+	totalBytes uint64
+	crc        uint32
+	// end is set once; nothing is appended after it.
 	end *wire.End
-	// at holds the next piece of each follower.
-	at map[*Follower]uint32
+	// nextSeqs maps each follower to the sequence number of its next chunk.
+	nextSeqs map[*Follower]uint32
 }
 
 // New returns an empty log.
 func New(b *Budget) *Log {
-	return &Log{budget: b, wake: make(chan struct{}), at: make(map[*Follower]uint32)}
+	return &Log{budget: b, changed: make(chan struct{}), nextSeqs: make(map[*Follower]uint32)}
 }
 
-func (l *Log) changed() {
-	close(l.wake)
-	l.wake = make(chan struct{})
+func (l *Log) notifyChange() {
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-// SetHead sets the beginning of the answer.
+// SetHead sets the status and the headers of the answer. Only the first call
+// before Close has an effect.
 func (l *Log) SetHead(status int, header []wire.Field) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.headed || l.end != nil {
+	if l.hasHead || l.end != nil {
 		return
 	}
-	l.status, l.header, l.headed = uint16(status), header, true
-	l.changed()
+	l.status, l.header, l.hasHead = uint16(status), header, true
+	l.notifyChange()
 }
 
-// Headed reports whether the answer has begun.
-func (l *Log) Headed() bool {
+// HasHead reports whether the status and the headers have been set.
+func (l *Log) HasHead() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.headed
+	return l.hasHead
 }
 
-// Append adds the next piece, which the log owns from then on. It waits while
-// the log is full of pieces that a follower has yet to send.
+// Append adds the next chunk, which the log then owns. It waits while the log is
+// full of chunks that a follower still has to send. It returns an error when ctx
+// ends or the answer has already ended.
 func (l *Log) Append(ctx context.Context, data []byte) error {
 	l.mu.Lock()
-	for !l.room(len(data)) {
-		wake := l.wake
+	for !l.makeRoom(len(data)) {
+		changed := l.changed
 		l.mu.Unlock()
 		select {
-		case <-wake:
+		case <-changed:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -105,78 +112,80 @@
 		return context.Canceled
 	}
 	l.chunks = append(l.chunks, data)
-	l.hold(len(data))
-	l.bytes += uint64(len(data))
+	l.addHeldBytes(len(data))
+	l.totalBytes += uint64(len(data))
 	l.crc = crc32.Update(l.crc, castagnoli, data)
-	l.changed()
+	l.notifyChange()
 	return nil
 }
 
-func (l *Log) hold(n int) {
-	l.held += n
+func (l *Log) addHeldBytes(n int) {
+	l.heldBytes += n
 	l.budget.used.Add(int64(n))
 }
 
-// room drops what every follower has sent until n bytes fit.
-func (l *Log) room(n int) bool {
-	limit := MaxRun
-	if l.budget.Over() {
-		limit = MaxTight
+// makeRoom drops chunks that every follower has sent until n bytes fit. It
+// reports whether they fit.
+func (l *Log) makeRoom(n int) bool {
+	limit := MaxAnswerBytes
+	if l.budget.Exceeded() {
+		limit = MaxReducedBytes
 	}
-	for l.held > 0 && l.held+n > limit {
-		for _, at := range l.at {
-			if at <= l.base {
+	for l.heldBytes > 0 && l.heldBytes+n > limit {
+		for _, nextSeq := range l.nextSeqs {
+			if nextSeq <= l.firstSeq {
 				return false
 			}
 		}
-		l.dropFirst()
+		l.dropOldest()
 	}
 	return true
 }
 
-func (l *Log) dropFirst() {
-	l.hold(-len(l.chunks[0]))
+func (l *Log) dropOldest() {
+	l.addHeldBytes(-len(l.chunks[0]))
 	l.chunks[0] = nil
 	l.chunks = l.chunks[1:]
-	l.base++
+	l.firstSeq++
 }
 
-// Close ends the answer. Only the first call counts.
+// Close ends the answer. Only the first call has an effect.
 func (l *Log) Close(e wire.End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.end != nil {
 		return
 	}
-	e.Chunks = l.base + uint32(len(l.chunks))
-	e.Bytes, e.CRC = l.bytes, l.crc
+	e.Chunks = l.firstSeq + uint32(len(l.chunks))
+	e.Bytes, e.CRC = l.totalBytes, l.crc
 	l.end = &e
-	l.changed()
+	l.notifyChange()
 }
 
-// Complete reports whether the log still holds the answer from its first piece.
+// Complete reports whether no chunk has been dropped.
 func (l *Log) Complete() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.base == 0
+	return l.firstSeq == 0
 }
 
-// Followed reports whether a follower is at work.
-func (l *Log) Followed() bool {
+// HasFollowers reports whether the log has a follower.
+func (l *Log) HasFollowers() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.at) > 0
+	return len(l.nextSeqs) > 0
 }
 
-// Drop gives the held pieces up. A later follower hears that they are gone.
-func (l *Log) Drop() {
+// DropChunks drops all chunks held. A later follower gets an End with
+// ReasonTooLong.
+func (l *Log) DropChunks() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.chunks) == 0 {
 		return
 	}
-	l.base += uint32(len(l.chunks))
-	l.hold(-l.held)
+	l.firstSeq += uint32(len(l.chunks))
+	l.addHeldBytes(-l.heldBytes)
 	l.chunks = nil
-	l.changed()
+	l.notifyChange()
 }
--- a/agent/answer/log_test.go
+++ b/agent/answer/log_test.go
@@ -10,11 +10,12 @@
 	"lycheepond/core/wire"
 )
 
-// receive follows l from piece next on and returns what a link would get.
-func receive(t *testing.T, l *Log, next uint32) []wire.Message {
+// receive follows l from chunk fromSeq on and returns the messages that a link
+// would get.
+func receive(t *testing.T, l *Log, fromSeq uint32) []wire.Message {
 	t.Helper()
 	var got []wire.Message
-	f := &Follower{ID: ident.Make(1, 1), From: next, Load: func() wire.Load { return wire.Load{} }}
+	f := &Follower{ID: ident.Make(1, 1), FromSeq: fromSeq, Load: func() wire.Load { return wire.Load{} }}
 	f.Send = func(_ context.Context, m wire.Message) error {
 		got = append(got, m)
 		return nil
@@ -27,7 +28,8 @@
 	return got
 }
 
-func TestFollowersGetTheSame(t *testing.T) {
+// A follower that starts later must get the same chunks and the same end.
+func TestFollowersGetSameAnswer(t *testing.T) {
 	ctx := context.Background()
 	l := New(new(Budget))
 	l.SetHead(200, nil)
@@ -49,23 +51,23 @@
 		t.Fatalf("got %#v", got[2])
 	}
 	if err := l.Append(ctx, []byte("d")); err == nil {
-		t.Fatal("a piece was added behind the end")
+		t.Fatal("a chunk was added after the end")
 	}
 }
 
-// The link is lost and the engine goes on for long. The answer must not fill
-// the memory of a small instance; an entry that asks for a piece that is gone
-// hears so instead of getting an answer with a hole in it.
-func TestLongAnswerWithoutLinkIsCut(t *testing.T) {
+// The link is lost while the engine writes a long answer. The answer must not
+// fill the memory of a small instance. An entry that asks for a dropped chunk
+// must get an End with a reason, and never an answer with a gap.
+func TestLongAnswerWithoutFollowerDropsOldChunks(t *testing.T) {
 	b := new(Budget)
 	l := New(b)
-	piece := make([]byte, MaxRun/8)
+	chunk := make([]byte, MaxAnswerBytes/8)
 	for range 12 {
-		if err := l.Append(context.Background(), piece); err != nil {
+		if err := l.Append(context.Background(), chunk); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if b.Used() > MaxRun {
+	if b.Used() > MaxAnswerBytes {
 		t.Fatalf("%d bytes held", b.Used())
 	}
 	l.Close(wire.End{Whole: true})
@@ -77,24 +79,24 @@
 	if e, ok := got[len(got)-1].(*wire.End); !ok || !e.Whole || e.Chunks != 12 {
 		t.Fatalf("got %#v", got[len(got)-1])
 	}
-	l.Drop()
+	l.DropChunks()
 	if b.Used() != 0 {
 		t.Fatalf("%d bytes held after Drop", b.Used())
 	}
 }
 
-// A caller reads slowly. The engine is held back instead of the answer losing
-// pieces, and goes on when the caller reads again or its link ends.
-func TestSlowFollowerHoldsTheProducerBack(t *testing.T) {
+// A caller reads slowly. The producer must wait, or the answer would lose chunks.
+// It continues when the follower sends again.
+func TestSlowFollowerBlocksProducer(t *testing.T) {
 	l := New(new(Budget))
-	begun, open := make(chan struct{}, 16), make(chan struct{})
-	var sent int
+	sendStarted, unblock := make(chan struct{}, 16), make(chan struct{})
+	var sentBytes int
 	f := &Follower{Load: func() wire.Load { return wire.Load{} }}
 	f.Send = func(_ context.Context, m wire.Message) error {
-		begun <- struct{}{}
-		<-open
+		sendStarted <- struct{}{}
+		<-unblock
 		if c, ok := m.(*wire.Chunk); ok {
-			sent += len(c.Data)
+			sentBytes += len(c.Data)
 		}
 		return nil
 	}
@@ -103,24 +105,24 @@
 	defer stop()
 	l.SetHead(200, nil)
 	go func() { followed <- l.Follow(ctx, f) }()
-	<-begun
-	piece := make([]byte, MaxRun/4)
+	<-sendStarted
+	chunk := make([]byte, MaxAnswerBytes/4)
 	for range 4 {
-		if err := l.Append(ctx, piece); err != nil {
+		if err := l.Append(ctx, chunk); err != nil {
 			t.Fatal(err)
 		}
 	}
-	hurried, cancel := context.WithCancel(ctx)
+	cancelled, cancel := context.WithCancel(ctx)
 	cancel()
-	if err := l.Append(hurried, piece); !errors.Is(err, context.Canceled) {
-		t.Fatalf("the producer was not held back: %v", err)
+	if err := l.Append(cancelled, chunk); !errors.Is(err, context.Canceled) {
+		t.Fatalf("the producer was not blocked: %v", err)
 	}
-	close(open)
-	if err := l.Append(ctx, piece); err != nil {
+	close(unblock)
+	if err := l.Append(ctx, chunk); err != nil {
 		t.Fatal(err)
 	}
 	l.Close(wire.End{Whole: true})
-	if err := <-followed; err != nil || sent != 5*len(piece) {
-		t.Fatalf("%d bytes sent: %v", sent, err)
+	if err := <-followed; err != nil || sentBytes != 5*len(chunk) {
+		t.Fatalf("%d bytes sent: %v", sentBytes, err)
 	}
 }
--- a/agent/call/call.go
+++ b/agent/call/call.go
@@ -1,4 +1,4 @@
-// Package call sends one request to an endpoint over HTTP, exactly once.
+// Package call sends a request to an endpoint over HTTP and never sends it twice.
 package call
 
 import (
@@ -18,7 +18,7 @@
 // IDHeader carries the request ID to the endpoint.
 const IDHeader = "X-Request-Id"
 
-// Request is what an endpoint is asked.
+// Request is one HTTP request to an endpoint.
 type Request struct {
 	ID     ident.ID
 	Method string
@@ -26,75 +26,79 @@
 	Header []wire.Field
 	Body   []byte
 	Stream bool
-	// Guard is asked before the first byte is written; it may be nil.
+	// Guard is checked before the first byte is written; it may be nil.
 	Guard *Guard
 }
 
-// Sink takes in an answer as it comes.
+// Sink receives an answer as it arrives.
 type Sink struct {
 	// Head is called once, before the first Chunk.
 	Head func(status int, header []wire.Field)
-	// Chunk takes in the next piece, which it owns. It may wait; an error ends
-	// the call.
+	// Chunk receives the next chunk and owns its data. It may block; an error
+	// ends the call.
 	Chunk func(ctx context.Context, data []byte) error
 }
 
-// Result tells how a call ended.
+// Result is the outcome of a call.
 type Result struct {
-	// Sent is false only when certainly no byte reached the endpoint.
+	// Sent is false only when it is certain that no byte reached the endpoint.
 	Sent bool
-	// Whole is set when the endpoint finished the answer itself.
-	Whole bool
-	// Status is the answer's HTTP status, zero if none came.
+	// Complete is set when the endpoint finished the answer.
+	Complete bool
+	// Status is the HTTP status of the answer, zero if no answer arrived.
 	Status int
 	Usage  wire.Usage
-	// Err says why the answer is not whole.
+	// Err is the reason why the answer is incomplete.
 	Err error
-	// Crashed is set if the endpoint accepted no connections after its answer broke off.
+	// Crashed is set if the endpoint accepted no connection after its answer
+	// had broken off.
 	Crashed bool
 }
 
-// Progress is what another goroutine may read of a call under way. Times are
-// in nanoseconds since the call began; zero means not yet.
+// Progress is the state of a running call. Other goroutines may read it while
+// the call runs. Times are in nanoseconds since the start of the call; zero
+// means that nothing has arrived yet.
 type Progress struct {
-	// Tokens counts the events of a stream.
+	// Tokens counts the chunks that have arrived. In a stream each chunk is one
+	// event, which carries one token.
 	Tokens atomic.Int64
-	// First and Last are the times of the first and the last piece.
-	First, Last atomic.Int64
-	begun       time.Time
+	// FirstNS and LastNS are the arrival times of the first and the last chunk.
+	FirstNS, LastNS atomic.Int64
+	start           time.Time
 }
 
-// NewProgress returns the progress of a call that begins now.
-func NewProgress() *Progress { return &Progress{begun: time.Now()} }
+// NewProgress returns the progress of a call that starts now.
+func NewProgress() *Progress { return &Progress{start: time.Now()} }
 
-// Mark notes that a piece came.
-func (p *Progress) Mark() {
-	at := time.Since(p.begun).Nanoseconds()
-	p.First.CompareAndSwap(0, at)
-	p.Last.Store(at)
+// RecordChunk records the arrival of a chunk.
+func (p *Progress) RecordChunk() {
+	elapsed := time.Since(p.start).Nanoseconds()
+	p.FirstNS.CompareAndSwap(0, elapsed)
+	p.LastNS.Store(elapsed)
 	p.Tokens.Add(1)
 }
 
-// Fill sets the times of u.
-func (p *Progress) Fill(u *wire.Usage) {
-	u.FirstMS = uint32(p.First.Load() / int64(time.Millisecond))
-	u.TotalMS = uint32(time.Since(p.begun).Milliseconds())
+// SetTimes sets the time to the first byte and the total time in u.
+func (p *Progress) SetTimes(u *wire.Usage) {
+	u.FirstMS = uint32(p.FirstNS.Load() / int64(time.Millisecond))
+	u.TotalMS = uint32(time.Since(p.start).Milliseconds())
 }
 
-// Between returns the mean time between two pieces so far.
-func (p *Progress) Between() time.Duration {
+// MeanInterval returns the mean time between two chunks so far, or zero before
+// the second chunk.
+func (p *Progress) MeanInterval() time.Duration {
 	n := p.Tokens.Load()
 	if n < 2 {
 		return 0
 	}
-	return time.Duration((p.Last.Load() - p.First.Load()) / (n - 1))
+	return time.Duration((p.LastNS.Load() - p.FirstNS.Load()) / (n - 1))
 }
 
-// Client returns an HTTP client for calls. Each call has its own connection: on
-// a kept one that the endpoint closes, net/http sends a request again when it
-// holds an Idempotency-Key or a method that may be repeated, and the endpoint
-// would then have run it twice without a trace here.
-func Client() *http.Client {
+// NewClient returns an HTTP client that opens a new connection for each call. When
+// an endpoint closes a reused connection, net/http sends the request again if it
+// has an Idempotency-Key or an idempotent method. The endpoint could then run
+// the request twice, and the agent would not know.
+func NewClient() *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext: Dial, DisableKeepAlives: true, DisableCompression: true, Proxy: nil,
@@ -105,37 +109,37 @@
 
 const dialTimeout = 2 * time.Second
 
-// ErrUnreachable reports an endpoint that took no connection.
+// ErrUnreachable reports that no connection to the endpoint could be opened.
 var ErrUnreachable = errors.New("call: endpoint unreachable: check that it runs and that endpoint.address names it")
 
 // Do sends r to base and returns the response. sent is false only when no
-// connection came about.
-func Do(ctx context.Context, hc *http.Client, base string, r *Request) (resp *http.Response, sent bool, err error) {
-	var wrote atomic.Bool
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { wrote.Store(true) }}
-	ctx = httptrace.WithClientTrace(r.Guard.With(ctx), trace)
+// connection was opened or the guard stopped the request before its first byte.
+func Do(ctx context.Context, client *http.Client, base string, r *Request) (resp *http.Response, sent bool, err error) {
+	var connected atomic.Bool
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
+	ctx = httptrace.WithClientTrace(r.Guard.NewContext(ctx), trace)
 	req, err := http.NewRequestWithContext(ctx, r.Method, base+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
 		return nil, false, err
 	}
 	req.GetBody = nil
 	for _, f := range r.Header {
-		if !hopByHop(f.Name) {
+		if !isHopByHop(f.Name) {
 			req.Header.Add(f.Name, f.Value)
 		}
 	}
 	req.Header.Set(IDHeader, r.ID.String())
-	resp, err = hc.Do(req)
+	resp, err = client.Do(req)
 	if err != nil && r.Guard.Blocked() {
 		return nil, false, err
 	}
-	if err != nil && !wrote.Load() {
+	if err != nil && !connected.Load() {
 		return nil, false, errors.Join(ErrUnreachable, err)
 	}
 	return resp, true, err
 }
 
-func hopByHop(name string) bool {
+func isHopByHop(name string) bool {
 	switch strings.ToLower(name) {
 	case "connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade", "host", "content-length":
 		return true
@@ -143,11 +147,12 @@
 	return false
 }
 
-// Fields returns the headers of an answer that belong to the caller.
-func Fields(h http.Header) []wire.Field {
+// EndToEndHeaders returns the response headers that are passed on to the caller:
+// all but the hop-by-hop headers.
+func EndToEndHeaders(h http.Header) []wire.Field {
 	out := make([]wire.Field, 0, len(h))
 	for name, values := range h {
-		if hopByHop(name) {
+		if isHopByHop(name) {
 			continue
 		}
 		for _, v := range values {
--- a/agent/call/copy.go
+++ b/agent/call/copy.go
@@ -6,19 +6,19 @@
 	"io"
 )
 
-// pieceSize is the largest piece of an answer that is no stream.
-const pieceSize = 32 << 10
+// maxChunkBytes is the size of the largest chunk of an answer that is not a stream.
+const maxChunkBytes = 32 << 10
 
-// Copy gives the body to sink piece by piece and to seen, which may be nil. It
-// returns nil when the body ended as its framing says.
-func Copy(ctx context.Context, body io.Reader, sink Sink, p *Progress, seen func([]byte)) error {
-	buf := make([]byte, pieceSize)
+// Copy passes the body chunk by chunk to sink and to observe, which may be nil.
+// It returns nil when the body ended where its HTTP framing says.
+func Copy(ctx context.Context, body io.Reader, sink Sink, p *Progress, observe func([]byte)) error {
+	buf := make([]byte, maxChunkBytes)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			p.Mark()
-			if seen != nil {
-				seen(buf[:n])
+			p.RecordChunk()
+			if observe != nil {
+				observe(buf[:n])
 			}
 			if err := sink.Chunk(ctx, append([]byte(nil), buf[:n]...)); err != nil {
 				return err
--- a/agent/call/guard.go
+++ b/agent/call/guard.go
@@ -8,29 +8,30 @@
 
 type guardKey struct{}
 
-// Guard is asked right before the first byte of a call is written. A process
-// may be paused between its decision and the write, for longer than the lease
-// that the decision rests on; asked here, the check and the write are only
-// instructions apart.
+// Guard runs a check immediately before the first byte of a call is written. The
+// process may be paused between the decision to make a call and the write, and
+// the lease that permits the call may expire in that time. With the guard, only
+// a few instructions lie between the check and the write.
 type Guard struct {
-	// Check returns an error when the call must not be made any more.
+	// Check returns an error when the call is no longer permitted.
 	Check func() error
-	// blocked is set when Check stopped the call; nothing was written then.
+	// blocked is set when Check stopped the call before anything was written.
 	blocked atomic.Bool
 }
 
 // Blocked reports whether the guard stopped the call.
 func (g *Guard) Blocked() bool { return g != nil && g.blocked.Load() }
 
-// With returns a context whose calls ask g.
-func (g *Guard) With(ctx context.Context) context.Context {
+// NewContext returns a context whose calls are checked by g.
+func (g *Guard) NewContext(ctx context.Context) context.Context {
 	if g == nil {
 		return ctx
 	}
 	return context.WithValue(ctx, guardKey{}, g)
 }
 
-// Dial connects and puts the guard of ctx, if any, before the first write.
+// Dial opens a connection. If ctx carries a guard, the guard is checked before
+// the first write.
 func Dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, addr)
 	if err != nil {
@@ -45,18 +46,19 @@
 type guardedConn struct {
 	net.Conn
 	guard *Guard
-	// passed is set by the first write; writes come from one goroutine.
-	passed bool
+	// checked is set by the first write that passes the check. Only one
+	// goroutine writes.
+	checked bool
 }
 
-// Write asks the guard before the first byte.
+// Write checks the guard before the first byte.
 func (c *guardedConn) Write(p []byte) (int, error) {
-	if !c.passed {
+	if !c.checked {
 		if err := c.guard.Check(); err != nil {
 			c.guard.blocked.Store(true)
 			return 0, err
 		}
-		c.passed = true
+		c.checked = true
 	}
 	return c.Conn.Write(p)
 }
--- a/agent/call/listen.go
+++ b/agent/call/listen.go
@@ -9,12 +9,14 @@
 	"time"
 )
 
-// listenTimeout bounds the check of whether an endpoint on the same instance listens.
-const listenTimeout = 500 * time.Millisecond
+// connectionCheckTimeout bounds a connection check. The endpoint runs on the same
+// instance.
+const connectionCheckTimeout = 500 * time.Millisecond
 
-// Listening returns a function that reports whether the endpoint at base accepts
-// connections. Only a refused connection shows that it does not.
-func Listening(base string) func(ctx context.Context) bool {
+// NewConnectionCheck returns a function that reports whether the endpoint at base
+// accepts connections. The function returns false only if the connection was
+// refused. NewConnectionCheck returns nil if base is not a URL.
+func NewConnectionCheck(base string) func(ctx context.Context) bool {
 	u, err := url.Parse(base)
 	if err != nil {
 		return nil
@@ -24,7 +26,7 @@
 		addr = net.JoinHostPort(u.Hostname(), "80")
 	}
 	return func(ctx context.Context) bool {
-		conn, err := (&net.Dialer{Timeout: listenTimeout}).DialContext(ctx, "tcp", addr)
+		conn, err := (&net.Dialer{Timeout: connectionCheckTimeout}).DialContext(ctx, "tcp", addr)
 		if err != nil {
 			return !errors.Is(err, syscall.ECONNREFUSED)
 		}
--- a/agent/engine/engine.go
+++ b/agent/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine calls a model engine: completions as streams or whole, cancel,
-// resume, the load report and orders.
+// Package engine is the client of a model engine: completions with or without
+// streaming, cancel, resume, load reports and orders.
 package engine
 
 import (
@@ -19,63 +19,65 @@
 // ErrTruncated reports an answer that ended before the engine finished it.
 var ErrTruncated = errors.New("engine: the answer broke off: the engine failed or was stopped while it ran the request")
 
-// ErrUnknown reports a request that the engine does not know.
+// ErrUnknown reports that the engine has no record of a request.
 var ErrUnknown = errors.New("engine: request unknown: it ended long ago or never came")
 
 // Engine is one model engine beside the agent.
 type Engine struct {
 	base string
-	// calls sends each request on its own connection, see call.Client.
-	calls *http.Client
-	// side carries what may be repeated: reports and cancels.
-	side *http.Client
+	// callClient sends each request on its own connection, see call.Client.
+	callClient *http.Client
+	// controlClient sends what may be repeated safely, such as a cancel.
+	controlClient *http.Client
 }
 
 // New returns the engine at base, such as http://127.0.0.1:8000.
-func New(base string, calls, side *http.Client) *Engine {
-	return &Engine{base: base, calls: calls, side: side}
+func New(base string, callClient, controlClient *http.Client) *Engine {
+	return &Engine{base: base, callClient: callClient, controlClient: controlClient}
 }
 
-// maxRejoins is how often a stream that broke off is taken up again.
-const maxRejoins = 3
+// maxResumes bounds how often one stream is resumed after it broke off.
+const maxResumes = 3
 
-// Run sends r once and gives the answer to sink. When a stream breaks off while
-// the engine goes on, it is taken up again where it broke, so that the caller
-// gets the whole answer and nothing is computed twice.
+// Run sends r once and passes the answer to sink. If a stream breaks off while
+// the engine continues to run the request, Run resumes it after the last event,
+// so that the caller gets the complete answer and nothing is computed twice.
 func (e *Engine) Run(ctx context.Context, r *call.Request, sink call.Sink, p *call.Progress) call.Result {
-	resp, sent, err := call.Do(ctx, e.calls, e.base, r)
+	resp, sent, err := call.Do(ctx, e.callClient, e.base, r)
 	if err != nil {
 		return call.Result{Sent: sent, Err: err}
 	}
 	a := &relay{sink: sink, progress: p}
-	res := a.read(ctx, resp)
-	for range maxRejoins {
-		if res.Err == nil || !a.streamed || ctx.Err() != nil {
+	res := a.readResponse(ctx, resp)
+	for range maxResumes {
+		if res.Err == nil || !a.isStream || ctx.Err() != nil {
 			break
 		}
-		again := e.join(ctx, r.ID, a)
-		if errors.Is(again.Err, ErrUnknown) {
+		resumed := e.joinStream(ctx, r.ID, a)
+		if errors.Is(resumed.Err, ErrUnknown) {
 			break
 		}
-		res = again
+		res = resumed
 	}
 	return res
 }
 
-// Resume takes up the stream of a request that the engine is still running,
-// from its first event.
+// Resume reads the stream of a request that the engine still runs, from its
+// first event.
 func (e *Engine) Resume(ctx context.Context, id ident.ID, sink call.Sink, p *call.Progress) call.Result {
-	return e.join(ctx, id, &relay{sink: sink, progress: p})
+	return e.joinStream(ctx, id, &relay{sink: sink, progress: p})
 }
 
-// join reads the stream of a request from the first event that a lacks.
-func (e *Engine) join(ctx context.Context, id ident.ID, a *relay) call.Result {
-	url := fmt.Sprintf("%s/v1/requests/%s/stream?from=%d", e.base, id, a.events)
+// joinStream reads the stream of a running request, starting after the events
+// that a has already relayed. The result's error is ErrUnknown if the engine has
+// no record of the request.
+func (e *Engine) joinStream(ctx context.Context, id ident.ID, a *relay) call.Result {
+	url := fmt.Sprintf("%s/v1/requests/%s/stream?from=%d", e.base, id, a.relayedEvents)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return call.Result{Sent: true, Err: err}
 	}
-	resp, err := e.calls.Do(req)
+	resp, err := e.callClient.Do(req)
 	if err != nil {
 		return call.Result{Sent: true, Err: err}
 	}
@@ -83,55 +85,56 @@
 		resp.Body.Close()
 		return call.Result{Sent: true, Status: resp.StatusCode, Err: ErrUnknown}
 	}
-	return a.read(ctx, resp)
+	return a.readResponse(ctx, resp)
 }
 
-// relay carries one answer to its sink, over one response or several.
+// relay passes one answer to its sink. The answer may come in several responses.
 type relay struct {
 	sink     call.Sink
 	progress *call.Progress
-	// events is how many events of a stream have been given to the sink.
-	events int
-	// streamed is set when the answer is a stream, done when it has ended.
-	streamed, done bool
-	usage          wire.Usage
+	// relayedEvents counts the events of the stream that were passed to the sink.
+	relayedEvents int
+	// isStream is set when the answer is a stream, done when its last event
+	// has been read.
+	isStream, sawDone bool
+	usage             wire.Usage
 }
 
-func (a *relay) read(ctx context.Context, resp *http.Response) call.Result {
+func (a *relay) readResponse(ctx context.Context, resp *http.Response) call.Result {
 	defer resp.Body.Close()
 	res := call.Result{Sent: true, Status: resp.StatusCode}
-	a.sink.Head(resp.StatusCode, call.Fields(resp.Header))
+	a.sink.Head(resp.StatusCode, call.EndToEndHeaders(resp.Header))
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		a.streamed = true
-		res.Err = a.stream(ctx, resp.Body)
+		a.isStream = true
+		res.Err = a.readStream(ctx, resp.Body)
 	} else {
-		res.Err = a.whole(ctx, resp)
+		res.Err = a.readUnstreamed(ctx, resp)
 	}
-	res.Whole, res.Usage = res.Err == nil, a.usage
-	a.progress.Fill(&res.Usage)
+	res.Complete, res.Usage = res.Err == nil, a.usage
+	a.progress.SetTimes(&res.Usage)
 	return res
 }
 
-// maxParsed is the longest whole answer that is read for its usage and checked
-// for being complete JSON beyond what its framing says.
-const maxParsed = 1 << 20
+// maxParsedBytes is the size of the longest answer without streaming, in bytes, whose
+// JSON is checked for completeness and parsed for its usage.
+const maxParsedBytes = 1 << 20
 
-func (a *relay) whole(ctx context.Context, resp *http.Response) error {
+func (a *relay) readUnstreamed(ctx context.Context, resp *http.Response) error {
 	var body []byte
-	over := false
-	seen := func(b []byte) {
-		over = over || len(body)+len(b) > maxParsed
-		if !over {
+	tooLong := false
+	observe := func(b []byte) {
+		tooLong = tooLong || len(body)+len(b) > maxParsedBytes
+		if !tooLong {
 			body = append(body, b...)
 		}
 	}
-	if err := call.Copy(ctx, resp.Body, a.sink, a.progress, seen); err != nil {
+	if err := call.Copy(ctx, resp.Body, a.sink, a.progress, observe); err != nil {
 		return err
 	}
-	if over || resp.StatusCode != http.StatusOK {
+	if tooLong || resp.StatusCode != http.StatusOK {
 		return nil
 	}
-	u, ok := usageOf(body)
+	u, ok := parseUsage(body)
 	if !ok && !json.Valid(body) {
 		return ErrTruncated
 	}
@@ -139,7 +142,7 @@
 	return nil
 }
 
-// usageJSON is the part of an answer that tells its cost.
+// usageJSON is the part of an answer that holds its token counts.
 type usageJSON struct {
 	Usage *struct {
 		PromptTokens     uint32 `json:"prompt_tokens"`
@@ -150,7 +153,7 @@
 	} `json:"usage"`
 }
 
-func usageOf(data []byte) (wire.Usage, bool) {
+func parseUsage(data []byte) (wire.Usage, bool) {
 	var u usageJSON
 	if json.Unmarshal(data, &u) != nil || u.Usage == nil {
 		return wire.Usage{}, false
@@ -161,13 +164,14 @@
 	}, true
 }
 
-// Cancel stops a request at the engine.
+// Cancel stops a request at the engine. It returns ErrUnknown if the engine has
+// no record of the request.
 func (e *Engine) Cancel(ctx context.Context, id ident.ID) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, e.base+"/v1/requests/"+id.String()+"/cancel", nil)
 	if err != nil {
 		return err
 	}
-	resp, err := e.side.Do(req)
+	resp, err := e.controlClient.Do(req)
 	if err != nil {
 		return err
 	}
--- a/agent/engine/order.go
+++ b/agent/engine/order.go
@@ -12,34 +12,35 @@
 )
 
 // ErrFenced reports an engine that has seen a newer order.
-var ErrFenced = errors.New("engine: the engine has seen a newer order: this one is dropped until newer news comes")
+var ErrFenced = errors.New("engine: the engine has seen a newer order: this one is dropped until a newer assignment arrives")
 
 // Order tells an engine what to serve.
 type Order struct {
-	// Fence is the version of the assignment object.
+	// Fence is the fencing number: the version of the assignment object.
 	Fence   int64  `json:"fence"`
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Adapter string `json:"adapter"`
 	Role    string `json:"role"`
-	// Guard holds the order back once its lease has run out.
+	// Guard stops the order if the lease on its assignment has expired.
 	Guard *call.Guard `json:"-"`
 }
 
-// Give sends an order. The engine answers when it has taken it, not when it
-// has carried it out.
-func (e *Engine) Give(ctx context.Context, o Order) error {
+// SendOrder sends an order. The engine replies when it has accepted the order,
+// before it has carried it out. SendOrder returns ErrFenced if the engine has seen
+// a newer order.
+func (e *Engine) SendOrder(ctx context.Context, o Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequestWithContext(o.Guard.With(ctx), http.MethodPost, e.base+"/orders", bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(o.Guard.NewContext(ctx), http.MethodPost, e.base+"/orders", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
-	resp, err := e.calls.Do(req)
+	resp, err := e.callClient.Do(req)
 	if err != nil {
 		return err
 	}
--- a/agent/engine/stream.go
+++ b/agent/engine/stream.go
@@ -8,69 +8,71 @@
 	"io"
 )
 
-// maxEvent is the longest event of a stream in bytes, readSize how much of it
-// is read at once.
+// maxEventBytes bounds the length of a stream event; readBufferBytes is the size
+// of the read buffer.
 const (
-	maxEvent = 1 << 20
-	readSize = 16 << 10
+	maxEventBytes   = 1 << 20
+	readBufferBytes = 16 << 10
 )
 
-var errEventSize = errors.New("engine: event of a stream longer than 1 MiB: the engine does not speak the completions form")
+var errEventSize = errors.New("engine: stream event longer than 1 MiB: the endpoint does not use the completions format")
 
 var (
-	doneMark  = []byte("data: [DONE]")
-	usageMark = []byte(`"usage"`)
-	dataMark  = []byte("data:")
+	donePrefix = []byte("data: [DONE]")
+	usageKey   = []byte(`"usage"`)
+	dataPrefix = []byte("data:")
 )
 
-// stream relays server-sent events, one piece each, so that the number of a
-// piece is the number by which the engine resumes.
-func (a *relay) stream(ctx context.Context, body io.Reader) error {
-	r := bufio.NewReaderSize(body, readSize)
+// readStream relays server-sent events, each as one chunk. The sequence number of
+// a chunk is then the event number from which the engine can resume the stream.
+func (a *relay) readStream(ctx context.Context, body io.Reader) error {
+	r := bufio.NewReaderSize(body, readBufferBytes)
 	for {
 		event, err := readEvent(r)
 		switch {
-		case errors.Is(err, io.EOF) && a.done:
+		case errors.Is(err, io.EOF) && a.sawDone:
 			return nil
 		case errors.Is(err, io.EOF):
 			return ErrTruncated
-		case err != nil && a.done:
-			// All of the answer has come; how its connection ended is nothing
-			// to the caller.
+		case err != nil && a.sawDone:
+			// The answer is complete, so an error at the end of its connection
+			// does not matter to the caller.
 			return nil
 		case err != nil:
 			return err
 		}
-		a.look(event)
+		a.inspectEvent(event)
 		if err := a.sink.Chunk(ctx, event); err != nil {
 			return err
 		}
-		a.events++
+		a.relayedEvents++
 	}
 }
 
-// look takes what an event tells about the answer.
-func (a *relay) look(event []byte) {
-	if bytes.HasPrefix(event, doneMark) {
-		a.done = true
+// inspectEvent detects the end of the stream, records the arrival of any other
+// event, and reads its usage if it has one.
+func (a *relay) inspectEvent(event []byte) {
+	if bytes.HasPrefix(event, donePrefix) {
+		a.sawDone = true
 		return
 	}
-	a.progress.Mark()
-	if !bytes.Contains(event, usageMark) {
+	a.progress.RecordChunk()
+	if !bytes.Contains(event, usageKey) {
 		return
 	}
-	if u, ok := usageOf(bytes.TrimSpace(bytes.TrimPrefix(event, dataMark))); ok {
+	if u, ok := parseUsage(bytes.TrimSpace(bytes.TrimPrefix(event, dataPrefix))); ok {
 		a.usage = u
 	}
 }
 
-// readEvent reads up to and including the empty line that ends an event.
+// readEvent reads one event, including the empty line that ends it. It skips
+// empty lines before the event.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
 		line, err := r.ReadSlice('\n')
 		event = append(event, line...)
-		if len(event) > maxEvent {
+		if len(event) > maxEventBytes {
 			return nil, errEventSize
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
--- a/agent/links/links.go
+++ b/agent/links/links.go
@@ -1,5 +1,5 @@
-// Package links accepts entries' links and hands their messages to the owner
-// of the slot.
+// Package links accepts links from entries and passes their messages to the
+// owner in package slot.
 package links
 
 import (
@@ -18,79 +18,81 @@
 )
 
 const (
-	// maxLinks bounds the links at one time; at the target's size an agent has
-	// four, and a small site has one for each of its entries.
+	// maxLinks bounds the number of open links. In the largest planned
+	// deployment an agent has four links; at a small site it has one for each
+	// entry.
 	maxLinks = 256
-	// acceptAgain is the pause after a failed accept, such as when the process
-	// has no file descriptor left.
-	acceptAgain = 50 * time.Millisecond
-	// flushPoll is the time between two looks at the links that are to end.
-	flushPoll = 5 * time.Millisecond
+	// acceptRetryDelay is the pause after a failed accept, for example when the
+	// process has no file descriptors left.
+	acceptRetryDelay = 50 * time.Millisecond
+	// flushPollInterval is the interval at which Flush checks for open links.
+	flushPollInterval = 5 * time.Millisecond
 )
 
-// errFull reports a link beyond maxLinks.
-var errFull = errors.New("links: as many links as an agent takes: look for processes that dial it and should not")
+// errTooManyLinks reports a link beyond maxLinks.
+var errTooManyLinks = errors.New("links: the limit of links is reached: look for processes that should not dial this agent")
 
-// Config is what a Server depends on.
+// Config holds the dependencies of a Server.
 type Config struct {
+	// Self is sent to entries in the handshake.
 	Self wire.Hello
-	// Keys returns the fleet's keys as they are now.
+	// Keys returns the current fleet keys.
 	Keys      func() wire.Keys
 	Heartbeat time.Duration
 	Owner     *slot.Owner
 	Log       *zap.Logger
-	// Secure wraps a fresh connection in TLS; nil leaves it as it is.
-	Secure func(net.Conn) net.Conn
+	// WrapTLS wraps an accepted connection in TLS; nil means no TLS.
+	WrapTLS func(net.Conn) net.Conn
 }
 
 // Server accepts links.
 type Server struct {
 	cfg Config
 	mu  sync.Mutex
-	// open are the links that have shaken hands.
-	open map[*wire.Link]bool
-	// closed is the traffic of links that have ended.
-	closed counts
-	// ended reports the end of each link's goroutine to Run.
-	ended chan struct{}
+	// openLinks holds the links whose handshake is complete.
+	openLinks map[*wire.Link]bool
+	// closedTraffic is the total traffic of links that have ended.
+	closedTraffic counts
+	// linkEnded receives a value when the goroutine of a link ends; Run reads it.
+	linkEnded chan struct{}
 }
 
 // New returns a server that does nothing until Run.
 func New(cfg Config) *Server {
-	return &Server{cfg: cfg, open: make(map[*wire.Link]bool), ended: make(chan struct{})}
+	return &Server{cfg: cfg, openLinks: make(map[*wire.Link]bool), linkEnded: make(chan struct{})}
 }
 
-// Run accepts links on ln until ctx ends. The listener is closed then, and Run
+// Run accepts links on ln until ctx ends. It then closes the listener and
 // returns when every link has ended.
 //
-// Nobody else can listen on the same port, which is what keeps a second agent
-// from standing in the same slot: a paused agent keeps its port, so its
-// successor does not start while it may wake.
+// The listening port also prevents a second agent for the same endpoint: a
+// paused agent keeps its port, so a successor cannot start while the paused one
+// may still resume.
 func (s *Server) Run(ctx context.Context, ln net.Listener) error {
-	unhook := context.AfterFunc(ctx, func() { ln.Close() })
-	defer unhook()
+	stopClosing := context.AfterFunc(ctx, func() { ln.Close() })
+	defer stopClosing()
 	conns := make(chan net.Conn)
 	failed := make(chan error, 1)
 	go s.accept(ctx, ln, conns, failed)
-	open := 0
+	running := 0
 	for {
 		select {
 		case conn := <-conns:
-			if open >= maxLinks {
-				logs.Warn(s.cfg.Log, logs.EventLinkRefused, zap.Stringer("address", conn.RemoteAddr()), zap.Error(errFull))
+			if running >= maxLinks {
+				logs.Warn(s.cfg.Log, logs.EventLinkRefused, zap.Stringer("address", conn.RemoteAddr()), zap.Error(errTooManyLinks))
 				conn.Close()
 				continue
 			}
-			open++
+			running++
 			go func() {
 				s.serve(ctx, conn)
-				s.ended <- struct{}{}
+				s.linkEnded <- struct{}{}
 			}()
-		case <-s.ended:
-			open--
+		case <-s.linkEnded:
+			running--
 		case err := <-failed:
-			for ; open > 0; open-- {
-				<-s.ended
+			for ; running > 0; running-- {
+				<-s.linkEnded
 			}
 			return err
 		}
@@ -110,7 +112,7 @@
 		if err != nil {
 			logs.Warn(s.cfg.Log, logs.EventFailed, zap.Error(err))
 			select {
-			case <-time.After(acceptAgain):
+			case <-time.After(acceptRetryDelay):
 			case <-ctx.Done():
 			}
 			continue
@@ -123,11 +125,11 @@
 	}
 }
 
-// serve opens one link and runs it to its end.
+// serve performs the handshake of one link and runs the link until it ends.
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
-	if s.cfg.Secure != nil {
-		conn = s.cfg.Secure(conn)
+	if s.cfg.WrapTLS != nil {
+		conn = s.cfg.WrapTLS(conn)
 	}
 	hello, err := wire.Open(ctx, conn, s.cfg.Self, s.cfg.Keys())
 	if err == nil && hello.Role != wire.RoleEntry {
@@ -146,9 +148,9 @@
 	if owner.LinkUp(ctx, p) != nil {
 		return
 	}
-	s.note(link, true)
-	defer s.note(link, false)
-	err = link.Run(ctx, func(m wire.Message) { s.handle(ctx, p, m) })
+	s.setOpen(link, true)
+	defer s.setOpen(link, false)
+	err = link.Run(ctx, func(m wire.Message) { s.handleMessage(ctx, p, m) })
 	_ = owner.LinkDown(p)
 	var bad *wire.FrameError
 	if errors.As(err, &bad) || errors.Is(err, wire.ErrFrameSize) {
@@ -157,23 +159,24 @@
 	logs.Info(s.cfg.Log, logs.EventLinkLost, zap.String("peer", hello.Name), zap.Error(err))
 }
 
-func (s *Server) note(l *wire.Link, open bool) {
+// setOpen adds l to the open links or removes it and keeps its traffic counts.
+func (s *Server) setOpen(l *wire.Link, isOpen bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if open {
-		s.open[l] = true
+	if isOpen {
+		s.openLinks[l] = true
 		return
 	}
-	s.closed.add(l.Counts())
-	delete(s.open, l)
+	s.closedTraffic.add(l.Counts())
+	delete(s.openLinks, l)
 }
 
-// Counts returns the traffic of all links so far.
+// Counts returns the total traffic of all open and closed links.
 func (s *Server) Counts() wire.Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sum := s.closed
-	for l := range s.open {
+	sum := s.closedTraffic
+	for l := range s.openLinks {
 		sum.add(l.Counts())
 	}
 	return wire.Counts(sum)
@@ -188,43 +191,43 @@
 	c.DataOut += o.DataOut
 }
 
-// finish begins the end of all links and reports whether there is none any more.
-func (s *Server) finish() bool {
+// finishLinks starts closing all links and reports whether none is open any more.
+func (s *Server) finishLinks() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for l := range s.open {
+	for l := range s.openLinks {
 		l.Finish()
 	}
-	return len(s.open) == 0
+	return len(s.openLinks) == 0
 }
 
-// Flush ends all links after what is queued, and returns when their peers have
-// read it and closed, or are silent for so long that they count as dead. Closed
-// from here, a socket that then gets the peer's next heartbeat makes the kernel
-// drop what the peer has not taken yet, and the last answer before a planned stop
-// would be lost.
+// Flush ends all links after their queued messages. It returns when every peer
+// has read them and closed its side, or after the silence at which a peer counts
+// as dead. The agent must not close the socket first: if the peer's next
+// heartbeat arrives at a closed socket, the kernel drops the data that the peer
+// has not read yet, and the last answer before a planned stop is lost.
 func (s *Server) Flush(ctx context.Context) {
 	ctx, stop := context.WithTimeout(ctx, wire.MissedHeartbeats*cmp.Or(s.cfg.Heartbeat, wire.DefaultHeartbeat))
 	defer stop()
-	tick := time.NewTicker(flushPoll)
+	tick := time.NewTicker(flushPollInterval)
 	defer tick.Stop()
-	for !s.finish() {
+	for !s.finishLinks() {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			logs.Warn(s.cfg.Log, logs.EventLinkLost, zap.Int("links", s.left()), zap.String("why", "the peers did not read to the end before a planned stop"))
+			logs.Warn(s.cfg.Log, logs.EventLinkLost, zap.Int("links", s.openCount()), zap.String("why", "the peers did not read to the end before a planned stop"))
 			return
 		}
 	}
 }
 
-func (s *Server) left() int {
+func (s *Server) openCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.open)
+	return len(s.openLinks)
 }
 
-func (s *Server) handle(ctx context.Context, p *slot.Peer, m wire.Message) {
+func (s *Server) handleMessage(ctx context.Context, p *slot.Peer, m wire.Message) {
 	if m.Kind() == wire.KindBeat {
 		return
 	}
--- a/agent/links/links_test.go
+++ b/agent/links/links_test.go
@@ -16,17 +16,17 @@
 	"lycheepond/core/wire"
 )
 
-// An agent stops as planned, with the last answer on its link. The entry is busy
-// for a second just then, reads nothing and goes on sending its heartbeats. It gets
-// the whole answer when it reads on. An agent that closed 200 ms after its last write
-// left it with "98304 of 1048576 bytes, end false: unexpected EOF": the next heartbeat
-// met a closed socket, and the kernel dropped the rest.
-func TestFlushWaitsUntilTheAnswerIsRead(t *testing.T) {
+// The last answer before a planned stop must reach an entry that reads nothing
+// for a second but still sends heartbeats. When the agent closed the socket 200 ms
+// after its last write, the next heartbeat arrived at a closed socket, the kernel
+// dropped the unread data, and the entry got "98304 of 1048576 bytes, end false:
+// unexpected EOF".
+func TestFlushWaitsUntilAnswerIsRead(t *testing.T) {
 	const (
-		pieces = 32
-		size   = 32 << 10
-		// busyFor is less than the silence after which a peer counts as dead.
-		busyFor = time.Second
+		chunkCount = 32
+		chunkSize  = 32 << 10
+		// busyFor is shorter than the silence after which a peer counts as dead.
+		busyTime = time.Second
 	)
 	keys := wire.OneKey([]byte("key"))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,68 +56,68 @@
 		t.Fatal(err)
 	}
 	entry := wire.New(conn, agent, wire.Config{Heartbeat: 100 * time.Millisecond})
-	busy, read := make(chan struct{}), make(chan error, 1)
-	got, whole := 0, false
+	busy, entryDone := make(chan struct{}), make(chan error, 1)
+	gotBytes, gotEnd := 0, false
 	go func() {
-		read <- entry.Run(t.Context(), func(m wire.Message) {
+		entryDone <- entry.Run(t.Context(), func(m wire.Message) {
 			switch m := m.(type) {
 			case *wire.Chunk:
-				if got == 0 {
+				if gotBytes == 0 {
 					close(busy)
-					time.Sleep(busyFor)
+					time.Sleep(busyTime)
 				}
-				got += len(m.Data)
+				gotBytes += len(m.Data)
 			case *wire.End:
-				whole = true
+				gotEnd = true
 			}
 		})
 	}()
-	l := s.first(t)
+	l := s.awaitLink(t)
 	id := ident.Make(1, 1)
-	for i := range uint32(pieces) {
-		if err := l.SendWait(ctx, &wire.Chunk{ID: id, Seq: i, Data: make([]byte, size)}); err != nil {
+	for i := range uint32(chunkCount) {
+		if err := l.SendWait(ctx, &wire.Chunk{ID: id, Seq: i, Data: make([]byte, chunkSize)}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := l.SendWait(ctx, &wire.End{ID: id, Chunks: pieces, Whole: true}); err != nil {
+	if err := l.SendWait(ctx, &wire.End{ID: id, Chunks: chunkCount, Whole: true}); err != nil {
 		t.Fatal(err)
 	}
 	<-busy
 	s.Flush(ctx)
 	stop()
-	if err := <-read; !whole || got != pieces*size {
-		t.Errorf("%d of %d bytes, end %v: %v", got, pieces*size, whole, err)
+	if err := <-entryDone; !gotEnd || gotBytes != chunkCount*chunkSize {
+		t.Errorf("%d of %d bytes, end %v: %v", gotBytes, chunkCount*chunkSize, gotEnd, err)
 	}
 	<-ended
 	<-ended
 }
 
-// first returns the server's link once there is one.
-func (s *Server) first(t *testing.T) *wire.Link {
+// awaitLink waits for the server's first link and returns it.
+func (s *Server) awaitLink(t *testing.T) *wire.Link {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
-		for l := range s.open {
+		for l := range s.openLinks {
 			s.mu.Unlock()
 			return l
 		}
 		s.mu.Unlock()
 	}
-	t.Fatal("no link")
+	t.Fatal("no link was opened")
 	return nil
 }
 
-// More entries dial an agent than it takes links. Whoever is turned away finds the
-// connection closed, and the operator the bound in the log.
-func TestTooManyLinksAreTold(t *testing.T) {
-	core, seen := observer.New(zap.InfoLevel)
+// A link beyond maxLinks must be closed without a handshake, and the log must
+// name the limit once, or an operator could not see why an entry has no link.
+func TestLinkBeyondLimitIsRefusedAndLogged(t *testing.T) {
+	logCore, logged := observer.New(zap.InfoLevel)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	s := New(Config{Keys: func() wire.Keys { return wire.OneKey([]byte("key")) }, Log: zap.New(core)})
+	s := New(Config{Keys: func() wire.Keys { return wire.OneKey([]byte("key")) }, Log: zap.New(logCore)})
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(ctx, ln) }()
 	var last net.Conn
@@ -127,12 +127,12 @@
 		}
 		defer last.Close()
 	}
-	// The others are greeted and wait for an answer.
+	// The server has sent its hello on the other connections and waits for a reply.
 	if n, err := last.Read(make([]byte, 1)); n != 0 {
-		t.Errorf("one link too many was greeted: %v", err)
+		t.Errorf("the connection beyond the limit got data: %v", err)
 	}
-	if n := seen.FilterMessage(string(logs.EventLinkRefused)).FilterField(zap.Error(errFull)).Len(); n != 1 {
-		t.Errorf("%d lines about a link too many", n)
+	if n := logged.FilterMessage(string(logs.EventLinkRefused)).FilterField(zap.Error(errTooManyLinks)).Len(); n != 1 {
+		t.Errorf("%d log lines for a link beyond the limit, want 1", n)
 	}
 	stop()
 	<-ended
--- a/agent/main.go
+++ b/agent/main.go
@@ -1,5 +1,4 @@
-// Command agent stands in the slot beside one endpoint and decides what
-// reaches it.
+// Command agent runs beside one endpoint and decides which requests reach it.
 package main
 
 import (
@@ -15,7 +14,7 @@
 
 func main() {
 	p := boot.Program[conf.Agent]{
-		Name: "agent", About: "stands in the slot beside one endpoint and decides what reaches it", Release: release,
+		Name: "agent", About: "runs beside one endpoint and decides which requests reach it", Release: release,
 		Run: run,
 	}
 	os.Exit(p.Main())
--- a/agent/node.go
+++ b/agent/node.go
@@ -30,12 +30,12 @@
 	"lycheepond/core/wire"
 )
 
-// maxQueued is how many offers may wait. At about 1 KB each they take 2 MB of the
-// 32 MB that a node may spend.
+// maxQueued bounds the number of queued offers. At about 1 KB each they take 2 MB
+// of the 32 MB of memory that an agent may use.
 const maxQueued = 2048
 
-// ready is the line on standard output once the agent listens.
-type ready struct {
+// readyLine is written as JSON to standard output when the agent listens.
+type readyLine struct {
 	Ready  string `json:"ready"`
 	Listen string `json:"listen"`
 }
@@ -43,16 +43,16 @@
 // node is one agent process.
 type node struct {
 	cfg *conf.Agent
-	// certs are the certificates of links, nil if links are plain.
+	// certs holds the certificates for links; nil if links don't use TLS.
 	certs *certs.Source
 	log   *zap.Logger
-	// live holds the fleet's keys, which are replaced without a restart.
-	live  *conf.Live
-	set   *meter.Set
-	owner *slot.Owner
-	links *links.Server
-	side  *http.Client
-	out   io.Writer
+	// liveKeys holds the fleet keys, which can be replaced without a restart.
+	liveKeys      *conf.Live
+	metrics       *meter.Set
+	owner         *slot.Owner
+	links         *links.Server
+	controlClient *http.Client
+	stdout        io.Writer
 }
 
 func newNode(cfg *conf.Agent, path string) (*node, error) {
@@ -60,112 +60,112 @@
 	if _, err := rand.Read(b[:]); err != nil {
 		return nil, err
 	}
-	// Incarnations pass through JSON numbers of other tools, so they stay exact
-	// in a float64.
+	// Other tools read incarnations as JSON numbers, so they must fit exactly
+	// into a float64.
 	incarnation := binary.BigEndian.Uint64(b[:])>>11 | 1
 	n := &node{
-		cfg: cfg, log: logs.New(cfg.Log.Level, cfg.Name), set: meter.New(), out: os.Stdout,
-		side: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, Proxy: nil}},
+		cfg: cfg, log: logs.New(cfg.Log.Level, cfg.Name), metrics: meter.New(), stdout: os.Stdout,
+		controlClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, Proxy: nil}},
 	}
-	n.live = conf.NewLive(path, cfg.Keys(), conf.AgentKeys)
+	n.liveKeys = conf.NewLive(path, cfg.Keys(), conf.AgentKeys)
 	var err error
 	if n.certs, err = certs.Logged(certs.Files(cfg.TLS), n.log); err != nil {
 		return nil, err
 	}
-	begun := time.Now()
-	sc := slot.Config{
+	start := time.Now()
+	slotCfg := slot.Config{
 		Self:  spec.HomeOwner{Name: cfg.Name, Incarnation: incarnation},
-		Now:   func() time.Duration { return time.Since(begun) },
+		Now:   func() time.Duration { return time.Since(start) },
 		Wall:  func() int64 { return time.Now().UnixMilli() },
 		Queue: queue.Config{Max: maxQueued},
-		Log:   n.log, Stats: slot.NewStats(n.set), Grace: cfg.Grace.Std(),
+		Log:   n.log, Stats: slot.NewStats(n.metrics), Grace: cfg.Grace.Std(),
 	}
-	n.endpoint(&sc)
-	n.owner = slot.New(sc)
+	n.setEndpoint(&slotCfg)
+	n.owner = slot.New(slotCfg)
 	n.links = links.New(links.Config{
 		Self: wire.Hello{
 			Role: wire.RoleAgent, Name: cfg.Name, Zone: cfg.Zone, Incarnation: incarnation,
 			IdleMS: uint32(cfg.IdleHeartbeat.Std().Milliseconds()),
 		},
-		Keys: n.live.Keys, Heartbeat: cfg.Heartbeat.Std(),
-		Owner: n.owner, Log: n.log, Secure: n.certs.Accept,
+		Keys: n.liveKeys.Keys, Heartbeat: cfg.Heartbeat.Std(),
+		Owner: n.owner, Log: n.log, WrapTLS: n.certs.Accept,
 	})
-	n.gauges()
+	n.registerGauges()
 	return n, nil
 }
 
-// endpoint sets how the endpoint is called.
-func (n *node) endpoint(sc *slot.Config) {
+// setEndpoint sets the functions of slotCfg that call the endpoint.
+func (n *node) setEndpoint(slotCfg *slot.Config) {
 	base := n.cfg.Endpoint.Address
-	sc.Listening = call.Listening(base)
+	slotCfg.Listening = call.NewConnectionCheck(base)
 	if n.cfg.Endpoint.Kind == conf.EndpointService {
-		sc.Run = plain.New(base, call.Client()).Run
+		slotCfg.Run = plain.New(base, call.NewClient()).Run
 		return
 	}
-	e := engine.New(base, call.Client(), n.side)
-	sc.Run, sc.Resume, sc.Cancel, sc.Order = e.Run, e.Resume, e.Cancel, e.Give
+	e := engine.New(base, call.NewClient(), n.controlClient)
+	slotCfg.Run, slotCfg.Resume, slotCfg.Cancel, slotCfg.Order = e.Run, e.Resume, e.Cancel, e.SendOrder
 }
 
-func (n *node) gauges() {
-	n.set.Process()
-	n.set.GaugeFunc("agent_in_flight", func() int64 { return int64(n.owner.Load().InFlight) })
-	n.set.GaugeFunc("agent_bound", func() int64 { return int64(n.owner.Load().Bound) })
-	n.set.GaugeFunc("agent_queued", func() int64 { return int64(n.owner.Load().Queued) })
-	n.set.GaugeFunc("agent_level", func() int64 { return int64(n.owner.Load().Level) })
-	n.set.GaugeFunc("agent_kept_bytes", func() int64 { return n.owner.Status().Kept })
-	n.set.GaugeFunc("agent_control_in_bytes", func() int64 { return int64(n.links.Counts().ControlIn) })
-	n.set.GaugeFunc("agent_control_out_bytes", func() int64 { return int64(n.links.Counts().ControlOut) })
-	n.set.GaugeFunc("agent_data_in_bytes", func() int64 { return int64(n.links.Counts().DataIn) })
-	n.set.GaugeFunc("agent_data_out_bytes", func() int64 { return int64(n.links.Counts().DataOut) })
+func (n *node) registerGauges() {
+	n.metrics.Process()
+	n.metrics.GaugeFunc("agent_in_flight", func() int64 { return int64(n.owner.Load().InFlight) })
+	n.metrics.GaugeFunc("agent_bound", func() int64 { return int64(n.owner.Load().Bound) })
+	n.metrics.GaugeFunc("agent_queued", func() int64 { return int64(n.owner.Load().Queued) })
+	n.metrics.GaugeFunc("agent_level", func() int64 { return int64(n.owner.Load().Level) })
+	n.metrics.GaugeFunc("agent_kept_bytes", func() int64 { return n.owner.Status().Kept })
+	n.metrics.GaugeFunc("agent_control_in_bytes", func() int64 { return int64(n.links.Counts().ControlIn) })
+	n.metrics.GaugeFunc("agent_control_out_bytes", func() int64 { return int64(n.links.Counts().ControlOut) })
+	n.metrics.GaugeFunc("agent_data_in_bytes", func() int64 { return int64(n.links.Counts().DataIn) })
+	n.metrics.GaugeFunc("agent_data_out_bytes", func() int64 { return int64(n.links.Counts().DataOut) })
 }
 
-// run serves until ctx ends, which begins a planned stop, and the stop is
-// complete.
+// run serves until ctx ends. The end of ctx begins a planned stop, and run
+// returns when the stop is complete.
 func (n *node) run(ctx context.Context) error {
-	ln, err := net.Listen("tcp", n.cfg.Link)
+	linkListener, err := net.Listen("tcp", n.cfg.Link)
 	if err != nil {
-		return fmt.Errorf("cannot listen on %s: %w: another agent stands in this slot, or the address is not this instance's", n.cfg.Link, err)
+		return fmt.Errorf("cannot listen on %s: %w: another agent runs for this endpoint, or the address does not belong to this instance", n.cfg.Link, err)
 	}
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	ended := make(chan error, 4)
-	duties := 0
-	duty := func(f func() error) {
-		duties++
-		go func() { ended <- f() }()
+	taskEnded := make(chan error, 4)
+	tasks := 0
+	startTask := func(f func() error) {
+		tasks++
+		go func() { taskEnded <- f() }()
 	}
 	if n.cfg.Admin.Listen != "" {
-		aln, err := net.Listen("tcp", n.cfg.Admin.Listen)
+		adminListener, err := net.Listen("tcp", n.cfg.Admin.Listen)
 		if err != nil {
-			ln.Close()
+			linkListener.Close()
 			return fmt.Errorf("cannot listen on %s: %w: choose a free admin.listen", n.cfg.Admin.Listen, err)
 		}
-		duty(func() error { return n.operators().Run(work, aln) })
+		startTask(func() error { return n.newAdminServer().Run(workCtx, adminListener) })
 	}
-	duty(func() error { return n.links.Run(work, ln) })
-	duty(func() error { return probe.Run(work, n.cfg.Endpoint.Address, n.side, n.owner.Report) })
-	duty(func() error { return n.live.Follow(work, n.live.Logged(n.log)) })
-	unhook := context.AfterFunc(ctx, func() { _ = n.owner.Leave(work) })
-	defer unhook()
-	if err := json.NewEncoder(n.out).Encode(ready{n.cfg.Name, ln.Addr().String()}); err != nil {
+	startTask(func() error { return n.links.Run(workCtx, linkListener) })
+	startTask(func() error { return probe.Run(workCtx, n.cfg.Endpoint.Address, n.controlClient, n.owner.Report) })
+	startTask(func() error { return n.liveKeys.Follow(workCtx, n.liveKeys.Logged(n.log)) })
+	cancelLeave := context.AfterFunc(ctx, func() { _ = n.owner.Leave(workCtx) })
+	defer cancelLeave()
+	if err := json.NewEncoder(n.stdout).Encode(readyLine{n.cfg.Name, linkListener.Addr().String()}); err != nil {
 		return err
 	}
-	logs.Info(n.log, logs.EventReady, zap.String("listen", ln.Addr().String()))
-	err = n.owner.Run(work)
-	n.links.Flush(work)
+	logs.Info(n.log, logs.EventReady, zap.String("listen", linkListener.Addr().String()))
+	err = n.owner.Run(workCtx)
+	n.links.Flush(workCtx)
 	stop()
-	for ; duties > 0; duties-- {
-		<-ended
+	for ; tasks > 0; tasks-- {
+		<-taskEnded
 	}
 	logs.Info(n.log, logs.EventStopped)
 	return err
 }
 
-func (n *node) operators() *admin.Server {
+func (n *node) newAdminServer() *admin.Server {
 	return admin.New(admin.Config{
-		Token: string(n.cfg.Admin.Token), Metrics: n.set,
+		Token: string(n.cfg.Admin.Token), Metrics: n.metrics,
 		Status: func() any { return n.owner.Status() }, Drain: n.owner.Leave,
-		Panicked: func() { n.set.Counter("handlers_panicked").Inc(1) }, Log: n.log,
+		OnPanic: func() { n.metrics.Counter("handlers_panicked").Inc(1) }, Log: n.log,
 		Ready: func() bool {
 			s := n.owner.Status()
 			return !s.Leaving && !s.Down && !s.Stalled
--- a/agent/node_test.go
+++ b/agent/node_test.go
@@ -19,15 +19,15 @@
 
 const fleetKey = "0123456789abcdef"
 
-// running is an agent in this process with an endpoint that the test serves.
-type running struct {
-	link string
-	stop context.CancelFunc
-	end  chan error
-	node *node
+// testAgent is an agent in the test process. The test serves its endpoint.
+type testAgent struct {
+	link  string
+	stop  context.CancelFunc
+	ended chan error
+	node  *node
 }
 
-func startAgent(t testing.TB, kind string, h http.HandlerFunc) *running {
+func startAgent(t testing.TB, kind string, h http.HandlerFunc) *testAgent {
 	t.Helper()
 	endpoint := httptest.NewServer(h)
 	t.Cleanup(endpoint.Close)
@@ -43,12 +43,12 @@
 		t.Fatal(err)
 	}
 	r, w := io.Pipe()
-	n.out = w
+	n.stdout = w
 	ctx, stop := context.WithCancel(context.Background())
-	a := &running{stop: stop, end: make(chan error, 1), node: n}
-	go func() { a.end <- n.run(ctx) }()
+	a := &testAgent{stop: stop, ended: make(chan error, 1), node: n}
+	go func() { a.ended <- n.run(ctx) }()
 	t.Cleanup(stop)
-	var line ready
+	var line readyLine
 	if err := json.NewDecoder(r).Decode(&line); err != nil || line.Ready != "a" {
 		t.Fatalf("ready line %+v: %v", line, err)
 	}
@@ -56,8 +56,8 @@
 	return a
 }
 
-// dial opens a link as an entry does and returns what the agent sends.
-func dial(t testing.TB, a *running, key string) (*wire.Link, <-chan wire.Message, error) {
+// dial opens a link as an entry and returns a channel with the agent's messages.
+func dial(t testing.TB, a *testAgent, key string) (*wire.Link, <-chan wire.Message, error) {
 	t.Helper()
 	conn, err := net.Dial("tcp", a.link)
 	if err != nil {
@@ -71,28 +71,28 @@
 		return nil, nil, err
 	}
 	link := wire.New(conn, hello, wire.Config{})
-	got := make(chan wire.Message, 1024)
+	messages := make(chan wire.Message, 1024)
 	ended := make(chan error, 1)
 	go func() {
-		ended <- link.Run(ctx, func(m wire.Message) { got <- m })
-		close(got)
+		ended <- link.Run(ctx, func(m wire.Message) { messages <- m })
+		close(messages)
 	}()
 	t.Cleanup(func() {
 		stop()
 		<-ended
 	})
-	return link, got, nil
+	return link, messages, nil
 }
 
-func await[M wire.Message](t testing.TB, got <-chan wire.Message) M {
+func await[M wire.Message](t testing.TB, messages <-chan wire.Message) M {
 	t.Helper()
-	for m := range got {
+	for m := range messages {
 		if want, ok := m.(M); ok {
 			return want
 		}
 	}
 	var none M
-	t.Fatalf("the link ended before a %s came", none.Kind())
+	t.Fatalf("the link ended before a %s arrived", none.Kind())
 	return none
 }
 
@@ -129,13 +129,13 @@
 		t.Fatalf("end %+v", e)
 	}
 	if _, _, err := dial(t, a, "another fleet's key"); err == nil {
-		t.Fatal("a peer without the fleet's key was let in")
+		t.Fatal("a peer without the fleet key was accepted")
 	}
 }
 
-// The instance is replaced while a draft is being written. The stop must wait
-// for it, and the last byte must arrive before the process ends.
-func TestPlannedStopSendsTheWholeAnswer(t *testing.T) {
+// A planned stop begins in the middle of an answer. The agent must refuse new
+// offers, wait for the answer, and deliver its last byte before the process ends.
+func TestPlannedStopDeliversWholeAnswer(t *testing.T) {
 	proceed := make(chan struct{})
 	a := startAgent(t, conf.EndpointService, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/load" {
@@ -171,14 +171,14 @@
 	if e := await[*wire.End](t, got); !e.Whole || e.Bytes != uint64(len("first last")) {
 		t.Fatalf("end %+v", e)
 	}
-	if err := <-a.end; err != nil {
+	if err := <-a.ended; err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A second agent is started in a slot while the first is only paused. It must
-// not start: both would give orders to the same engine.
-func TestSlotTakesOneAgent(t *testing.T) {
+// A second agent is started for an endpoint whose first agent may only be paused.
+// It must not start: both would send orders to the same engine.
+func TestSecondAgentDoesNotStart(t *testing.T) {
 	a := startAgent(t, conf.EndpointService, http.NotFound)
 	cfg := &conf.Agent{Common: conf.Common{Name: "b", FleetKey: fleetKey}, Link: a.link, Endpoint: conf.Endpoint{Address: "http://127.0.0.1:1"}}
 	n, err := newNode(cfg, "none")
--- a/agent/plain/plain.go
+++ b/agent/plain/plain.go
@@ -1,4 +1,5 @@
-// Package plain calls a plain service.
+// Package plain calls a plain HTTP service, an endpoint that is not a model
+// engine.
 package plain
 
 import (
@@ -10,24 +11,24 @@
 
 // Service is one plain service beside the agent.
 type Service struct {
-	base string
-	http *http.Client
+	base   string
+	client *http.Client
 }
 
 // New returns the service at base, such as http://127.0.0.1:8000.
-func New(base string, hc *http.Client) *Service { return &Service{base: base, http: hc} }
+func New(base string, client *http.Client) *Service { return &Service{base: base, client: client} }
 
-// Run sends r once and gives the answer to sink.
+// Run sends r once and passes the answer to sink.
 func (s *Service) Run(ctx context.Context, r *call.Request, sink call.Sink, p *call.Progress) call.Result {
-	resp, sent, err := call.Do(ctx, s.http, s.base, r)
+	resp, sent, err := call.Do(ctx, s.client, s.base, r)
 	if err != nil {
 		return call.Result{Sent: sent, Err: err}
 	}
 	defer resp.Body.Close()
 	res := call.Result{Sent: true, Status: resp.StatusCode}
-	sink.Head(resp.StatusCode, call.Fields(resp.Header))
+	sink.Head(resp.StatusCode, call.EndToEndHeaders(resp.Header))
 	res.Err = call.Copy(ctx, resp.Body, sink, p, nil)
-	res.Whole = res.Err == nil
-	p.Fill(&res.Usage)
+	res.Complete = res.Err == nil
+	p.SetTimes(&res.Usage)
 	return res
 }
--- a/agent/probe/probe.go
+++ b/agent/probe/probe.go
@@ -1,5 +1,5 @@
-// Package probe asks the endpoint for its load report and tells whether it is
-// there at all.
+// Package probe fetches the endpoint's load report periodically, which also
+// shows whether the endpoint is reachable.
 package probe
 
 import (
@@ -10,23 +10,25 @@
 	"lycheepond/agent/engine"
 )
 
-// Figures of the probe. They are chosen: two reports a second cost the agent
-// well under a hundredth of a core.
 const (
-	Every   = 500 * time.Millisecond
-	timeout = time.Second
+	// Interval is the time between two probes. Two reports a second take well
+	// under a hundredth of a core.
+	Interval = 500 * time.Millisecond
+	// probeTimeout bounds one probe.
+	probeTimeout = time.Second
 )
 
-// Run asks the endpoint at base until ctx ends and hands each report to take.
-func Run(ctx context.Context, base string, hc *http.Client, take func(context.Context, engine.Load, error) error) error {
-	tick := time.NewTicker(Every)
+// Run probes the endpoint at base until ctx ends and passes each load report, or
+// the error that prevented it, to report. It also returns when report fails.
+func Run(ctx context.Context, base string, client *http.Client, report func(context.Context, engine.Load, error) error) error {
+	tick := time.NewTicker(Interval)
 	defer tick.Stop()
 	for {
-		l, err := once(ctx, base, hc)
+		load, err := fetchReport(ctx, base, client)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if err := take(ctx, l, err); err != nil {
+		if err := report(ctx, load, err); err != nil {
 			return err
 		}
 		select {
@@ -37,8 +39,8 @@
 	}
 }
 
-func once(ctx context.Context, base string, hc *http.Client) (engine.Load, error) {
-	ctx, stop := context.WithTimeout(ctx, timeout)
+func fetchReport(ctx context.Context, base string, client *http.Client) (engine.Load, error) {
+	ctx, stop := context.WithTimeout(ctx, probeTimeout)
 	defer stop()
-	return engine.Report(ctx, hc, base)
+	return engine.FetchLoad(ctx, client, base)
 }
--- a/agent/slot/bench_test.go
+++ b/agent/slot/bench_test.go
@@ -201,10 +201,10 @@
 func (r *fakeRun) answer(pieces ...string) {
 	r.sink.Head(200, nil)
 	for _, s := range pieces {
-		r.p.Mark()
+		r.p.RecordChunk()
 		_ = r.sink.Chunk(r.ctx, []byte(s))
 	}
-	r.end <- call.Result{Sent: true, Whole: true, Status: 200}
+	r.end <- call.Result{Sent: true, Complete: true, Status: 200}
 }
 
 func offerOf(n uint64) *wire.Offer {
--- a/agent/slot/displ.go
+++ b/agent/slot/displ.go
@@ -35,7 +35,7 @@
 	var worst *rec
 	for _, v := range o.running {
 		if v.offer == nil || !v.offer.Repeatable || v.key != nil || v.stopped != wire.ReasonNone ||
-			v.offer.Tier <= r.offer.Tier || v.log.Headed() {
+			v.offer.Tier <= r.offer.Tier || v.log.HasHead() {
 			continue
 		}
 		if worst == nil || v.offer.Tier > worst.offer.Tier || (v.offer.Tier == worst.offer.Tier && v.started > worst.started) {
--- a/agent/slot/hand_test.go
+++ b/agent/slot/hand_test.go
@@ -64,7 +64,7 @@
 	p.learn(table(1, 0))
 	p.ran(1, "kept", "fi", "led")
 	p.ran(2, "gone", "x")
-	b.o.keys["gone"].log.Drop()
+	b.o.keys["gone"].log.DropChunks()
 	for n := range uint64(2 * wire.MaxRecords) {
 		p.ran(100+n, "more"+ident.Make(1, n).String(), "y")
 	}
--- a/agent/slot/keys.go
+++ b/agent/slot/keys.go
@@ -203,7 +203,7 @@
 			o.keyFloor = o.cfg.Wall()
 		}
 		k.lost = true
-		k.log.Drop()
+		k.log.DropChunks()
 		delete(o.keys, k.key)
 		n++
 	}
--- a/agent/slot/keys_test.go
+++ b/agent/slot/keys_test.go
@@ -227,7 +227,7 @@
 	p.learn(table(1, 0))
 	p.started(keyed(1, "k", 1)).answer("filed")
 	next[*wire.End](p)
-	b.o.recs[offerOf(1).ID].log.Drop()
+	b.o.recs[offerOf(1).ID].log.DropChunks()
 	p.send(keyed(2, "k", 1))
 	if k := next[*wire.Known](p); k.State != wire.KeyForgotAnswer {
 		t.Fatalf("known %+v", k)
--- a/agent/slot/load.go
+++ b/agent/slot/load.go
@@ -52,16 +52,16 @@
 }
 
 func (o *Owner) report(now time.Duration, l engine.Load, err error) {
-	if err == nil || errors.Is(err, engine.ErrNoReport) {
+	if err == nil || errors.Is(err, engine.ErrNoLoadReport) {
 		o.endpointUp()
 	}
 	switch {
 	case err == nil:
 		o.bound.Report(now, bound.Report{Running: l.Running, Waiting: l.Waiting, KVUsed: l.KVUsed, KVTotal: l.KVTotal, Age: l.Age()})
 		o.serves(l.Model, l.Version)
-	case errors.Is(err, engine.ErrRefused):
+	case errors.Is(err, engine.ErrConnectionRefused):
 		o.endpointDown(now)
-	case !errors.Is(err, engine.ErrNoReport):
+	case !errors.Is(err, engine.ErrNoLoadReport):
 		o.lateProbe++
 		if o.lateProbe == missedReports {
 			o.stalled = true
--- a/agent/slot/offer.go
+++ b/agent/slot/offer.go
@@ -109,7 +109,7 @@
 	o.setState(now, r, dead)
 	o.unfollow(r)
 	if r.log != nil {
-		r.log.Drop()
+		r.log.DropChunks()
 		r.log = nil
 	}
 	r.grant = nil
--- a/agent/slot/once_test.go
+++ b/agent/slot/once_test.go
@@ -167,7 +167,7 @@
 	if c := next[*wire.Chunk](q); c.Seq != 1 || string(c.Data) != "two" {
 		t.Fatalf("chunk %+v", c)
 	}
-	r.end <- call.Result{Sent: true, Whole: true}
+	r.end <- call.Result{Sent: true, Complete: true}
 	if e := next[*wire.End](q); !e.Whole || e.Chunks != 2 || e.Bytes != 6 {
 		t.Fatalf("end %+v", e)
 	}
--- a/agent/slot/rec.go
+++ b/agent/slot/rec.go
@@ -177,7 +177,7 @@
 func (o *Owner) expireRecords(now time.Duration) {
 	for o.dropped < len(o.old) && now-o.old[o.dropped].changed > keepAnswer {
 		if r := o.old[o.dropped]; r.state == ended && r.key == nil && r.log != nil {
-			r.log.Drop()
+			r.log.DropChunks()
 		}
 		o.dropped++
 	}
@@ -199,24 +199,24 @@
 
 // shrink gives the oldest ended answers up while all of them hold too much.
 func (o *Owner) shrink() {
-	if !o.budget.Over() {
+	if !o.budget.Exceeded() {
 		return
 	}
 	for _, r := range o.old {
-		if r.log != nil && r.state == ended && !r.log.Followed() {
-			r.log.Drop()
+		if r.log != nil && r.state == ended && !r.log.HasFollowers() {
+			r.log.DropChunks()
 		}
-		if !o.budget.Over() {
+		if !o.budget.Exceeded() {
 			return
 		}
 	}
 	// Answers of keys outlive the records of their requests.
 	for _, k := range o.oldKeys {
-		if !o.budget.Over() {
+		if !o.budget.Exceeded() {
 			return
 		}
-		if !k.log.Followed() {
-			k.log.Drop()
+		if !k.log.HasFollowers() {
+			k.log.DropChunks()
 		}
 	}
 }
--- a/agent/slot/run.go
+++ b/agent/slot/run.go
@@ -42,7 +42,7 @@
 	o.task(func(context.Context) event {
 		defer stop()
 		res := f(ctx, sink)
-		if res.Sent && !res.Whole && ctx.Err() == nil && o.cfg.Listening != nil {
+		if res.Sent && !res.Complete && ctx.Err() == nil && o.cfg.Listening != nil {
 			res.Crashed = !o.cfg.Listening(ctx)
 		}
 		return finished{r, res}
@@ -63,15 +63,15 @@
 	}
 	o.observe(now, r, res.Usage)
 	reason := r.stopped
-	if !res.Whole && reason == wire.ReasonNone {
+	if !res.Complete && reason == wire.ReasonNone {
 		reason = brokenReason(res)
 		logs.Warn(o.log, logs.EventAnswerBroken, logs.Request(r.id), zap.Error(res.Err))
 	}
-	if res.Whole {
+	if res.Complete {
 		reason = wire.ReasonNone
 	}
 	o.publish()
-	r.log.Close(wire.End{Whole: res.Whole, Reason: reason, Usage: res.Usage})
+	r.log.Close(wire.End{Whole: res.Complete, Reason: reason, Usage: res.Usage})
 	o.cfg.Stats.ended(r.offer, res, took)
 	o.keyEnded(now, r)
 	// The record is kept for long, so it lets go of what only the run needed.
@@ -165,7 +165,7 @@
 	ctx, stop := context.WithCancel(o.ctx)
 	f := &following{stop: stop}
 	r.follow = f
-	follower := &answer.Follower{ID: id, From: next, Send: p.SendWait, Load: func() wire.Load { return *o.load.Load() }}
+	follower := &answer.Follower{ID: id, FromSeq: next, Send: p.SendWait, Load: func() wire.Load { return *o.load.Load() }}
 	o.task(func(context.Context) event {
 		defer stop()
 		// A failed link ends the follower; the entry attaches on a new one.
--- a/agent/slot/speed_test.go
+++ b/agent/slot/speed_test.go
@@ -23,7 +23,7 @@
 		Bound: bound.Config{Min: 1, Max: 1}, Now: func() time.Duration { return clock },
 		Wall: func() int64 { return startWall }, Log: zap.NewNop(), Stats: NewStats(meter.New()),
 		Run: func(context.Context, *call.Request, call.Sink, *call.Progress) call.Result {
-			return call.Result{Sent: true, Whole: true}
+			return call.Result{Sent: true, Complete: true}
 		},
 	})
 	ctx, stop := context.WithCancel(context.Background())
--- a/agent/slot/stats.go
+++ b/agent/slot/stats.go
@@ -56,7 +56,7 @@
 }
 
 func (s *Stats) ended(o *wire.Offer, res call.Result, took time.Duration) {
-	if res.Whole {
+	if res.Complete {
 		s.complete.Inc(1)
 	} else {
 		s.broken.Inc(1)
--- a/agent/slot/watch.go
+++ b/agent/slot/watch.go
@@ -31,10 +31,10 @@
 		if r.offer == nil || r.stopped != wire.ReasonNone || !r.stream {
 			continue
 		}
-		first, tokens := r.progress.First.Load(), r.progress.Tokens.Load()
+		first, tokens := r.progress.FirstNS.Load(), r.progress.Tokens.Load()
 		if tokens >= midStream {
 			begun = true
-			alive = max(alive, r.started+time.Duration(r.progress.Last.Load()))
+			alive = max(alive, r.started+time.Duration(r.progress.LastNS.Load()))
 		}
 		target := ms(r.offer.FirstMS)
 		overdue := first == 0 && target > 0 && now-r.started > lateFactor*target
@@ -83,7 +83,7 @@
 		r.firstSeen = true
 		s.First, s.FirstTarget = o.first(now, r), firstTarget(r)
 	}
-	tokens, last := r.progress.Tokens.Load(), r.progress.Last.Load()
+	tokens, last := r.progress.Tokens.Load(), r.progress.LastNS.Load()
 	n := tokens - r.tokens
 	if n < sampleTokens {
 		return
@@ -91,7 +91,7 @@
 	if r.tokens > 0 {
 		s.Between = time.Duration((last - r.lastToken) / n)
 	} else {
-		s.Between = r.progress.Between()
+		s.Between = r.progress.MeanInterval()
 	}
 	s.BetweenTarget, o.streamed = betweenTarget(r), now
 	r.tokens, r.lastToken = tokens, last
@@ -107,21 +107,21 @@
 		return
 	}
 	tokens := time.Duration(s.OutputTokens)
-	s.First, s.FirstTarget = time.Duration(r.progress.Last.Load())/tokens, wholeTarget(r)/tokens
+	s.First, s.FirstTarget = time.Duration(r.progress.LastNS.Load())/tokens, wholeTarget(r)/tokens
 	s.PromptTokens, s.CachedTokens = 0, 0
 }
 
 // plain fills in what is seen of a call to a plain service. Calls differ as
 // much as prompts do, so their estimated cost stands for the length.
 func (o *Owner) plain(r *rec, s *bound.Sample) {
-	s.First, s.FirstTarget = time.Duration(r.progress.Last.Load()), wholeTarget(r)
+	s.First, s.FirstTarget = time.Duration(r.progress.LastNS.Load()), wholeTarget(r)
 	s.PromptTokens = int(r.offer.CostMS)
 }
 
 // first returns the time that r took to its first byte, so far if it has not
 // come.
 func (o *Owner) first(now time.Duration, r *rec) time.Duration {
-	first := time.Duration(r.progress.First.Load())
+	first := time.Duration(r.progress.FirstNS.Load())
 	if first == 0 {
 		return now - r.started
 	}
--- a/agent/slot/watch_test.go
+++ b/agent/slot/watch_test.go
@@ -26,8 +26,8 @@
 func seen(m *wire.Offer, stream bool, first, last time.Duration, tokens int64) *rec {
 	r := newRec(0, nil, nil, m)
 	r.stream, r.state, r.progress = stream, running, call.NewProgress()
-	r.progress.First.Store(int64(first))
-	r.progress.Last.Store(int64(last))
+	r.progress.FirstNS.Store(int64(first))
+	r.progress.LastNS.Store(int64(last))
 	r.progress.Tokens.Store(tokens)
 	return r
 }
@@ -59,7 +59,7 @@
 		t.Fatalf("sample %+v", s)
 	}
 	r.progress.Tokens.Store(32)
-	r.progress.Last.Store(int64(250*time.Millisecond + 16*80*time.Millisecond))
+	r.progress.LastNS.Store(int64(250*time.Millisecond + 16*80*time.Millisecond))
 	if s := observed(b.o, 0, r, wire.Usage{}); s.Between != 80*time.Millisecond {
 		t.Fatalf("sample %+v", s)
 	}
--- a/agent/speed_test.go
+++ b/agent/speed_test.go
@@ -10,8 +10,8 @@
 	"lycheepond/core/wire"
 )
 
-// BenchmarkStream carries tokens from an engine through an agent to an entry's
-// end of a link, all in this process; one operation is one token.
+// BenchmarkStream relays tokens from an engine through an agent to the entry's end
+// of a link, all in this process. One operation is one token.
 func BenchmarkStream(b *testing.B) {
 	a := startAgent(b, conf.EndpointEngine, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/v1/completions" {
--- a/agent/stop_test.go
+++ b/agent/stop_test.go
@@ -11,11 +11,12 @@
 	"lycheepond/core/wire"
 )
 
-// An entry's link breaks in the middle of an answer, and the agent begins a planned
-// stop. The endpoint ends the answer before the entry has dialled again. The agent
-// is the only one that has it, and waits until the entry has got it. A stop that
-// waited only for what ran had ended by then: "connect: connection refused".
-func TestPlannedStopWaitsForALostEntry(t *testing.T) {
+// An entry loses its link in the middle of an answer, the agent begins a planned
+// stop, and the endpoint ends the answer before the entry has dialled again. Only
+// the agent has the answer, so it must wait until the entry has fetched it. A stop
+// that waited only for running requests ended too early, and the entry saw
+// "connect: connection refused".
+func TestPlannedStopWaitsForDisconnectedEntry(t *testing.T) {
 	proceed, ended := make(chan struct{}), make(chan struct{})
 	a := startAgent(t, conf.EndpointService, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/load" {
@@ -47,7 +48,7 @@
 	a.stop()
 	close(proceed)
 	<-ended
-	// As long as an entry may take to dial again.
+	// An entry may take this long to dial again.
 	time.Sleep(500 * time.Millisecond)
 	if link, got, err = dial(t, a, fleetKey); err != nil {
 		t.Fatal(err)
@@ -60,8 +61,8 @@
 	if e := await[*wire.End](t, got); !e.Whole {
 		t.Fatalf("end %+v", e)
 	}
-	begun := time.Now()
-	if err := <-a.end; err != nil || time.Since(begun) > 3*time.Second {
-		t.Errorf("the agent ended with %v after %v", err, time.Since(begun))
+	start := time.Now()
+	if err := <-a.ended; err != nil || time.Since(start) > 3*time.Second {
+		t.Errorf("the agent ended with %v after %v", err, time.Since(start))
 	}
 }
