--- a/agent/call/call.go
+++ b/agent/call/call.go
@@ -112,8 +112,10 @@
 // ErrUnreachable reports that no connection to the endpoint could be opened.
 var ErrUnreachable = errors.New("call: endpoint unreachable: check that it runs and that endpoint.address names it")
 
-// Do sends r to base and returns the response. sent is false only when no
-// connection was opened or the guard stopped the request before its first byte.
+// Do sends r to base and returns the response. sent is false only if certainly no
+// byte reached the endpoint: the request could not be built, no connection was
+// opened, or the guard stopped the request. If no connection was opened, the error
+// wraps ErrUnreachable.
 func Do(ctx context.Context, client *http.Client, base string, r *Request) (resp *http.Response, sent bool, err error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
--- a/agent/engine/engine.go
+++ b/agent/engine/engine.go
@@ -115,8 +115,8 @@
 	return res
 }
 
-// maxParsedBytes is the size of the longest answer without streaming, in bytes, whose
-// JSON is checked for completeness and parsed for its usage.
+// maxParsedBytes is the size of the longest unstreamed answer whose JSON is checked
+// for completeness and parsed for its usage.
 const maxParsedBytes = 1 << 20
 
 func (a *relay) readUnstreamed(ctx context.Context, resp *http.Response) error {
--- a/agent/engine/engine_test.go
+++ b/agent/engine/engine_test.go
@@ -139,7 +139,8 @@
 	}
 }
 
-func TestAnswerWithoutStreamingAndUsage(t *testing.T) {
+// An unstreamed answer must arrive unchanged, and its usage must be read.
+func TestUnstreamedAnswerAndUsage(t *testing.T) {
 	e := newTestEngine(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, usageBody) })
 	var c caller
 	res := c.run(t, e, newRequest(1))
@@ -244,6 +245,8 @@
 	}
 }
 
+// Cancel must name the request in its path, and report a request that the engine
+// does not know.
 func TestCancel(t *testing.T) {
 	e := newTestEngine(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/v1/requests/"+ident.Make(1, 1).String()+"/cancel" {
@@ -258,6 +261,7 @@
 	}
 }
 
+// No input may make the relay pass on more bytes than it has read.
 func FuzzReadStream(f *testing.F) {
 	f.Add("data: a\n\ndata: [DONE]\n\n")
 	f.Add("\r\n\r\ndata: x\r\n\r\n")
--- a/agent/links/links_test.go
+++ b/agent/links/links_test.go
@@ -37,7 +37,7 @@
 	defer stop()
 	start := time.Now()
 	owner := slot.New(slot.Config{
-		Now: func() time.Duration { return time.Since(start) }, Wall: func() int64 { return 0 }, Log: zap.NewNop(),
+		Now: func() time.Duration { return time.Since(start) }, WallMS: func() int64 { return 0 }, Log: zap.NewNop(),
 		Stats: slot.NewStats(meter.New()),
 	})
 	s := New(Config{
--- a/agent/node.go
+++ b/agent/node.go
@@ -74,11 +74,11 @@
 	}
 	start := time.Now()
 	slotCfg := slot.Config{
-		Self:  spec.HomeOwner{Name: cfg.Name, Incarnation: incarnation},
-		Now:   func() time.Duration { return time.Since(start) },
-		Wall:  func() int64 { return time.Now().UnixMilli() },
-		Queue: queue.Config{Max: maxQueued},
-		Log:   n.log, Stats: slot.NewStats(n.metrics), Grace: cfg.Grace.Std(),
+		Self:   spec.HomeOwner{Name: cfg.Name, Incarnation: incarnation},
+		Now:    func() time.Duration { return time.Since(start) },
+		WallMS: func() int64 { return time.Now().UnixMilli() },
+		Queue:  queue.Config{Max: maxQueued},
+		Log:    n.log, Stats: slot.NewStats(n.metrics), StopGrace: cfg.Grace.Std(),
 	}
 	n.setEndpoint(&slotCfg)
 	n.owner = slot.New(slotCfg)
@@ -97,13 +97,13 @@
 // setEndpoint sets the functions of slotCfg that call the endpoint.
 func (n *node) setEndpoint(slotCfg *slot.Config) {
 	base := n.cfg.Endpoint.Address
-	slotCfg.Listening = call.NewConnectionCheck(base)
+	slotCfg.AcceptsConnections = call.NewConnectionCheck(base)
 	if n.cfg.Endpoint.Kind == conf.EndpointService {
 		slotCfg.Run = plain.New(base, call.NewClient()).Run
 		return
 	}
 	e := engine.New(base, call.NewClient(), n.controlClient)
-	slotCfg.Run, slotCfg.Resume, slotCfg.Cancel, slotCfg.Order = e.Run, e.Resume, e.Cancel, e.SendOrder
+	slotCfg.Run, slotCfg.Resume, slotCfg.Cancel, slotCfg.SendOrder = e.Run, e.Resume, e.Cancel, e.SendOrder
 }
 
 func (n *node) registerGauges() {
@@ -112,7 +112,7 @@
 	n.metrics.GaugeFunc("agent_bound", func() int64 { return int64(n.owner.Load().Bound) })
 	n.metrics.GaugeFunc("agent_queued", func() int64 { return int64(n.owner.Load().Queued) })
 	n.metrics.GaugeFunc("agent_level", func() int64 { return int64(n.owner.Load().Level) })
-	n.metrics.GaugeFunc("agent_kept_bytes", func() int64 { return n.owner.Status().Kept })
+	n.metrics.GaugeFunc("agent_kept_bytes", func() int64 { return n.owner.Status().KeptBytes })
 	n.metrics.GaugeFunc("agent_control_in_bytes", func() int64 { return int64(n.links.Counts().ControlIn) })
 	n.metrics.GaugeFunc("agent_control_out_bytes", func() int64 { return int64(n.links.Counts().ControlOut) })
 	n.metrics.GaugeFunc("agent_data_in_bytes", func() int64 { return int64(n.links.Counts().DataIn) })
@@ -168,7 +168,7 @@
 		OnPanic: func() { n.metrics.Counter("handlers_panicked").Inc(1) }, Log: n.log,
 		Ready: func() bool {
 			s := n.owner.Status()
-			return !s.Leaving && !s.Down && !s.Stalled
+			return !s.Leaving && !s.EndpointDown && !s.EndpointStalled
 		},
 	})
 }
--- a/agent/node_test.go
+++ b/agent/node_test.go
@@ -103,6 +103,8 @@
 	}
 }
 
+// A request to a plain service must arrive there unchanged, and a peer without the
+// fleet key must be refused.
 func TestServiceCallOverLink(t *testing.T) {
 	a := startAgent(t, conf.EndpointService, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
--- a/agent/slot/attach.go
+++ b/agent/slot/attach.go
@@ -15,56 +15,58 @@
 	"lycheepond/core/wire"
 )
 
-// attach deals with an entry that lost its link after a grant.
+// handleAttach handles the request of an entry that lost its link after a grant.
 //
-// Only what this incarnation claimed can be said never to have come: the grant
-// follows the claim, so without a record of one the grant went to an agent that
-// ran here before, and what became of it is asked of the engine.
-func (o *Owner) attach(now time.Duration, p *Peer, m *wire.Attach) {
-	r := o.recs[m.ID]
-	if r != nil && o.known(p, m.ID) == nil {
+// The agent may say that a grant never arrived only if this incarnation claimed
+// the request, because a grant follows a claim. Without a record of a claim, the
+// grant went to an earlier incarnation, and only the engine may know what became
+// of the request.
+func (o *Owner) handleAttach(now time.Duration, p *Peer, m *wire.Attach) {
+	r := o.records[m.ID]
+	if r != nil && o.ownRecord(p, m.ID) == nil {
 		o.sendForgotten(p, m.ID)
 		return
 	}
-	if r != nil && r.log != nil {
-		o.startFollow(r, r.id, r.log, p, m.Next)
+	if r != nil && r.answer != nil {
+		o.startFollow(r, r.id, r.answer, p, m.Next)
 		r.link = p
 		return
 	}
-	foreign := m.Agent != 0 && m.Agent != o.cfg.Self.Incarnation
-	if r == nil || foreign {
+	otherIncarnation := m.Agent != 0 && m.Agent != o.cfg.Self.Incarnation
+	if r == nil || otherIncarnation {
 		o.resume(now, p, m)
 		return
 	}
 	switch r.state {
-	case queued, parked, claimed, lapsed:
+	case stateQueued, stateParked, stateClaimed, stateLapsed:
 		o.queue.Remove(r.id)
-		o.bury(now, r, wire.ReasonNeverGranted)
+		o.setTombstone(now, r, wire.ReasonNeverGranted)
 		o.sendReturnTo(p, r.id, wire.ReasonNeverGranted)
-	case dead:
-		o.sendReturnTo(p, r.id, r.reason)
+	case stateTombstone:
+		o.sendReturnTo(p, r.id, r.notRunReason)
 	default:
 		o.sendForgotten(p, m.ID)
 	}
 }
 
 func (o *Owner) sendForgotten(p *Peer, id ident.ID) {
-	o.publish()
+	o.publishLoad()
 	logs.Warn(o.log, logs.EventRequestUnknown, logs.Request(id), zap.String("peer", p.Name))
 	o.send(p, &wire.End{ID: id, Reason: wire.ReasonForgotten, Load: *o.load.Load()})
 }
 
-// resume takes up a stream that an earlier incarnation of this agent started.
+// resume reads the stream of a request that an earlier incarnation of this agent
+// started. The entry is told that the outcome is unknown if that is not possible.
 func (o *Owner) resume(now time.Duration, p *Peer, m *wire.Attach) {
-	r := o.disown(now, p, m.ID)
-	if o.cfg.Resume == nil || !m.Stream || o.leaving {
+	r := o.adoptRequest(now, p, m.ID)
+	if o.cfg.Resume == nil || !m.Stream || o.isLeaving {
 		o.sendForgotten(p, m.ID)
 		return
 	}
-	r.log = answer.New(&o.budget)
-	o.startFollow(r, r.id, r.log, p, m.Next)
+	r.answer = answer.New(&o.budget)
+	o.startFollow(r, r.id, r.answer, p, m.Next)
 	id := m.ID
-	o.launch(now, r, func(ctx context.Context, sink call.Sink) call.Result {
+	o.launchRun(now, r, func(ctx context.Context, sink call.Sink) call.Result {
 		res := o.cfg.Resume(ctx, id, sink, r.progress)
 		res.Sent = true
 		return res
@@ -72,22 +74,23 @@
 	logs.Info(o.log, logs.EventRequestResumed, logs.Request(id), zap.String("peer", p.Name))
 }
 
-// disown makes the record of a request that was granted to an earlier
-// incarnation. Nothing will be run or returned under its ID here: a Return
-// would say that it was not run, which only that incarnation could know.
-func (o *Owner) disown(now time.Duration, p *Peer, id ident.ID) *rec {
-	if old := o.recs[id]; old != nil {
-		o.unready(old)
+// adoptRequest creates the record of a request that was granted to an earlier
+// incarnation. This agent neither runs nor returns the request: a Return would say
+// that it was not run, and only the earlier incarnation could know that.
+func (o *Owner) adoptRequest(now time.Duration, p *Peer, id ident.ID) *record {
+	if old := o.records[id]; old != nil {
+		o.removeReady(old)
 		o.queue.Remove(id)
-		o.forget(now, old)
+		o.removeRecord(now, old)
 	}
-	r := &rec{id: id, sess: o.session(p), link: p, arrived: now}
-	o.recs[id] = r
-	o.setState(now, r, ended)
+	r := &record{id: id, session: o.sessionOf(p), link: p, arrivedAt: now}
+	o.records[id] = r
+	o.setState(now, r, stateEnded)
 	return r
 }
 
-// brokenReason says why an answer that the owner did not stop is not whole.
+// brokenReason returns the reason why an answer is incomplete that the owner did
+// not stop.
 func brokenReason(res call.Result) wire.Reason {
 	switch {
 	case errors.Is(res.Err, engine.ErrUnknown):
@@ -98,63 +101,69 @@
 	return wire.ReasonBroken
 }
 
-func (o *Owner) session(p *Peer) *session {
+// sessionOf returns the session of the entry process behind p, and creates it if
+// needed.
+func (o *Owner) sessionOf(p *Peer) *session {
 	s := o.sessions[p.Incarnation]
 	if s == nil {
-		s = &session{name: p.Name, incarnation: p.Incarnation, levels: make(map[string]levelHeard)}
+		s = &session{name: p.Name, incarnation: p.Incarnation, levels: make(map[string]entryLevel)}
 		o.sessions[p.Incarnation] = s
 	}
 	return s
 }
 
-func (o *Owner) linkUp(now time.Duration, p *Peer) {
-	s := o.session(p)
-	s.link, s.back = p, now
-	o.askNext = 0
+func (o *Owner) handleLinkUp(now time.Duration, p *Peer) {
+	s := o.sessionOf(p)
+	s.link, s.linkedAt = p, now
+	o.nextLeaseRound = 0
 	logs.Info(o.log, logs.EventLinkUp, zap.String("peer", p.Name), zap.Uint64("incarnation", p.Incarnation))
-	if o.leaving || o.orders.version != "" {
-		o.say(p)
+	if o.isLeaving || o.orderState.servedVersion != "" {
+		o.sendHeartbeat(p)
 	}
 }
 
-// linkDown forgets what was only offered on the link. What was granted goes
-// on, and its answer is kept for an Attach.
-func (o *Owner) linkDown(now time.Duration, p *Peer) {
+// handleLinkDown drops the requests that were only offered on the link. Granted
+// requests continue, and their answers are kept for an Attach.
+func (o *Owner) handleLinkDown(now time.Duration, p *Peer) {
 	for _, r := range o.waiting {
-		if r.link == p && r.state != ready {
+		if r.link == p && r.state != stateReady {
 			o.lapse(now, r)
 		}
 	}
-	s := o.session(p)
+	s := o.sessionOf(p)
 	if s.link == p {
-		s.link, s.gone = nil, now
+		s.link, s.linkLostAt = nil, now
 	}
 }
 
-// lapse takes a waiting request out whose link has ended. A claimed one leaves
-// a record: the grant may have been written and lost, and an Attach will ask.
-func (o *Owner) lapse(now time.Duration, r *rec) {
+// lapse drops a waiting request whose link has ended. The record of a claimed
+// request is kept: the entry may have sent a grant that was lost, and will then
+// ask about it with an Attach.
+func (o *Owner) lapse(now time.Duration, r *record) {
 	o.queue.Remove(r.id)
-	if r.state != claimed {
-		o.forget(now, r)
+	if r.state != stateClaimed {
+		o.removeRecord(now, r)
 		return
 	}
-	o.uncharge(r)
-	o.setState(now, r, lapsed)
-	o.firstLost(now, r)
+	o.refundCharge(r)
+	o.setState(now, r, stateLapsed)
+	o.replaceFirst(now, r)
 }
 
+// expireSessions stops the cancellable requests without an idempotency key of
+// entries that have had no link for linkLossGrace, and drops sessions without a
+// link after recordRetention.
 func (o *Owner) expireSessions(now time.Duration) {
 	for id, s := range o.sessions {
-		if s.link != nil || now-s.gone < sessionGrace {
+		if s.link != nil || now-s.linkLostAt < linkLossGrace {
 			continue
 		}
 		for _, r := range o.running {
-			if r.sess == s && r.key == nil && r.offer != nil && r.offer.Cancellable {
-				o.halt(r, wire.ReasonCallerGone)
+			if r.session == s && r.key == nil && r.offer != nil && r.offer.Cancellable {
+				o.stopRun(r, wire.ReasonCallerGone)
 			}
 		}
-		if now-s.gone > keepRecord {
+		if now-s.linkLostAt > recordRetention {
 			delete(o.sessions, id)
 		}
 	}
--- a/agent/slot/bench_test.go
+++ b/agent/slot/bench_test.go
@@ -17,156 +17,158 @@
 )
 
 const (
-	pool      = "roster"
-	selfInc   = 77
-	entryInc  = 5
-	startWall = int64(1_800_000_000_000)
-	testWait  = 10 * time.Second
-	testBound = 2
+	testPool         = "roster"
+	selfIncarnation  = 77
+	entryIncarnation = 5
+	startWallMS      = int64(1_800_000_000_000)
+	testTimeout      = 10 * time.Second
+	testBound        = 2
 )
 
-// bench drives an owner by hand: its clock stands still unless it is moved,
-// and the end of a run at the endpoint is decided by the test.
-type bench struct {
-	t     *testing.T
-	o     *Owner
-	clock time.Duration
-	// runs holds what the endpoint was asked, in order.
+// harness runs an owner under the control of a test. The clock only moves when the
+// test advances it, and the test decides when and how a run at the endpoint ends.
+type harness struct {
+	t   *testing.T
+	o   *Owner
+	now time.Duration
+	// runs receives the requests that were passed to the endpoint, in order.
 	runs chan *fakeRun
-	// cancels holds the IDs that were cancelled at the endpoint.
+	// cancels receives the IDs of requests that were cancelled at the endpoint.
 	cancels chan ident.ID
+	// resumes receives the streams that the endpoint was asked to resume.
 	resumes chan *fakeRun
 	orders  chan int64
 }
 
-// fakeRun is one call that the endpoint was asked to make.
+// fakeRun is one call to the endpoint.
 type fakeRun struct {
-	req  *call.Request
-	id   ident.ID
-	ctx  context.Context
-	sink call.Sink
-	p    *call.Progress
-	end  chan call.Result
+	req      *call.Request
+	id       ident.ID
+	ctx      context.Context
+	sink     call.Sink
+	progress *call.Progress
+	result   chan call.Result
 }
 
-func newBench(t *testing.T, limit int) *bench {
-	b := &bench{t: t, runs: make(chan *fakeRun, 64), cancels: make(chan ident.ID, 64), resumes: make(chan *fakeRun, 64)}
+func newHarness(t *testing.T, limit int) *harness {
+	h := &harness{t: t, runs: make(chan *fakeRun, 64), cancels: make(chan ident.ID, 64), resumes: make(chan *fakeRun, 64)}
 	cfg := Config{
-		Self:  spec.HomeOwner{Name: "a", Incarnation: selfInc},
+		Self:  spec.HomeOwner{Name: "a", Incarnation: selfIncarnation},
 		Queue: queue.Config{Max: 8}, Bound: bound.Config{Min: limit, Max: limit},
-		Now: func() time.Duration { return b.clock }, Wall: func() int64 { return startWall + b.clock.Milliseconds() },
-		Grace: time.Minute, Log: zap.NewNop(), Stats: NewStats(meter.New()),
+		Now: func() time.Duration { return h.now }, WallMS: func() int64 { return startWallMS + h.now.Milliseconds() },
+		StopGrace: time.Minute, Log: zap.NewNop(), Stats: NewStats(meter.New()),
 		Run: func(ctx context.Context, r *call.Request, sink call.Sink, p *call.Progress) call.Result {
-			return b.serve(b.runs, &fakeRun{req: r, id: r.ID, ctx: ctx, sink: sink, p: p})
+			return h.serveRun(h.runs, &fakeRun{req: r, id: r.ID, ctx: ctx, sink: sink, progress: p})
 		},
 		Resume: func(ctx context.Context, id ident.ID, sink call.Sink, p *call.Progress) call.Result {
-			return b.serve(b.resumes, &fakeRun{id: id, ctx: ctx, sink: sink, p: p})
+			return h.serveRun(h.resumes, &fakeRun{id: id, ctx: ctx, sink: sink, progress: p})
 		},
 		Cancel: func(_ context.Context, id ident.ID) error {
-			b.cancels <- id
+			h.cancels <- id
 			return nil
 		},
 	}
-	b.o = New(cfg)
+	h.o = New(cfg)
 	ctx, stop := context.WithCancel(context.Background())
-	b.o.ctx = ctx
+	h.o.taskCtx = ctx
 	t.Cleanup(func() {
 		stop()
-		b.o.wait()
+		h.o.awaitTasks()
 	})
-	return b
+	return h
 }
 
-func (b *bench) serve(to chan *fakeRun, r *fakeRun) call.Result {
-	r.end = make(chan call.Result, 1)
+func (h *harness) serveRun(to chan *fakeRun, r *fakeRun) call.Result {
+	r.result = make(chan call.Result, 1)
 	to <- r
 	select {
-	case res := <-r.end:
+	case res := <-r.result:
 		return res
 	case <-r.ctx.Done():
 		return call.Result{Sent: true, Err: r.ctx.Err()}
 	}
 }
 
-// peer is a link whose messages the test reads.
-type peer struct {
+// testLink is an entry's link. The test reads the messages that the owner sends on
+// it.
+type testLink struct {
 	*Peer
-	b   *bench
-	got chan wire.Message
+	h        *harness
+	messages chan wire.Message
 }
 
-func (b *bench) link(incarnation uint64) *peer {
-	p := &peer{b: b, got: make(chan wire.Message, 1024)}
+func (h *harness) newLink(incarnation uint64) *testLink {
+	p := &testLink{h: h, messages: make(chan wire.Message, 1024)}
 	p.Peer = &Peer{
 		Name: "e", Incarnation: incarnation,
-		Send: func(m wire.Message) error { p.got <- m; return nil },
+		Send: func(m wire.Message) error { p.messages <- m; return nil },
 		SendWait: func(_ context.Context, m wire.Message) error {
-			p.got <- m
+			p.messages <- m
 			return nil
 		},
 	}
-	b.do(linkUp{p.Peer})
+	h.apply(linkUpEvent{p.Peer})
 	return p
 }
 
-// do lets the owner take in one event and decide.
-func (b *bench) do(ev event) {
-	ev.apply(b.o, b.clock)
-	b.o.dispatch(b.clock)
-	b.o.publish()
+// apply applies one event and lets the owner dispatch.
+func (h *harness) apply(ev event) {
+	ev.apply(h.o, h.now)
+	h.o.dispatch(h.now)
+	h.o.publishLoad()
 }
 
-func (p *peer) send(m wire.Message) { p.b.do(message{p.Peer, m}) }
+func (p *testLink) send(m wire.Message) { p.h.apply(messageEvent{p.Peer, m}) }
 
-// after moves the clock and lets the owner look at it.
-func (b *bench) after(d time.Duration) {
-	b.clock += d
-	b.o.tick(b.clock)
-	b.o.dispatch(b.clock)
-	b.o.publish()
+// advance advances the clock and lets the owner handle the tick.
+func (h *harness) advance(d time.Duration) {
+	h.now += d
+	h.o.tick(h.now)
+	h.o.dispatch(h.now)
+	h.o.publishLoad()
 }
 
-// pump takes in events of goroutines until cond holds.
-func (b *bench) pump(cond func() bool) {
-	b.t.Helper()
-	limit := time.After(testWait)
+// applyUntil applies events from goroutines until cond holds.
+func (h *harness) applyUntil(cond func() bool) {
+	h.t.Helper()
+	limit := time.After(testTimeout)
 	for !cond() {
 		select {
-		case ev := <-b.o.events.Items():
-			b.do(ev)
+		case ev := <-h.o.events.Items():
+			h.apply(ev)
 		case <-limit:
-			b.t.Fatal("nothing more happens")
+			h.t.Fatal("the condition was not met in time")
 		}
 	}
 }
 
-// next returns the next message of type M to the entry and skips others.
-func next[M wire.Message](p *peer) M {
-	p.b.t.Helper()
-	limit := time.After(testWait)
+// receive returns the next message of type M to the entry and skips all others.
+func receive[M wire.Message](p *testLink) M {
+	p.h.t.Helper()
+	limit := time.After(testTimeout)
 	for {
 		select {
-		case m := <-p.got:
+		case m := <-p.messages:
 			if want, ok := m.(M); ok {
 				return want
 			}
-		case ev := <-p.b.o.events.Items():
-			p.b.do(ev)
+		case ev := <-p.h.o.events.Items():
+			p.h.apply(ev)
 		case <-limit:
 			var want M
-			p.b.t.Fatalf("no %s came", want.Kind())
+			p.h.t.Fatalf("no %s arrived", want.Kind())
 		}
 	}
 }
 
-// none fails if a message of type M has been sent.
-func none[M wire.Message](p *peer) {
-	p.b.t.Helper()
+// expectNone fails the test if a message of type M has been sent to the entry.
+func expectNone[M wire.Message](p *testLink) {
+	p.h.t.Helper()
 	for {
 		select {
-		case m := <-p.got:
+		case m := <-p.messages:
 			if _, ok := m.(M); ok {
-				p.b.t.Fatalf("unexpected %#v", m)
+				p.h.t.Fatalf("unexpected %#v", m)
 			}
 		default:
 			return
@@ -174,54 +176,56 @@
 	}
 }
 
-func (b *bench) run() *fakeRun {
-	b.t.Helper()
+// nextRun returns the next request that is passed to the endpoint.
+func (h *harness) nextRun() *fakeRun {
+	h.t.Helper()
 	select {
-	case r := <-b.runs:
+	case r := <-h.runs:
 		return r
-	case <-time.After(testWait):
-		b.t.Fatal("nothing was run")
+	case <-time.After(testTimeout):
+		h.t.Fatal("no request was run")
 		return nil
 	}
 }
 
-// idle fails if anything was handed to the endpoint.
-func (b *bench) idle() {
-	b.t.Helper()
-	if n := len(b.o.running); n != 0 {
-		b.t.Fatalf("%d runs under way", n)
+// expectIdle fails the test if a request runs or was passed to the endpoint.
+func (h *harness) expectIdle() {
+	h.t.Helper()
+	if n := len(h.o.running); n != 0 {
+		h.t.Fatalf("%d requests run", n)
 	}
 	select {
-	case r := <-b.runs:
-		b.t.Fatalf("request %s was run", r.id)
+	case r := <-h.runs:
+		h.t.Fatalf("request %s was run", r.id)
 	default:
 	}
 }
 
-func (r *fakeRun) answer(pieces ...string) {
+// finish ends the run with status 200 and the given chunks.
+func (r *fakeRun) finish(chunks ...string) {
 	r.sink.Head(200, nil)
-	for _, s := range pieces {
-		r.p.RecordChunk()
+	for _, s := range chunks {
+		r.progress.RecordChunk()
 		_ = r.sink.Chunk(r.ctx, []byte(s))
 	}
-	r.end <- call.Result{Sent: true, Complete: true, Status: 200}
+	r.result <- call.Result{Sent: true, Complete: true, Status: 200}
 }
 
-func offerOf(n uint64) *wire.Offer {
-	return &wire.Offer{ID: ident.Make(entryInc, n), Pool: pool, Customer: "metro", Class: "swap", DeadlineMS: 60000, Repeatable: true, Cancellable: true}
+func newOffer(n uint64) *wire.Offer {
+	return &wire.Offer{ID: ident.Make(entryIncarnation, n), Pool: testPool, Customer: "metro", Class: "swap", DeadlineMS: 60000, Repeatable: true, Cancellable: true}
 }
 
-func grantOf(m *wire.Offer) *wire.Grant {
+func newGrant(m *wire.Offer) *wire.Grant {
 	return &wire.Grant{ID: m.ID, Method: "POST", Path: "/v1/completions", Body: []byte("{}")}
 }
 
-// started brings a request to the point where it runs.
-func (p *peer) started(m *wire.Offer) *fakeRun {
-	p.b.t.Helper()
+// startRequest offers and grants a request and returns its run at the endpoint.
+func (p *testLink) startRequest(m *wire.Offer) *fakeRun {
+	p.h.t.Helper()
 	p.send(m)
-	if c := next[*wire.Claim](p); c.ID != m.ID {
-		p.b.t.Fatalf("claim of %s, want %s", c.ID, m.ID)
+	if c := receive[*wire.Claim](p); c.ID != m.ID {
+		p.h.t.Fatalf("claim of %s, want %s", c.ID, m.ID)
 	}
-	p.send(grantOf(m))
-	return p.b.run()
+	p.send(newGrant(m))
+	return p.h.nextRun()
 }
--- a/agent/slot/claim.go
+++ b/agent/slot/claim.go
@@ -14,29 +14,29 @@
 	"lycheepond/core/wire"
 )
 
-// dispatch starts and claims whatever there is room for.
+// dispatch starts granted requests and claims queued ones while slots are free.
 func (o *Owner) dispatch(now time.Duration) {
 	o.startReady(now)
-	for !o.leaving && !o.down && !o.stalled {
-		it, ok := o.queue.Next(now, func(it queue.Item) queue.Fit { return o.fit(now, it) })
+	for !o.isLeaving && !o.isDown && !o.isStalled {
+		it, ok := o.queue.Next(now, func(it queue.Item) queue.Fit { return o.checkFit(now, it) })
 		if ok {
-			o.claim(now, o.recs[it.ID])
+			o.sendClaim(now, o.records[it.ID])
 			continue
 		}
 		if head, ok := o.queue.Peek(now); ok {
-			o.displace(now, o.recs[head.ID])
+			o.displaceFor(now, o.records[head.ID])
 		}
 		return
 	}
 }
 
-// fit tells whether a queued request may be claimed now. What was claimed or
-// granted for a lower tier and has not started does not stand in its way: it
-// waits, and is given back when it waits too long.
-func (o *Owner) fit(now time.Duration, it queue.Item) queue.Fit {
-	r := o.recs[it.ID]
-	sum, held := o.committed(int(r.offer.Tier))
-	switch o.bound.Fit(now, sum, r.work) {
+// checkFit decides whether a queued request may be claimed now. Requests of a lower
+// tier that were claimed or granted but have not started do not block it. They
+// wait, and are returned when they wait too long.
+func (o *Owner) checkFit(now time.Duration, it queue.Item) queue.Fit {
+	r := o.records[it.ID]
+	committed, notStarted := o.committedWork(int(r.offer.Tier))
+	switch o.bound.Fit(now, committed, r.work) {
 	case bound.Yes:
 		return queue.Fits
 	case bound.LongFull:
@@ -44,90 +44,91 @@
 	case bound.NoMemory:
 		return queue.PassFew
 	}
-	if held == 0 && ahead(r) && len(o.running) > 0 {
+	if notStarted == 0 && canClaimEarly(r) && len(o.running) > 0 {
 		return queue.Fits
 	}
 	return queue.Stop
 }
 
-// ahead reports whether r may be claimed before its place is free, so that the
-// round trip to the entry costs no idle place.
-func ahead(r *rec) bool { return r.work.Cost > 0 && r.work.Cost <= aheadCost }
+// canClaimEarly reports whether r may be claimed before a slot is free, so that
+// the slot is not idle during the round trip to the entry.
+func canClaimEarly(r *record) bool { return r.work.Cost > 0 && r.work.Cost <= maxEarlyClaimCost }
 
-func (o *Owner) claim(now time.Duration, r *rec) {
-	o.setState(now, r, claimed)
-	r.long, r.charged = o.bound.Long(r.work), true
-	o.publish()
+func (o *Owner) sendClaim(now time.Duration, r *record) {
+	o.setState(now, r, stateClaimed)
+	r.isLong, r.isCharged = o.bound.Long(r.work), true
+	o.publishLoad()
 	o.send(r.link, &wire.Claim{ID: r.id, Load: *o.load.Load()})
 }
 
-// uncharge gives a customer back what was counted against its share for a
-// request that will not run here.
-func (o *Owner) uncharge(r *rec) {
-	if r.charged {
-		r.charged = false
+// refundCharge takes back the charge to a customer's share for a request that will
+// not run here.
+func (o *Owner) refundCharge(r *record) {
+	if r.isCharged {
+		r.isCharged = false
 		o.queue.Done(r.offer.Customer, r.offer.Tier, r.work.Cost, 0)
 	}
 }
 
-// onlyRunning leaves claims and grants out of committed.
-const onlyRunning = -1
+// runningOnly as the tier of committedWork excludes claims and grants.
+const runningOnly = -1
 
-// committed sums up what runs, and what was claimed or granted for tiers down
-// to the given one, of which it also returns the number.
-func (o *Owner) committed(tier int) (sum bound.Running, held int) {
+// committedWork returns the total of the running requests and of those that were
+// claimed or granted but have not started and whose tier is at or above the given
+// one. notStarted is the number of the latter.
+func (o *Owner) committedWork(tier int) (sum bound.Running, notStarted int) {
 	for _, r := range o.running {
-		add(&sum, r)
+		addWork(&sum, r)
 	}
-	if tier == onlyRunning || o.claims+len(o.ready) == 0 {
+	if tier == runningOnly || o.claimCount+len(o.readyRecords) == 0 {
 		return sum, 0
 	}
-	for _, r := range o.held {
-		if r.state != parked && int(r.offer.Tier) <= tier {
-			add(&sum, r)
-			held++
+	for _, r := range o.waitingUnqueued {
+		if r.state != stateParked && int(r.offer.Tier) <= tier {
+			addWork(&sum, r)
+			notStarted++
 		}
 	}
-	return sum, held
+	return sum, notStarted
 }
 
-func add(sum *bound.Running, r *rec) {
+func addWork(sum *bound.Running, r *record) {
 	sum.Count++
 	sum.Tokens += r.work.Tokens
-	if r.long {
+	if r.isLong {
 		sum.LongCount++
 	}
 }
 
-// expireClaims drops claims that were never answered. The test is made again
-// when a grant comes: after a pause of this process a late grant may be read
-// before the timer.
+// expireClaims drops claims that were not answered in time. startRefusal repeats
+// the check when a grant arrives, because after a pause of this process a late
+// grant may be read before the timer fires.
 func (o *Owner) expireClaims(now time.Duration) {
-	if o.claims == 0 {
+	if o.claimCount == 0 {
 		return
 	}
-	for _, r := range o.held {
-		if r.state == claimed && now-r.changed > claimTimeout {
-			logs.Warn(o.log, logs.EventRequestReturned, logs.Request(r.id), zap.Stringer("reason", wire.ReasonNeverGranted), zap.String("peer", r.sess.name))
-			o.bury(now, r, wire.ReasonNeverGranted)
+	for _, r := range o.waitingUnqueued {
+		if r.state == stateClaimed && now-r.stateSince > claimTimeout {
+			logs.Warn(o.log, logs.EventRequestReturned, logs.Request(r.id), zap.Stringer("reason", wire.ReasonNeverGranted), zap.String("peer", r.session.name))
+			o.setTombstone(now, r, wire.ReasonNeverGranted)
 		}
 	}
 }
 
-func (o *Owner) grant(now time.Duration, p *Peer, m *wire.Grant) {
-	r := o.recs[m.ID]
+func (o *Owner) handleGrant(now time.Duration, p *Peer, m *wire.Grant) {
+	r := o.records[m.ID]
 	if r == nil {
 		o.refuseGrant(now, p, m.ID)
 		return
 	}
 	switch r.state {
-	case dead:
+	case stateTombstone:
 		o.sendReturnTo(p, r.id, wire.ReasonNeverGranted)
 		return
-	case claimed:
+	case stateClaimed:
 	default:
-		// A duplicate of a grant that was taken, or one for a claim that this
-		// link did not carry.
+		// It is a duplicate of a grant that was accepted, or a grant for a claim
+		// that was not sent on this link.
 		o.cfg.Stats.strayGrants.Inc(1)
 		return
 	}
@@ -135,36 +136,38 @@
 		o.cfg.Stats.strayGrants.Inc(1)
 		return
 	}
-	if reason := o.tooLate(now, r); reason != wire.ReasonNone {
-		o.bury(now, r, reason)
+	if reason := o.startRefusal(now, r); reason != wire.ReasonNone {
+		o.setTombstone(now, r, reason)
 		o.sendReturn(r, reason)
 		return
 	}
-	o.setState(now, r, ready)
-	r.grant, r.log = m, answer.New(&o.budget)
-	o.ready = append(o.ready, r)
-	o.startFollow(r, r.id, r.log, p, 0)
-	o.firstGranted(now, r)
+	o.setState(now, r, stateReady)
+	r.grant, r.answer = m, answer.New(&o.budget)
+	o.readyRecords = append(o.readyRecords, r)
+	o.startFollow(r, r.id, r.answer, p, 0)
+	o.joinWaiters(now, r)
 	o.startReady(now)
 }
 
-// refuseGrant puts a tombstone on an ID that was never claimed here.
+// refuseGrant returns a grant for an ID that was never claimed here, and keeps a
+// tombstone for the ID.
 func (o *Owner) refuseGrant(now time.Duration, p *Peer, id ident.ID) {
-	r := &rec{id: id, sess: o.session(p), link: p, reason: wire.ReasonNeverGranted, state: dead, changed: now}
-	o.recs[id] = r
-	o.old = append(o.old, r)
+	r := &record{id: id, session: o.sessionOf(p), link: p, notRunReason: wire.ReasonNeverGranted, state: stateTombstone, stateSince: now}
+	o.records[id] = r
+	o.finishedRecords = append(o.finishedRecords, r)
 	o.cfg.Stats.strayGrants.Inc(1)
 	o.sendReturnTo(p, id, wire.ReasonNeverGranted)
 }
 
-// tooLate says why a granted request must not be started now.
-func (o *Owner) tooLate(now time.Duration, r *rec) wire.Reason {
+// startRefusal returns the reason why a granted request must not be started now,
+// or ReasonNone.
+func (o *Owner) startRefusal(now time.Duration, r *record) wire.Reason {
 	switch {
-	case r.state == claimed && now-r.changed > claimTimeout:
+	case r.state == stateClaimed && now-r.stateSince > claimTimeout:
 		return wire.ReasonNeverGranted
 	case r.expired(now):
 		return wire.ReasonDeadline
-	case r.offer.Tier > o.levelOf(now, r.offer.Pool):
+	case r.offer.Tier > o.poolLevel(now, r.offer.Pool):
 		return wire.ReasonShed
 	case r.key != nil:
 		return o.keyRefusal(now, r.offer)
@@ -172,36 +175,36 @@
 	return wire.ReasonNone
 }
 
-// startReady hands granted requests to the endpoint while it has room, the
+// startReady passes granted requests to the endpoint while it has free slots, the
 // highest tier first.
 func (o *Owner) startReady(now time.Duration) {
-	if len(o.ready) == 0 {
+	if len(o.readyRecords) == 0 {
 		return
 	}
-	slices.SortStableFunc(o.ready, func(a, b *rec) int { return int(a.offer.Tier) - int(b.offer.Tier) })
-	for i := 0; i < len(o.ready); {
-		r := o.ready[i]
-		if reason := o.notStartable(now, r); reason != wire.ReasonNone {
-			o.giveBack(now, r, reason)
+	slices.SortStableFunc(o.readyRecords, func(a, b *record) int { return int(a.offer.Tier) - int(b.offer.Tier) })
+	for i := 0; i < len(o.readyRecords); {
+		r := o.readyRecords[i]
+		if reason := o.readyRefusal(now, r); reason != wire.ReasonNone {
+			o.returnRequest(now, r, reason)
 			continue
 		}
-		if sum, _ := o.committed(onlyRunning); o.stalled || !o.bound.Room(now, sum, r.work) {
+		if sum, _ := o.committedWork(runningOnly); o.isStalled || !o.bound.Room(now, sum, r.work) {
 			i++
 			continue
 		}
-		o.ready = append(o.ready[:i], o.ready[i+1:]...)
-		o.start(now, r)
+		o.readyRecords = append(o.readyRecords[:i], o.readyRecords[i+1:]...)
+		o.startRun(now, r)
 	}
 }
 
-// notStartable says why a granted request must go back instead of waiting for
-// its place here.
-func (o *Owner) notStartable(now time.Duration, r *rec) wire.Reason {
+// readyRefusal returns the reason why a granted request must be returned instead
+// of waiting for a slot here, or ReasonNone.
+func (o *Owner) readyRefusal(now time.Duration, r *record) wire.Reason {
 	switch {
-	case o.down:
+	case o.isDown:
 		return wire.ReasonUnreachable
-	case now-r.changed > readyPatience:
+	case now-r.stateSince > maxReadyWait:
 		return wire.ReasonDisplaced
 	}
-	return o.tooLate(now, r)
+	return o.startRefusal(now, r)
 }
--- a/agent/slot/displ.go
+++ b/agent/slot/displ.go
@@ -7,71 +7,75 @@
 	"lycheepond/core/wire"
 )
 
-// displaceAhead is how long before the last moment a run is stopped: the engine
-// has to notice, and the entry to grant. To be measured.
-const displaceAhead = 200 * time.Millisecond
+// displaceLeadTime is how long before the latest start of a waiting request another
+// run is stopped for it. In this time the engine must cancel the run and the entry
+// must grant the waiting request.
+const displaceLeadTime = 200 * time.Millisecond
 
-// displace makes room for r, which would be late otherwise, by stopping work
-// of a lower tier that runs, may be run again, and has shown nothing to its
-// caller. The place comes free when the run has ended.
-func (o *Owner) displace(now time.Duration, r *rec) {
-	sum, _ := o.committed(int(r.offer.Tier))
+// displaceFor frees a slot for r if r would otherwise be late. It stops a running
+// request of a lower tier that may be repeated and whose answer has not begun. The
+// slot is free when that run has ended.
+func (o *Owner) displaceFor(now time.Duration, r *record) {
+	sum, _ := o.committedWork(int(r.offer.Tier))
 	if o.bound.Fit(now, sum, r.work) == bound.LongFull {
-		// Short work of a lower tier holds places that r would not get.
+		// Short requests of a lower tier occupy slots that r could not use.
 		return
 	}
-	if !o.wouldBeLate(now, r) || o.halting() >= o.waitingAbove(r.offer.Tier) {
+	if !o.mustStartNow(now, r) || o.displacingCount() >= o.queuedAtOrAbove(r.offer.Tier) {
 		return
 	}
-	if v := o.runningVictim(r); v != nil {
-		o.halt(v, wire.ReasonDisplaced)
+	if v := o.displacementVictim(r); v != nil {
+		o.stopRun(v, wire.ReasonDisplaced)
 	}
 }
 
-// runningVictim chooses the lowest tier and in it what began last, which has
-// the least work to lose. An answer that has begun is spared: its caller would
-// see it break off.
-func (o *Owner) runningVictim(r *rec) *rec {
-	var worst *rec
+// displacementVictim returns the running request to stop for r, or nil. It chooses
+// the lowest tier, and within it the run that started last, because it loses the
+// least work. A run whose answer has begun is never chosen: its caller would see
+// the answer break off.
+func (o *Owner) displacementVictim(r *record) *record {
+	var victim *record
 	for _, v := range o.running {
-		if v.offer == nil || !v.offer.Repeatable || v.key != nil || v.stopped != wire.ReasonNone ||
-			v.offer.Tier <= r.offer.Tier || v.log.HasHead() {
+		if v.offer == nil || !v.offer.Repeatable || v.key != nil || v.stopReason != wire.ReasonNone ||
+			v.offer.Tier <= r.offer.Tier || v.answer.HasHead() {
 			continue
 		}
-		if worst == nil || v.offer.Tier > worst.offer.Tier || (v.offer.Tier == worst.offer.Tier && v.started > worst.started) {
-			worst = v
+		if victim == nil || v.offer.Tier > victim.offer.Tier || (v.offer.Tier == victim.offer.Tier && v.startedAt > victim.startedAt) {
+			victim = v
 		}
 	}
-	return worst
+	return victim
 }
 
-// wouldBeLate reports whether r misses its target unless a place comes free
-// now. It does not ask when a run will end by itself: estimates of that are
-// often wrong, the bound may grow, and another agent holds the offer too, so
-// until the last moment the place may come without any loss. For a request
-// that is late already nothing is stopped: it runs next, and the work would be
-// lost for no target.
-func (o *Owner) wouldBeLate(now time.Duration, r *rec) bool {
-	first := now + o.firstMean
-	return r.due > 0 && first <= r.due && first+displaceAhead > r.due
+// mustStartNow reports whether r misses its target unless a slot becomes free now.
+// It does not predict when a running request will end: such estimates are often
+// wrong, the bound may grow, and another agent has the offer too. Until the last
+// moment r may therefore get a slot without any loss of work. mustStartNow returns
+// false for a request that is already late: it runs next anyway, and stopping
+// another one would lose work without meeting the target.
+func (o *Owner) mustStartNow(now time.Duration, r *record) bool {
+	firstByteAt := now + o.meanFirstByte
+	return r.startBy > 0 && firstByteAt <= r.startBy && firstByteAt+displaceLeadTime > r.startBy
 }
 
-// halting counts the runs that are being stopped to make room.
-func (o *Owner) halting() int {
+// displacingCount returns the number of runs that are being stopped for requests
+// of a higher tier.
+func (o *Owner) displacingCount() int {
 	n := 0
 	for _, v := range o.running {
-		if v.stopped == wire.ReasonDisplaced {
+		if v.stopReason == wire.ReasonDisplaced {
 			n++
 		}
 	}
 	return n
 }
 
-// waitingAbove counts queued requests of the tier and those above it.
-func (o *Owner) waitingAbove(tier uint8) int {
+// queuedAtOrAbove returns the number of queued requests of the given tier and
+// higher tiers.
+func (o *Owner) queuedAtOrAbove(tier uint8) int {
 	n := 0
 	for _, v := range o.waiting {
-		if v.state == queued && v.offer.Tier <= tier {
+		if v.state == stateQueued && v.offer.Tier <= tier {
 			n++
 		}
 	}
--- a/agent/slot/event.go
+++ b/agent/slot/event.go
@@ -9,122 +9,125 @@
 	"lycheepond/core/wire"
 )
 
-// event is something that the owner takes in.
+// event is something that happened and that the owner's goroutine applies to its
+// state.
 type event interface {
 	apply(o *Owner, now time.Duration)
 }
 
 // Peer is one link to an entry.
 type Peer struct {
-	// Name and Incarnation are the entry's.
+	// Name and Incarnation identify the entry process.
 	Name        string
 	Incarnation uint64
-	// Send queues a message without waiting; SendWait waits for room.
+	// Send queues a message and fails if the link's queue is full; SendWait waits
+	// for room in the queue.
 	Send     func(m wire.Message) error
 	SendWait func(ctx context.Context, m wire.Message) error
 }
 
-type linkUp struct{ p *Peer }
+type linkUpEvent struct{ p *Peer }
 
-func (e linkUp) apply(o *Owner, now time.Duration) { o.linkUp(now, e.p) }
+func (e linkUpEvent) apply(o *Owner, now time.Duration) { o.handleLinkUp(now, e.p) }
 
-type linkDown struct{ p *Peer }
+type linkDownEvent struct{ p *Peer }
 
-func (e linkDown) apply(o *Owner, now time.Duration) { o.linkDown(now, e.p) }
+func (e linkDownEvent) apply(o *Owner, now time.Duration) { o.handleLinkDown(now, e.p) }
 
-type message struct {
+type messageEvent struct {
 	p *Peer
 	m wire.Message
 }
 
-func (e message) apply(o *Owner, now time.Duration) { o.message(now, e.p, e.m) }
+func (e messageEvent) apply(o *Owner, now time.Duration) { o.handleMessage(now, e.p, e.m) }
 
-// taskEnd reports the end of a goroutine and what it found.
-type taskEnd struct{ ev event }
+// taskEndEvent reports the end of a goroutine, with its result as another event.
+type taskEndEvent struct{ ev event }
 
-func (e taskEnd) apply(o *Owner, now time.Duration) {
-	o.tasks--
+func (e taskEndEvent) apply(o *Owner, now time.Duration) {
+	o.taskCount--
 	if e.ev != nil {
 		e.ev.apply(o, now)
 	}
 }
 
-type finished struct {
-	r   *rec
+type runEndEvent struct {
+	r   *record
 	res call.Result
 }
 
-func (e finished) apply(o *Owner, now time.Duration) { o.finish(now, e.r, e.res) }
+func (e runEndEvent) apply(o *Owner, now time.Duration) { o.handleRunEnd(now, e.r, e.res) }
 
-type followed struct {
-	r *rec
-	f *following
-	// whole is set when the answer was sent to its end.
-	whole bool
+type followEndEvent struct {
+	r *record
+	f *followTask
+	// answerSent is set when the answer was sent up to its end.
+	answerSent bool
 }
 
-func (e followed) apply(_ *Owner, _ time.Duration) {
-	e.r.told = e.r.told || e.whole
-	if e.r.follow == e.f {
-		e.r.follow = nil
+func (e followEndEvent) apply(_ *Owner, _ time.Duration) {
+	e.r.answerSent = e.r.answerSent || e.answerSent
+	if e.r.follower == e.f {
+		e.r.follower = nil
 	}
 }
 
-type report struct {
+type reportEvent struct {
 	load engine.Load
 	err  error
 }
 
-func (e report) apply(o *Owner, now time.Duration) { o.report(now, e.load, e.err) }
+func (e reportEvent) apply(o *Owner, now time.Duration) { o.handleReport(now, e.load, e.err) }
 
-type leave struct{}
+type leaveEvent struct{}
 
-func (leave) apply(o *Owner, now time.Duration) { o.leave(now) }
+func (leaveEvent) apply(o *Owner, now time.Duration) { o.beginLeave(now) }
 
-// LinkUp tells the owner of a new link. The caller's goroutine waits while the
-// ring is full, which holds the sender of the messages back.
-func (o *Owner) LinkUp(ctx context.Context, p *Peer) error { return o.events.Put(ctx, linkUp{p}) }
+// LinkUp reports a new link. It waits while the event ring is full, which slows
+// the sender of the link's messages down.
+func (o *Owner) LinkUp(ctx context.Context, p *Peer) error { return o.events.Put(ctx, linkUpEvent{p}) }
 
-// LinkDown tells the owner that a link has ended, after its last message.
-func (o *Owner) LinkDown(p *Peer) error { return o.events.Put(o.life, linkDown{p}) }
+// LinkDown reports that a link has ended. It must be called after Message for the
+// link's last message.
+func (o *Owner) LinkDown(p *Peer) error { return o.events.Put(o.lifeCtx, linkDownEvent{p}) }
 
-// Message hands a message from a link to the owner.
+// Message passes a message from a link to the owner.
 func (o *Owner) Message(ctx context.Context, p *Peer, m wire.Message) error {
-	return o.events.Put(ctx, message{p, m})
+	return o.events.Put(ctx, messageEvent{p, m})
 }
 
-// Report hands the endpoint's report of itself, or why there was none, to the
+// Report passes the endpoint's load report, or the error that prevented it, to the
 // owner.
 func (o *Owner) Report(ctx context.Context, l engine.Load, err error) error {
-	return o.events.Put(ctx, report{l, err})
+	return o.events.Put(ctx, reportEvent{l, err})
 }
 
 // Leave begins a planned stop.
-func (o *Owner) Leave(ctx context.Context) error { return o.events.Put(ctx, leave{}) }
+func (o *Owner) Leave(ctx context.Context) error { return o.events.Put(ctx, leaveEvent{}) }
 
-func (o *Owner) message(now time.Duration, p *Peer, m wire.Message) {
+func (o *Owner) handleMessage(now time.Duration, p *Peer, m wire.Message) {
 	switch m := m.(type) {
 	case *wire.Offer:
-		o.offer(now, p, m)
+		o.handleOffer(now, p, m)
 	case *wire.Withdraw:
-		o.withdraw(now, p, m.ID)
+		o.handleWithdraw(now, p, m.ID)
 	case *wire.Grant:
-		o.grant(now, p, m)
+		o.handleGrant(now, p, m)
 	case *wire.Deny:
-		o.deny(now, p, m.ID)
+		o.handleDeny(now, p, m.ID)
 	case *wire.Cancel:
-		o.cancel(now, p, m)
+		o.handleCancel(now, p, m)
 	case *wire.Attach:
-		o.attach(now, p, m)
+		o.handleAttach(now, p, m)
 	case *wire.Level:
-		o.level(now, p, m)
+		o.handleLevel(now, p, m)
 	case *wire.News:
-		o.news(now, m)
+		o.handleObjectUpdate(now, m)
 	case *wire.LeaseAck:
-		o.leaseAck(now, p, m)
+		o.handleLeaseReply(now, p, m)
 	case *wire.Handover:
-		o.handover(now, p, m)
+		o.handleHandover(now, p, m)
 	case *wire.HandAck:
-		o.handAck(now, m)
+		o.handleHandoverAck(now, m)
 	}
 }
--- a/agent/slot/hand.go
+++ b/agent/slot/hand.go
@@ -12,49 +12,51 @@
 	"lycheepond/core/wire"
 )
 
-// Figures of the handover. They are chosen, to be measured.
 const (
-	// handWait is how long a planned stop waits for the handover once no keyed
-	// work is left. Entries look for lost owners four times a second.
-	handWait = 3 * time.Second
-	// handAgain is when a part without an answer is sent again.
-	handAgain = 300 * time.Millisecond
-	// handSize is how many bytes of answers fill a part; one answer more may
-	// exceed it, which stays below wire.MaxFrame.
-	handSize = 256 << 10
-	// takeKeep is how long the state of a handover that stopped half way is
-	// remembered. No agent's grace time is as long.
-	takeKeep = 10 * time.Minute
+	// handoverTimeout is how long a planned stop waits for the handover after the
+	// last request with an idempotency key has ended. Entries check for lost owners
+	// four times a second.
+	handoverTimeout = 3 * time.Second
+	// partRetryInterval is the time after which an unanswered part is sent again.
+	partRetryInterval = 300 * time.Millisecond
+	// partAnswerBytes is the number of bytes of answers at which a part is full. The
+	// last answer may exceed it, but the part stays below wire.MaxFrame.
+	partAnswerBytes = 256 << 10
+	// incomingRetention is how long the state of an interrupted handover is kept. It
+	// is longer than the stop grace of any agent.
+	incomingRetention = 10 * time.Minute
 )
 
-// hand is a gift that this agent hands over.
-type hand struct {
+// outgoingHandover is a handover of key records from this agent.
+type outgoingHandover struct {
 	pool string
-	gift homes.Gift
-	// keys are the records that have not been confirmed, of which part holds
-	// the first taken.
-	keys  []*keyRec
-	part  *wire.Handover
-	taken int
-	next  time.Duration
-	done  bool
+	plan homes.Gift
+	// pendingKeys holds the records that have not been acknowledged. The first
+	// partKeys of them belong to part, the part that is being sent.
+	pendingKeys []*keyRecord
+	part        *wire.Handover
+	partKeys    int
+	// nextSend is when part is sent again.
+	nextSend time.Duration
+	// isDone is set when the last part was acknowledged or no handover is possible.
+	isDone bool
 }
 
-// takeID names a handover to this agent.
-type takeID struct {
-	pool string
-	from spec.HomeOwner
-	took int64
+// handoverID identifies a handover to this agent.
+type handoverID struct {
+	pool  string
+	from  spec.HomeOwner
+	epoch int64
 }
 
-// taking is how far a handover to this agent has come.
-type taking struct {
-	// seq is the part that comes next.
-	seq uint32
-	at  time.Duration
+// incomingHandover is the progress of a handover to this agent.
+type incomingHandover struct {
+	// nextSeq is the sequence number of the next part.
+	nextSeq   uint32
+	updatedAt time.Duration
 }
 
-func party(o spec.HomeOwner) wire.Party {
+func agentProcess(o spec.HomeOwner) wire.Party {
 	return wire.Party{Name: o.Name, Incarnation: o.Incarnation}
 }
 
@@ -62,26 +64,28 @@
 	return spec.HomeOwner{Name: p.Name, Incarnation: p.Incarnation}
 }
 
-// tickHand hands records over once this agent will never act for a key again:
-// it is leaving, so it takes no offers, and no keyed work is left.
-func (o *Owner) tickHand(now time.Duration) {
-	if !o.leaving || o.keyedWork() {
+// tickHandovers hands key records over when this agent will never act for a key
+// again: it is leaving, so it accepts no offers, and no request with an idempotency
+// key is left.
+func (o *Owner) tickHandovers(now time.Duration) {
+	if !o.isLeaving || o.hasKeyedWork() {
 		return
 	}
-	if o.handBy == 0 {
-		o.handBy = min(now+handWait, o.leaveBy)
+	if o.handoverDeadline == 0 {
+		o.handoverDeadline = min(now+handoverTimeout, o.leaveDeadline)
 	}
-	for pool, h := range o.homes {
-		for _, g := range h.Gifts(now) {
-			o.beginHand(pool, h, g)
+	for pool, h := range o.homeViews {
+		for _, plan := range h.Gifts(now) {
+			o.beginHandover(pool, h, plan)
 		}
 	}
-	for _, h := range o.hands {
-		o.sendHand(now, h)
+	for _, h := range o.outgoingHandovers {
+		o.sendPart(now, h)
 	}
 }
 
-func (o *Owner) keyedWork() bool {
+// hasKeyedWork reports whether a request with an idempotency key waits or runs.
+func (o *Owner) hasKeyedWork() bool {
 	for _, r := range o.waiting {
 		if r.key != nil {
 			return true
@@ -93,52 +97,53 @@
 		}
 	}
 	for _, k := range o.keys {
-		if k.log != nil && !k.log.Ended() {
+		if k.answer != nil && !k.answer.Ended() {
 			return true
 		}
 	}
 	return false
 }
 
-func (o *Owner) beginHand(pool string, holder *homes.Holder, g homes.Gift) {
-	if o.handOf(pool, g) != nil {
+func (o *Owner) beginHandover(pool string, view *homes.Holder, plan homes.Gift) {
+	if o.findHandover(pool, plan) != nil {
 		return
 	}
-	in := make(map[int]bool, len(g.Shares))
-	for _, s := range g.Shares {
-		in[s.Slot] = true
+	plannedSlots := make(map[int]bool, len(plan.Shares))
+	for _, s := range plan.Shares {
+		plannedSlots[s.Slot] = true
 	}
-	// A table of more slots than fit is left to the lease.
-	h := &hand{pool: pool, gift: g, done: len(g.Shares) > wire.MaxShares}
-	slots := len(holder.Table().Slots)
-	for _, k := range o.oldKeys {
-		if k.pool == pool && in[homes.Slot([]byte(k.key), slots)] {
-			h.keys = append(h.keys, k)
+	// If there are more slots than a message holds, there is no handover. The
+	// successor then waits for the end of the lease.
+	h := &outgoingHandover{pool: pool, plan: plan, isDone: len(plan.Shares) > wire.MaxShares}
+	slots := len(view.Table().Slots)
+	for _, k := range o.finishedKeys {
+		if k.pool == pool && plannedSlots[homes.Slot([]byte(k.key), slots)] {
+			h.pendingKeys = append(h.pendingKeys, k)
 		}
 	}
-	o.hands = append(o.hands, h)
+	o.outgoingHandovers = append(o.outgoingHandovers, h)
 }
 
-func (o *Owner) handOf(pool string, g homes.Gift) *hand {
-	for _, h := range o.hands {
-		if h.pool == pool && h.gift.To == g.To && h.gift.Took == g.Took {
+func (o *Owner) findHandover(pool string, plan homes.Gift) *outgoingHandover {
+	for _, h := range o.outgoingHandovers {
+		if h.pool == pool && h.plan.To == plan.To && h.plan.Took == plan.Took {
 			return h
 		}
 	}
 	return nil
 }
 
-// sendHand sends the part under way over any link. Another try may go through
-// another entry, because not every entry is linked to the receiver.
-func (o *Owner) sendHand(now time.Duration, h *hand) {
-	if h.done || now < h.next {
+// sendPart sends the current part on any link. A repetition may go through another
+// entry, because not every entry has a link to the receiver.
+func (o *Owner) sendPart(now time.Duration, h *outgoingHandover) {
+	if h.isDone || now < h.nextSend {
 		return
 	}
 	if h.part == nil {
-		h.part = &wire.Handover{Pool: h.pool, From: party(o.cfg.Self), To: party(h.gift.To), Took: h.gift.Took}
-		o.fill(h)
+		h.part = &wire.Handover{Pool: h.pool, From: agentProcess(o.cfg.Self), To: agentProcess(h.plan.To), Took: h.plan.Took}
+		o.fillPart(h)
 	}
-	h.next = now + handAgain
+	h.nextSend = now + partRetryInterval
 	for _, s := range o.sessions {
 		if s.link != nil {
 			o.send(s.link, h.part)
@@ -147,57 +152,57 @@
 	}
 }
 
-// fill puts the next records into the part.
-func (o *Owner) fill(h *hand) {
-	h.taken = 0
+// fillPart adds the next records to the part, and the slots to the last part.
+func (o *Owner) fillPart(h *outgoingHandover) {
+	h.partKeys = 0
 	size := 0
-	for _, k := range h.keys {
-		if len(h.part.Records) == wire.MaxRecords || size >= handSize {
+	for _, k := range h.pendingKeys {
+		if len(h.part.Records) == wire.MaxRecords || size >= partAnswerBytes {
 			return
 		}
-		h.taken++
-		r := wire.KeyRecord{Key: []byte(k.key), First: k.first, Digest: k.digest}
-		if !k.lost && k.log.Export(&r) {
+		h.partKeys++
+		r := wire.KeyRecord{Key: []byte(k.key), First: k.firstID, Digest: k.digest}
+		if !k.isRemoved && k.answer.Export(&r) {
 			h.part.Records = append(h.part.Records, r)
 			size += len(r.Body)
 		}
 	}
 	h.part.Last = true
-	for _, s := range h.gift.Shares {
-		since := max(s.Since, o.keyFloor)
+	for _, s := range h.plan.Shares {
+		since := max(s.Since, o.evictedBeforeMS)
 		h.part.Shares = append(h.part.Shares, wire.Share{Slot: uint32(s.Slot), Since: since})
 	}
 }
 
-func (o *Owner) handAck(now time.Duration, m *wire.HandAck) {
-	for _, h := range o.hands {
-		if h.done || h.part == nil || h.pool != m.Pool || h.part.To != m.From || h.part.Took != m.Took || h.part.Seq != m.Seq {
+func (o *Owner) handleHandoverAck(now time.Duration, m *wire.HandAck) {
+	for _, h := range o.outgoingHandovers {
+		if h.isDone || h.part == nil || h.pool != m.Pool || h.part.To != m.From || h.part.Took != m.Took || h.part.Seq != m.Seq {
 			continue
 		}
-		last := h.part
-		if last.Last {
-			h.done, h.part, h.keys = true, nil, nil
-			logs.Info(o.log, logs.EventKeysHanded, zap.String("pool", h.pool), zap.String("to", h.gift.To.Name), zap.Int("slots", len(h.gift.Shares)))
+		part := h.part
+		if part.Last {
+			h.isDone, h.part, h.pendingKeys = true, nil, nil
+			logs.Info(o.log, logs.EventKeysHanded, zap.String("pool", h.pool), zap.String("to", h.plan.To.Name), zap.Int("slots", len(h.plan.Shares)))
 			return
 		}
-		h.keys, h.next = h.keys[h.taken:], now
-		h.part = &wire.Handover{Pool: last.Pool, From: last.From, To: last.To, Took: last.Took, Seq: last.Seq + 1}
-		o.fill(h)
-		o.sendHand(now, h)
+		h.pendingKeys, h.nextSend = h.pendingKeys[h.partKeys:], now
+		h.part = &wire.Handover{Pool: part.Pool, From: part.From, To: part.To, Took: part.Took, Seq: part.Seq + 1}
+		o.fillPart(h)
+		o.sendPart(now, h)
 	}
 }
 
-// handed reports whether a planned stop need not wait for a handover.
-func (o *Owner) handed(now time.Duration) bool {
-	if !o.linked() || len(o.homes) == 0 || (o.handBy != 0 && now >= o.handBy) {
+// handoversComplete reports whether a planned stop has no handover to wait for.
+func (o *Owner) handoversComplete(now time.Duration) bool {
+	if !o.hasLink() || len(o.homeViews) == 0 || (o.handoverDeadline != 0 && now >= o.handoverDeadline) {
 		return true
 	}
-	for pool, holder := range o.homes {
-		if holder.Holds() || o.handBy == 0 {
+	for pool, view := range o.homeViews {
+		if view.Holds() || o.handoverDeadline == 0 {
 			return false
 		}
-		for _, g := range holder.Gifts(now) {
-			if h := o.handOf(pool, g); h == nil || !h.done {
+		for _, plan := range view.Gifts(now) {
+			if h := o.findHandover(pool, plan); h == nil || !h.isDone {
 				return false
 			}
 		}
@@ -205,7 +210,7 @@
 	return true
 }
 
-func (o *Owner) linked() bool {
+func (o *Owner) hasLink() bool {
 	for _, s := range o.sessions {
 		if s.link != nil {
 			return true
@@ -214,51 +219,51 @@
 	return false
 }
 
-// handover takes in one part from an owner that leaves. A part that cannot be
-// taken in gets no answer, and the sender tries again until it has to go; then
-// all is as without a handover.
-func (o *Owner) handover(now time.Duration, p *Peer, m *wire.Handover) {
-	h := o.homes[m.Pool]
-	if o.leaving || h == nil || homeOwner(m.To) != o.cfg.Self || h.Table().Epoch < m.Took || len(o.keys)+len(m.Records) > maxKeys {
+// handleHandover handles one part from an owner that leaves. A part that cannot be
+// imported gets no reply, and the sender repeats it until its handover times out.
+// The result is then the same as without a handover.
+func (o *Owner) handleHandover(now time.Duration, p *Peer, m *wire.Handover) {
+	h := o.homeViews[m.Pool]
+	if o.isLeaving || h == nil || homeOwner(m.To) != o.cfg.Self || h.Table().Epoch < m.Took || len(o.keys)+len(m.Records) > maxKeys {
 		return
 	}
-	id := takeID{pool: m.Pool, from: homeOwner(m.From), took: m.Took}
-	t := o.takes[id]
-	if m.Seq > t.seq {
+	id := handoverID{pool: m.Pool, from: homeOwner(m.From), epoch: m.Took}
+	t := o.incomingHandovers[id]
+	if m.Seq > t.nextSeq {
 		return
 	}
-	if m.Seq == t.seq {
-		o.take(now, h, id, m)
-		for old, other := range o.takes {
-			if now-other.at > takeKeep {
-				delete(o.takes, old)
+	if m.Seq == t.nextSeq {
+		o.importPart(now, h, id, m)
+		for otherID, other := range o.incomingHandovers {
+			if now-other.updatedAt > incomingRetention {
+				delete(o.incomingHandovers, otherID)
 			}
 		}
-		o.takes[id] = taking{seq: t.seq + 1, at: now}
+		o.incomingHandovers[id] = incomingHandover{nextSeq: t.nextSeq + 1, updatedAt: now}
 	}
 	o.send(p, &wire.HandAck{Pool: m.Pool, From: m.To, To: m.From, Took: m.Took, Seq: m.Seq})
 }
 
-// take keeps the records of one part. They are true even if the parts behind
-// them never come.
-func (o *Owner) take(now time.Duration, h *homes.Holder, id takeID, m *wire.Handover) {
+// importPart stores the records of one part. They are valid even if the later
+// parts never arrive.
+func (o *Owner) importPart(now time.Duration, h *homes.Holder, id handoverID, m *wire.Handover) {
 	slots := len(h.Table().Slots)
 	for i := range m.Records {
 		r := &m.Records[i]
-		if o.keys[string(r.Key)] != nil || !h.Expects(homes.Slot(r.Key, slots), id.from, id.took) {
+		if o.keys[string(r.Key)] != nil || !h.Expects(homes.Slot(r.Key, slots), id.from, id.epoch) {
 			continue
 		}
-		k := &keyRec{key: string(r.Key), pool: m.Pool, first: r.First, digest: r.Digest, log: answer.Import(&o.budget, r), ended: now}
+		k := &keyRecord{key: string(r.Key), pool: m.Pool, firstID: r.First, digest: r.Digest, answer: answer.Import(&o.budget, r), endedAt: now}
 		o.keys[k.key] = k
-		o.oldKeys = append(o.oldKeys, k)
+		o.finishedKeys = append(o.finishedKeys, k)
 	}
 	if !m.Last {
 		return
 	}
-	shares := make([]homes.Share, 0, len(m.Shares))
+	slotList := make([]homes.Share, 0, len(m.Shares))
 	for _, s := range m.Shares {
-		shares = append(shares, homes.Share{Slot: int(s.Slot), Since: s.Since})
+		slotList = append(slotList, homes.Share{Slot: int(s.Slot), Since: s.Since})
 	}
-	h.Receive(id.from, id.took, shares)
-	logs.Info(o.log, logs.EventKeyTakenOver, zap.String("pool", m.Pool), zap.String("from", m.From.Name), zap.Int("slots", len(shares)))
+	h.Receive(id.from, id.epoch, slotList)
+	logs.Info(o.log, logs.EventKeyTakenOver, zap.String("pool", m.Pool), zap.String("from", m.From.Name), zap.Int("slots", len(slotList)))
 }
--- a/agent/slot/hand_test.go
+++ b/agent/slot/hand_test.go
@@ -12,264 +12,267 @@
 	"lycheepond/core/wire"
 )
 
-const nextInc = 78
+const successorIncarnation = 78
 
-// moved returns the table in which all slots went from the bench's agent to
-// the next one.
-func moved(epoch int64) spec.Homes {
-	t := table(epoch, startWall+time.Hour.Milliseconds())
-	t.Owners[0] = spec.HomeOwner{Name: "n", Incarnation: nextInc}
-	t.Left = []spec.HomeOwner{{Name: "a", Incarnation: selfInc}}
+// movedTable returns a table in which all slots have moved from the harness's agent
+// to its successor.
+func movedTable(epoch int64) spec.Homes {
+	t := homesTable(epoch, startWallMS+time.Hour.Milliseconds())
+	t.Owners[0] = spec.HomeOwner{Name: "n", Incarnation: successorIncarnation}
+	t.Left = []spec.HomeOwner{{Name: "a", Incarnation: selfIncarnation}}
 	for i := range t.Slots {
 		t.Slots[i].From = 1
 	}
 	return t
 }
 
-// nextBench is the bench of the agent that takes the slots over.
-func nextBench(t *testing.T) *bench {
-	b := newBench(t, testBound)
-	cfg := b.o.cfg
-	cfg.Self, cfg.Stats = spec.HomeOwner{Name: "n", Incarnation: nextInc}, NewStats(meter.New())
-	ctx := b.o.ctx
-	b.o = New(cfg)
-	b.o.ctx = ctx
-	return b
+// newSuccessor returns the harness of the agent that takes the slots over.
+func newSuccessor(t *testing.T) *harness {
+	h := newHarness(t, testBound)
+	cfg := h.o.cfg
+	cfg.Self, cfg.Stats = spec.HomeOwner{Name: "n", Incarnation: successorIncarnation}, NewStats(meter.New())
+	ctx := h.o.taskCtx
+	h.o = New(cfg)
+	h.o.taskCtx = ctx
+	return h
 }
 
-// ran runs one keyed request to its end.
-func (p *peer) ran(n uint64, key string, pieces ...string) {
-	p.b.t.Helper()
-	p.started(keyed(n, key, 1)).answer(pieces...)
-	next[*wire.End](p)
+// runToEnd runs one request with an idempotency key to its end.
+func (p *testLink) runToEnd(n uint64, key string, chunks ...string) {
+	p.h.t.Helper()
+	p.startRequest(keyedOffer(n, key, 1)).finish(chunks...)
+	receive[*wire.End](p)
 }
 
-// carry passes all parts from p to q and the answers back until the last one.
-func carry(p, q *peer) (parts int) {
+// relayHandover passes the parts of a handover from p to q and the acknowledgements
+// back, up to the last part. It returns the number of parts.
+func relayHandover(p, q *testLink) (parts int) {
 	for last := false; !last; parts++ {
-		m := next[*wire.Handover](p)
+		m := receive[*wire.Handover](p)
 		q.send(m)
-		p.send(next[*wire.HandAck](q))
+		p.send(receive[*wire.HandAck](q))
 		last = m.Last
 	}
 	return parts
 }
 
-// An agent is restarted as planned. What callers ask its successor about the
-// keys is answered as the agent itself would have: the same answer, the mistake
-// of a key used twice, or that the answer is no longer kept.
-func TestHandoverAnswersAsBefore(t *testing.T) {
-	b, c := newBench(t, testBound), nextBench(t)
-	p, q := b.link(entryInc), c.link(entryInc)
-	p.learn(table(1, 0))
-	p.ran(1, "kept", "fi", "led")
-	p.ran(2, "gone", "x")
-	b.o.keys["gone"].log.DropChunks()
+// An agent makes a planned stop and hands its key records over. Its successor must
+// reply to requests with those keys as the agent would have: with the same answer,
+// with a mismatch if the key was used for another request, or with the status that
+// the answer is no longer kept.
+func TestSuccessorRepliesLikeFormerOwner(t *testing.T) {
+	h, successor := newHarness(t, testBound), newSuccessor(t)
+	p, q := h.newLink(entryIncarnation), successor.newLink(entryIncarnation)
+	p.sendConfirmedTable(homesTable(1, 0))
+	p.runToEnd(1, "kept", "fi", "led")
+	p.runToEnd(2, "gone", "x")
+	h.o.keys["gone"].answer.DropChunks()
 	for n := range uint64(2 * wire.MaxRecords) {
-		p.ran(100+n, "more"+ident.Make(1, n).String(), "y")
+		p.runToEnd(100+n, "more"+ident.Make(1, n).String(), "y")
 	}
-	b.do(leave{})
-	b.pump(func() bool { return b.o.tasks == 0 })
-	b.after(tickEvery)
-	if b.o.left() {
-		t.Fatal("left while the table still names it")
+	h.apply(leaveEvent{})
+	h.applyUntil(func() bool { return h.o.taskCount == 0 })
+	h.advance(tickInterval)
+	if h.o.leaveComplete() {
+		t.Fatal("the stop is complete while the table still names the agent")
 	}
-	p.tell(moved(2))
-	if b.o.left() {
-		t.Fatal("left as soon as it heard that its slots moved")
+	p.sendTable(movedTable(2))
+	if h.o.leaveComplete() {
+		t.Fatal("the stop is complete as soon as the slots have moved")
 	}
-	c.o.homes[pool] = homes.NewHolder(c.o.cfg.Self)
-	q.learn(moved(2))
-	q.send(keyed(500, "kept", 2))
-	if r := next[*wire.Return](q); r.Reason != wire.ReasonNoLease {
+	successor.o.homeViews[testPool] = homes.NewHolder(successor.o.cfg.Self)
+	q.sendConfirmedTable(movedTable(2))
+	q.send(keyedOffer(500, "kept", 2))
+	if r := receive[*wire.Return](q); r.Reason != wire.ReasonNoLease {
 		t.Fatalf("before the handover: %+v", r)
 	}
-	b.after(tickEvery)
-	if b.o.left() {
-		t.Fatal("left before its records were handed over")
+	h.advance(tickInterval)
+	if h.o.leaveComplete() {
+		t.Fatal("the stop is complete before the records were handed over")
 	}
-	if parts := carry(p, q); parts != 3 {
+	if parts := relayHandover(p, q); parts != 3 {
 		t.Errorf("%d parts", parts)
 	}
-	b.pump(b.o.left)
-	q.send(keyed(501, "kept", 2))
-	if k := next[*wire.Known](q); k.State != wire.KeyJoined || k.First != offerOf(1).ID {
+	h.applyUntil(h.o.leaveComplete)
+	q.send(keyedOffer(501, "kept", 2))
+	if k := receive[*wire.Known](q); k.State != wire.KeyJoined || k.First != newOffer(1).ID {
 		t.Fatalf("known %+v", k)
 	}
-	if h := next[*wire.Head](q); h.Status != 200 {
-		t.Fatalf("head %+v", h)
+	if head := receive[*wire.Head](q); head.Status != 200 {
+		t.Fatalf("head %+v", head)
 	}
-	if ch := next[*wire.Chunk](q); string(ch.Data) != "filed" {
+	if ch := receive[*wire.Chunk](q); string(ch.Data) != "filed" {
 		t.Fatalf("chunk %+v", ch)
 	}
-	if e := next[*wire.End](q); !e.Whole || e.Bytes != 5 {
+	if e := receive[*wire.End](q); !e.Whole || e.Bytes != 5 {
 		t.Fatalf("end %+v", e)
 	}
-	other := keyed(502, "kept", 2)
+	other := keyedOffer(502, "kept", 2)
 	other.Digest++
 	q.send(other)
-	if k := next[*wire.Known](q); k.State != wire.KeyMismatch {
+	if k := receive[*wire.Known](q); k.State != wire.KeyMismatch {
 		t.Fatalf("known %+v", k)
 	}
-	q.send(keyed(503, "gone", 2))
-	if k := next[*wire.Known](q); k.State != wire.KeyForgotAnswer {
+	q.send(keyedOffer(503, "gone", 2))
+	if k := receive[*wire.Known](q); k.State != wire.KeyForgotAnswer {
 		t.Fatalf("known %+v", k)
 	}
-	q.started(keyed(504, "never used", 2))
+	q.startRequest(keyedOffer(504, "never used", 2))
 }
 
-// The entry between two agents loses parts and repeats others. No record is
-// missing in the end, and the successor acts only after the last part.
+// The entry between the two agents loses some parts and repeats others. In the end
+// no record may be missing, and the successor may act only after the last part.
 func TestHandoverPartsLostAndRepeated(t *testing.T) {
-	b, c := newBench(t, testBound), nextBench(t)
-	p, q := b.link(entryInc), c.link(entryInc)
-	p.learn(table(1, 0))
+	h, successor := newHarness(t, testBound), newSuccessor(t)
+	p, q := h.newLink(entryIncarnation), successor.newLink(entryIncarnation)
+	p.sendConfirmedTable(homesTable(1, 0))
 	for n := range uint64(wire.MaxRecords + 1) {
-		p.ran(n+1, ident.Make(1, n).String())
+		p.runToEnd(n+1, ident.Make(1, n).String())
 	}
-	b.do(leave{})
-	p.tell(moved(2))
-	b.after(tickEvery)
-	first := next[*wire.Handover](p)
-	q.learn(table(1, 0))
+	h.apply(leaveEvent{})
+	p.sendTable(movedTable(2))
+	h.advance(tickInterval)
+	first := receive[*wire.Handover](p)
+	q.sendConfirmedTable(homesTable(1, 0))
 	q.send(first)
-	none[*wire.HandAck](q)
-	q.learn(moved(2))
-	b.after(handAgain)
-	again := next[*wire.Handover](p)
+	expectNone[*wire.HandAck](q)
+	q.sendConfirmedTable(movedTable(2))
+	h.advance(partRetryInterval)
+	again := receive[*wire.Handover](p)
 	if again.Seq != 0 {
-		t.Fatalf("part %d before part 0 was taken in", again.Seq)
+		t.Fatalf("part %d before part 0 was imported", again.Seq)
 	}
 	q.send(again)
 	q.send(first)
-	ack := next[*wire.HandAck](q)
-	next[*wire.HandAck](q)
+	ack := receive[*wire.HandAck](q)
+	receive[*wire.HandAck](q)
 	p.send(ack)
 	p.send(ack)
-	last := next[*wire.Handover](p)
+	last := receive[*wire.Handover](p)
 	if !last.Last || len(last.Records) != 1 {
 		t.Fatalf("part %d with %d records", last.Seq, len(last.Records))
 	}
 	skipped := *last
 	skipped.Seq++
 	q.send(&skipped)
-	none[*wire.HandAck](q)
-	q.send(keyed(900, "k", 2))
-	if r := next[*wire.Return](q); r.Reason != wire.ReasonNoLease {
+	expectNone[*wire.HandAck](q)
+	q.send(keyedOffer(900, "k", 2))
+	if r := receive[*wire.Return](q); r.Reason != wire.ReasonNoLease {
 		t.Fatalf("acts before the last part: %+v", r)
 	}
 	q.send(last)
-	p.send(next[*wire.HandAck](q))
-	if len(c.o.keys) != wire.MaxRecords+1 {
-		t.Fatalf("%d records", len(c.o.keys))
+	p.send(receive[*wire.HandAck](q))
+	if len(successor.o.keys) != wire.MaxRecords+1 {
+		t.Fatalf("%d records", len(successor.o.keys))
 	}
-	b.pump(b.o.left)
+	h.applyUntil(h.o.leaveComplete)
 }
 
-// A submission still runs when the planned stop begins. Its record must not be
-// missing from what the successor gets, or the retry would run it again.
+// A request with an idempotency key still runs when the planned stop begins. Its
+// record must be part of the handover, or a retry would run it again.
 func TestHandoverWaitsForKeyedWork(t *testing.T) {
-	b, c := newBench(t, testBound), nextBench(t)
-	p, q := b.link(entryInc), c.link(entryInc)
-	p.learn(table(1, 0))
-	r := p.started(keyed(1, "k", 1))
-	b.do(leave{})
-	p.tell(moved(2))
-	q.learn(moved(2))
-	b.after(handWait + tickEvery)
-	none[*wire.Handover](p)
-	r.answer("filed")
-	next[*wire.End](p)
-	b.after(tickEvery)
-	carry(p, q)
-	q.send(keyed(2, "k", 2))
-	if ch := next[*wire.Chunk](q); string(ch.Data) != "filed" {
+	h, successor := newHarness(t, testBound), newSuccessor(t)
+	p, q := h.newLink(entryIncarnation), successor.newLink(entryIncarnation)
+	p.sendConfirmedTable(homesTable(1, 0))
+	r := p.startRequest(keyedOffer(1, "k", 1))
+	h.apply(leaveEvent{})
+	p.sendTable(movedTable(2))
+	q.sendConfirmedTable(movedTable(2))
+	h.advance(handoverTimeout + tickInterval)
+	expectNone[*wire.Handover](p)
+	r.finish("filed")
+	receive[*wire.End](p)
+	h.advance(tickInterval)
+	relayHandover(p, q)
+	q.send(keyedOffer(2, "k", 2))
+	if ch := receive[*wire.Chunk](q); string(ch.Data) != "filed" {
 		t.Fatalf("chunk %+v", ch)
 	}
-	c.idle()
+	successor.expectIdle()
 }
 
-// The successor never answers. The agent leaves all the same, and the
-// successor serves only keys made after the lease, as if the agent had died.
-func TestHandoverThatBreaksHalfWay(t *testing.T) {
-	b, c := newBench(t, testBound), nextBench(t)
-	p, q := b.link(entryInc), c.link(entryInc)
-	p.learn(table(1, 0))
+// The successor stops replying after the first part. The agent must still complete
+// its stop, and the successor may run only keys that were created after the end of
+// the lease, as if the agent had crashed.
+func TestInterruptedHandover(t *testing.T) {
+	h, successor := newHarness(t, testBound), newSuccessor(t)
+	p, q := h.newLink(entryIncarnation), successor.newLink(entryIncarnation)
+	p.sendConfirmedTable(homesTable(1, 0))
 	for n := range uint64(wire.MaxRecords + 1) {
-		p.ran(n+1, ident.Make(1, n).String())
+		p.runToEnd(n+1, ident.Make(1, n).String())
 	}
-	b.do(leave{})
-	p.tell(moved(2))
-	q.learn(moved(2))
-	b.after(tickEvery)
-	q.send(next[*wire.Handover](p))
-	b.after(handWait)
-	b.pump(b.o.left)
-	c.after(homes.Margin(testLease))
-	q.confirm(2, 0)
-	q.send(keyed(900, "k", 2))
-	if k := next[*wire.Known](q); k.State != wire.KeyUnknown {
+	h.apply(leaveEvent{})
+	p.sendTable(movedTable(2))
+	q.sendConfirmedTable(movedTable(2))
+	h.advance(tickInterval)
+	q.send(receive[*wire.Handover](p))
+	h.advance(handoverTimeout)
+	h.applyUntil(h.o.leaveComplete)
+	successor.advance(homes.Margin(testLease))
+	q.confirmEpoch(2, 0)
+	q.send(keyedOffer(900, "k", 2))
+	if k := receive[*wire.Known](q); k.State != wire.KeyUnknown {
 		t.Fatalf("known %+v", k)
 	}
 }
 
-// The endpoint broke off in the middle of a submission's answer. The retry at
-// the successor hears just that, and not that the answer is whole.
+// The answer of a request with an idempotency key broke off at the endpoint. A
+// retry at the successor must get the same reason, and not a complete answer.
 func TestHandoverOfBrokenAnswer(t *testing.T) {
-	b, c := newBench(t, testBound), nextBench(t)
-	p, q := b.link(entryInc), c.link(entryInc)
-	p.learn(table(1, 0))
-	r := p.started(keyed(1, "k", 1))
+	h, successor := newHarness(t, testBound), newSuccessor(t)
+	p, q := h.newLink(entryIncarnation), successor.newLink(entryIncarnation)
+	p.sendConfirmedTable(homesTable(1, 0))
+	r := p.startRequest(keyedOffer(1, "k", 1))
 	r.sink.Head(200, nil)
-	r.end <- call.Result{Sent: true, Err: errLease}
-	before := next[*wire.End](p)
-	b.do(leave{})
-	p.tell(moved(2))
-	q.learn(moved(2))
-	b.after(tickEvery)
-	carry(p, q)
-	q.send(keyed(2, "k", 2))
-	if e := next[*wire.End](q); e.Whole || e.Reason != before.Reason {
+	r.result <- call.Result{Sent: true, Err: errLeaseExpired}
+	before := receive[*wire.End](p)
+	h.apply(leaveEvent{})
+	p.sendTable(movedTable(2))
+	q.sendConfirmedTable(movedTable(2))
+	h.advance(tickInterval)
+	relayHandover(p, q)
+	q.send(keyedOffer(2, "k", 2))
+	if e := receive[*wire.End](q); e.Whole || e.Reason != before.Reason {
 		t.Fatalf("end %+v, before %+v", e, before)
 	}
 }
 
-// The successor has no room for more records. Were the part taken in, it would
-// forget records of its own, and its keys would become unknown.
-func TestHandoverBeyondTheBoundIsRefused(t *testing.T) {
-	c := nextBench(t)
-	q := c.link(entryInc)
-	q.learn(moved(2))
+// The successor already holds maxKeys records. If it imported the part, it would
+// evict records of its own, and it could no longer run or answer their keys.
+func TestHandoverBeyondMaxKeysIsRefused(t *testing.T) {
+	successor := newSuccessor(t)
+	q := successor.newLink(entryIncarnation)
+	q.sendConfirmedTable(movedTable(2))
 	for n := range uint64(maxKeys) {
 		id := ident.Make(1, n)
-		c.o.keys[id.String()] = &keyRec{first: id}
+		successor.o.keys[id.String()] = &keyRecord{firstID: id}
 	}
 	q.send(&wire.Handover{
-		Pool: pool, From: wire.Party{Name: "a", Incarnation: selfInc}, To: party(c.o.cfg.Self), Took: 2,
+		Pool: testPool, From: wire.Party{Name: "a", Incarnation: selfIncarnation}, To: agentProcess(successor.o.cfg.Self), Took: 2,
 		Records: wire.KeyRecords{{Key: []byte("k")}}, Last: true, Shares: wire.Shares{{}, {Slot: 1}, {Slot: 2}, {Slot: 3}},
 	})
-	none[*wire.HandAck](q)
-	if len(c.o.keys) != maxKeys || c.o.homes[pool].Since([]byte("k")) == 0 {
-		t.Errorf("%d records", len(c.o.keys))
+	expectNone[*wire.HandAck](q)
+	if len(successor.o.keys) != maxKeys || successor.o.homeViews[testPool].Since([]byte("k")) == 0 {
+		t.Errorf("%d records", len(successor.o.keys))
 	}
 }
 
-// The agent that leaves has forgotten records for want of room. Its successor
-// must not run such keys, though it was told of all records that there are.
-func TestHandoverTellsOfForgottenRecords(t *testing.T) {
-	b, c := newBench(t, testBound), nextBench(t)
-	p, q := b.link(entryInc), c.link(entryInc)
-	p.learn(table(1, 0))
-	b.o.keyFloor = startWall + 500
-	b.do(leave{})
-	p.tell(moved(2))
-	q.learn(moved(2))
-	b.after(tickEvery)
-	carry(p, q)
-	m := keyed(1, "forgotten", 2)
-	m.KeyMade = startWall + 400
+// The agent that stops has evicted key records. Its successor must not run keys
+// from that time, although it has got every record that is left.
+func TestHandoverIncludesEvictionTime(t *testing.T) {
+	h, successor := newHarness(t, testBound), newSuccessor(t)
+	p, q := h.newLink(entryIncarnation), successor.newLink(entryIncarnation)
+	p.sendConfirmedTable(homesTable(1, 0))
+	h.o.evictedBeforeMS = startWallMS + 500
+	h.apply(leaveEvent{})
+	p.sendTable(movedTable(2))
+	q.sendConfirmedTable(movedTable(2))
+	h.advance(tickInterval)
+	relayHandover(p, q)
+	m := keyedOffer(1, "forgotten", 2)
+	m.KeyMade = startWallMS + 400
 	q.send(m)
-	if k := next[*wire.Known](q); k.State != wire.KeyUnknown {
+	if k := receive[*wire.Known](q); k.State != wire.KeyUnknown {
 		t.Fatalf("known %+v", k)
 	}
 }
--- a/agent/slot/keys.go
+++ b/agent/slot/keys.go
@@ -14,33 +14,33 @@
 	"lycheepond/core/wire"
 )
 
-// maxKeys is how many keys are remembered. Above it the oldest go, and keys
-// that may be as old are no longer run. It follows from the budget of 32 MB a
-// node and is to be measured.
+// maxKeys bounds the number of key records. Beyond it the oldest records are
+// evicted, and requests whose keys may be as old are no longer run. It follows from
+// the 32 MB of memory that an agent may use.
 const maxKeys = 20000
 
-var errLease = errors.New("slot: lease on the key ran out before the request was sent: it is given back and not run")
+var errLeaseExpired = errors.New("slot: the lease on the key expired before the request was sent: the request is returned and not run")
 
-// keyRec is what the key's home knows of an idempotency key.
-type keyRec struct {
+// keyRecord is the record of an idempotency key at its home.
+type keyRecord struct {
 	key, pool string
-	// first is the request that runs or ran under the key. Until its grant
-	// comes it may be replaced by the next waiter.
-	first  ident.ID
-	digest uint64
-	// log is the answer, nil until the first request was granted.
-	log *answer.Log
-	// waiters are requests with the same key that came before the grant.
-	waiters []*rec
-	// ended is when the run ended, zero before.
-	ended time.Duration
-	// lost is set when the key was removed.
-	lost bool
+	// firstID is the request that runs or ran for the key. Until it is granted, the
+	// next waiter may replace it.
+	firstID ident.ID
+	digest  uint64
+	// answer is nil until the first request is granted.
+	answer *answer.Log
+	// waiters holds the requests with the same key that arrived before the grant.
+	waiters []*record
+	// endedAt is when the run ended, zero before.
+	endedAt time.Duration
+	// isRemoved is set when the record is no longer in the owner's keys.
+	isRemoved bool
 }
 
-// admitKeyed decides about the offer of a keyed request and reports whether
-// its record is to be kept; r.key is set then.
-func (o *Owner) admitKeyed(now time.Duration, r *rec) bool {
+// admitKeyed handles the offer of a request with an idempotency key. It reports
+// whether the record is to be kept, and sets r.key if so.
+func (o *Owner) admitKeyed(now time.Duration, r *record) bool {
 	m := r.offer
 	if reason := o.keyRefusal(now, m); reason != wire.ReasonNone {
 		o.sendReturn(r, reason)
@@ -48,39 +48,42 @@
 	}
 	k := o.keys[string(m.Key)]
 	if k == nil {
-		return o.admitNew(now, r)
+		return o.admitNewKey(now, r)
 	}
 	switch {
 	case k.digest != m.Digest:
-		o.sendKnown(r, k.first, wire.KeyMismatch)
-	case k.log == nil:
+		o.sendKeyStatus(r, k.firstID, wire.KeyMismatch)
+	case k.answer == nil:
 		k.waiters = append(k.waiters, r)
 		r.key = k
 		return true
-	case k.log.Complete():
-		o.join(now, r, k)
+	case k.answer.Complete():
+		o.joinAnswer(now, r, k)
 	default:
-		o.sendKnown(r, k.first, wire.KeyForgotAnswer)
+		o.sendKeyStatus(r, k.firstID, wire.KeyForgotAnswer)
 	}
 	return false
 }
 
-func (o *Owner) admitNew(_ time.Duration, r *rec) bool {
+// admitNewKey handles the first request with a key. It refuses a key that may have
+// been used before this agent's records begin.
+func (o *Owner) admitNewKey(_ time.Duration, r *record) bool {
 	m := r.offer
-	since := max(o.homes[m.Pool].Since(m.Key), o.keyFloor)
-	if !homes.Usable(m.KeyMade, since, o.cfg.Wall()) {
-		o.sendKnown(r, ident.ID{}, wire.KeyUnknown)
+	since := max(o.homeViews[m.Pool].Since(m.Key), o.evictedBeforeMS)
+	if !homes.Usable(m.KeyMade, since, o.cfg.WallMS()) {
+		o.sendKeyStatus(r, ident.ID{}, wire.KeyUnknown)
 		return false
 	}
-	k := &keyRec{key: string(m.Key), pool: m.Pool, first: m.ID, digest: m.Digest}
+	k := &keyRecord{key: string(m.Key), pool: m.Pool, firstID: m.ID, digest: m.Digest}
 	o.keys[k.key] = k
 	r.key = k
 	return true
 }
 
-// keyRefusal says why this agent may not act for a key now.
+// keyRefusal returns the reason why this agent may not act for a key now, or
+// ReasonNone.
 func (o *Owner) keyRefusal(now time.Duration, m *wire.Offer) wire.Reason {
-	h := o.homes[m.Pool]
+	h := o.homeViews[m.Pool]
 	if h == nil {
 		return wire.ReasonNotHome
 	}
@@ -93,87 +96,90 @@
 	return wire.ReasonNone
 }
 
-// guard returns the check before the first byte of a keyed request: the lease
-// as it is known now, against the clock as it is then.
-func (o *Owner) guard(r *rec) *call.Guard {
-	if r.key == nil || r.offer == nil || o.homes[r.offer.Pool] == nil {
+// newLeaseGuard returns the guard of a request with an idempotency key, or nil for
+// another request. Before the first byte, the guard compares the end of the lease
+// as known now with the time of the check.
+func (o *Owner) newLeaseGuard(r *record) *call.Guard {
+	if r.key == nil || r.offer == nil || o.homeViews[r.offer.Pool] == nil {
 		return nil
 	}
-	until, clock := o.homes[r.offer.Pool].Lease(), o.cfg.Now
+	until, clock := o.homeViews[r.offer.Pool].Lease(), o.cfg.Now
 	r.guard = &call.Guard{Check: func() error {
 		if clock() >= until {
-			return errLease
+			return errLeaseExpired
 		}
 		return nil
 	}}
 	return r.guard
 }
 
-func (o *Owner) sendKnown(r *rec, first ident.ID, state wire.KeyState) {
-	logs.Info(o.log, logs.EventKeyKnown, logs.Request(r.id), zap.Stringer("first", first), zap.Uint8("state", uint8(state)))
-	o.send(r.link, &wire.Known{ID: r.id, First: first, State: state})
+func (o *Owner) sendKeyStatus(r *record, firstID ident.ID, state wire.KeyState) {
+	logs.Info(o.log, logs.EventKeyKnown, logs.Request(r.id), zap.Stringer("first", firstID), zap.Uint8("state", uint8(state)))
+	o.send(r.link, &wire.Known{ID: r.id, First: firstID, State: state})
 }
 
-// join gives r the answer of its key's first run.
-func (o *Owner) join(now time.Duration, r *rec, k *keyRec) {
-	o.sendKnown(r, k.first, wire.KeyJoined)
-	r.key, r.log, r.offer = k, k.log, nil
-	o.recs[r.id] = r
-	o.setState(now, r, ended)
-	o.startFollow(r, r.id, k.log, r.link, 0)
+// joinAnswer lets r follow the answer of its key's first request.
+func (o *Owner) joinAnswer(now time.Duration, r *record, k *keyRecord) {
+	o.sendKeyStatus(r, k.firstID, wire.KeyJoined)
+	r.key, r.answer, r.offer = k, k.answer, nil
+	o.records[r.id] = r
+	o.setState(now, r, stateEnded)
+	o.startFollow(r, r.id, k.answer, r.link, 0)
 }
 
-// firstGranted joins all who waited for the key's first grant.
-func (o *Owner) firstGranted(now time.Duration, r *rec) {
+// joinWaiters records the grant of a key's first request and lets the waiters of
+// the key follow its answer.
+func (o *Owner) joinWaiters(now time.Duration, r *record) {
 	k := r.key
 	if k == nil {
 		return
 	}
-	k.first, k.log = r.id, r.log
+	k.firstID, k.answer = r.id, r.answer
 	waiters := k.waiters
 	k.waiters = nil
 	for _, w := range waiters {
-		if w.state == parked {
-			o.join(now, w, k)
+		if w.state == stateParked {
+			o.joinAnswer(now, w, k)
 		}
 	}
 }
 
-// firstLost deals with a keyed request that will not run: the next waiter
-// takes its place, and without one the key is as if it had never come. It is
-// certain that nothing ran under it, because only the key's home runs it.
-func (o *Owner) firstLost(now time.Duration, r *rec) {
+// replaceFirst handles the end of a request with an idempotency key that will not
+// run. The next waiter takes its place; without a waiter the key is removed, as if
+// it had never been used. It is certain that no request with the key ran, because
+// only the key's home runs it.
+func (o *Owner) replaceFirst(now time.Duration, r *record) {
 	k := r.key
 	r.key = nil
-	if k == nil || k.lost {
+	if k == nil || k.isRemoved {
 		return
 	}
-	if k.first != r.id {
-		k.remove(r)
+	if k.firstID != r.id {
+		k.removeWaiter(r)
 		return
 	}
-	k.log = nil
+	k.answer = nil
 	for len(k.waiters) > 0 {
 		w := k.waiters[0]
 		k.waiters = k.waiters[1:]
-		if w.state != parked {
+		if w.state != stateParked {
 			continue
 		}
-		if reason := o.refusal(now, w); reason != wire.ReasonNone {
+		if reason := o.offerRefusal(now, w); reason != wire.ReasonNone {
 			w.key = nil
-			o.forget(now, w)
+			o.removeRecord(now, w)
 			o.sendReturn(w, reason)
 			continue
 		}
-		k.first, k.digest = w.id, w.offer.Digest
+		k.firstID, k.digest = w.id, w.offer.Digest
 		o.enqueue(now, w)
 		return
 	}
-	k.lost = true
+	k.isRemoved = true
 	delete(o.keys, k.key)
 }
 
-func (k *keyRec) remove(r *rec) {
+func (k *keyRecord) removeWaiter(r *record) {
 	for i, w := range k.waiters {
 		if w == r {
 			k.waiters = append(k.waiters[:i], k.waiters[i+1:]...)
@@ -182,32 +188,33 @@
 	}
 }
 
-func (o *Owner) keyEnded(now time.Duration, r *rec) {
+func (o *Owner) recordKeyEnd(now time.Duration, r *record) {
 	if r.key == nil {
 		return
 	}
-	r.key.ended = now
-	o.oldKeys = append(o.oldKeys, r.key)
+	r.key.endedAt = now
+	o.finishedKeys = append(o.finishedKeys, r.key)
 }
 
-// expireKeys drops records after their retention, and the oldest of too many.
+// expireKeys drops key records after their retention, and the oldest ones if there
+// are more than maxKeys.
 func (o *Owner) expireKeys(now time.Duration) {
 	n := 0
-	for n < len(o.oldKeys) {
-		k := o.oldKeys[n]
-		over := len(o.keys) > maxKeys
-		if !over && now-k.ended <= homes.Retention {
+	for n < len(o.finishedKeys) {
+		k := o.finishedKeys[n]
+		tooMany := len(o.keys) > maxKeys
+		if !tooMany && now-k.endedAt <= homes.Retention {
 			break
 		}
-		if over {
-			o.keyFloor = o.cfg.Wall()
+		if tooMany {
+			o.evictedBeforeMS = o.cfg.WallMS()
 		}
-		k.lost = true
-		k.log.DropChunks()
+		k.isRemoved = true
+		k.answer.DropChunks()
 		delete(o.keys, k.key)
 		n++
 	}
 	if n > 0 {
-		o.oldKeys = append(o.oldKeys[:0], o.oldKeys[n:]...)
+		o.finishedKeys = append(o.finishedKeys[:0], o.finishedKeys[n:]...)
 	}
 }
--- a/agent/slot/keys_test.go
+++ b/agent/slot/keys_test.go
@@ -14,11 +14,12 @@
 
 const testLease = 10 * time.Second
 
-// table returns a table whose slots all belong to the bench's agent.
-func table(epoch, since int64) spec.Homes {
+// homesTable returns a table of homes in which all slots belong to the harness's
+// agent.
+func homesTable(epoch, since int64) spec.Homes {
 	t := spec.Homes{
 		Epoch: epoch, Lease: spec.Duration(testLease),
-		Owners: []spec.HomeOwner{{Name: "a", Incarnation: selfInc}, {Name: "b", Incarnation: 1}},
+		Owners: []spec.HomeOwner{{Name: "a", Incarnation: selfIncarnation}, {Name: "b", Incarnation: 1}},
 		Slots:  make([]spec.HomeSlot, 4),
 	}
 	for i := range t.Slots {
@@ -27,238 +28,242 @@
 	return t
 }
 
-// learn sends the table and confirms its epoch.
-func (p *peer) learn(t spec.Homes) {
-	p.b.t.Helper()
-	p.tell(t)
-	p.confirm(t.Epoch, 0)
+// sendConfirmedTable sends the table to the agent and confirms its epoch.
+func (p *testLink) sendConfirmedTable(t spec.Homes) {
+	p.h.t.Helper()
+	p.sendTable(t)
+	p.confirmEpoch(t.Epoch, 0)
 }
 
-func (p *peer) tell(t spec.Homes) {
+func (p *testLink) sendTable(t spec.Homes) {
 	data, err := json.Marshal(t)
 	if err != nil {
-		p.b.t.Fatal(err)
+		p.h.t.Fatal(err)
 	}
-	p.send(&wire.News{Object: spec.KindHomes, Name: pool, Version: t.Epoch, Data: data})
+	p.send(&wire.News{Object: spec.KindHomes, Name: testPool, Version: t.Epoch, Data: data})
 }
 
-// confirm answers the agent's next question about the pool.
-func (p *peer) confirm(epoch int64, age time.Duration) {
-	p.b.t.Helper()
-	p.b.o.askNext = 0
-	p.b.after(0)
-	a := next[*wire.LeaseAsk](p)
+// confirmEpoch replies to the agent's next lease request.
+func (p *testLink) confirmEpoch(epoch int64, age time.Duration) {
+	p.h.t.Helper()
+	p.h.o.nextLeaseRound = 0
+	p.h.advance(0)
+	a := receive[*wire.LeaseAsk](p)
 	p.send(&wire.LeaseAck{Seq: a.Seq, Pool: a.Pool, Epoch: epoch, AgeMS: uint32(age.Milliseconds()), Fresh: true})
 }
 
-func keyed(n uint64, key string, epoch int64) *wire.Offer {
-	m := offerOf(n)
+func keyedOffer(n uint64, key string, epoch int64) *wire.Offer {
+	m := newOffer(n)
 	m.Key, m.Epoch, m.Digest, m.Repeatable, m.Cancellable = []byte(key), epoch, 1, false, false
 	return m
 }
 
-// The entry that accepted a submission dies, and the caller repeats it through
-// another entry while the first still runs, and again when it has ended. The
-// register must see it once, and each time the caller gets the same answer.
-func TestRetryJoinsTheFirstRun(t *testing.T) {
-	b := newBench(t, testBound)
-	p := b.link(entryInc)
-	p.learn(table(1, 0))
-	first := keyed(1, "k", 1)
-	r := p.started(first)
-	b.do(linkDown{p.Peer})
-	q := b.link(entryInc + 1)
-	q.send(keyed(2, "k", 1))
-	if k := next[*wire.Known](q); k.State != wire.KeyJoined || k.First != first.ID {
+// The entry that accepted a request crashes. The caller repeats the request through
+// another entry, once while the first run lasts and once after its end. The request
+// must run once, and each retry must get the same answer.
+func TestRetryJoinsFirstRun(t *testing.T) {
+	h := newHarness(t, testBound)
+	p := h.newLink(entryIncarnation)
+	p.sendConfirmedTable(homesTable(1, 0))
+	first := keyedOffer(1, "k", 1)
+	r := p.startRequest(first)
+	h.apply(linkDownEvent{p.Peer})
+	q := h.newLink(entryIncarnation + 1)
+	q.send(keyedOffer(2, "k", 1))
+	if k := receive[*wire.Known](q); k.State != wire.KeyJoined || k.First != first.ID {
 		t.Fatalf("known %+v", k)
 	}
-	r.answer("filed")
-	if c := next[*wire.Chunk](q); string(c.Data) != "filed" || c.ID != offerOf(2).ID {
+	r.finish("filed")
+	if c := receive[*wire.Chunk](q); string(c.Data) != "filed" || c.ID != newOffer(2).ID {
 		t.Fatalf("chunk %+v", c)
 	}
-	if e := next[*wire.End](q); !e.Whole {
+	if e := receive[*wire.End](q); !e.Whole {
 		t.Fatalf("end %+v", e)
 	}
-	q.send(keyed(3, "k", 1))
-	if c := next[*wire.Chunk](q); string(c.Data) != "filed" || c.ID != offerOf(3).ID {
+	q.send(keyedOffer(3, "k", 1))
+	if c := receive[*wire.Chunk](q); string(c.Data) != "filed" || c.ID != newOffer(3).ID {
 		t.Fatalf("chunk %+v", c)
 	}
-	b.idle()
+	h.expectIdle()
 }
 
-// Two retries race through two entries. Both hold an offer here before either
-// has its grant; only one may run and both callers get its answer. When the
-// first entry then gives up, the other's request takes its place.
+// Two requests with the same key arrive through two entries before either is
+// granted. Only one may run, and both callers must get its answer. When the first
+// entry denies the claim, the other entry's request takes its place.
 func TestRacingRetriesRunOnce(t *testing.T) {
-	b := newBench(t, testBound)
-	p, q := b.link(entryInc), b.link(entryInc+1)
-	p.learn(table(1, 0))
-	p.send(keyed(1, "k", 1))
-	next[*wire.Claim](p)
-	q.send(keyed(2, "k", 1))
-	none[*wire.Claim](q)
-	p.send(&wire.Deny{ID: offerOf(1).ID})
-	if c := next[*wire.Claim](q); c.ID != offerOf(2).ID {
+	h := newHarness(t, testBound)
+	p, q := h.newLink(entryIncarnation), h.newLink(entryIncarnation+1)
+	p.sendConfirmedTable(homesTable(1, 0))
+	p.send(keyedOffer(1, "k", 1))
+	receive[*wire.Claim](p)
+	q.send(keyedOffer(2, "k", 1))
+	expectNone[*wire.Claim](q)
+	p.send(&wire.Deny{ID: newOffer(1).ID})
+	if c := receive[*wire.Claim](q); c.ID != newOffer(2).ID {
 		t.Fatalf("claim %+v", c)
 	}
-	p.send(keyed(3, "k", 1))
-	q.send(grantOf(offerOf(2)))
-	b.run().answer("filed")
-	if k := next[*wire.Known](p); k.State != wire.KeyJoined {
+	p.send(keyedOffer(3, "k", 1))
+	q.send(newGrant(newOffer(2)))
+	h.nextRun().finish("filed")
+	if k := receive[*wire.Known](p); k.State != wire.KeyJoined {
 		t.Fatalf("known %+v", k)
 	}
-	if c := next[*wire.Chunk](p); string(c.Data) != "filed" {
+	if c := receive[*wire.Chunk](p); string(c.Data) != "filed" {
 		t.Fatalf("chunk %+v", c)
 	}
-	next[*wire.End](p)
-	b.idle()
+	receive[*wire.End](p)
+	h.expectIdle()
 }
 
-func TestKeyOfAnotherRequestIsRefused(t *testing.T) {
-	b := newBench(t, testBound)
-	p := b.link(entryInc)
-	p.learn(table(1, 0))
-	p.started(keyed(1, "k", 1)).answer("x")
-	other := keyed(2, "k", 1)
+// A key is used again with a different request. The caller must be told about the
+// mismatch instead of getting the answer of the first request.
+func TestKeyOfDifferentRequestIsRefused(t *testing.T) {
+	h := newHarness(t, testBound)
+	p := h.newLink(entryIncarnation)
+	p.sendConfirmedTable(homesTable(1, 0))
+	p.startRequest(keyedOffer(1, "k", 1)).finish("x")
+	other := keyedOffer(2, "k", 1)
 	other.Digest = 2
 	p.send(other)
-	if k := next[*wire.Known](p); k.State != wire.KeyMismatch {
+	if k := receive[*wire.Known](p); k.State != wire.KeyMismatch {
 		t.Fatalf("known %+v", k)
 	}
 }
 
-// The home of a key was lost and another agent took over. A key that may have
-// run before must not run again: its caller hears "unknown" and looks at the
-// register. A key that is certainly younger runs.
+// The home of a key is lost, and another agent takes over. A request whose key may
+// have run before must not run: its caller gets "unknown". A request whose key is
+// certainly newer than the takeover runs.
 func TestTakenOverKeysAreNotRun(t *testing.T) {
-	b := newBench(t, testBound)
-	p := b.link(entryInc)
-	since := startWall + homes.Margin(testLease).Milliseconds()
-	p.learn(table(2, since))
-	p.send(keyed(1, "k", 2))
-	if r := next[*wire.Return](p); r.Reason != wire.ReasonNoLease {
+	h := newHarness(t, testBound)
+	p := h.newLink(entryIncarnation)
+	since := startWallMS + homes.Margin(testLease).Milliseconds()
+	p.sendConfirmedTable(homesTable(2, since))
+	p.send(keyedOffer(1, "k", 2))
+	if r := receive[*wire.Return](p); r.Reason != wire.ReasonNoLease {
 		t.Fatalf("return while the old lease may run: %+v", r)
 	}
-	b.after(homes.Margin(testLease))
-	p.confirm(2, 0)
-	old := keyed(2, "k", 2)
+	h.advance(homes.Margin(testLease))
+	p.confirmEpoch(2, 0)
+	old := keyedOffer(2, "k", 2)
 	old.KeyMade = since - 1
 	p.send(old)
-	if k := next[*wire.Known](p); k.State != wire.KeyUnknown {
+	if k := receive[*wire.Known](p); k.State != wire.KeyUnknown {
 		t.Fatalf("known %+v", k)
 	}
-	p.send(keyed(3, "opaque", 2))
-	if k := next[*wire.Known](p); k.State != wire.KeyUnknown {
+	p.send(keyedOffer(3, "opaque", 2))
+	if k := receive[*wire.Known](p); k.State != wire.KeyUnknown {
 		t.Fatalf("known %+v", k)
 	}
-	b.idle()
-	b.after(homes.Skew + time.Millisecond)
-	p.confirm(2, 0)
-	young := keyed(4, "young", 2)
-	young.KeyMade = startWall + b.clock.Milliseconds()
-	p.started(young)
+	h.expectIdle()
+	h.advance(homes.Skew + time.Millisecond)
+	p.confirmEpoch(2, 0)
+	young := keyedOffer(4, "young", 2)
+	young.KeyMade = startWallMS + h.now.Milliseconds()
+	p.startRequest(young)
 }
 
-// A home agent is paused past its lease with a grant in its socket, while
-// another agent has taken its slots over. When it wakes it must not run the
-// request, which may have run at the new home.
-func TestLapsedLeaseHoldsTheGrantBack(t *testing.T) {
-	b := newBench(t, testBound)
-	p := b.link(entryInc)
-	p.learn(table(1, 0))
-	b.after(testLease - time.Second)
-	p.send(keyed(1, "k", 1))
-	next[*wire.Claim](p)
-	b.clock += time.Second
-	p.send(grantOf(offerOf(1)))
-	if r := next[*wire.Return](p); r.Reason != wire.ReasonNoLease {
+// A home agent is paused beyond the end of its lease with a grant in its socket,
+// and another agent takes its slots over. The paused agent must not run the request
+// when it resumes, because the request may have run at the new home.
+func TestExpiredLeaseStopsGrantedRequest(t *testing.T) {
+	h := newHarness(t, testBound)
+	p := h.newLink(entryIncarnation)
+	p.sendConfirmedTable(homesTable(1, 0))
+	h.advance(testLease - time.Second)
+	p.send(keyedOffer(1, "k", 1))
+	receive[*wire.Claim](p)
+	h.now += time.Second
+	p.send(newGrant(newOffer(1)))
+	if r := receive[*wire.Return](p); r.Reason != wire.ReasonNoLease {
 		t.Fatalf("return %+v", r)
 	}
-	b.idle()
-	// A pause between the decision and the first byte is caught by the guard.
-	p.confirm(1, 0)
-	r := p.started(keyed(2, "k2", 1))
+	h.expectIdle()
+	// The guard detects a pause between the decision and the first byte.
+	p.confirmEpoch(1, 0)
+	r := p.startRequest(keyedOffer(2, "k2", 1))
 	if err := r.req.Guard.Check(); err != nil {
 		t.Fatal(err)
 	}
-	b.clock += testLease
+	h.now += testLease
 	if err := r.req.Guard.Check(); err == nil {
-		t.Fatal("the guard lets a request pass after the lease")
+		t.Fatal("the guard permits a request after the end of the lease")
 	}
-	b.clock -= testLease
+	h.now -= testLease
 }
 
-// The endpoint refuses the connection of a keyed request. Nothing ran, so the
-// key must be free for the caller's retry.
-func TestKeyOfUnsentRequestIsFree(t *testing.T) {
-	b := newBench(t, testBound)
-	p := b.link(entryInc)
-	p.learn(table(1, 0))
-	r := p.started(keyed(1, "k", 1))
-	r.end <- call.Result{Err: call.ErrUnreachable}
-	next[*wire.Return](p)
-	b.o.endpointUp()
-	p.started(keyed(2, "k", 1))
+// The endpoint refuses the connection for a request with an idempotency key. The
+// request did not run, so the caller's retry with the key must be able to run.
+func TestKeyOfUnsentRequestMayRunAgain(t *testing.T) {
+	h := newHarness(t, testBound)
+	p := h.newLink(entryIncarnation)
+	p.sendConfirmedTable(homesTable(1, 0))
+	r := p.startRequest(keyedOffer(1, "k", 1))
+	r.result <- call.Result{Err: call.ErrUnreachable}
+	receive[*wire.Return](p)
+	h.o.markEndpointUp()
+	p.startRequest(keyedOffer(2, "k", 1))
 }
 
-// The caller of a keyed request hangs up. Its retry is to find the answer, so
-// the run goes on.
-func TestCancelLeavesKeyedRunAlone(t *testing.T) {
-	b := newBench(t, testBound)
-	p := b.link(entryInc)
-	p.learn(table(1, 0))
-	r := p.started(keyed(1, "k", 1))
-	p.send(&wire.Cancel{ID: offerOf(1).ID, Reason: wire.ReasonCallerGone})
-	if b.o.recs[offerOf(1).ID].stopped != wire.ReasonNone {
+// The caller of a request with an idempotency key hangs up. The run must continue,
+// because a retry must get its answer.
+func TestCancelDoesNotStopKeyedRun(t *testing.T) {
+	h := newHarness(t, testBound)
+	p := h.newLink(entryIncarnation)
+	p.sendConfirmedTable(homesTable(1, 0))
+	r := p.startRequest(keyedOffer(1, "k", 1))
+	p.send(&wire.Cancel{ID: newOffer(1).ID, Reason: wire.ReasonCallerGone})
+	if h.o.records[newOffer(1).ID].stopReason != wire.ReasonNone {
 		t.Fatal("the run was cancelled")
 	}
-	r.answer("filed")
-	p.send(keyed(2, "k", 1))
-	if c := next[*wire.Chunk](p); c.ID != offerOf(2).ID || string(c.Data) != "filed" {
+	r.finish("filed")
+	p.send(keyedOffer(2, "k", 1))
+	if c := receive[*wire.Chunk](p); c.ID != newOffer(2).ID || string(c.Data) != "filed" {
 		t.Fatalf("chunk %+v", c)
 	}
 }
 
-// The kept answer was given up for want of memory. The request must not run
-// again although its answer is gone.
-func TestForgottenAnswerIsNotRunAgain(t *testing.T) {
-	b := newBench(t, testBound)
-	p := b.link(entryInc)
-	p.learn(table(1, 0))
-	p.started(keyed(1, "k", 1)).answer("filed")
-	next[*wire.End](p)
-	b.o.recs[offerOf(1).ID].log.DropChunks()
-	p.send(keyed(2, "k", 1))
-	if k := next[*wire.Known](p); k.State != wire.KeyForgotAnswer {
+// The kept answer was dropped to save memory. A retry must not run the request
+// again.
+func TestRequestWithDroppedAnswerIsNotRunAgain(t *testing.T) {
+	h := newHarness(t, testBound)
+	p := h.newLink(entryIncarnation)
+	p.sendConfirmedTable(homesTable(1, 0))
+	p.startRequest(keyedOffer(1, "k", 1)).finish("filed")
+	receive[*wire.End](p)
+	h.o.records[newOffer(1).ID].answer.DropChunks()
+	p.send(keyedOffer(2, "k", 1))
+	if k := receive[*wire.Known](p); k.State != wire.KeyForgotAnswer {
 		t.Fatalf("known %+v", k)
 	}
-	b.idle()
+	h.expectIdle()
 }
 
-func TestOffersOutsideTheHomeAreReturned(t *testing.T) {
-	b := newBench(t, testBound)
-	p := b.link(entryInc)
-	p.send(keyed(1, "k", 1))
-	if r := next[*wire.Return](p); r.Reason != wire.ReasonNotHome {
+// Offers with a key are returned when the agent has no table, no valid lease, or an
+// older epoch than the entry.
+func TestOffersWithoutValidHomeAreReturned(t *testing.T) {
+	h := newHarness(t, testBound)
+	p := h.newLink(entryIncarnation)
+	p.send(keyedOffer(1, "k", 1))
+	if r := receive[*wire.Return](p); r.Reason != wire.ReasonNotHome {
 		t.Fatalf("return without a table: %+v", r)
 	}
-	tab := table(1, 0)
-	p.tell(tab)
-	p.send(keyed(2, "k", 1))
-	if r := next[*wire.Return](p); r.Reason != wire.ReasonNoLease {
+	tab := homesTable(1, 0)
+	p.sendTable(tab)
+	p.send(keyedOffer(2, "k", 1))
+	if r := receive[*wire.Return](p); r.Reason != wire.ReasonNoLease {
 		t.Fatalf("return without a lease: %+v", r)
 	}
-	p.confirm(1, testLease)
-	p.send(keyed(3, "k", 1))
-	if r := next[*wire.Return](p); r.Reason != wire.ReasonNoLease {
+	p.confirmEpoch(1, testLease)
+	p.send(keyedOffer(3, "k", 1))
+	if r := receive[*wire.Return](p); r.Reason != wire.ReasonNoLease {
 		t.Fatalf("return on an old confirmation: %+v", r)
 	}
-	p.confirm(1, 0)
-	p.send(keyed(4, "k", 2))
-	if r := next[*wire.Return](p); r.Reason != wire.ReasonNotHome {
+	p.confirmEpoch(1, 0)
+	p.send(keyedOffer(4, "k", 2))
+	if r := receive[*wire.Return](p); r.Reason != wire.ReasonNotHome {
 		t.Fatalf("return under a newer epoch: %+v", r)
 	}
-	if r := b.o.recs[ident.Make(entryInc, 4)]; r != nil {
-		t.Fatal("a record was left behind")
+	if r := h.o.records[ident.Make(entryIncarnation, 4)]; r != nil {
+		t.Fatal("a record of the returned offer was kept")
 	}
 }
--- a/agent/slot/lease.go
+++ b/agent/slot/lease.go
@@ -13,36 +13,37 @@
 )
 
 const (
-	// asksPerLease is how often a lease is asked for while it lasts, so that
-	// two lost answers do not cost it.
-	asksPerLease = 4
-	// askLinks is how many entries are asked each time.
-	askLinks = 2
-	// askEvery is the longest time between two rounds of asking, and orderAsk
-	// the time while an order waits for a confirmation.
-	askEvery = 5 * time.Second
-	orderAsk = time.Second
+	// roundsPerLease is the number of request rounds within one lease, so that two
+	// lost replies do not end the lease.
+	roundsPerLease = 4
+	// entriesPerRound is the number of entries that get a request in each round.
+	entriesPerRound = 2
+	// maxLeaseInterval is the longest time between two rounds, and
+	// orderLeaseInterval the time while an order waits for a confirmation.
+	maxLeaseInterval   = 5 * time.Second
+	orderLeaseInterval = time.Second
 )
 
-// ask is a question about freshness that is under way.
-type ask struct {
-	at   time.Duration
-	pool string
+// leaseRequest is an unanswered request for a confirmation that an object is still
+// in force. pool is a pool's name, or wire.AssignPrefix and a model's name.
+type leaseRequest struct {
+	sentAt time.Duration
+	pool   string
 }
 
-func (o *Owner) news(now time.Duration, m *wire.News) {
+func (o *Owner) handleObjectUpdate(now time.Duration, m *wire.News) {
 	switch m.Object {
 	case spec.KindHomes:
-		o.newsHomes(now, m)
+		o.updateHomes(now, m)
 	case spec.KindAssign:
-		o.newsAssign(now, m)
+		o.updateAssignment(now, m)
 	}
 }
 
-func (o *Owner) newsHomes(now time.Duration, m *wire.News) {
+func (o *Owner) updateHomes(now time.Duration, m *wire.News) {
 	if m.Gone {
-		// A table that vanished takes nothing back: its epochs may return, so
-		// the newest one known stays in force.
+		// The removal of a table has no effect: the table may return with the same
+		// epochs, so the newest known one stays in force.
 		return
 	}
 	var t spec.Homes
@@ -54,69 +55,70 @@
 		logs.Error(o.log, logs.EventConfigRejected, zap.String("object", m.Object+"/"+m.Name), zap.Int64("version", m.Version), zap.Error(err))
 		return
 	}
-	h := o.homes[m.Name]
+	h := o.homeViews[m.Name]
 	if h == nil {
 		h = homes.NewHolder(o.cfg.Self)
-		o.homes[m.Name] = h
+		o.homeViews[m.Name] = h
 	}
 	if h.Learn(now, t) {
 		logs.Info(o.log, logs.EventHomesChanged, zap.String("pool", m.Name), zap.Int64("epoch", t.Epoch))
-		o.askNext = 0
+		o.nextLeaseRound = 0
 	}
 }
 
-// askLeases asks entries how fresh the tables are. The answer counts from the
-// moment of asking, so that a late one prolongs nothing.
-func (o *Owner) askLeases(now time.Duration) {
-	if now < o.askNext {
+// requestLeases asks entries to confirm the tables and the assignment that a due
+// order follows from. A confirmation counts from the time of the request, so that
+// a late reply does not extend a lease.
+func (o *Owner) requestLeases(now time.Duration) {
+	if now < o.nextLeaseRound {
 		return
 	}
-	every := askEvery
-	for pool, h := range o.homes {
+	interval := maxLeaseInterval
+	for pool, h := range o.homeViews {
 		if lease := h.Table().Lease.Std(); lease > 0 {
-			every = min(every, lease/asksPerLease)
+			interval = min(interval, lease/roundsPerLease)
 		}
-		o.askAbout(now, pool)
+		o.sendLeaseRequests(now, pool)
 	}
-	if model, a := o.newest(); o.due(now, model, a) {
-		every = min(every, orderAsk)
-		o.askAbout(now, wire.AssignPrefix+model)
+	if model, a := o.newestAssignment(); o.orderDue(now, model, a) {
+		interval = min(interval, orderLeaseInterval)
+		o.sendLeaseRequests(now, wire.AssignPrefix+model)
 	}
-	o.askNext = now + every
-	for seq, a := range o.asks {
-		if now-a.at > homes.DefaultLease {
-			delete(o.asks, seq)
+	o.nextLeaseRound = now + interval
+	for seq, a := range o.leaseRequests {
+		if now-a.sentAt > homes.DefaultLease {
+			delete(o.leaseRequests, seq)
 		}
 	}
 }
 
-func (o *Owner) askAbout(now time.Duration, pool string) {
+func (o *Owner) sendLeaseRequests(now time.Duration, pool string) {
 	n := 0
 	for _, s := range o.sessions {
 		if s.link == nil {
 			continue
 		}
-		o.askSeq++
-		o.asks[o.askSeq] = ask{at: now, pool: pool}
-		o.send(s.link, &wire.LeaseAsk{Seq: o.askSeq, Pool: pool})
-		if n++; n == askLinks {
+		o.lastLeaseSeq++
+		o.leaseRequests[o.lastLeaseSeq] = leaseRequest{sentAt: now, pool: pool}
+		o.send(s.link, &wire.LeaseAsk{Seq: o.lastLeaseSeq, Pool: pool})
+		if n++; n == entriesPerRound {
 			return
 		}
 	}
 }
 
-func (o *Owner) leaseAck(now time.Duration, _ *Peer, m *wire.LeaseAck) {
-	a, ok := o.asks[m.Seq]
-	if !ok || a.pool != m.Pool {
+func (o *Owner) handleLeaseReply(now time.Duration, _ *Peer, m *wire.LeaseAck) {
+	request, ok := o.leaseRequests[m.Seq]
+	if !ok || request.pool != m.Pool {
 		return
 	}
-	delete(o.asks, m.Seq)
+	delete(o.leaseRequests, m.Seq)
 	if !m.Fresh {
 		return
 	}
-	if h := o.homes[m.Pool]; h != nil {
-		h.Confirm(a.at, ms(m.AgeMS), m.Epoch)
+	if h := o.homeViews[m.Pool]; h != nil {
+		h.Confirm(request.sentAt, ms(m.AgeMS), m.Epoch)
 		return
 	}
-	o.confirmAssign(now, a, m)
+	o.confirmAssignment(now, request, m)
 }
--- a/agent/slot/leave.go
+++ b/agent/slot/leave.go
@@ -10,71 +10,71 @@
 	"lycheepond/core/wire"
 )
 
-// leave begins a planned stop: every entry hears of it, what waits goes back,
-// and what runs is finished.
-func (o *Owner) leave(now time.Duration) {
-	if o.leaving {
+// beginLeave begins a planned stop. It informs every entry and returns the waiting
+// requests. Running requests continue to their end.
+func (o *Owner) beginLeave(now time.Duration) {
+	if o.isLeaving {
 		return
 	}
-	o.leaving, o.leaveBy = true, now+o.cfg.Grace
+	o.isLeaving, o.leaveDeadline = true, now+o.cfg.StopGrace
 	logs.Info(o.log, logs.EventLeaving, zap.Int("running", len(o.running)), zap.Int("waiting", len(o.waiting)))
-	o.publish()
-	o.sayAll()
+	o.publishLoad()
+	o.broadcastHeartbeat()
 	for _, r := range o.waiting {
-		o.giveBack(now, r, wire.ReasonLeaving)
+		o.returnRequest(now, r, wire.ReasonLeaving)
 	}
 }
 
-// tickLeave stops what outlasts the grace time.
+// tickLeave stops the requests that still run after the stop grace.
 func (o *Owner) tickLeave(now time.Duration) {
-	if !o.leaving || now < o.leaveBy {
+	if !o.isLeaving || now < o.leaveDeadline {
 		return
 	}
 	for _, r := range o.running {
-		o.halt(r, wire.ReasonLeaving)
+		o.stopRun(r, wire.ReasonLeaving)
 	}
 }
 
-// fetchTime is how long an entry that has linked again may take to ask for answers.
-// It does so at once; the time covers one that is busy.
-const fetchTime = 500 * time.Millisecond
+// maxAttachDelay is how long an entry may take to ask for its answers after it has
+// opened a new link. It asks at once unless it is busy.
+const maxAttachDelay = 500 * time.Millisecond
 
-// owes reports whether an entry whose link broke may still come for an answer, which
-// nobody else has.
-func (o *Owner) owes(now time.Duration) bool {
-	if now >= o.leaveBy {
+// owesAnswer reports whether a planned stop must wait for an entry that lost its
+// link and may still ask for an answer that only this agent has.
+func (o *Owner) owesAnswer(now time.Duration) bool {
+	if now >= o.leaveDeadline {
 		return false
 	}
-	for _, r := range slices.Backward(o.old) {
-		if now-r.changed > sessionGrace {
+	for _, r := range slices.Backward(o.finishedRecords) {
+		if now-r.stateSince > linkLossGrace {
 			return false
 		}
-		if r.state != ended || r.log == nil || r.told {
+		if r.state != stateEnded || r.answer == nil || r.answerSent {
 			continue
 		}
-		if r.sess.link == nil && now-r.sess.gone < sessionGrace && !o.replaced(r.sess) {
+		if r.session.link == nil && now-r.session.linkLostAt < linkLossGrace && !o.isReplaced(r.session) {
 			return true
 		}
-		if r.sess.link != nil && r.link != r.sess.link && now-r.sess.back < fetchTime {
+		if r.session.link != nil && r.link != r.session.link && now-r.session.linkedAt < maxAttachDelay {
 			return true
 		}
 	}
 	return false
 }
 
-// replaced reports whether the entry behind a session has ended: another process of
-// its name has come since.
-func (o *Owner) replaced(s *session) bool {
+// isReplaced reports whether the entry process of a session has ended, which is
+// known when a later process of the same name has opened a link.
+func (o *Owner) isReplaced(s *session) bool {
 	for _, other := range o.sessions {
-		if other != s && other.name == s.name && other.back > s.gone {
+		if other != s && other.name == s.name && other.linkedAt > s.linkLostAt {
 			return true
 		}
 	}
 	return false
 }
 
-// left reports whether a planned stop has nothing more to wait for.
-func (o *Owner) left() bool {
+// leaveComplete reports whether a planned stop is complete.
+func (o *Owner) leaveComplete() bool {
 	now := o.cfg.Now()
-	return o.leaving && len(o.running) == 0 && len(o.ready) == 0 && !o.owes(now) && o.handed(now) && (o.tasks == 0 || now > o.leaveBy+cancelTimeout)
+	return o.isLeaving && len(o.running) == 0 && len(o.readyRecords) == 0 && !o.owesAnswer(now) && o.handoversComplete(now) && (o.taskCount == 0 || now > o.leaveDeadline+cancelTimeout)
 }
--- a/agent/slot/level.go
+++ b/agent/slot/level.go
@@ -10,64 +10,66 @@
 	"lycheepond/core/wire"
 )
 
-// lowest is the level at which every tier is taken.
-const lowest = spec.Tiers - 1
+// lowestTier is the lowest tier. At this shed level every tier is accepted.
+const lowestTier = spec.Tiers - 1
 
-// level takes in the shed level of a pool. The strictest of what entries say
-// is in force, so that none of them refuses a tier while a lower one runs here.
-func (o *Owner) level(now time.Duration, p *Peer, m *wire.Level) {
-	before := o.levelOf(now, m.Pool)
-	o.session(p).levels[m.Pool] = levelHeard{level: m.Level, until: now + ms(m.HoldMS)}
-	after := o.levelOf(now, m.Pool)
-	if after == before {
+// handleLevel handles an entry's shed level for a pool. The strictest level of all
+// entries is in force, so that no entry refuses a tier while a lower tier is
+// accepted here.
+func (o *Owner) handleLevel(now time.Duration, p *Peer, m *wire.Level) {
+	oldLevel := o.poolLevel(now, m.Pool)
+	o.sessionOf(p).levels[m.Pool] = entryLevel{level: m.Level, expiresAt: now + ms(m.HoldMS)}
+	newLevel := o.poolLevel(now, m.Pool)
+	if newLevel == oldLevel {
 		return
 	}
-	logs.Info(o.log, logs.EventLevelChanged, zap.String("pool", m.Pool), zap.Uint8("from", before), zap.Uint8("to", after), zap.String("peer", p.Name))
-	if after < before {
-		o.shedAbove(now, m.Pool, after)
+	logs.Info(o.log, logs.EventLevelChanged, zap.String("pool", m.Pool), zap.Uint8("from", oldLevel), zap.Uint8("to", newLevel), zap.String("peer", p.Name))
+	if newLevel < oldLevel {
+		o.shedAbove(now, m.Pool, newLevel)
 	}
 	// An entry refuses a tier only after every agent has confirmed the level
 	// that keeps lower tiers out.
-	o.publish()
-	o.sayAll()
+	o.publishLoad()
+	o.broadcastHeartbeat()
 }
 
-func (o *Owner) levelOf(now time.Duration, pool string) uint8 {
-	level := uint8(lowest)
+// poolLevel returns the shed level in force for a pool.
+func (o *Owner) poolLevel(now time.Duration, pool string) uint8 {
+	level := uint8(lowestTier)
 	for _, s := range o.sessions {
-		if l, ok := s.levels[pool]; ok && now < l.until {
+		if l, ok := s.levels[pool]; ok && now < l.expiresAt {
 			level = min(level, l.level)
 		}
 	}
 	return level
 }
 
-// shedAbove gives back all that waits of a tier above the level.
+// shedAbove returns the pool's waiting requests whose tier number is above level.
 func (o *Owner) shedAbove(now time.Duration, pool string, level uint8) {
 	for _, r := range o.waiting {
 		if r.offer.Pool == pool && r.offer.Tier > level {
-			o.giveBack(now, r, wire.ReasonShed)
+			o.returnRequest(now, r, wire.ReasonShed)
 		}
 	}
 }
 
-// checkLevels drops levels that were not repeated.
-func (o *Owner) checkLevels(now time.Duration) {
+// expireLevels drops levels that were not repeated in time.
+func (o *Owner) expireLevels(now time.Duration) {
 	for _, s := range o.sessions {
 		for pool, l := range s.levels {
-			if now >= l.until {
+			if now >= l.expiresAt {
 				delete(s.levels, pool)
 			}
 		}
 	}
 }
 
-// reportedLevel is the strictest level of any pool here.
-func (o *Owner) reportedLevel(now time.Duration) uint8 {
-	level := uint8(lowest)
+// strictestLevel returns the strictest level that is in force for any pool.
+func (o *Owner) strictestLevel(now time.Duration) uint8 {
+	level := uint8(lowestTier)
 	for _, s := range o.sessions {
 		for _, l := range s.levels {
-			if now < l.until {
+			if now < l.expiresAt {
 				level = min(level, l.level)
 			}
 		}
--- a/agent/slot/model_test.go
+++ b/agent/slot/model_test.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	histories = 300
-	steps     = 250
-	modelIDs  = 6
+	historyCount = 300
+	stepCount    = 250
+	idCount      = 6
 )
 
-// model checks an owner against what must always hold while frames come in
-// any order, twice and late.
+// model checks invariants of an owner while frames arrive in any order, late and
+// more than once.
 type model struct {
-	b     *bench
-	r     *rand.Rand
-	peers []*peer
-	// ran counts how often the endpoint was asked to run an ID.
-	ran  map[ident.ID]int
-	open []*fakeRun
+	h      *harness
+	random *rand.Rand
+	links  []*testLink
+	// runCounts counts how often each ID was run at the endpoint.
+	runCounts map[ident.ID]int
+	openRuns  []*fakeRun
 }
 
-// Two entries lose their links, are paused and dial again, frames are repeated
-// and overtake each other, runs end in every way and the endpoint goes away.
-// Whatever comes together: no request may run twice, and none that an entry
-// was told was not run may run.
+// Two entries lose their links, are paused and dial again; frames are repeated and
+// overtake each other; runs end in every way, and the endpoint becomes unreachable.
+// In every combination, no request may run twice, and a request that was returned
+// to its entry may not run.
 func TestRandomHistories(t *testing.T) {
-	for seed := range int64(histories) {
-		b := newBench(t, testBound)
-		m := &model{b: b, r: rand.New(rand.NewSource(seed)), ran: map[ident.ID]int{}}
-		m.peers = []*peer{b.link(entryInc), b.link(entryInc + 1)}
-		m.peers[0].learn(table(1, 0))
-		for range steps {
+	for seed := range int64(historyCount) {
+		h := newHarness(t, testBound)
+		m := &model{h: h, random: rand.New(rand.NewSource(seed)), runCounts: map[ident.ID]int{}}
+		m.links = []*testLink{h.newLink(entryIncarnation), h.newLink(entryIncarnation + 1)}
+		m.links[0].sendConfirmedTable(homesTable(1, 0))
+		for range stepCount {
 			m.step()
 			m.check(seed)
 		}
@@ -46,11 +46,11 @@
 }
 
 func (m *model) step() {
-	b := m.b
-	p := m.peers[m.r.Intn(len(m.peers))]
-	id := uint64(m.r.Intn(modelIDs))
+	h := m.h
+	p := m.links[m.random.Intn(len(m.links))]
+	id := uint64(m.random.Intn(idCount))
 	o := m.offer(p, id)
-	switch m.r.Intn(16) {
+	switch m.random.Intn(16) {
 	case 0, 1, 2:
 		p.send(o)
 	case 3, 4, 5, 6:
@@ -62,80 +62,80 @@
 	case 9:
 		p.send(&wire.Cancel{ID: o.ID, Reason: wire.ReasonCallerGone})
 	case 10:
-		p.send(&wire.Attach{ID: o.ID, Next: uint32(m.r.Intn(2)), Agent: selfInc})
+		p.send(&wire.Attach{ID: o.ID, Next: uint32(m.random.Intn(2)), Agent: selfIncarnation})
 	case 11:
-		b.after(time.Duration(m.r.Intn(1500)) * time.Millisecond)
+		h.advance(time.Duration(m.random.Intn(1500)) * time.Millisecond)
 	case 12:
-		m.relink(m.r.Intn(len(m.peers)))
+		m.relink(m.random.Intn(len(m.links)))
 	case 13:
-		p.send(&wire.Level{Pool: pool, Level: uint8(m.r.Intn(4)), HoldMS: 1000})
+		p.send(&wire.Level{Pool: testPool, Level: uint8(m.random.Intn(4)), HoldMS: 1000})
 	case 14:
 		m.endRun()
 	case 15:
-		b.do(report{engine.Load{}, nil})
+		h.apply(reportEvent{engine.Load{}, nil})
 	}
-	m.collect()
+	m.applyEvents()
 }
 
-// offer makes the offer of an ID; every second one is keyed.
-func (m *model) offer(p *peer, n uint64) *wire.Offer {
-	o := &wire.Offer{ID: ident.Make(p.Incarnation, n), Pool: pool, Tier: uint8(n % 4), DeadlineMS: 20000, Repeatable: n%3 == 0}
+// offer returns the offer of an ID. Every second one has an idempotency key.
+func (m *model) offer(p *testLink, n uint64) *wire.Offer {
+	o := &wire.Offer{ID: ident.Make(p.Incarnation, n), Pool: testPool, Tier: uint8(n % 4), DeadlineMS: 20000, Repeatable: n%3 == 0}
 	if n%2 == 1 {
 		o.Key, o.Epoch = []byte{byte(n / 2)}, 1
 	}
 	return o
 }
 
-// relink replaces the link of an entry. The old one may still deliver.
+// relink replaces the link of an entry. The old link still delivers a frame.
 func (m *model) relink(i int) {
-	old := m.peers[i]
-	m.peers[i] = m.b.link(old.Incarnation)
-	n := uint64(m.r.Intn(modelIDs))
+	old := m.links[i]
+	m.links[i] = m.h.newLink(old.Incarnation)
+	n := uint64(m.random.Intn(idCount))
 	old.send(&wire.Grant{ID: ident.Make(old.Incarnation, n), Method: "POST", Path: "/"})
-	m.b.do(linkDown{old.Peer})
-	m.take(old)
+	m.h.apply(linkDownEvent{old.Peer})
+	m.readMessages(old)
 }
 
 func (m *model) endRun() {
-	if len(m.open) == 0 {
+	if len(m.openRuns) == 0 {
 		return
 	}
-	run := m.open[0]
-	m.open = m.open[1:]
-	switch m.r.Intn(3) {
+	run := m.openRuns[0]
+	m.openRuns = m.openRuns[1:]
+	switch m.random.Intn(3) {
 	case 0:
-		run.answer("x")
+		run.finish("x")
 	case 1:
-		run.end <- call.Result{Sent: true, Err: errLease}
+		run.result <- call.Result{Sent: true, Err: errLeaseExpired}
 	case 2:
-		run.end <- call.Result{Err: call.ErrUnreachable}
-		m.ran[run.id]--
+		run.result <- call.Result{Err: call.ErrUnreachable}
+		m.runCounts[run.id]--
 	}
 }
 
-func (m *model) collect() {
+func (m *model) applyEvents() {
 	for {
 		select {
-		case ev := <-m.b.o.events.Items():
-			m.b.do(ev)
-		case run := <-m.b.runs:
-			m.ran[run.id]++
-			m.open = append(m.open, run)
+		case ev := <-m.h.o.events.Items():
+			m.h.apply(ev)
+		case run := <-m.h.runs:
+			m.runCounts[run.id]++
+			m.openRuns = append(m.openRuns, run)
 		default:
-			for _, p := range m.peers {
-				m.take(p)
+			for _, p := range m.links {
+				m.readMessages(p)
 			}
 			return
 		}
 	}
 }
 
-func (m *model) take(p *peer) {
+func (m *model) readMessages(p *testLink) {
 	for {
 		select {
-		case got := <-p.got:
+		case got := <-p.messages:
 			if ret, ok := got.(*wire.Return); ok {
-				m.refused(ret.ID)
+				m.checkReturned(ret.ID)
 			}
 		default:
 			return
@@ -143,38 +143,40 @@
 	}
 }
 
-// refused notes that an entry was told that a request was not run.
-func (m *model) refused(id ident.ID) {
-	m.b.t.Helper()
-	if r := m.b.o.recs[id]; r != nil && (r.state == running || r.state == ended) {
-		m.b.t.Fatalf("%s was returned in state %d", id, r.state)
+// checkReturned checks that a request that was returned to its entry does not run.
+func (m *model) checkReturned(id ident.ID) {
+	m.h.t.Helper()
+	if r := m.h.o.records[id]; r != nil && (r.state == stateRunning || r.state == stateEnded) {
+		m.h.t.Fatalf("request %s was returned in state %d", id, r.state)
 	}
 }
 
+// check fails the test if a request ran twice, if the owner's maps and counts
+// disagree, or if more requests run than the bound allows.
 func (m *model) check(seed int64) {
-	m.b.t.Helper()
-	o := m.b.o
-	for id, n := range m.ran {
+	m.h.t.Helper()
+	o := m.h.o
+	for id, n := range m.runCounts {
 		if n > 1 {
-			m.b.t.Fatalf("seed %d: %s ran %d times", seed, id, n)
+			m.h.t.Fatalf("seed %d: %s ran %d times", seed, id, n)
 		}
 	}
 	claims := 0
 	for id, r := range o.waiting {
-		if r.state == claimed {
+		if r.state == stateClaimed {
 			claims++
 		}
-		if o.recs[id] != r || r.state >= running || r.state == lapsed {
-			m.b.t.Fatalf("seed %d: %s waits in state %d", seed, id, r.state)
+		if o.records[id] != r || r.state >= stateRunning || r.state == stateLapsed {
+			m.h.t.Fatalf("seed %d: %s waits in state %d", seed, id, r.state)
 		}
 	}
-	if claims != o.claims {
-		m.b.t.Fatalf("seed %d: %d claims counted, %d found", seed, o.claims, claims)
+	if claims != o.claimCount {
+		m.h.t.Fatalf("seed %d: %d claims counted, %d found", seed, o.claimCount, claims)
 	}
-	if n := o.queue.Len(); n+len(o.held) != len(o.waiting) {
-		m.b.t.Fatalf("seed %d: %d queued, %d held, %d waiting", seed, n, len(o.held), len(o.waiting))
+	if n := o.queue.Len(); n+len(o.waitingUnqueued) != len(o.waiting) {
+		m.h.t.Fatalf("seed %d: %d queued, %d unqueued, %d waiting", seed, n, len(o.waitingUnqueued), len(o.waiting))
 	}
 	if len(o.running) > testBound {
-		m.b.t.Fatalf("seed %d: %d running", seed, len(o.running))
+		m.h.t.Fatalf("seed %d: %d running", seed, len(o.running))
 	}
 }
--- a/agent/slot/offer.go
+++ b/agent/slot/offer.go
@@ -10,125 +10,126 @@
 	"lycheepond/core/wire"
 )
 
-// Times after which a returned request may be worth offering here again.
+// Times after which an entry may offer a returned request here again.
 const (
-	retryDown  = time.Second
-	retryShort = 200 * time.Millisecond
+	retryAfterUnreachable = time.Second
+	minRetryAfter         = 200 * time.Millisecond
 )
 
-func (o *Owner) offer(now time.Duration, p *Peer, m *wire.Offer) {
-	m.Tier = min(m.Tier, lowest)
-	if r := o.recs[m.ID]; r != nil && (o.known(p, m.ID) == nil || o.offeredAgain(now, p, r)) {
+func (o *Owner) handleOffer(now time.Duration, p *Peer, m *wire.Offer) {
+	m.Tier = min(m.Tier, lowestTier)
+	if r := o.records[m.ID]; r != nil && (o.ownRecord(p, m.ID) == nil || o.handleRepeatedOffer(now, p, r)) {
 		return
 	}
-	s := o.session(p)
-	r := newRec(now, p, s, m)
-	if reason := o.refusal(now, r); reason != wire.ReasonNone {
+	s := o.sessionOf(p)
+	r := newRecord(now, p, s, m)
+	if reason := o.offerRefusal(now, r); reason != wire.ReasonNone {
 		o.sendReturn(r, reason)
 		return
 	}
 	if len(m.Key) > 0 && !o.admitKeyed(now, r) {
 		return
 	}
-	o.recs[m.ID] = r
-	if r.key != nil && r.key.first != r.id {
-		o.setState(now, r, parked)
+	o.records[m.ID] = r
+	if r.key != nil && r.key.firstID != r.id {
+		o.setState(now, r, stateParked)
 		return
 	}
 	o.enqueue(now, r)
 }
 
-// offeredAgain deals with an offer of a known ID and reports whether that was
-// all. A duplicated frame changes nothing.
-func (o *Owner) offeredAgain(now time.Duration, p *Peer, r *rec) bool {
+// handleRepeatedOffer handles an offer of a known ID. It reports whether the offer
+// needs no further handling. A duplicate of a frame has no effect.
+func (o *Owner) handleRepeatedOffer(now time.Duration, p *Peer, r *record) bool {
 	switch r.state {
-	case lapsed:
+	case stateLapsed:
 		return false
-	case dead:
-		o.sendReturnTo(p, r.id, r.reason)
-	case queued, parked, claimed:
+	case stateTombstone:
+		o.sendReturnTo(p, r.id, r.notRunReason)
+	case stateQueued, stateParked, stateClaimed:
 		if r.link == p {
 			break
 		}
-		// The entry has a new link and says by this offer that it granted
-		// nothing on the old one.
+		// The entry has a new link. By offering the request again it says that it
+		// did not grant the request on the old link.
 		o.lapse(now, r)
 		return false
 	}
 	return true
 }
 
-// refusal says why an offer cannot be taken, ReasonNone if it can.
-func (o *Owner) refusal(now time.Duration, r *rec) wire.Reason {
+// offerRefusal returns the reason why an offer must be refused, or ReasonNone.
+func (o *Owner) offerRefusal(now time.Duration, r *record) wire.Reason {
 	switch {
-	case o.leaving:
+	case o.isLeaving:
 		return wire.ReasonLeaving
-	case r.offer.Tier > o.levelOf(now, r.offer.Pool):
+	case r.offer.Tier > o.poolLevel(now, r.offer.Pool):
 		return wire.ReasonShed
-	case o.down:
+	case o.isDown:
 		return wire.ReasonUnreachable
 	}
 	return wire.ReasonNone
 }
 
-func (o *Owner) enqueue(now time.Duration, r *rec) {
-	evicted, did, err := o.queue.Push(now, r.item())
+func (o *Owner) enqueue(now time.Duration, r *record) {
+	evicted, hasEvicted, err := o.queue.Push(now, r.queueItem())
 	if err != nil {
-		o.forget(now, r)
+		o.removeRecord(now, r)
 		o.sendReturn(r, wire.ReasonFull)
 		return
 	}
-	o.setState(now, r, queued)
-	if did {
-		o.giveBack(now, o.recs[evicted.ID], wire.ReasonDisplaced)
+	o.setState(now, r, stateQueued)
+	if hasEvicted {
+		o.returnRequest(now, o.records[evicted.ID], wire.ReasonDisplaced)
 	}
 }
 
-// giveBack returns a request that waits. One for which a grant may be on its
-// way stays as a tombstone, so that the grant is refused when it comes.
-func (o *Owner) giveBack(now time.Duration, r *rec, reason wire.Reason) {
+// returnRequest returns a waiting request to its entry. If a grant may be on its
+// way, a tombstone is kept so that the grant is refused when it arrives.
+func (o *Owner) returnRequest(now time.Duration, r *record, reason wire.Reason) {
 	if r == nil {
 		return
 	}
-	o.unready(r)
+	o.removeReady(r)
 	o.queue.Remove(r.id)
-	granted := r.state == claimed || r.state == ready
-	if !granted {
-		o.forget(now, r)
+	mayBeGranted := r.state == stateClaimed || r.state == stateReady
+	if !mayBeGranted {
+		o.removeRecord(now, r)
 		o.sendReturn(r, reason)
 		return
 	}
-	o.bury(now, r, reason)
+	o.setTombstone(now, r, reason)
 	o.sendReturn(r, reason)
 }
 
-// bury puts a tombstone on a request that was claimed and did not run.
-func (o *Owner) bury(now time.Duration, r *rec, reason wire.Reason) {
-	r.reason = reason
-	o.uncharge(r)
-	o.setState(now, r, dead)
-	o.unfollow(r)
-	if r.log != nil {
-		r.log.DropChunks()
-		r.log = nil
+// setTombstone turns the record of a claimed request that did not run into a
+// tombstone.
+func (o *Owner) setTombstone(now time.Duration, r *record, reason wire.Reason) {
+	r.notRunReason = reason
+	o.refundCharge(r)
+	o.setState(now, r, stateTombstone)
+	o.stopFollow(r)
+	if r.answer != nil {
+		r.answer.DropChunks()
+		r.answer = nil
 	}
 	r.grant = nil
-	o.firstLost(now, r)
+	o.replaceFirst(now, r)
 }
 
-func (o *Owner) unready(r *rec) {
-	for i, other := range o.ready {
+func (o *Owner) removeReady(r *record) {
+	for i, other := range o.readyRecords {
 		if other == r {
-			o.ready = append(o.ready[:i], o.ready[i+1:]...)
+			o.readyRecords = append(o.readyRecords[:i], o.readyRecords[i+1:]...)
 			return
 		}
 	}
 }
 
-func (o *Owner) sendReturn(r *rec, reason wire.Reason) {
+func (o *Owner) sendReturn(r *record, reason wire.Reason) {
 	link := r.link
-	if r.sess != nil && r.sess.link != nil {
-		link = r.sess.link
+	if r.session != nil && r.session.link != nil {
+		link = r.session.link
 	}
 	o.sendReturnTo(link, r.id, reason)
 }
@@ -137,21 +138,21 @@
 	if p == nil {
 		return
 	}
-	after := retryShort
+	after := minRetryAfter
 	switch reason {
 	case wire.ReasonUnreachable:
-		after = retryDown
+		after = retryAfterUnreachable
 	case wire.ReasonFull:
-		after = max(retryShort, o.queue.Cost()/time.Duration(max(o.bound.Limit(), 1))/2)
+		after = max(minRetryAfter, o.queue.Cost()/time.Duration(max(o.bound.Limit(), 1))/2)
 	}
-	o.publish()
-	o.cfg.Stats.returned(reason)
+	o.publishLoad()
+	o.cfg.Stats.countReturn(reason)
 	logs.Info(o.log, logs.EventRequestReturned, logs.Request(id), zap.String("reason", reason.String()), zap.String("peer", p.Name))
 	o.send(p, &wire.Return{ID: id, Reason: reason, RetryAfterMS: uint32(after.Milliseconds()), Load: *o.load.Load()})
 }
 
-// send queues m for a link. A link that cannot take it closes itself, and its
-// end comes as an event.
+// send queues m for a link. If the link's queue is full, the link closes, and its
+// end arrives as an event.
 func (o *Owner) send(p *Peer, m wire.Message) {
 	if p == nil {
 		return
@@ -161,45 +162,47 @@
 	}
 }
 
-// known returns the record of a request that belongs to p's entry.
-func (o *Owner) known(p *Peer, id ident.ID) *rec {
-	r := o.recs[id]
-	if r == nil || r.sess == nil || r.sess.incarnation != p.Incarnation {
+// ownRecord returns the record of a request of p's entry process, or nil.
+func (o *Owner) ownRecord(p *Peer, id ident.ID) *record {
+	r := o.records[id]
+	if r == nil || r.session == nil || r.session.incarnation != p.Incarnation {
 		return nil
 	}
 	return r
 }
 
-func (o *Owner) withdraw(now time.Duration, p *Peer, id ident.ID) {
-	r := o.known(p, id)
+func (o *Owner) handleWithdraw(now time.Duration, p *Peer, id ident.ID) {
+	r := o.ownRecord(p, id)
 	if r == nil {
 		return
 	}
 	switch r.state {
-	case queued:
+	case stateQueued:
 		o.queue.Remove(id)
-		o.forget(now, r)
-	case parked, claimed, lapsed:
-		o.forget(now, r)
+		o.removeRecord(now, r)
+	case stateParked, stateClaimed, stateLapsed:
+		o.removeRecord(now, r)
 	}
 }
 
-func (o *Owner) deny(now time.Duration, p *Peer, id ident.ID) {
-	if r := o.recs[id]; r != nil && r.state == claimed && r.link == p {
-		o.forget(now, r)
+func (o *Owner) handleDeny(now time.Duration, p *Peer, id ident.ID) {
+	if r := o.records[id]; r != nil && r.state == stateClaimed && r.link == p {
+		o.removeRecord(now, r)
 	}
 }
 
-func (o *Owner) expireQueued(now time.Duration) {
+// expireWaiting returns the waiting requests whose deadline has passed. A claimed
+// one is refused when its grant arrives.
+func (o *Owner) expireWaiting(now time.Duration) {
 	for _, it := range o.queue.Expired(now) {
-		if r := o.recs[it.ID]; r != nil && r.state == queued {
-			o.forget(now, r)
+		if r := o.records[it.ID]; r != nil && r.state == stateQueued {
+			o.removeRecord(now, r)
 			o.sendReturn(r, wire.ReasonDeadline)
 		}
 	}
-	for _, r := range o.held {
-		if r.expired(now) && r.state != claimed {
-			o.giveBack(now, r, wire.ReasonDeadline)
+	for _, r := range o.waitingUnqueued {
+		if r.expired(now) && r.state != stateClaimed {
+			o.returnRequest(now, r, wire.ReasonDeadline)
 		}
 	}
 }
--- a/agent/slot/order.go
+++ b/agent/slot/order.go
@@ -16,58 +16,62 @@
 )
 
 const (
-	// assignLease is how long a confirmation of an assignment lets this agent
-	// give orders that follow from it.
+	// assignLease is how long this agent may send orders for an assignment after a
+	// confirmation.
 	assignLease = 5 * time.Second
-	// orderAgain is how long a failed order rests, and orderRepeat when one
-	// that was taken is given again because the endpoint still serves
-	// something else. Loading weights takes a while; an endpoint that was
-	// restarted meanwhile has forgotten the order.
-	orderAgain  = time.Second
-	orderRepeat = time.Minute
-	// orderMargin is what must be left of the lease for an order to be given.
-	orderMargin = time.Second
+	// orderRetryDelay is the time before a failed order is sent again, and
+	// orderRepeatDelay the time before an accepted order is sent again because the
+	// endpoint still serves something else. Loading weights takes time, and an
+	// endpoint that was restarted has forgotten the order.
+	orderRetryDelay  = time.Second
+	orderRepeatDelay = time.Minute
+	// minOrderLease is the minimum remaining lease for sending an order.
+	minOrderLease = time.Second
 )
 
-var errOrderLease = errors.New("slot: the assignment is no longer known to be in force: the order is not given until an entry confirms it")
-
-// assigned is the newest assignment of one model that is known.
-type assigned struct {
-	version int64
-	epoch   int64
-	line    spec.Assignment
-	// mine is set when the assignment names this endpoint.
-	mine bool
-	// until is when its last confirmation runs out.
-	until time.Duration
+var errOrderLease = errors.New("slot: the assignment is no longer known to be in force: the order is not sent until an entry confirms it")
+
+// knownAssignment is the newest known assignment of one model.
+type knownAssignment struct {
+	version    int64
+	epoch      int64
+	assignment spec.Assignment
+	// namesSelf is set when the assignment names this agent's endpoint.
+	namesSelf bool
+	// confirmedUntil is when the last confirmation expires.
+	confirmedUntil time.Duration
 }
 
-// order is what an endpoint was told.
-type order struct {
-	model string
-	line  spec.Assignment
+// orderContent is what an order tells an endpoint to serve.
+type orderContent struct {
+	model      string
+	assignment spec.Assignment
 }
 
-// orders is what the owner knows of assignments and orders.
-type orders struct {
-	seen map[string]*assigned
-	// given is the newest fence of an order that was ever sent; none older is
-	// sent after it, whatever the endpoint makes of fences.
-	given int64
-	// done is the newest fence that the endpoint accepted, and taken the line
-	// that came with it, at the time takenAt.
-	done    int64
-	taken   order
-	takenAt time.Duration
-	// busy is set while an order is under way.
-	busy bool
-	next time.Duration
-	// model and version are what the endpoint last said to serve.
-	model, version string
+// orderState is the owner's state of assignments and orders.
+type orderState struct {
+	// assignments holds the newest assignment of each model, by model.
+	assignments map[string]*knownAssignment
+	// lastSentFence is the highest fencing number of an order that was sent. No
+	// order with a lower number is sent, even if the endpoint would accept it.
+	lastSentFence int64
+	// acceptedFence is the highest fencing number that the endpoint has seen: it
+	// accepted that order, or rejected it because of a newer one. accepted is the
+	// content of the last such order, and acceptedAt the time of the reply.
+	acceptedFence int64
+	accepted      orderContent
+	acceptedAt    time.Duration
+	// isBusy is set while an order is being sent.
+	isBusy bool
+	// nextAttempt is the earliest time for the next order.
+	nextAttempt time.Duration
+	// servedModel and servedVersion are what the endpoint serves according to its
+	// last load report.
+	servedModel, servedVersion string
 }
 
-func (o *Owner) newsAssign(_ time.Duration, m *wire.News) {
-	if m.Gone || o.cfg.Order == nil {
+func (o *Owner) updateAssignment(_ time.Duration, m *wire.News) {
+	if m.Gone || o.cfg.SendOrder == nil {
 		return
 	}
 	var a spec.Assign
@@ -75,99 +79,102 @@
 		logs.Error(o.log, logs.EventConfigRejected, zap.String("object", m.Object+"/"+m.Name), zap.Int64("version", m.Version), zap.Error(err))
 		return
 	}
-	if o.orders.seen == nil {
-		o.orders.seen = make(map[string]*assigned)
+	if o.orderState.assignments == nil {
+		o.orderState.assignments = make(map[string]*knownAssignment)
 	}
-	old := o.orders.seen[m.Name]
+	old := o.orderState.assignments[m.Name]
 	if old != nil && (m.Version <= old.version || a.Epoch == old.epoch) {
-		// Writes that only confirm an assignment change nothing here.
+		// A write that only confirms the assignment changes nothing here.
 		return
 	}
-	line, mine := a.Endpoints[o.cfg.Self.Name]
-	o.orders.seen[m.Name] = &assigned{version: m.Version, epoch: a.Epoch, line: line, mine: mine}
-	o.askNext = 0
+	assignment, namesSelf := a.Endpoints[o.cfg.Self.Name]
+	o.orderState.assignments[m.Name] = &knownAssignment{version: m.Version, epoch: a.Epoch, assignment: assignment, namesSelf: namesSelf}
+	o.nextLeaseRound = 0
 }
 
-// confirmAssign takes in that an assignment was in force when it was asked.
-func (o *Owner) confirmAssign(_ time.Duration, q ask, m *wire.LeaseAck) {
+// confirmAssignment handles the confirmation that an assignment was in force at
+// the time of the request.
+func (o *Owner) confirmAssignment(_ time.Duration, request leaseRequest, m *wire.LeaseAck) {
 	if len(m.Pool) <= len(wire.AssignPrefix) || m.Pool[:len(wire.AssignPrefix)] != wire.AssignPrefix {
 		return
 	}
-	a := o.orders.seen[m.Pool[len(wire.AssignPrefix):]]
+	a := o.orderState.assignments[m.Pool[len(wire.AssignPrefix):]]
 	if a != nil && a.epoch == m.Epoch {
-		a.until = max(a.until, q.at-ms(m.AgeMS)+assignLease)
+		a.confirmedUntil = max(a.confirmedUntil, request.sentAt-ms(m.AgeMS)+assignLease)
 	}
 }
 
-// tickOrders gives the newest order for this endpoint if it is due.
+// tickOrders sends the newest order for this endpoint if it is due and its
+// assignment is confirmed.
 func (o *Owner) tickOrders(now time.Duration) {
-	model, a := o.newest()
-	if o.due(now, model, a) && now+orderMargin <= a.until {
-		o.order(now, model, a)
+	model, a := o.newestAssignment()
+	if o.orderDue(now, model, a) && now+minOrderLease <= a.confirmedUntil {
+		o.startOrder(now, model, a)
 	}
 }
 
-// due reports whether an order is to be given as soon as its assignment is
+// orderDue reports whether an order is to be sent as soon as its assignment is
 // confirmed.
-func (o *Owner) due(now time.Duration, model string, a *assigned) bool {
-	if a == nil || o.orders.busy || now < o.orders.next || a.version < o.orders.given {
+func (o *Owner) orderDue(now time.Duration, model string, a *knownAssignment) bool {
+	if a == nil || o.orderState.isBusy || now < o.orderState.nextAttempt || a.version < o.orderState.lastSentFence {
 		return false
 	}
-	serves := o.orders.model == model && o.orders.version == a.line.Version
-	if o.orders.taken == (order{model, a.line}) {
-		return !serves && now-o.orders.takenAt > orderRepeat
+	serves := o.orderState.servedModel == model && o.orderState.servedVersion == a.assignment.Version
+	if o.orderState.accepted == (orderContent{model, a.assignment}) {
+		return !serves && now-o.orderState.acceptedAt > orderRepeatDelay
 	}
-	return !serves || a.line.Adapter != "" || a.line.Role != ""
+	return !serves || a.assignment.Adapter != "" || a.assignment.Role != ""
 }
 
-// newest returns the assignment of this endpoint with the highest version.
-func (o *Owner) newest() (string, *assigned) {
+// newestAssignment returns the assignment of this endpoint with the highest version
+// and its model, or nil if there is none.
+func (o *Owner) newestAssignment() (string, *knownAssignment) {
 	var name string
-	var best *assigned
-	for model, a := range o.orders.seen {
-		if a.mine && (best == nil || a.version > best.version) {
+	var best *knownAssignment
+	for model, a := range o.orderState.assignments {
+		if a.namesSelf && (best == nil || a.version > best.version) {
 			name, best = model, a
 		}
 	}
 	return name, best
 }
 
-func (o *Owner) order(now time.Duration, model string, a *assigned) {
-	until, clock := a.until, o.cfg.Now
-	ord := engine.Order{Fence: a.version, Model: model, Version: a.line.Version, Adapter: a.line.Adapter, Role: a.line.Role, Guard: &call.Guard{Check: func() error {
+func (o *Owner) startOrder(now time.Duration, model string, a *knownAssignment) {
+	until, clock := a.confirmedUntil, o.cfg.Now
+	ord := engine.Order{Fence: a.version, Model: model, Version: a.assignment.Version, Adapter: a.assignment.Adapter, Role: a.assignment.Role, Guard: &call.Guard{Check: func() error {
 		if clock() >= until {
 			return errOrderLease
 		}
 		return nil
 	}}}
-	o.orders.busy, o.orders.given = true, a.version
-	give := o.cfg.Order
+	o.orderState.isBusy, o.orderState.lastSentFence = true, a.version
+	sendOrder := o.cfg.SendOrder
 	limit := until - now
-	logs.Info(o.log, logs.EventOrderGiven, zap.String("model", model), zap.String("version", a.line.Version), zap.Int64("fence", a.version))
-	o.task(func(ctx context.Context) event {
+	logs.Info(o.log, logs.EventOrderGiven, zap.String("model", model), zap.String("version", a.assignment.Version), zap.Int64("fence", a.version))
+	o.startTask(func(ctx context.Context) event {
 		ctx, stop := context.WithTimeout(ctx, limit)
 		defer stop()
-		return ordered{ord, give(ctx, ord)}
+		return orderEndEvent{ord, sendOrder(ctx, ord)}
 	})
 }
 
-type ordered struct {
-	o   engine.Order
-	err error
+type orderEndEvent struct {
+	order engine.Order
+	err   error
 }
 
-func (e ordered) apply(o *Owner, now time.Duration) {
-	o.orders.busy = false
+func (e orderEndEvent) apply(o *Owner, now time.Duration) {
+	o.orderState.isBusy = false
 	if e.err == nil || errors.Is(e.err, engine.ErrFenced) {
-		o.orders.done = max(o.orders.done, e.o.Fence)
-		o.orders.takenAt = now
-		o.orders.taken = order{e.o.Model, spec.Assignment{Version: e.o.Version, Adapter: e.o.Adapter, Role: e.o.Role}}
+		o.orderState.acceptedFence = max(o.orderState.acceptedFence, e.order.Fence)
+		o.orderState.acceptedAt = now
+		o.orderState.accepted = orderContent{e.order.Model, spec.Assignment{Version: e.order.Version, Adapter: e.order.Adapter, Role: e.order.Role}}
 	} else {
-		o.orders.next = now + orderAgain
+		o.orderState.nextAttempt = now + orderRetryDelay
 	}
 	if e.err != nil {
-		logs.Warn(o.log, logs.EventOrderRefused, zap.Int64("fence", e.o.Fence), zap.Error(e.err))
+		logs.Warn(o.log, logs.EventOrderRefused, zap.Int64("fence", e.order.Fence), zap.Error(e.err))
 		return
 	}
-	logs.Info(o.log, logs.EventOrderDone, zap.Int64("fence", e.o.Fence))
+	logs.Info(o.log, logs.EventOrderDone, zap.Int64("fence", e.order.Fence))
 }
--- a/agent/slot/order_test.go
+++ b/agent/slot/order_test.go
@@ -11,106 +11,110 @@
 	"lycheepond/core/wire"
 )
 
-// orderBench records the orders that the engine got.
-func orderBench(t *testing.T) (*bench, chan engine.Order) {
-	b := newBench(t, testBound)
+// newOrderHarness returns a harness and a channel with the orders that the engine
+// got.
+func newOrderHarness(t *testing.T) (*harness, chan engine.Order) {
+	h := newHarness(t, testBound)
 	got := make(chan engine.Order, 8)
-	b.o.cfg.Order = func(_ context.Context, o engine.Order) error {
+	h.o.cfg.SendOrder = func(_ context.Context, o engine.Order) error {
 		if err := o.Guard.Check(); err != nil {
 			return err
 		}
 		got <- o
 		return nil
 	}
-	return b, got
+	return h, got
 }
 
-func (p *peer) assign(version, epoch int64, weights string) {
+func (p *testLink) sendAssignment(version, epoch int64, weights string) {
 	data, err := json.Marshal(spec.Assign{Epoch: epoch, Endpoints: map[string]spec.Assignment{"a": {Version: weights}}})
 	if err != nil {
-		p.b.t.Fatal(err)
+		p.h.t.Fatal(err)
 	}
 	p.send(&wire.News{Object: spec.KindAssign, Name: "roster", Version: version, Data: data})
 }
 
-func (b *bench) ordered(got chan engine.Order) engine.Order {
-	b.t.Helper()
-	b.after(0)
-	b.pump(func() bool { return len(got) > 0 && !b.o.orders.busy })
+func (h *harness) nextOrder(got chan engine.Order) engine.Order {
+	h.t.Helper()
+	h.advance(0)
+	h.applyUntil(func() bool { return len(got) > 0 && !h.o.orderState.isBusy })
 	return <-got
 }
 
+// An order must be sent when its assignment is confirmed, and only once.
 func TestOrderFollowsConfirmedAssignment(t *testing.T) {
-	b, got := orderBench(t)
-	p := b.link(entryInc)
-	p.assign(10, 1, "v2")
-	b.after(time.Second)
-	if b.o.orders.busy {
-		t.Fatal("an order was given without a confirmation")
+	h, got := newOrderHarness(t)
+	p := h.newLink(entryIncarnation)
+	p.sendAssignment(10, 1, "v2")
+	h.advance(time.Second)
+	if h.o.orderState.isBusy {
+		t.Fatal("an order was sent without a confirmation")
 	}
-	p.confirm(1, 0)
-	if o := b.ordered(got); o.Fence != 10 || o.Model != "roster" || o.Version != "v2" {
+	p.confirmEpoch(1, 0)
+	if o := h.nextOrder(got); o.Fence != 10 || o.Model != "roster" || o.Version != "v2" {
 		t.Fatalf("order %+v", o)
 	}
-	b.after(time.Second)
-	if b.o.orders.busy {
-		t.Fatal("the order was given twice")
+	h.advance(time.Second)
+	if h.o.orderState.isBusy {
+		t.Fatal("the order was sent twice")
 	}
 }
 
-// The agent is paused while operators change their mind, and wakes with old
-// news in its socket. The engine takes whatever it is told, so the old order
-// must not be given: the pool would serve two versions until the next change.
-func TestStaleAssignmentGivesNoOrder(t *testing.T) {
-	b, got := orderBench(t)
-	p := b.link(entryInc)
-	p.assign(10, 1, "v2")
-	p.confirm(1, 0)
-	b.ordered(got)
-	p.assign(11, 2, "v3")
-	b.clock += time.Minute
-	b.after(0)
-	if b.o.orders.busy {
-		t.Fatal("an order was given on a confirmation that had run out")
+// The agent is paused while operators change an assignment twice, and resumes with
+// the older change in its socket. The engine accepts any order, so the older one
+// must not be sent: the pool would serve two versions until the next change.
+func TestStaleAssignmentSendsNoOrder(t *testing.T) {
+	h, got := newOrderHarness(t)
+	p := h.newLink(entryIncarnation)
+	p.sendAssignment(10, 1, "v2")
+	p.confirmEpoch(1, 0)
+	h.nextOrder(got)
+	p.sendAssignment(11, 2, "v3")
+	h.now += time.Minute
+	h.advance(0)
+	if h.o.orderState.isBusy {
+		t.Fatal("an order was sent on an expired confirmation")
 	}
-	// The entry knows a newer epoch by now.
-	p.confirm(3, 0)
-	b.after(0)
-	if b.o.orders.busy {
-		t.Fatal("an order was given although a newer assignment exists")
+	// By now the entry knows a newer epoch.
+	p.confirmEpoch(3, 0)
+	h.advance(0)
+	if h.o.orderState.isBusy {
+		t.Fatal("an order was sent although a newer assignment exists")
 	}
-	p.assign(12, 3, "v4")
-	p.confirm(3, 0)
-	if o := b.ordered(got); o.Fence != 12 {
+	p.sendAssignment(12, 3, "v4")
+	p.confirmEpoch(3, 0)
+	if o := h.nextOrder(got); o.Fence != 12 {
 		t.Fatalf("order %+v", o)
 	}
-	// A restarted engine has forgotten the order, and it is given again.
-	b.o.orders.model, b.o.orders.version = "roster", "v4"
-	p.drain()
-	b.after(orderRepeat + time.Millisecond)
-	none[*wire.LeaseAsk](p)
-	if b.o.orders.busy {
-		t.Fatal("an order was given to an endpoint that serves what it should")
+	// An accepted order is sent again only if the endpoint serves something else,
+	// for example after a restart in which it forgot the order.
+	h.o.orderState.servedModel, h.o.orderState.servedVersion = "roster", "v4"
+	p.discardMessages()
+	h.advance(orderRepeatDelay + time.Millisecond)
+	expectNone[*wire.LeaseAsk](p)
+	if h.o.orderState.isBusy {
+		t.Fatal("an order was sent to an endpoint that already serves the assignment")
 	}
-	b.o.orders.version = "v1"
-	p.confirm(3, 0)
-	if o := b.ordered(got); o.Fence != 12 {
+	h.o.orderState.servedVersion = "v1"
+	p.confirmEpoch(3, 0)
+	if o := h.nextOrder(got); o.Fence != 12 {
 		t.Fatalf("order %+v", o)
 	}
-	// News that only confirms, or that a watch repeats, changes nothing.
-	p.drain()
-	p.assign(13, 3, "v3")
-	p.assign(11, 2, "v3")
-	b.after(time.Second)
-	none[*wire.LeaseAsk](p)
-	if b.o.orders.busy || len(got) > 0 || b.o.orders.seen["roster"].version != 12 {
-		t.Fatal("old news counted")
+	// An update that only confirms the assignment, or one that a watch repeats, has
+	// no effect.
+	p.discardMessages()
+	p.sendAssignment(13, 3, "v3")
+	p.sendAssignment(11, 2, "v3")
+	h.advance(time.Second)
+	expectNone[*wire.LeaseAsk](p)
+	if h.o.orderState.isBusy || len(got) > 0 || h.o.orderState.assignments["roster"].version != 12 {
+		t.Fatal("an old update had an effect")
 	}
 }
 
-// drain forgets what has been sent so far.
-func (p *peer) drain() {
-	for len(p.got) > 0 {
-		<-p.got
+// discardMessages discards the messages that have been sent so far.
+func (p *testLink) discardMessages() {
+	for len(p.messages) > 0 {
+		<-p.messages
 	}
 }
--- a/agent/slot/owner.go
+++ b/agent/slot/owner.go
@@ -1,17 +1,18 @@
-// Package slot owns the place in front of one endpoint. It decides what runs
-// next there, and that nothing runs there without a grant or twice.
+// Package slot schedules the requests of one endpoint. It decides which request
+// runs next, and it ensures that no request runs without a grant or runs twice.
 //
-// One goroutine, Owner.Run, makes every decision. Readers of links, running
-// requests and timers hand it events through one bounded ring. A running
-// request has a goroutine for the endpoint's side and one for each link that
-// follows its answer; all of them report their end to the owner.
+// One goroutine, Owner.Run, makes all decisions. Link readers, running requests
+// and timers send it events through one bounded ring. A running request has one
+// goroutine that calls the endpoint and one for each link that follows its answer.
+// Each of them reports its end to the owner.
 //
-// It answers two load patterns. Engines know no tiers and admit what arrives,
-// so whatever exceeds what an endpoint runs at its target pace waits here,
-// where it can still be reordered, displaced or given back. And reports of
-// load come late, so an endpoint gets work by claiming it when it has room: a
-// slow or frozen one claims less. Without it a burst of long jobs would fill
-// the engine before the first request of a higher tier comes.
+// The design deals with two load patterns. First, engines know no tiers and admit
+// every request that arrives. Requests beyond the number that the endpoint can run
+// at its target pace therefore wait here, where they can still be reordered,
+// displaced or returned. Otherwise a burst of long requests would fill the engine
+// before the first request of a higher tier arrives. Second, load reports are
+// delayed, so an endpoint gets work by claiming it when it has a free slot. A slow
+// or frozen endpoint claims less.
 package slot
 
 import (
@@ -33,145 +34,168 @@
 	"lycheepond/core/wire"
 )
 
-// Figures of the owner. They are chosen, to be measured.
 const (
-	// claimTimeout is how long a claim may stay unanswered. A grant that comes
-	// later is given back.
+	// claimTimeout is how long a claim waits for its grant. A grant that arrives
+	// later is returned.
 	claimTimeout = 2 * time.Second
-	// readyPatience is how long a granted request waits for its place before
-	// it is given back to be run elsewhere.
-	readyPatience = time.Second
-	// sessionGrace is how long repeatable work outlives the entry it is for.
-	sessionGrace = 10 * time.Second
-	// keepRecord is how long an ended or refused request is remembered.
-	keepRecord = 10 * time.Minute
-	// keepAnswer is how long the answer of an unkeyed request is kept after
-	// its end for an entry that lost its link.
-	keepAnswer = time.Minute
-	// tickEvery is how often deadlines are looked at.
-	tickEvery = 50 * time.Millisecond
-	// statusEvery is how often what operators see is brought up to date.
-	statusEvery = 250 * time.Millisecond
-	// aheadCost is the longest work that is claimed before its place is free:
-	// for longer work a round trip of idle time is no loss, and it is better
-	// left for an endpoint that has room sooner.
-	aheadCost = 300 * time.Millisecond
-	ringSize  = 4096
+	// maxReadyWait is how long a granted request waits for a free slot before it
+	// is returned to run elsewhere.
+	maxReadyWait = time.Second
+	// linkLossGrace is how long an entry may be without a link before its
+	// cancellable requests are stopped.
+	linkLossGrace = 10 * time.Second
+	// recordRetention is how long the record of a request is kept after it ended
+	// or was refused.
+	recordRetention = 10 * time.Minute
+	// answerRetention is how long the answer of a request without an idempotency
+	// key is kept after its end, for an entry that lost its link.
+	answerRetention = time.Minute
+	// tickInterval is the time between two checks of deadlines and timeouts.
+	tickInterval = 50 * time.Millisecond
+	// statusInterval is the time between two updates of the operators' status.
+	statusInterval = 250 * time.Millisecond
+	// maxEarlyClaimCost is the largest estimated run time of a request that is
+	// claimed before a slot is free. For a longer request, one round trip of idle
+	// time matters little, and an endpoint that has a free slot sooner should get
+	// it.
+	maxEarlyClaimCost = 300 * time.Millisecond
+	// eventRingSize is the capacity of the event ring.
+	eventRingSize = 4096
 )
 
-// Config is what an Owner depends on.
+// Config holds the settings and dependencies of an Owner.
 type Config struct {
-	// Self names the agent's process.
+	// Self is the name and the incarnation of this agent process.
 	Self  spec.HomeOwner
 	Queue queue.Config
 	Bound bound.Config
-	// Now is a monotonic clock and Wall the time in Unix milliseconds.
-	Now  func() time.Duration
-	Wall func() int64
+	// Now returns the monotonic time and WallMS the Unix time in milliseconds.
+	Now    func() time.Duration
+	WallMS func() int64
 	// Run sends a request to the endpoint once.
 	Run func(ctx context.Context, r *call.Request, sink call.Sink, p *call.Progress) call.Result
-	// Resume takes up a stream that the endpoint still runs; nil if it cannot.
+	// Resume reads a stream that the endpoint still runs from its first event; nil
+	// if the endpoint does not support it.
 	Resume func(ctx context.Context, id ident.ID, sink call.Sink, p *call.Progress) call.Result
-	// Cancel stops a request at the endpoint; nil if closing the connection
-	// is all that can be done.
+	// Cancel stops a request at the endpoint; nil if a request can only be stopped
+	// by closing its connection.
 	Cancel func(ctx context.Context, id ident.ID) error
-	// Listening reports whether the endpoint accepts connections; nil if that is not to be
-	// checked.
-	Listening func(ctx context.Context) bool
-	// Order hears of assignments for this endpoint; nil for plain services.
-	Order func(ctx context.Context, o engine.Order) error
-	// Grace is how long running work may take after a planned stop began.
-	Grace time.Duration
-	Log   *zap.Logger
-	Stats *Stats
+	// AcceptsConnections reports whether the endpoint accepts connections; nil
+	// disables the check.
+	AcceptsConnections func(ctx context.Context) bool
+	// SendOrder tells the endpoint what to serve; nil for plain services.
+	SendOrder func(ctx context.Context, o engine.Order) error
+	// StopGrace is how long running requests may take after a planned stop began.
+	StopGrace time.Duration
+	Log       *zap.Logger
+	Stats     *Stats
 }
 
-// Owner owns the place in front of one endpoint.
+// Owner decides which requests run at one endpoint. Run is called once; the other
+// exported methods are safe for concurrent use.
 type Owner struct {
 	cfg    Config
 	log    *zap.Logger
 	events *ring.Ring[event]
 	load   atomic.Pointer[wire.Load]
 	status atomic.Pointer[Status]
-	// life ends when Run has returned; nothing is handed to the owner then.
-	life   context.Context
-	end    context.CancelFunc
-	budget answer.Budget
-	queue  *queue.Queue
-	bound  *bound.Bound
+	// lifeCtx ends when Run returns; no event can be sent after that.
+	lifeCtx context.Context
+	endLife context.CancelFunc
+	budget  answer.Budget
+	queue   *queue.Queue
+	bound   *bound.Bound
 
-	// What follows belongs to the goroutine of Run.
+	// The following fields belong to the goroutine of Run.
 
-	ctx context.Context
-	// recs holds every request known; an ID that is not in it was never
-	// claimed by this process, or its record has expired.
-	recs map[ident.ID]*rec
+	// taskCtx is the context of the goroutines that the owner starts.
+	taskCtx context.Context
+	// records holds all known requests. An ID without a record was never claimed
+	// by this process, or its record has expired.
+	records map[ident.ID]*record
 	// waiting holds the records in the states queued, parked, claimed and ready.
-	waiting map[ident.ID]*rec
-	// held holds those of waiting that are not in the queue: parked, claimed
-	// and ready.
-	held map[ident.ID]*rec
+	waiting map[ident.ID]*record
+	// waitingUnqueued holds the records of waiting that are not in the queue: those
+	// in the states parked, claimed and ready.
+	waitingUnqueued map[ident.ID]*record
 	// running holds the records in the state running.
-	running map[ident.ID]*rec
-	claims  int
-	// ready are granted requests that wait for room, oldest first.
-	ready []*rec
-	// old are ended records in the order of their end.
-	old []*rec
-	// dropped is how many of old have had their answer dropped.
-	dropped  int
+	running map[ident.ID]*record
+	// claimCount is the number of records in the state claimed.
+	claimCount int
+	// readyRecords holds the granted requests that wait for a free slot.
+	readyRecords []*record
+	// finishedRecords holds the records in the states ended, tombstone and lapsed,
+	// in the order in which they got there.
+	finishedRecords []*record
+	// droppedAnswers is the number of finishedRecords, from the first on, whose
+	// answerRetention has passed.
+	droppedAnswers int
+	// sessions holds the known entry processes by incarnation.
 	sessions map[uint64]*session
-	keys     map[string]*keyRec
-	oldKeys  []*keyRec
-	// keyFloor is the time in Unix milliseconds before which records of keys
-	// may have been given up for want of room.
-	keyFloor int64
-	homes    map[string]*homes.Holder
-	// hands are handovers from this agent and takes those to it.
-	hands []*hand
-	takes map[takeID]taking
-	// handBy is until when a planned stop waits for hands; zero before.
-	handBy  time.Duration
-	asks    map[uint32]ask
-	askSeq  uint32
-	askNext time.Duration
-	orders  orders
-	// tasks counts goroutines that have yet to report their end.
-	tasks     int
-	leaving   bool
-	leaveBy   time.Duration
-	down      bool
-	stalled   bool
-	lateProbe int
-	// statusNext is when the status is published next.
-	statusNext time.Duration
-	// firstMean is the mean time to the first byte seen lately, and streamed
-	// when a stream last showed its pace.
-	firstMean, streamed time.Duration
+	// keys holds the known idempotency keys. A request with such a key is called
+	// keyed.
+	keys map[string]*keyRecord
+	// finishedKeys holds the records of keys whose run has ended, in the order of
+	// the ends.
+	finishedKeys []*keyRecord
+	// evictedBeforeMS is the Unix time in milliseconds before which key records may
+	// have been evicted because there were too many.
+	evictedBeforeMS int64
+	// homeViews holds this agent's view of each pool's table of homes, by pool.
+	homeViews map[string]*homes.Holder
+	// outgoingHandovers holds the handovers of key records from this agent,
+	// incomingHandovers the state of those to it.
+	outgoingHandovers []*outgoingHandover
+	incomingHandovers map[handoverID]incomingHandover
+	// handoverDeadline is when a planned stop no longer waits for the outgoing
+	// handovers; zero until they may begin.
+	handoverDeadline time.Duration
+	// leaseRequests holds the unanswered lease requests by sequence number.
+	leaseRequests  map[uint32]leaseRequest
+	lastLeaseSeq   uint32
+	nextLeaseRound time.Duration
+	orderState     orderState
+	// taskCount is the number of goroutines that have not reported their end.
+	taskCount int
+	// isLeaving is set when a planned stop has begun; leaveDeadline is when running
+	// requests are stopped.
+	isLeaving     bool
+	leaveDeadline time.Duration
+	// isDown is set while the endpoint refuses connections, isStalled while its load
+	// reports fail to arrive.
+	isDown    bool
+	isStalled bool
+	// missedReports counts the consecutive load reports that failed to arrive.
+	missedReports int
+	// nextStatus is when the status is published next.
+	nextStatus time.Duration
+	// meanFirstByte is the recent mean time to the first byte, lastStreamSample the
+	// time when a stream last gave a sample of its token interval.
+	meanFirstByte, lastStreamSample time.Duration
 }
 
-// New returns an owner. It does nothing until Run.
+// New returns an owner that does nothing until Run.
 func New(cfg Config) *Owner {
 	o := &Owner{
-		cfg: cfg, log: cfg.Log, events: ring.New[event](ringSize),
+		cfg: cfg, log: cfg.Log, events: ring.New[event](eventRingSize),
 		queue: queue.New(cfg.Queue), bound: bound.New(cfg.Bound),
-		recs: make(map[ident.ID]*rec), waiting: make(map[ident.ID]*rec), held: make(map[ident.ID]*rec), running: make(map[ident.ID]*rec),
-		sessions: make(map[uint64]*session), keys: make(map[string]*keyRec),
-		homes: make(map[string]*homes.Holder), asks: make(map[uint32]ask), takes: make(map[takeID]taking),
+		records: make(map[ident.ID]*record), waiting: make(map[ident.ID]*record), waitingUnqueued: make(map[ident.ID]*record), running: make(map[ident.ID]*record),
+		sessions: make(map[uint64]*session), keys: make(map[string]*keyRecord),
+		homeViews: make(map[string]*homes.Holder), leaseRequests: make(map[uint32]leaseRequest), incomingHandovers: make(map[handoverID]incomingHandover),
 	}
-	o.life, o.end = context.WithCancel(context.Background())
-	o.publish()
+	o.lifeCtx, o.endLife = context.WithCancel(context.Background())
+	o.publishLoad()
 	return o
 }
 
-// Run makes the decisions until ctx ends or, after Leave, nothing is left to
-// do. It returns nil after a planned stop that was completed.
+// Run makes all decisions until ctx ends or a planned stop is complete. It returns
+// nil after a planned stop, and the error of ctx otherwise.
 func (o *Owner) Run(ctx context.Context) error {
-	defer o.end()
-	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
-	o.ctx = runCtx
-	tick := time.NewTicker(tickEvery)
+	defer o.endLife()
+	runCtx, stopTasks := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopTasks()
+	o.taskCtx = runCtx
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		select {
@@ -179,24 +203,25 @@
 			continue
 		case ev := <-o.events.Items():
 			ev.apply(o, o.cfg.Now())
-			o.drain()
+			o.applyPending()
 		case <-tick.C:
 			o.tick(o.cfg.Now())
 		}
 		o.dispatch(o.cfg.Now())
-		o.publish()
-		if o.left() {
+		o.publishLoad()
+		if o.leaveComplete() {
 			return nil
 		}
 	}
-	stop()
-	o.wait()
+	stopTasks()
+	o.awaitTasks()
 	return ctx.Err()
 }
 
-// drain applies what else has come, so that one dispatch sees all of it.
-func (o *Owner) drain() {
-	for range ringSize {
+// applyPending applies the other events that have arrived, so that one dispatch
+// takes all of them into account.
+func (o *Owner) applyPending() {
+	for range eventRingSize {
 		select {
 		case ev := <-o.events.Items():
 			ev.apply(o, o.cfg.Now())
@@ -206,38 +231,40 @@
 	}
 }
 
-// wait takes in the ends of all goroutines after their context has ended.
-func (o *Owner) wait() {
-	for o.tasks > 0 {
+// awaitTasks waits until all goroutines have reported their end, after their
+// context has ended.
+func (o *Owner) awaitTasks() {
+	for o.taskCount > 0 {
 		ev := <-o.events.Items()
 		ev.apply(o, o.cfg.Now())
 	}
 }
 
-// tick looks at everything that passes with time.
+// tick does everything that depends on the passing of time.
 func (o *Owner) tick(now time.Duration) {
-	o.expireQueued(now)
+	o.expireWaiting(now)
 	o.expireClaims(now)
 	o.expireSessions(now)
 	o.expireRecords(now)
-	o.watchRuns(now)
-	o.askLeases(now)
-	o.checkLevels(now)
+	o.sampleRuns(now)
+	o.requestLeases(now)
+	o.expireLevels(now)
 	o.tickOrders(now)
 	o.tickLeave(now)
-	o.tickHand(now)
-	if now >= o.statusNext {
-		o.statusNext = now + statusEvery
+	o.tickHandovers(now)
+	if now >= o.nextStatus {
+		o.nextStatus = now + statusInterval
 		o.publishStatus()
 	}
 }
 
-// task runs f in a goroutine whose end the owner takes in.
-func (o *Owner) task(f func(ctx context.Context) event) {
-	o.tasks++
-	ctx := o.ctx
+// startTask runs f in a goroutine and applies the event that f returns, which may
+// be nil.
+func (o *Owner) startTask(f func(ctx context.Context) event) {
+	o.taskCount++
+	ctx := o.taskCtx
 	go func() {
 		ev := f(ctx)
-		_ = o.events.Put(o.life, taskEnd{ev})
+		_ = o.events.Put(o.lifeCtx, taskEndEvent{ev})
 	}()
 }
--- a/agent/slot/run.go
+++ b/agent/slot/run.go
@@ -14,55 +14,55 @@
 	"lycheepond/core/wire"
 )
 
-// cancelTimeout is how long the endpoint may take to answer a cancel.
+// cancelTimeout bounds the endpoint's reply to a cancel.
 const cancelTimeout = 2 * time.Second
 
-// start hands a granted request to the endpoint.
-func (o *Owner) start(now time.Duration, r *rec) {
+// startRun passes a granted request to the endpoint.
+func (o *Owner) startRun(now time.Duration, r *record) {
 	g := r.grant
-	r.grant, r.stream = nil, g.Stream
+	r.grant, r.isStream = nil, g.Stream
 	req := &call.Request{
 		ID: r.id, Method: g.Method, Path: g.Path, Header: g.Header, Body: g.Body, Stream: g.Stream,
-		Guard: o.guard(r),
+		Guard: o.newLeaseGuard(r),
 	}
-	o.launch(now, r, func(ctx context.Context, sink call.Sink) call.Result {
+	o.launchRun(now, r, func(ctx context.Context, sink call.Sink) call.Result {
 		return o.cfg.Run(ctx, req, sink, r.progress)
 	})
 }
 
-// launch runs f as the endpoint's side of r.
-func (o *Owner) launch(now time.Duration, r *rec, f func(ctx context.Context, sink call.Sink) call.Result) {
-	o.setState(now, r, running)
-	r.started = now
-	o.cfg.Stats.started(r.offer, now-r.arrived)
+// launchRun runs f, which calls the endpoint for r, in a goroutine.
+func (o *Owner) launchRun(now time.Duration, r *record, f func(ctx context.Context, sink call.Sink) call.Result) {
+	o.setState(now, r, stateRunning)
+	r.startedAt = now
+	o.cfg.Stats.recordStart(r.offer, now-r.arrivedAt)
 	r.progress = call.NewProgress()
-	sink := call.Sink{Head: r.log.SetHead, Chunk: r.log.Append}
-	ctx, stop := context.WithCancel(o.ctx)
-	r.stop = stop
-	o.task(func(context.Context) event {
+	sink := call.Sink{Head: r.answer.SetHead, Chunk: r.answer.Append}
+	ctx, stop := context.WithCancel(o.taskCtx)
+	r.cancelContext = stop
+	o.startTask(func(context.Context) event {
 		defer stop()
 		res := f(ctx, sink)
-		if res.Sent && !res.Complete && ctx.Err() == nil && o.cfg.Listening != nil {
-			res.Crashed = !o.cfg.Listening(ctx)
+		if res.Sent && !res.Complete && ctx.Err() == nil && o.cfg.AcceptsConnections != nil {
+			res.Crashed = !o.cfg.AcceptsConnections(ctx)
 		}
-		return finished{r, res}
+		return runEndEvent{r, res}
 	})
 }
 
-// finish takes in how a run ended.
-func (o *Owner) finish(now time.Duration, r *rec, res call.Result) {
-	took := now - r.changed
-	o.setState(now, r, ended)
+// handleRunEnd handles the end of a run.
+func (o *Owner) handleRunEnd(now time.Duration, r *record, res call.Result) {
+	runTime := now - r.stateSince
+	o.setState(now, r, stateEnded)
 	if !res.Sent {
-		o.notRun(now, r, res)
+		o.returnUnsent(now, r, res)
 		return
 	}
-	if r.charged {
-		r.charged = false
-		o.queue.Done(r.offer.Customer, r.offer.Tier, r.work.Cost, took)
+	if r.isCharged {
+		r.isCharged = false
+		o.queue.Done(r.offer.Customer, r.offer.Tier, r.work.Cost, runTime)
 	}
 	o.observe(now, r, res.Usage)
-	reason := r.stopped
+	reason := r.stopReason
 	if !res.Complete && reason == wire.ReasonNone {
 		reason = brokenReason(res)
 		logs.Warn(o.log, logs.EventAnswerBroken, logs.Request(r.id), zap.Error(res.Err))
@@ -70,112 +70,114 @@
 	if res.Complete {
 		reason = wire.ReasonNone
 	}
-	o.publish()
-	r.log.Close(wire.End{Whole: res.Complete, Reason: reason, Usage: res.Usage})
-	o.cfg.Stats.ended(r.offer, res, took)
-	o.keyEnded(now, r)
-	// The record is kept for long, so it lets go of what only the run needed.
-	r.offer, r.progress, r.stop, r.guard = nil, nil, nil, nil
+	o.publishLoad()
+	r.answer.Close(wire.End{Whole: res.Complete, Reason: reason, Usage: res.Usage})
+	o.cfg.Stats.recordEnd(r.offer, res, runTime)
+	o.recordKeyEnd(now, r)
+	// The record is kept for a long time, so drop what only the run needed.
+	r.offer, r.progress, r.cancelContext, r.guard = nil, nil, nil, nil
 }
 
-// notRun gives a request back that the endpoint certainly did not see.
-func (o *Owner) notRun(now time.Duration, r *rec, res call.Result) {
+// returnUnsent returns a request of which certainly no byte reached the endpoint.
+func (o *Owner) returnUnsent(now time.Duration, r *record, res call.Result) {
 	reason := wire.ReasonUnreachable
 	switch {
 	case r.guard.Blocked():
 		reason = wire.ReasonNoLease
-	case r.stopped != wire.ReasonNone:
-		reason = r.stopped
+	case r.stopReason != wire.ReasonNone:
+		reason = r.stopReason
 	case errors.Is(res.Err, call.ErrUnreachable):
-		o.endpointDown(now)
+		o.markEndpointDown(now)
 	}
-	o.bury(now, r, reason)
+	o.setTombstone(now, r, reason)
 	o.sendReturn(r, reason)
 }
 
-// halt stops a run. What the endpoint has done by then stays done.
-func (o *Owner) halt(r *rec, reason wire.Reason) {
-	if r.stopped != wire.ReasonNone {
+// stopRun stops a run. It does not undo what the endpoint has already done.
+func (o *Owner) stopRun(r *record, reason wire.Reason) {
+	if r.stopReason != wire.ReasonNone {
 		return
 	}
-	r.stopped = reason
+	r.stopReason = reason
 	logs.Info(o.log, logs.EventRequestCancelled, logs.Request(r.id), zap.String("reason", reason.String()))
-	stop := r.stop
+	stop := r.cancelContext
 	cancel, id := o.cfg.Cancel, r.id
 	if cancel == nil {
 		stop()
 		return
 	}
-	o.task(func(ctx context.Context) event {
+	o.startTask(func(ctx context.Context) event {
 		ctx, done := context.WithTimeout(ctx, cancelTimeout)
 		defer done()
 		err := cancel(ctx, id)
 		stop()
 		if err != nil {
-			return cancelFailed{id, err}
+			return cancelFailedEvent{id, err}
 		}
 		return nil
 	})
 }
 
-type cancelFailed struct {
+type cancelFailedEvent struct {
 	id  ident.ID
 	err error
 }
 
-func (e cancelFailed) apply(o *Owner, _ time.Duration) {
+func (e cancelFailedEvent) apply(o *Owner, _ time.Duration) {
 	logs.Warn(o.log, logs.EventFailed, logs.Request(e.id), zap.Error(e.err))
 }
 
-// cancel takes an entry's Cancel. A keyed run goes on, because a retry with
-// its key is to get its answer.
-func (o *Owner) cancel(now time.Duration, p *Peer, m *wire.Cancel) {
-	r := o.known(p, m.ID)
+// handleCancel handles an entry's Cancel. A run with an idempotency key continues,
+// because a retry with the key must get its answer.
+func (o *Owner) handleCancel(now time.Duration, p *Peer, m *wire.Cancel) {
+	r := o.ownRecord(p, m.ID)
 	if r == nil {
 		return
 	}
 	switch r.state {
-	case queued, parked, lapsed:
-		o.withdraw(now, p, m.ID)
-	case claimed:
-		o.bury(now, r, wire.ReasonCancelled)
-	case ready:
-		o.giveBack(now, r, wire.ReasonCancelled)
-	case running, ended:
+	case stateQueued, stateParked, stateLapsed:
+		o.handleWithdraw(now, p, m.ID)
+	case stateClaimed:
+		o.setTombstone(now, r, wire.ReasonCancelled)
+	case stateReady:
+		o.returnRequest(now, r, wire.ReasonCancelled)
+	case stateRunning, stateEnded:
 		o.cancelRun(r, m.Reason)
 	}
 }
 
-func (o *Owner) cancelRun(r *rec, reason wire.Reason) {
+func (o *Owner) cancelRun(r *record, reason wire.Reason) {
 	if reason == wire.ReasonNone {
 		reason = wire.ReasonCancelled
 	}
 	if r.key != nil {
-		o.unfollow(r)
+		o.stopFollow(r)
 		return
 	}
-	if r.state == running {
-		o.halt(r, reason)
+	if r.state == stateRunning {
+		o.stopRun(r, reason)
 	}
 }
 
-// startFollow sends the answer in log to a link under id from piece next on.
-func (o *Owner) startFollow(r *rec, id ident.ID, log *answer.Log, p *Peer, next uint32) {
-	o.unfollow(r)
-	ctx, stop := context.WithCancel(o.ctx)
-	f := &following{stop: stop}
-	r.follow = f
-	follower := &answer.Follower{ID: id, FromSeq: next, Send: p.SendWait, Load: func() wire.Load { return *o.load.Load() }}
-	o.task(func(context.Context) event {
+// startFollow starts to send the answer ans to link p under the request ID id, from
+// chunk fromSeq on.
+func (o *Owner) startFollow(r *record, id ident.ID, ans *answer.Log, p *Peer, fromSeq uint32) {
+	o.stopFollow(r)
+	ctx, stop := context.WithCancel(o.taskCtx)
+	f := &followTask{stop: stop}
+	r.follower = f
+	follower := &answer.Follower{ID: id, FromSeq: fromSeq, Send: p.SendWait, Load: func() wire.Load { return *o.load.Load() }}
+	o.startTask(func(context.Context) event {
 		defer stop()
-		// A failed link ends the follower; the entry attaches on a new one.
-		return followed{r, f, log.Follow(ctx, follower) == nil}
+		// If the link fails, the follower ends, and the entry attaches on a new
+		// link.
+		return followEndEvent{r, f, ans.Follow(ctx, follower) == nil}
 	})
 }
 
-func (o *Owner) unfollow(r *rec) {
-	if r.follow != nil {
-		r.follow.stop()
-		r.follow = nil
+func (o *Owner) stopFollow(r *record) {
+	if r.follower != nil {
+		r.follower.stop()
+		r.follower = nil
 	}
 }
--- a/agent/slot/speed_test.go
+++ b/agent/slot/speed_test.go
@@ -14,26 +14,26 @@
 	"lycheepond/core/wire"
 )
 
-// BenchmarkRequest takes one request from its offer to the end of its answer,
-// with 1,000 others waiting, at an endpoint that answers at once.
+// BenchmarkRequest handles one request from its offer to the end of its answer
+// while 1,000 others wait. The endpoint answers at once.
 func BenchmarkRequest(b *testing.B) {
 	var clock time.Duration
 	ended := make(chan struct{}, 1)
 	o := New(Config{
 		Bound: bound.Config{Min: 1, Max: 1}, Now: func() time.Duration { return clock },
-		Wall: func() int64 { return startWall }, Log: zap.NewNop(), Stats: NewStats(meter.New()),
+		WallMS: func() int64 { return startWallMS }, Log: zap.NewNop(), Stats: NewStats(meter.New()),
 		Run: func(context.Context, *call.Request, call.Sink, *call.Progress) call.Result {
 			return call.Result{Sent: true, Complete: true}
 		},
 	})
 	ctx, stop := context.WithCancel(context.Background())
-	o.ctx = ctx
+	o.taskCtx = ctx
 	defer func() {
 		stop()
-		o.wait()
+		o.awaitTasks()
 	}()
 	var claim ident.ID
-	take := func(m wire.Message) {
+	receive := func(m wire.Message) {
 		switch m := m.(type) {
 		case *wire.Claim:
 			claim = m.ID
@@ -42,34 +42,34 @@
 		}
 	}
 	p := &Peer{
-		Name: "e", Incarnation: entryInc,
-		Send:     func(m wire.Message) error { take(m); return nil },
-		SendWait: func(_ context.Context, m wire.Message) error { take(m); return nil },
+		Name: "e", Incarnation: entryIncarnation,
+		Send:     func(m wire.Message) error { receive(m); return nil },
+		SendWait: func(_ context.Context, m wire.Message) error { receive(m); return nil },
 	}
-	do := func(ev event) {
+	apply := func(ev event) {
 		ev.apply(o, clock)
 		o.dispatch(clock)
-		o.publish()
+		o.publishLoad()
 	}
-	do(linkUp{p})
+	apply(linkUpEvent{p})
 	n := uint64(0)
-	offer := func() {
+	sendOffer := func() {
 		n++
-		do(message{p, &wire.Offer{ID: ident.Make(entryInc, n), Pool: pool, Customer: "metro", Class: "swap", CostMS: 1000}})
+		apply(messageEvent{p, &wire.Offer{ID: ident.Make(entryIncarnation, n), Pool: testPool, Customer: "metro", Class: "swap", CostMS: 1000}})
 	}
 	for range 1000 {
-		offer()
+		sendOffer()
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
 		clock += time.Millisecond
-		offer()
-		do(message{p, &wire.Grant{ID: claim}})
+		sendOffer()
+		apply(messageEvent{p, &wire.Grant{ID: claim}})
 		for done := false; !done; {
 			select {
 			case ev := <-o.events.Items():
-				do(ev)
+				apply(ev)
 			case <-ended:
 				done = true
 			}
--- a/agent/slot/stats.go
+++ b/agent/slot/stats.go
@@ -10,36 +10,36 @@
 	"lycheepond/core/wire"
 )
 
-// maxClasses bounds the classes with histograms of their own.
+// maxClasses bounds the number of classes that have separate histograms.
 const maxClasses = 32
 
-// Stats are the owner's metrics. Only the owner's goroutine updates them.
+// Stats holds the owner's metrics. Only the owner's goroutine updates them.
 type Stats struct {
-	set         *meter.Set
-	strayGrants metrics.Counter
-	complete    metrics.Counter
-	broken      metrics.Counter
-	prompt      metrics.Counter
-	cached      metrics.Counter
-	output      metrics.Counter
-	customers   *meter.Top
-	returns     map[wire.Reason]metrics.Counter
-	classes     map[string]classStats
+	set           *meter.Set
+	strayGrants   metrics.Counter
+	completeRuns  metrics.Counter
+	brokenRuns    metrics.Counter
+	promptTokens  metrics.Counter
+	cachedTokens  metrics.Counter
+	outputTokens  metrics.Counter
+	customerRunMS *meter.Top
+	returns       map[wire.Reason]metrics.Counter
+	classes       map[string]classStats
 }
 
-type classStats struct{ queued, first, total metrics.Histogram }
+type classStats struct{ queuedMS, firstMS, totalMS metrics.Histogram }
 
-// NewStats returns metrics that are kept in set.
+// NewStats returns metrics that are registered in set.
 func NewStats(set *meter.Set) *Stats {
 	return &Stats{
 		set: set, strayGrants: set.Counter("agent_grants_refused"),
-		complete: set.Counter("agent_runs", meter.Outcome("complete")), broken: set.Counter("agent_runs", meter.Outcome("broken")),
-		prompt: set.Counter("agent_prompt_tokens"), cached: set.Counter("agent_cached_tokens"), output: set.Counter("agent_output_tokens"),
-		customers: set.Top("agent_run_ms"), returns: make(map[wire.Reason]metrics.Counter), classes: make(map[string]classStats),
+		completeRuns: set.Counter("agent_runs", meter.Outcome("complete")), brokenRuns: set.Counter("agent_runs", meter.Outcome("broken")),
+		promptTokens: set.Counter("agent_prompt_tokens"), cachedTokens: set.Counter("agent_cached_tokens"), outputTokens: set.Counter("agent_output_tokens"),
+		customerRunMS: set.Top("agent_run_ms"), returns: make(map[wire.Reason]metrics.Counter), classes: make(map[string]classStats),
 	}
 }
 
-func (s *Stats) returned(reason wire.Reason) {
+func (s *Stats) countReturn(reason wire.Reason) {
 	c, ok := s.returns[reason]
 	if !ok {
 		c = s.set.Counter("agent_returned", meter.Label{Key: "reason", Value: reason.String()})
@@ -48,32 +48,32 @@
 	c.Inc(1)
 }
 
-// started notes how long a request has waited here.
-func (s *Stats) started(o *wire.Offer, waited time.Duration) {
+// recordStart records how long a request waited here.
+func (s *Stats) recordStart(o *wire.Offer, waited time.Duration) {
 	if o != nil {
-		meter.Milliseconds(s.class(o.Class).queued, waited)
+		meter.Milliseconds(s.statsOf(o.Class).queuedMS, waited)
 	}
 }
 
-func (s *Stats) ended(o *wire.Offer, res call.Result, took time.Duration) {
+func (s *Stats) recordEnd(o *wire.Offer, res call.Result, runTime time.Duration) {
 	if res.Complete {
-		s.complete.Inc(1)
+		s.completeRuns.Inc(1)
 	} else {
-		s.broken.Inc(1)
+		s.brokenRuns.Inc(1)
 	}
-	s.prompt.Inc(int64(res.Usage.PromptTokens))
-	s.cached.Inc(int64(res.Usage.CachedTokens))
-	s.output.Inc(int64(res.Usage.OutputTokens))
+	s.promptTokens.Inc(int64(res.Usage.PromptTokens))
+	s.cachedTokens.Inc(int64(res.Usage.CachedTokens))
+	s.outputTokens.Inc(int64(res.Usage.OutputTokens))
 	if o == nil {
 		return
 	}
-	c := s.class(o.Class)
-	c.first.Update(int64(res.Usage.FirstMS))
-	meter.Milliseconds(c.total, took)
-	s.customers.Observe(o.Customer, took.Milliseconds())
+	c := s.statsOf(o.Class)
+	c.firstMS.Update(int64(res.Usage.FirstMS))
+	meter.Milliseconds(c.totalMS, runTime)
+	s.customerRunMS.Observe(o.Customer, runTime.Milliseconds())
 }
 
-func (s *Stats) class(name string) classStats {
+func (s *Stats) statsOf(name string) classStats {
 	if c, ok := s.classes[name]; ok {
 		return c
 	}
@@ -84,9 +84,9 @@
 		}
 	}
 	c := classStats{
-		queued: s.set.Histogram("agent_queued_ms", meter.Class(name)),
-		first:  s.set.Histogram("agent_first_ms", meter.Class(name)),
-		total:  s.set.Histogram("agent_total_ms", meter.Class(name)),
+		queuedMS: s.set.Histogram("agent_queued_ms", meter.Class(name)),
+		firstMS:  s.set.Histogram("agent_first_ms", meter.Class(name)),
+		totalMS:  s.set.Histogram("agent_total_ms", meter.Class(name)),
 	}
 	s.classes[name] = c
 	return c
--- a/agent/slot/tier_test.go
+++ b/agent/slot/tier_test.go
@@ -8,253 +8,259 @@
 	"lycheepond/core/wire"
 )
 
-func tiered(n uint64, tier uint8) *wire.Offer {
-	m := offerOf(n)
+func tieredOffer(n uint64, tier uint8) *wire.Offer {
+	m := newOffer(n)
 	m.Tier, m.CostMS = tier, 5000
 	return m
 }
 
-// The pool is overloaded and entries refuse the lower tiers. What waits of
-// them here must not be served before what was refused elsewhere.
-func TestLevelReturnsWhatWaits(t *testing.T) {
-	b := newBench(t, 1)
-	p := b.link(entryInc)
-	p.started(tiered(1, 2))
-	p.send(tiered(2, 1))
-	p.send(tiered(3, 3))
-	p.send(&wire.Level{Pool: pool, Level: 1, HoldMS: 5000})
-	if r := next[*wire.Return](p); r.ID != tiered(3, 3).ID || r.Reason != wire.ReasonShed || r.Load.Level != 1 {
+// The pool is overloaded and entries refuse lower tiers. Requests of these tiers
+// that wait here must be returned, or they would run while entries refuse the same
+// or a higher tier.
+func TestLevelReturnsWaitingRequests(t *testing.T) {
+	h := newHarness(t, 1)
+	p := h.newLink(entryIncarnation)
+	p.startRequest(tieredOffer(1, 2))
+	p.send(tieredOffer(2, 1))
+	p.send(tieredOffer(3, 3))
+	p.send(&wire.Level{Pool: testPool, Level: 1, HoldMS: 5000})
+	if r := receive[*wire.Return](p); r.ID != tieredOffer(3, 3).ID || r.Reason != wire.ReasonShed || r.Load.Level != 1 {
 		t.Fatalf("return %+v", r)
 	}
-	p.send(tiered(4, 2))
-	if r := next[*wire.Return](p); r.ID != tiered(4, 2).ID || r.Reason != wire.ReasonShed {
+	p.send(tieredOffer(4, 2))
+	if r := receive[*wire.Return](p); r.ID != tieredOffer(4, 2).ID || r.Reason != wire.ReasonShed {
 		t.Fatalf("return %+v", r)
 	}
-	if b.o.queue.Len() != 1 {
-		t.Fatalf("%d queued", b.o.queue.Len())
+	if h.o.queue.Len() != 1 {
+		t.Fatalf("%d queued", h.o.queue.Len())
 	}
-	b.after(5 * time.Second)
-	p.send(tiered(5, 3))
-	none[*wire.Return](p)
+	h.advance(5 * time.Second)
+	p.send(tieredOffer(5, 3))
+	expectNone[*wire.Return](p)
 }
 
-// One entry lowers the level. Until this agent says so, no entry may refuse a
-// higher tier, and a whole heartbeat of such requests would come in late.
+// One entry lowers the shed level. Entries may refuse a higher tier only when this
+// agent has confirmed the level. Without an immediate confirmation, the requests of
+// a whole heartbeat interval would be admitted and be late.
 func TestLevelIsConfirmedAtOnce(t *testing.T) {
-	b := newBench(t, testBound)
-	p, other := b.link(entryInc), b.link(entryInc+1)
-	p.send(&wire.Level{Pool: pool, Level: 1, HoldMS: 5000})
-	for _, e := range []*peer{p, other} {
-		if m := next[*wire.Beat](e); m.Load.Level != 1 {
+	h := newHarness(t, testBound)
+	p, other := h.newLink(entryIncarnation), h.newLink(entryIncarnation+1)
+	p.send(&wire.Level{Pool: testPool, Level: 1, HoldMS: 5000})
+	for _, e := range []*testLink{p, other} {
+		if m := receive[*wire.Beat](e); m.Load.Level != 1 {
 			t.Fatalf("level %d confirmed", m.Load.Level)
 		}
 	}
-	p.send(&wire.Level{Pool: pool, Level: 1, HoldMS: 5000})
-	none[*wire.Beat](p)
+	p.send(&wire.Level{Pool: testPool, Level: 1, HoldMS: 5000})
+	expectNone[*wire.Beat](p)
 }
 
-// The level falls while the grant of a lower tier is on its way.
-func TestLevelReturnsWhatIsClaimed(t *testing.T) {
-	b := newBench(t, testBound)
-	p := b.link(entryInc)
-	p.send(tiered(1, 3))
-	next[*wire.Claim](p)
-	p.send(&wire.Level{Pool: pool, Level: 2, HoldMS: 5000})
-	if r := next[*wire.Return](p); r.Reason != wire.ReasonShed {
+// The level falls while the grant of a request of a lower tier is on its way. The
+// request must be returned and must not run.
+func TestLevelReturnsClaimedRequests(t *testing.T) {
+	h := newHarness(t, testBound)
+	p := h.newLink(entryIncarnation)
+	p.send(tieredOffer(1, 3))
+	receive[*wire.Claim](p)
+	p.send(&wire.Level{Pool: testPool, Level: 2, HoldMS: 5000})
+	if r := receive[*wire.Return](p); r.Reason != wire.ReasonShed {
 		t.Fatalf("return %+v", r)
 	}
-	p.send(grantOf(tiered(1, 3)))
-	next[*wire.Return](p)
-	b.idle()
+	p.send(newGrant(tieredOffer(1, 3)))
+	receive[*wire.Return](p)
+	h.expectIdle()
 }
 
-// Two entries see the pool differently. As long as one refuses a tier, no work
-// below it is taken here.
-func TestStrictestLevelCounts(t *testing.T) {
-	b := newBench(t, testBound)
-	p, q := b.link(entryInc), b.link(entryInc+1)
-	p.send(&wire.Level{Pool: pool, Level: 1, HoldMS: 60000})
-	q.send(&wire.Level{Pool: pool, Level: 3, HoldMS: 60000})
-	q.send(tiered(1, 2))
-	if r := next[*wire.Return](q); r.Reason != wire.ReasonShed {
+// Two entries report different levels. While one refuses a tier, no request of a
+// lower tier may be accepted here.
+func TestStrictestLevelIsInForce(t *testing.T) {
+	h := newHarness(t, testBound)
+	p, q := h.newLink(entryIncarnation), h.newLink(entryIncarnation+1)
+	p.send(&wire.Level{Pool: testPool, Level: 1, HoldMS: 60000})
+	q.send(&wire.Level{Pool: testPool, Level: 3, HoldMS: 60000})
+	q.send(tieredOffer(1, 2))
+	if r := receive[*wire.Return](q); r.Reason != wire.ReasonShed {
 		t.Fatalf("return %+v", r)
 	}
-	p.send(&wire.Level{Pool: pool, Level: 2, HoldMS: 60000})
-	q.send(tiered(2, 2))
-	next[*wire.Claim](q)
+	p.send(&wire.Level{Pool: testPool, Level: 2, HoldMS: 60000})
+	q.send(tieredOffer(2, 2))
+	receive[*wire.Claim](q)
 }
 
-// A swap comes right after a place was claimed for a season slate. The swap
-// takes the place; the slate waits for the next one and, when that does not
-// come, goes back to be run elsewhere.
-func TestHigherTierTakesClaimedPlace(t *testing.T) {
-	b := newBench(t, 1)
-	p := b.link(entryInc)
-	p.send(tiered(1, 3))
-	next[*wire.Claim](p)
-	p.send(tiered(2, 0))
-	if c := next[*wire.Claim](p); c.ID != tiered(2, 0).ID {
+// A request of the highest tier arrives right after the only slot was claimed for
+// one of the lowest tier. The higher tier must get the slot. The lower tier waits
+// for the next slot and is returned when none becomes free in time.
+func TestHigherTierTakesClaimedSlot(t *testing.T) {
+	h := newHarness(t, 1)
+	p := h.newLink(entryIncarnation)
+	p.send(tieredOffer(1, 3))
+	receive[*wire.Claim](p)
+	p.send(tieredOffer(2, 0))
+	if c := receive[*wire.Claim](p); c.ID != tieredOffer(2, 0).ID {
 		t.Fatalf("claim %+v", c)
 	}
-	p.send(grantOf(tiered(2, 0)))
-	if r := b.run(); r.id != tiered(2, 0).ID {
+	p.send(newGrant(tieredOffer(2, 0)))
+	if r := h.nextRun(); r.id != tieredOffer(2, 0).ID {
 		t.Fatalf("run %s", r.id)
 	}
-	p.send(grantOf(tiered(1, 3)))
-	b.after(readyPatience)
-	none[*wire.Return](p)
-	b.after(time.Millisecond)
-	if r := next[*wire.Return](p); r.ID != tiered(1, 3).ID || r.Reason != wire.ReasonDisplaced {
+	p.send(newGrant(tieredOffer(1, 3)))
+	h.advance(maxReadyWait)
+	expectNone[*wire.Return](p)
+	h.advance(time.Millisecond)
+	if r := receive[*wire.Return](p); r.ID != tieredOffer(1, 3).ID || r.Reason != wire.ReasonDisplaced {
 		t.Fatalf("return %+v", r)
 	}
 }
 
-// Both grants arrive before the place is free. The higher tier starts first,
-// whichever came first.
+// Both grants arrive before the slot is free. The higher tier must start first,
+// although its grant arrived last.
 func TestHigherTierStartsFirst(t *testing.T) {
-	b := newBench(t, 1)
-	p := b.link(entryInc)
-	first := p.started(tiered(1, 3))
-	slate := tiered(2, 3)
-	slate.CostMS = 100
-	p.send(slate)
-	next[*wire.Claim](p)
-	p.send(grantOf(slate))
-	swap := tiered(3, 0)
-	swap.CostMS = 100
-	p.send(swap)
-	next[*wire.Claim](p)
-	p.send(grantOf(swap))
-	first.answer()
-	b.pump(func() bool { return b.o.running[swap.ID] != nil })
-	if r := b.o.recs[slate.ID]; r.state != ready {
-		t.Fatalf("the slate is in state %d", r.state)
+	h := newHarness(t, 1)
+	p := h.newLink(entryIncarnation)
+	first := p.startRequest(tieredOffer(1, 3))
+	lowTier := tieredOffer(2, 3)
+	lowTier.CostMS = 100
+	p.send(lowTier)
+	receive[*wire.Claim](p)
+	p.send(newGrant(lowTier))
+	highTier := tieredOffer(3, 0)
+	highTier.CostMS = 100
+	p.send(highTier)
+	receive[*wire.Claim](p)
+	p.send(newGrant(highTier))
+	first.finish()
+	h.applyUntil(func() bool { return h.o.running[highTier.ID] != nil })
+	if r := h.o.records[lowTier.ID]; r.state != stateReady {
+		t.Fatalf("the request of the lower tier is in state %d", r.state)
 	}
 }
 
-// The same with slates that run already. The swap waits while its target
-// allows it, then the slate that began last is cancelled and goes elsewhere;
-// work that must not be repeated and answers that have begun are spared.
+// Requests of lower tiers occupy all slots. A request of the highest tier waits
+// while its target allows it. Then one run is stopped for it: the one that started
+// last among those of the lowest possible tier. Requests that must not be repeated
+// and runs whose answer has begun must not be stopped.
 func TestHigherTierCancelsRunningWork(t *testing.T) {
-	b := newBench(t, 4)
-	p := b.link(entryInc)
-	p.started(tiered(5, 2))
-	once := tiered(1, 3)
-	once.Repeatable = false
-	p.started(once)
-	p.started(tiered(2, 3)).sink.Head(200, nil)
-	b.after(time.Millisecond)
-	p.started(tiered(3, 2))
-	swap := tiered(4, 0)
-	swap.FirstMS = 8000
-	p.send(swap)
-	if len(b.cancels) != 0 {
-		t.Fatal("cancelled although the swap could wait")
+	h := newHarness(t, 4)
+	p := h.newLink(entryIncarnation)
+	p.startRequest(tieredOffer(5, 2))
+	notRepeatable := tieredOffer(1, 3)
+	notRepeatable.Repeatable = false
+	p.startRequest(notRepeatable)
+	p.startRequest(tieredOffer(2, 3)).sink.Head(200, nil)
+	h.advance(time.Millisecond)
+	p.startRequest(tieredOffer(3, 2))
+	highTier := tieredOffer(4, 0)
+	highTier.FirstMS = 8000
+	p.send(highTier)
+	if len(h.cancels) != 0 {
+		t.Fatal("a run was cancelled although the request could wait")
 	}
-	b.after(5 * time.Second)
-	none[*wire.End](p)
-	b.after(3*time.Second - displaceAhead + time.Millisecond)
-	b.after(time.Millisecond)
-	if id := <-b.cancels; id != tiered(3, 2).ID {
+	h.advance(5 * time.Second)
+	expectNone[*wire.End](p)
+	h.advance(3*time.Second - displaceLeadTime + time.Millisecond)
+	h.advance(time.Millisecond)
+	if id := <-h.cancels; id != tieredOffer(3, 2).ID {
 		t.Fatalf("cancelled %s", id)
 	}
-	// The claim may leave before the end of the answer, which has a goroutine
-	// of its own.
-	b.pump(func() bool { return b.o.claims == 1 })
-	if r := b.o.recs[swap.ID]; r.state != claimed {
-		t.Fatalf("the swap is in state %d", r.state)
+	// The claim may be sent before the end of the answer, which another goroutine
+	// sends.
+	h.applyUntil(func() bool { return h.o.claimCount == 1 })
+	if r := h.o.records[highTier.ID]; r.state != stateClaimed {
+		t.Fatalf("the request of the highest tier is in state %d", r.state)
 	}
-	if e := next[*wire.End](p); e.ID != tiered(3, 2).ID || e.Whole || e.Reason != wire.ReasonDisplaced {
+	if e := receive[*wire.End](p); e.ID != tieredOffer(3, 2).ID || e.Whole || e.Reason != wire.ReasonDisplaced {
 		t.Fatalf("end %+v", e)
 	}
-	b.after(time.Minute)
-	if len(b.cancels) != 0 {
-		t.Fatal("more was cancelled than places were needed")
+	h.advance(time.Minute)
+	if len(h.cancels) != 0 {
+		t.Fatal("more runs were cancelled than slots were needed")
 	}
 }
 
-// A swap has waited past its target. Stopping a slate would not help it any
-// more, and the slate's caller would lose its work for nothing.
-func TestLateWorkCancelsNothing(t *testing.T) {
-	b := newBench(t, 1)
-	p := b.link(entryInc)
-	p.started(tiered(1, 3))
-	swap := tiered(2, 0)
-	swap.FirstMS, swap.WaitedMS = 1000, 1001
-	p.send(swap)
-	// An estimate of the swap's own cost beyond its target makes it no later.
-	long := tiered(3, 0)
-	long.CompleteMS, long.CostMS = 60000, 600000
-	p.send(long)
-	b.after(time.Second)
-	if n := b.o.halting(); n != 0 {
+// A request has waited beyond its target. Stopping a run of a lower tier would no
+// longer help it and would lose the work of that run.
+func TestLateRequestStopsNoRun(t *testing.T) {
+	h := newHarness(t, 1)
+	p := h.newLink(entryIncarnation)
+	p.startRequest(tieredOffer(1, 3))
+	late := tieredOffer(2, 0)
+	late.FirstMS, late.WaitedMS = 1000, 1001
+	p.send(late)
+	// A cost estimate beyond the target must not make a request look late.
+	costly := tieredOffer(3, 0)
+	costly.CompleteMS, costly.CostMS = 60000, 600000
+	p.send(costly)
+	h.advance(time.Second)
+	if n := h.o.displacingCount(); n != 0 {
 		t.Fatalf("%d runs stopped", n)
 	}
 }
 
-// A planned stop begins. Entries must hear of it at once, what waits must be
-// free to go elsewhere, and what runs must come to its end.
-func TestLeaveFinishesWhatRuns(t *testing.T) {
-	b := newBench(t, 1)
-	p := b.link(entryInc)
-	r := p.started(tiered(1, 1))
-	p.send(tiered(2, 1))
-	b.do(leave{})
-	if beat := next[*wire.Beat](p); !beat.Load.Leaving {
+// A planned stop begins. Entries must be informed at once, waiting requests must be
+// returned, and running requests must end normally.
+func TestLeaveFinishesRunningRequests(t *testing.T) {
+	h := newHarness(t, 1)
+	p := h.newLink(entryIncarnation)
+	r := p.startRequest(tieredOffer(1, 1))
+	p.send(tieredOffer(2, 1))
+	h.apply(leaveEvent{})
+	if beat := receive[*wire.Beat](p); !beat.Load.Leaving {
 		t.Fatalf("beat %+v", beat)
 	}
-	if got := next[*wire.Return](p); got.ID != tiered(2, 1).ID || got.Reason != wire.ReasonLeaving || !got.Load.Leaving {
+	if got := receive[*wire.Return](p); got.ID != tieredOffer(2, 1).ID || got.Reason != wire.ReasonLeaving || !got.Load.Leaving {
 		t.Fatalf("return %+v", got)
 	}
-	p.send(tiered(3, 0))
-	if got := next[*wire.Return](p); got.Reason != wire.ReasonLeaving {
+	p.send(tieredOffer(3, 0))
+	if got := receive[*wire.Return](p); got.Reason != wire.ReasonLeaving {
 		t.Fatalf("return %+v", got)
 	}
-	b.after(time.Second)
-	if b.o.left() {
-		t.Fatal("left while a request runs")
+	h.advance(time.Second)
+	if h.o.leaveComplete() {
+		t.Fatal("the stop is complete while a request runs")
 	}
-	r.answer("all")
-	if e := next[*wire.End](p); !e.Whole {
+	r.finish("all")
+	if e := receive[*wire.End](p); !e.Whole {
 		t.Fatalf("end %+v", e)
 	}
-	b.pump(b.o.left)
+	h.applyUntil(h.o.leaveComplete)
 }
 
-func TestLeaveEndsAfterItsGrace(t *testing.T) {
-	b := newBench(t, 1)
-	p := b.link(entryInc)
-	p.started(tiered(1, 1))
-	b.do(leave{})
-	b.after(time.Minute + time.Millisecond)
-	if e := next[*wire.End](p); e.Whole || e.Reason != wire.ReasonLeaving {
+// A request that still runs after the stop grace is stopped.
+func TestLeaveStopsRunsAfterGrace(t *testing.T) {
+	h := newHarness(t, 1)
+	p := h.newLink(entryIncarnation)
+	p.startRequest(tieredOffer(1, 1))
+	h.apply(leaveEvent{})
+	h.advance(time.Minute + time.Millisecond)
+	if e := receive[*wire.End](p); e.Whole || e.Reason != wire.ReasonLeaving {
 		t.Fatalf("end %+v", e)
 	}
-	b.pump(b.o.left)
+	h.applyUntil(h.o.leaveComplete)
 }
 
-// An engine freezes and answers nothing, its load report included. Offers must
-// be left for other agents instead of being claimed for it.
+// An engine freezes and sends no load reports either. Offers must not be claimed
+// for it, so that other agents can claim them.
 func TestStalledEndpointClaimsNothing(t *testing.T) {
-	b := newBench(t, testBound)
-	p := b.link(entryInc)
-	p.send(tiered(2, 0))
-	next[*wire.Claim](p)
-	for range missedReports {
-		b.do(report{err: errLease})
+	h := newHarness(t, testBound)
+	p := h.newLink(entryIncarnation)
+	p.send(tieredOffer(2, 0))
+	receive[*wire.Claim](p)
+	for range maxMissedReports {
+		h.apply(reportEvent{err: errLeaseExpired})
 	}
-	p.send(tiered(1, 0))
-	none[*wire.Claim](p)
-	// What was claimed just before is granted now. It goes back unstarted.
-	p.send(grantOf(tiered(2, 0)))
-	b.idle()
-	b.after(readyPatience + time.Millisecond)
-	if r := next[*wire.Return](p); r.ID != tiered(2, 0).ID || r.Reason != wire.ReasonDisplaced {
+	p.send(tieredOffer(1, 0))
+	expectNone[*wire.Claim](p)
+	// The request that was claimed just before is granted now. It is returned
+	// without a start.
+	p.send(newGrant(tieredOffer(2, 0)))
+	h.expectIdle()
+	h.advance(maxReadyWait + time.Millisecond)
+	if r := receive[*wire.Return](p); r.ID != tieredOffer(2, 0).ID || r.Reason != wire.ReasonDisplaced {
 		t.Fatalf("return %+v", r)
 	}
-	if !b.o.Load().Slow {
-		t.Fatal("the load does not tell")
+	if !h.o.Load().Slow {
+		t.Fatal("the load does not report the endpoint as slow")
 	}
-	b.do(report{engine.Load{}, nil})
-	next[*wire.Claim](p)
+	h.apply(reportEvent{engine.Load{}, nil})
+	receive[*wire.Claim](p)
 }
