--- a/agent/slot/watch.go
+++ b/agent/slot/watch.go
@@ -8,152 +8,157 @@
 )
 
 const (
-	// sampleTokens is over how many tokens the time between two of them is
-	// worth a sample.
-	sampleTokens = 16
-	// midStream is from how many tokens a stream has begun.
-	midStream = 2
-	// lateFactor is how many times its target a first byte may be late before
-	// the bound hears of it without waiting for the byte.
-	lateFactor = 2
-	// streamsTell is how long samples of streams make others unnecessary.
-	streamsTell = 10 * time.Second
-	// meanWeight is how many samples make a mean.
-	meanWeight = 8
+	// minSampleTokens is the number of new tokens that a sample of the token
+	// interval needs.
+	minSampleTokens = 16
+	// minStreamTokens is the number of tokens from which a stream counts as begun.
+	minStreamTokens = 2
+	// overdueFactor times the target is the time after which a missing first byte
+	// is sampled without waiting for it.
+	overdueFactor = 2
+	// streamSampleValidity is how long after a sample of a stream no unstreamed
+	// answer is sampled.
+	streamSampleValidity = 10 * time.Second
+	// meanSamples is the number of samples over which the moving mean averages.
+	meanSamples = 8
 )
 
-// watchRuns shows the bound what streams look like while they last. A
-// straggler ends its runs late and a frozen endpoint never, so without this it
-// would look as good as before for as long as its requests take.
-func (o *Owner) watchRuns(now time.Duration) {
-	alive, begun := time.Duration(0), false
+// sampleRuns passes samples of running streams to the bound. A slow endpoint ends
+// its runs late, and a frozen one never ends them. Samples at the end of a run only
+// would therefore show the problem too late.
+func (o *Owner) sampleRuns(now time.Duration) {
+	lastTokenAt, hasStream := time.Duration(0), false
 	for _, r := range o.running {
-		if r.offer == nil || r.stopped != wire.ReasonNone || !r.stream {
+		if r.offer == nil || r.stopReason != wire.ReasonNone || !r.isStream {
 			continue
 		}
 		first, tokens := r.progress.FirstNS.Load(), r.progress.Tokens.Load()
-		if tokens >= midStream {
-			begun = true
-			alive = max(alive, r.started+time.Duration(r.progress.LastNS.Load()))
+		if tokens >= minStreamTokens {
+			hasStream = true
+			lastTokenAt = max(lastTokenAt, r.startedAt+time.Duration(r.progress.LastNS.Load()))
 		}
 		target := ms(r.offer.FirstMS)
-		overdue := first == 0 && target > 0 && now-r.started > lateFactor*target
-		if !r.firstSeen && (first != 0 || overdue) || tokens-r.tokens >= sampleTokens {
+		isOverdue := first == 0 && target > 0 && now-r.startedAt > overdueFactor*target
+		if !r.firstByteSampled && (first != 0 || isOverdue) || tokens-r.sampledTokens >= minSampleTokens {
 			o.observe(now, r, wire.Usage{})
 		}
 	}
-	if begun {
-		// Only streams that have begun tell: the first byte of a long prompt
-		// may take seconds on the best of endpoints.
-		o.bound.Silence(now - alive)
+	if hasStream {
+		// Only streams that have begun are considered: the first byte of a long
+		// prompt may take seconds on a healthy endpoint.
+		o.bound.Silence(now - lastTokenAt)
 	}
 }
 
-// observe shows the bound what r has been like since the last time.
-func (o *Owner) observe(now time.Duration, r *rec, u wire.Usage) {
-	if r.offer == nil || r.stopped != wire.ReasonNone {
+// observe passes a sample of what r has done since its last sample to the bound.
+func (o *Owner) observe(now time.Duration, r *record, u wire.Usage) {
+	if r.offer == nil || r.stopReason != wire.ReasonNone {
 		return
 	}
 	s := bound.Sample{
 		PromptTokens: int(u.PromptTokens), CachedTokens: int(u.CachedTokens),
 		OutputTokens: int(u.OutputTokens), InFlight: len(o.running),
 	}
-	if r.state == ended {
+	if r.state == stateEnded {
 		s.InFlight++
 	}
 	if s.PromptTokens == 0 {
 		s.PromptTokens = int(r.offer.PromptTokens)
 	}
 	switch {
-	case r.stream:
-		o.pieces(now, r, &s)
+	case r.isStream:
+		o.sampleStream(now, r, &s)
 	case u.OutputTokens > 0:
-		o.inOne(now, r, &s)
+		o.sampleUnstreamed(now, r, &s)
 	default:
-		o.plain(r, &s)
+		o.sampleServiceCall(r, &s)
 	}
 	if s.First > 0 || s.Between > 0 {
 		o.bound.Observe(now, s)
 	}
 }
 
-// pieces fills in what is seen of an answer that comes piece by piece.
-func (o *Owner) pieces(now time.Duration, r *rec, s *bound.Sample) {
-	if !r.firstSeen {
-		r.firstSeen = true
-		s.First, s.FirstTarget = o.first(now, r), firstTarget(r)
+// sampleStream fills in the sample of a streamed answer.
+func (o *Owner) sampleStream(now time.Duration, r *record, s *bound.Sample) {
+	if !r.firstByteSampled {
+		r.firstByteSampled = true
+		s.First, s.FirstTarget = o.firstByteTime(now, r), firstTarget(r)
 	}
 	tokens, last := r.progress.Tokens.Load(), r.progress.LastNS.Load()
-	n := tokens - r.tokens
-	if n < sampleTokens {
+	n := tokens - r.sampledTokens
+	if n < minSampleTokens {
 		return
 	}
-	if r.tokens > 0 {
-		s.Between = time.Duration((last - r.lastToken) / n)
+	if r.sampledTokens > 0 {
+		s.Between = time.Duration((last - r.sampledLastNS) / n)
 	} else {
 		s.Between = r.progress.MeanInterval()
 	}
-	s.BetweenTarget, o.streamed = betweenTarget(r), now
-	r.tokens, r.lastToken = tokens, last
+	s.BetweenTarget, o.lastStreamSample = betweenTarget(r), now
+	r.sampledTokens, r.sampledLastNS = tokens, last
 }
 
-// inOne fills in what can be told of a model's answer that comes in one piece.
-// Its only byte comes at the end, so the time to it says nothing of the first
-// token: taken for that it would make every longer answer look late, and the
-// bound would fall to its least. While there are streams, they tell enough;
-// without them the time for one token stands for the time to the first.
-func (o *Owner) inOne(now time.Duration, r *rec, s *bound.Sample) {
-	if o.streamed > 0 && now-o.streamed < streamsTell {
+// sampleUnstreamed fills in the sample of a model's unstreamed answer. Its first
+// byte arrives at the end, so the time to it is not the time to the first
+// token. If it were used as such, every longer answer would look late, and the
+// bound would fall to its minimum. Samples of streams are used instead while there
+// are any; otherwise the mean time per token takes the place of the time to the
+// first token.
+func (o *Owner) sampleUnstreamed(now time.Duration, r *record, s *bound.Sample) {
+	if o.lastStreamSample > 0 && now-o.lastStreamSample < streamSampleValidity {
 		return
 	}
 	tokens := time.Duration(s.OutputTokens)
-	s.First, s.FirstTarget = time.Duration(r.progress.LastNS.Load())/tokens, wholeTarget(r)/tokens
+	s.First, s.FirstTarget = time.Duration(r.progress.LastNS.Load())/tokens, completeTarget(r)/tokens
 	s.PromptTokens, s.CachedTokens = 0, 0
 }
 
-// plain fills in what is seen of a call to a plain service. Calls differ as
-// much as prompts do, so their estimated cost stands for the length.
-func (o *Owner) plain(r *rec, s *bound.Sample) {
-	s.First, s.FirstTarget = time.Duration(r.progress.LastNS.Load()), wholeTarget(r)
+// sampleServiceCall fills in the sample of a call to a plain service. Calls differ
+// in length as prompts do, so the estimated cost in milliseconds takes the place of
+// the number of prompt tokens.
+func (o *Owner) sampleServiceCall(r *record, s *bound.Sample) {
+	s.First, s.FirstTarget = time.Duration(r.progress.LastNS.Load()), completeTarget(r)
 	s.PromptTokens = int(r.offer.CostMS)
 }
 
-// first returns the time that r took to its first byte, so far if it has not
-// come.
-func (o *Owner) first(now time.Duration, r *rec) time.Duration {
+// firstByteTime returns the time from the start of r to its first byte, or to now
+// if it has not arrived.
+func (o *Owner) firstByteTime(now time.Duration, r *record) time.Duration {
 	first := time.Duration(r.progress.FirstNS.Load())
 	if first == 0 {
-		return now - r.started
+		return now - r.startedAt
 	}
-	o.firstMean += (first - o.firstMean) / meanWeight
+	o.meanFirstByte += (first - o.meanFirstByte) / meanSamples
 	return first
 }
 
-// firstTarget returns what was left of the target when r was handed over, but
-// no less than half of it. That a request was late before it came to the
-// endpoint says nothing about the endpoint: taken for its fault it would lower
-// the bound, the queue would grow and make more requests late.
-func firstTarget(r *rec) time.Duration {
+// firstTarget returns the part of the first-byte target that was left when r was
+// passed to the endpoint, but at least half of the target. Time that a request
+// spent waiting says nothing about the endpoint. If it counted, the bound would
+// fall, the queue would grow, and more requests would be late.
+func firstTarget(r *record) time.Duration {
 	target := ms(r.offer.FirstMS)
 	if target == 0 {
-		return wholeTarget(r)
+		return completeTarget(r)
 	}
-	return max(target-ms(r.offer.WaitedMS)-(r.started-r.arrived), target/2)
+	return max(target-ms(r.offer.WaitedMS)-(r.startedAt-r.arrivedAt), target/2)
 }
 
-// betweenTarget returns the time between two tokens that the class allows.
-func betweenTarget(r *rec) time.Duration {
+// betweenTarget returns the target for the time between two tokens: the class's
+// target, or the share of one token in completeTarget if there is none.
+func betweenTarget(r *record) time.Duration {
 	if r.offer.BetweenMS == 0 && r.offer.OutputTokens > 0 {
-		return wholeTarget(r) / time.Duration(r.offer.OutputTokens)
+		return completeTarget(r) / time.Duration(r.offer.OutputTokens)
 	}
 	return ms(r.offer.BetweenMS)
 }
 
-// wholeTarget returns how long the endpoint may take for the whole answer: half
-// of the target, or of half the deadline, which leaves the other half to wait.
-func wholeTarget(r *rec) time.Duration {
+// completeTarget returns the target for the endpoint's time for a complete answer:
+// half of the request's target, or a quarter of the time until the deadline if
+// there is no target. The other half of the target is left for waiting.
+func completeTarget(r *record) time.Duration {
 	if r.offer.CompleteMS > 0 {
 		return ms(r.offer.CompleteMS) / 2
 	}
-	return (r.deadline - r.arrived) / 4
+	return (r.deadline - r.arrivedAt) / 4
 }
