--- a/agent/engine/engine.go
+++ b/agent/engine/engine.go
@@ -25,7 +25,7 @@
 // Engine is one model engine beside the agent.
 type Engine struct {
 	base string
-	// callClient sends each request on its own connection, see call.Client.
+	// callClient sends each request on its own connection, see call.NewClient.
 	callClient *http.Client
 	// controlClient sends what may be repeated safely, such as a cancel.
 	controlClient *http.Client
@@ -69,8 +69,8 @@
 }
 
 // joinStream reads the stream of a running request, starting after the events
-// that a has already relayed. The result's error is ErrUnknown if the engine has
-// no record of the request.
+// that a has already relayed. The result's error is ErrUnknown if the engine
+// replies with a status other than 200.
 func (e *Engine) joinStream(ctx context.Context, id ident.ID, a *relay) call.Result {
 	url := fmt.Sprintf("%s/v1/requests/%s/stream?from=%d", e.base, id, a.relayedEvents)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -94,8 +94,8 @@
 	progress *call.Progress
 	// relayedEvents counts the events of the stream that were passed to the sink.
 	relayedEvents int
-	// isStream is set when the answer is a stream, done when its last event
-	// has been read.
+	// isStream is set when the answer is a stream, sawDone when its last event has
+	// been read.
 	isStream, sawDone bool
 	usage             wire.Usage
 }
