--- a/agent/links/links_test.go
+++ b/agent/links/links_test.go
@@ -25,7 +25,7 @@
 	const (
 		chunkCount = 32
 		chunkSize  = 32 << 10
-		// busyFor is shorter than the silence after which a peer counts as dead.
+		// busyTime is shorter than the silence after which a peer counts as dead.
 		busyTime = time.Second
 	)
 	keys := wire.OneKey([]byte("key"))
