--- a/lychee/admin/admin.go
+++ b/lychee/admin/admin.go
@@ -1,4 +1,4 @@
-// Package admin asks the operators' listeners of entries and agents.
+// Package admin is a client of the admin listeners of entries and agents.
 package admin
 
 import (
@@ -15,25 +15,28 @@
 	"lycheepond/core/report"
 )
 
-// timeout bounds one question. An entry answers from memory.
-const timeout = 5 * time.Second
+// requestTimeout bounds one HTTP request. It can be short, because an
+// entry answers from memory.
+const requestTimeout = 5 * time.Second
 
-// maxAnswer bounds an answer in bytes.
-const maxAnswer = 16 << 20
+// maxResponseBytes bounds the body of a response.
+const maxResponseBytes = 16 << 20
 
-// ErrToken reports an operator token that is missing or wrong.
-var ErrToken = errors.New("operators' token missing or wrong: set --admin-token or LYCHEE_ADMIN_TOKEN to admin.token of its settings")
+// ErrUnauthorized reports an operator token that is missing or wrong.
+var ErrUnauthorized = errors.New("operators' token missing or wrong: set --admin-token or LYCHEE_ADMIN_TOKEN to admin.token of its settings")
 
-// ErrUnknown reports that the process does not know what was asked for.
-var ErrUnknown = errors.New("not known there")
+// ErrNotFound reports that the process has no such path or no record of the
+// request.
+var ErrNotFound = errors.New("not found there, check that it is an admin address")
 
-// Client asks with one token.
+// Client calls admin listeners with one operators' token.
 type Client struct {
 	token string
 	http  *http.Client
 }
 
-// New returns a client; httpClient may be nil.
+// New returns a client. A nil httpClient stands for a client with default
+// settings.
 func New(token string, httpClient *http.Client) *Client {
 	if httpClient == nil {
 		httpClient = &http.Client{}
@@ -41,42 +44,50 @@
 	return &Client{token: token, http: httpClient}
 }
 
-// Own is what an agent says of itself.
-type Own struct {
-	InFlight int    `json:"in_flight"`
-	Bound    int    `json:"bound"`
-	Queued   int    `json:"queued"`
-	Leaving  bool   `json:"leaving"`
-	Down     bool   `json:"endpoint_down"`
-	Slow     bool   `json:"endpoint_slow"`
-	Version  string `json:"endpoint_version"`
+// AgentStatus is an agent's report on itself and its endpoint.
+type AgentStatus struct {
+	// InFlight counts the requests running at the endpoint, InFlightBound is
+	// their highest number, and QueuedRequests counts the agent's queue.
+	InFlight       int `json:"in_flight"`
+	InFlightBound  int `json:"bound"`
+	QueuedRequests int `json:"queued"`
+	// IsLeaving is set when the agent takes no more work and stops when it has
+	// finished.
+	IsLeaving       bool   `json:"leaving"`
+	EndpointDown    bool   `json:"endpoint_down"`
+	EndpointSlow    bool   `json:"endpoint_slow"`
+	EndpointVersion string `json:"endpoint_version"`
 }
 
-// Entry asks an entry for its status.
-func (c *Client) Entry(ctx context.Context, address string) (report.Entry, error) {
-	var e report.Entry
-	return e, c.ask(ctx, http.MethodGet, address, "/status", &e)
+// EntryStatus returns the status of the entry at an admin address.
+func (c *Client) EntryStatus(ctx context.Context, address string) (report.Entry, error) {
+	var status report.Entry
+	return status, c.call(ctx, http.MethodGet, address, "/status", &status)
 }
 
-// Agent asks an agent for its status.
-func (c *Client) Agent(ctx context.Context, address string) (Own, error) {
-	var o Own
-	return o, c.ask(ctx, http.MethodGet, address, "/status", &o)
+// AgentStatus returns the status of the agent at an admin address.
+func (c *Client) AgentStatus(ctx context.Context, address string) (AgentStatus, error) {
+	var status AgentStatus
+	return status, c.call(ctx, http.MethodGet, address, "/status", &status)
 }
 
-// Explain asks an entry what it decided about a request.
-func (c *Client) Explain(ctx context.Context, address, id string) (report.Request, error) {
-	var e report.Request
-	return e, c.ask(ctx, http.MethodGet, address, "/explain/"+id, &e)
+// Explain returns an entry's record of its decisions about a request. The error
+// is ErrNotFound if the entry has none.
+func (c *Client) Explain(ctx context.Context, address, requestID string) (report.Request, error) {
+	var record report.Request
+	return record, c.call(ctx, http.MethodGet, address, "/explain/"+requestID, &record)
 }
 
-// Drain tells an agent to take no more work and to stop when it has finished.
+// Drain requests that an agent takes no more work, finishes what is running and
+// stops.
 func (c *Client) Drain(ctx context.Context, address string) error {
-	return c.ask(ctx, http.MethodPost, address, "/drain", nil)
+	return c.call(ctx, http.MethodPost, address, "/drain", nil)
 }
 
-func (c *Client) ask(ctx context.Context, method, address, path string, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+// call sends one request and decodes the JSON response into result, unless
+// result is nil.
+func (c *Client) call(ctx context.Context, method, address, path string, result any) error {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	if !strings.Contains(address, "://") {
 		address = "http://" + address
@@ -93,19 +104,19 @@
 		return eris.Wrapf(err, "no answer from %s, check the address and that the process runs", address)
 	}
 	defer resp.Body.Close()
-	body := io.LimitReader(resp.Body, maxAnswer)
+	body := io.LimitReader(resp.Body, maxResponseBytes)
 	switch {
 	case resp.StatusCode == http.StatusUnauthorized:
-		return eris.Wrap(ErrToken, address)
+		return eris.Wrap(ErrUnauthorized, address)
 	case resp.StatusCode == http.StatusNotFound:
-		return eris.Wrap(ErrUnknown, address)
+		return eris.Wrap(ErrNotFound, address)
 	case resp.StatusCode >= http.StatusMultipleChoices:
 		text, _ := io.ReadAll(io.LimitReader(body, 1<<10))
 		return eris.Errorf("%s answered %s: %s", address, resp.Status, strings.TrimSpace(string(text)))
-	case into == nil:
+	case result == nil:
 		return nil
 	}
-	if err := json.NewDecoder(body).Decode(into); err != nil {
+	if err := json.NewDecoder(body).Decode(result); err != nil {
 		return eris.Wrapf(err, "%s: answer is not a status, check that it is an admin address", address)
 	}
 	return nil
--- a/lychee/apply/apply.go
+++ b/lychee/apply/apply.go
@@ -10,7 +10,7 @@
 	"lycheepond/core/spec"
 )
 
-// State is what became of one object.
+// State says how the write of one object ended.
 type State string
 
 // The states of a Result.
@@ -18,165 +18,177 @@
 	StateUnchanged State = "unchanged"
 	StateCreated   State = "created"
 	StateChanged   State = "changed"
-	// StateConflict: someone else changed the object; nothing was written.
+	// StateConflict: someone else changed the object, so nothing was written.
 	StateConflict State = "conflict"
-	// StateUncertain: the reply was lost and the platform could not be asked
-	// again; the write may have taken effect.
+	// StateUncertain: the reply was lost and the platform could not be reached
+	// again. The write may have taken effect.
 	StateUncertain State = "uncertain"
 	// StateFailed: nothing was written.
 	StateFailed State = "failed"
-	// StateSkipped: not tried, because one before it did not succeed.
+	// StateSkipped: the object was not written, because an object before it
+	// failed.
 	StateSkipped State = "skipped"
 )
 
-// Result is what became of one object.
+// Result is the outcome of applying one object.
 type Result struct {
-	Object  string `json:"object"`
-	State   State  `json:"state"`
-	Version int64  `json:"version,omitempty"`
-	// Note tells what the operator should know, such as a lost reply.
+	// Object is the object's reference, KIND/NAME.
+	Object string `json:"object"`
+	State  State  `json:"state"`
+	// Version is the version at the platform, zero if it is not known.
+	Version int64 `json:"version,omitempty"`
+	// Note explains the state, for example that a reply was lost.
 	Note string `json:"note,omitempty"`
-	// By is who wrote the version that stands in the way.
-	By    *spec.Applied `json:"by,omitempty"`
-	Lines []string      `json:"lines,omitempty"`
+	// WrittenBy is the author of the platform's version after a conflict.
+	WrittenBy *spec.Applied `json:"by,omitempty"`
+	// DiffLines is the difference from the platform's version to the file's, as
+	// returned by Diff.
+	DiffLines []string `json:"lines,omitempty"`
 }
 
-// Putter writes one object of the platform.
+// Putter writes one object to the platform if the platform's version is still
+// ifVersion, zero meaning that the object must not exist.
 type Putter func(ctx context.Context, kind, name string, data []byte, ifVersion int64) (plat.Object, error)
 
-// Applier writes objects.
+// Applier writes objects to the platform.
 type Applier struct {
 	Get Getter
 	Put Putter
-	// By names the operator in what is written.
-	By string
+	// Author names the operator. It is stored in each object.
+	Author string
 	// NewID returns a fresh ID for each write.
 	NewID func() string
 	Now   func() time.Time
-	// Pause waits before a call is repeated.
+	// Pause waits before a call is repeated. It returns early when ctx is done.
 	Pause func(ctx context.Context)
 }
 
-// tries is how often a lost reply is followed up before the operator is told
-// that the outcome is uncertain.
-const tries = 5
+// maxRounds bounds the calls made to find out whether a write took effect or who
+// changed the object. If a lost reply is still unresolved after that, the outcome
+// is reported as uncertain.
+const maxRounds = 5
 
-// All writes the objects in order and stops at the first that does not
-// succeed, so that a customer is not written whose class was refused.
-func (a *Applier) All(ctx context.Context, items []spec.Item) []Result {
+// ApplyAll writes the objects in order and stops at the first that fails. A
+// customer is thus not written if its class was refused.
+func (a *Applier) ApplyAll(ctx context.Context, items []spec.Item) []Result {
 	results := make([]Result, 0, len(items))
 	stopped := false
-	for _, it := range items {
+	for _, item := range items {
 		if stopped {
-			results = append(results, Result{Object: it.Ref(), State: StateSkipped})
+			results = append(results, Result{Object: item.Ref(), State: StateSkipped})
 			continue
 		}
-		r := a.One(ctx, it)
-		results = append(results, r)
-		stopped = r.State == StateConflict || r.State == StateUncertain || r.State == StateFailed
+		result := a.ApplyOne(ctx, item)
+		results = append(results, result)
+		stopped = result.State == StateConflict || result.State == StateUncertain || result.State == StateFailed
 	}
 	return results
 }
 
-// One writes one object if it differs from the platform's.
-func (a *Applier) One(ctx context.Context, it spec.Item) Result {
-	c, err := Compare(ctx, a.Get, it)
+// ApplyOne writes one object if it differs from the platform's. It writes
+// nothing if the file names another version than the platform's.
+func (a *Applier) ApplyOne(ctx context.Context, item spec.Item) Result {
+	change, err := Compare(ctx, a.Get, item)
 	if err != nil {
-		return Result{Object: it.Ref(), State: StateFailed, Note: err.Error()}
+		return Result{Object: item.Ref(), State: StateFailed, Note: err.Error()}
 	}
-	if c.Same() {
-		return Result{Object: it.Ref(), State: StateUnchanged, Version: c.Version}
+	if change.IsUnchanged() {
+		return Result{Object: item.Ref(), State: StateUnchanged, Version: change.Version}
 	}
-	if it.IfVersion != 0 && it.IfVersion != c.Version {
-		return conflict(c, fmt.Sprintf("the file was made from version %d", it.IfVersion))
+	if item.IfVersion != 0 && item.IfVersion != change.Version {
+		return conflictResult(change, fmt.Sprintf("the file was made from version %d", item.IfVersion))
 	}
-	applied := &spec.Applied{By: a.By, At: a.Now().UTC().Truncate(time.Second), ID: a.NewID()}
-	data, err := spec.Encode(it.Object, applied)
+	applied := &spec.Applied{By: a.Author, At: a.Now().UTC().Truncate(time.Second), ID: a.NewID()}
+	data, err := spec.Encode(item.Object, applied)
 	if err != nil {
-		return Result{Object: it.Ref(), State: StateFailed, Note: err.Error()}
+		return Result{Object: item.Ref(), State: StateFailed, Note: err.Error()}
 	}
-	return a.write(ctx, c, data, applied.ID)
+	return a.write(ctx, change, data, applied.ID)
 }
 
-// write puts the object and follows a lost reply up until it is clear whether
-// the write took effect.
-func (a *Applier) write(ctx context.Context, c Change, data []byte, id string) Result {
-	it, lost := c.Item, false
-	for range tries {
-		o, err := a.Put(ctx, it.Kind, it.Name, data, c.Version)
-		var raced *plat.ConflictError
-		var uncertain *plat.UncertainError
+// write puts the object. After a lost reply, it calls the platform until it is
+// clear whether the write took effect, at most maxRounds times.
+func (a *Applier) write(ctx context.Context, change Change, data []byte, writeID string) Result {
+	item, replyLost := change.Item, false
+	for range maxRounds {
+		o, err := a.Put(ctx, item.Kind, item.Name, data, change.Version)
+		var conflictErr *plat.ConflictError
+		var uncertainErr *plat.UncertainError
 		switch {
 		case err == nil:
-			return written(c, o.Version, "")
-		case errors.As(err, &raced):
-			return a.raced(ctx, c, raced.Current(), id, lost)
-		case errors.As(err, &uncertain):
-			lost = true
-		case !lost:
-			return Result{Object: it.Ref(), State: StateFailed, Note: err.Error()}
+			return successResult(change, o.Version, "")
+		case errors.As(err, &conflictErr):
+			return a.resolveConflict(ctx, change, conflictErr.Current(), writeID, replyLost)
+		case errors.As(err, &uncertainErr):
+			replyLost = true
+		case !replyLost:
+			return Result{Object: item.Ref(), State: StateFailed, Note: err.Error()}
 		}
-		// A write without a reply may have taken effect. If the object carries
-		// this write's ID it has; if not, the same conditional write is
-		// repeated, which cannot undo anyone's change.
+		// A write without a reply may have taken effect. It has if the object
+		// carries this write's ID. Otherwise the same conditional write is
+		// repeated, which can't undo another operator's change.
 		a.Pause(ctx)
-		if now, err := a.Get(ctx, it.Kind, it.Name); err == nil && wrote(now, id) {
-			return written(c, now.Version, "the reply was lost, but the write took effect")
+		if current, err := a.Get(ctx, item.Kind, item.Name); err == nil && hasWriteID(current, writeID) {
+			return successResult(change, current.Version, "the reply was lost, but the write took effect")
 		}
 		if ctx.Err() != nil {
 			break
 		}
 	}
 	return Result{
-		Object: it.Ref(), State: StateUncertain,
+		Object: item.Ref(), State: StateUncertain,
 		Note: "no reply from the platform: the write may have taken effect; run `lychee diff` when the platform answers again",
 	}
 }
 
-// raced finds out who changed the object. A replica that lags may still show
-// the former version, so it is asked until it shows the one that the platform
-// named.
-func (a *Applier) raced(ctx context.Context, c Change, current int64, id string, lost bool) Result {
-	it := c.Item
-	for range tries {
-		now, err := a.Get(ctx, it.Kind, it.Name)
+// resolveConflict finds out who changed the object after a conditional write
+// failed. A lagging replica may still return an older version, so the object is
+// read again until its version is at least conflictVersion, the one that the
+// platform reported. The change may be this write itself if its reply was lost.
+func (a *Applier) resolveConflict(ctx context.Context, change Change, conflictVersion int64, writeID string, replyLost bool) Result {
+	item := change.Item
+	for range maxRounds {
+		current, err := a.Get(ctx, item.Kind, item.Name)
 		switch {
-		case err == nil && wrote(now, id):
-			return written(c, now.Version, "the reply was lost, but the write took effect")
-		case err == nil && now.Version >= current:
-			after, err := against(it, now)
+		case err == nil && hasWriteID(current, writeID):
+			return successResult(change, current.Version, "the reply was lost, but the write took effect")
+		case err == nil && current.Version >= conflictVersion:
+			newChange, err := compareWith(item, current)
 			if err != nil {
-				return Result{Object: it.Ref(), State: StateFailed, Note: err.Error()}
+				return Result{Object: item.Ref(), State: StateFailed, Note: err.Error()}
 			}
 			note := "changed by someone else since it was read"
-			if lost {
-				note += "; a reply was lost before, so this change may have been in force in between"
+			if replyLost {
+				note += "; an earlier reply was lost, so the file's version may have been in force for a while"
 			}
-			return conflict(after, note)
-		case errors.Is(err, plat.ErrNotFound) && current == 0:
-			return conflict(Change{Item: it, Lines: Lines("", Text(it.Kind, it.Object))}, "deleted by someone else since it was read")
+			return conflictResult(newChange, note)
+		case errors.Is(err, plat.ErrNotFound) && conflictVersion == 0:
+			return conflictResult(Change{Item: item, DiffLines: Diff("", FormatYAML(item.Kind, item.Object))}, "deleted by someone else since it was read")
 		}
 		if ctx.Err() != nil {
 			break
 		}
 		a.Pause(ctx)
 	}
-	return Result{Object: it.Ref(), State: StateConflict, Version: current, Note: "changed by someone else since it was read; the platform does not show the new version yet: run `lychee diff`"}
+	return Result{Object: item.Ref(), State: StateConflict, Version: conflictVersion, Note: "changed by someone else since it was read; the platform does not show the new version yet: run `lychee diff`"}
 }
 
-func wrote(o plat.Object, id string) bool {
-	by := spec.AppliedOf(o.Data)
-	return by != nil && by.ID == id
+// hasWriteID reports whether the object was written by the write with this ID.
+func hasWriteID(o plat.Object, writeID string) bool {
+	applied := spec.AppliedOf(o.Data)
+	return applied != nil && applied.ID == writeID
 }
 
-func written(c Change, version int64, note string) Result {
-	r := Result{Object: c.Item.Ref(), State: StateChanged, Version: version, Note: note, Lines: c.Lines}
-	if c.Version == 0 {
+// successResult returns the result of a write that took effect.
+func successResult(change Change, version int64, note string) Result {
+	r := Result{Object: change.Item.Ref(), State: StateChanged, Version: version, Note: note, DiffLines: change.DiffLines}
+	if change.Version == 0 {
 		r.State = StateCreated
 	}
 	return r
 }
 
-func conflict(c Change, why string) Result {
-	return Result{Object: c.Item.Ref(), State: StateConflict, Version: c.Version, Note: why, By: c.By, Lines: c.Lines}
+// conflictResult returns the result of an object that someone else changed.
+func conflictResult(change Change, note string) Result {
+	return Result{Object: change.Item.Ref(), State: StateConflict, Version: change.Version, Note: note, WrittenBy: change.WrittenBy, DiffLines: change.DiffLines}
 }
--- a/lychee/apply/lines.go
+++ b/lychee/apply/lines.go
@@ -2,52 +2,53 @@
 
 import "strings"
 
-// Lines returns the difference of two texts line by line: lines that begin
-// with "- " are in the first only, with "+ " in the second only, with two
-// spaces in both.
-func Lines(a, b string) []string {
-	x, y := split(a), split(b)
-	common := longest(x, y)
+// Diff returns the difference between two texts line by line. Each line begins
+// with "- " if it is only in a, with "+ " if it is only in b, and with two spaces
+// if it is in both.
+func Diff(a, b string) []string {
+	aLines, bLines := splitLines(a), splitLines(b)
+	lcs := lcsLengths(aLines, bLines)
 	var out []string
 	i, j := 0, 0
-	for i < len(x) || j < len(y) {
+	for i < len(aLines) || j < len(bLines) {
 		switch {
-		case i < len(x) && j < len(y) && x[i] == y[j]:
-			out = append(out, "  "+x[i])
+		case i < len(aLines) && j < len(bLines) && aLines[i] == bLines[j]:
+			out = append(out, "  "+aLines[i])
 			i, j = i+1, j+1
-		case i < len(x) && (j == len(y) || common[i+1][j] >= common[i][j+1]):
-			out = append(out, "- "+x[i])
+		case i < len(aLines) && (j == len(bLines) || lcs[i+1][j] >= lcs[i][j+1]):
+			out = append(out, "- "+aLines[i])
 			i++
 		default:
-			out = append(out, "+ "+y[j])
+			out = append(out, "+ "+bLines[j])
 			j++
 		}
 	}
 	return out
 }
 
-func split(s string) []string {
+// splitLines returns the lines of s without trailing newlines.
+func splitLines(s string) []string {
 	if s = strings.TrimRight(s, "\n"); s == "" {
 		return nil
 	}
 	return strings.Split(s, "\n")
 }
 
-// longest returns, for every pair of positions, the length of the longest
-// common sequence of the lines from there on.
-func longest(x, y []string) [][]int {
-	l := make([][]int, len(x)+1)
-	for i := range l {
-		l[i] = make([]int, len(y)+1)
+// lcsLengths returns a table whose element i, j is the length of the longest
+// common subsequence of a[i:] and b[j:].
+func lcsLengths(a, b []string) [][]int {
+	lengths := make([][]int, len(a)+1)
+	for i := range lengths {
+		lengths[i] = make([]int, len(b)+1)
 	}
-	for i := len(x) - 1; i >= 0; i-- {
-		for j := len(y) - 1; j >= 0; j-- {
-			if x[i] == y[j] {
-				l[i][j] = l[i+1][j+1] + 1
+	for i := len(a) - 1; i >= 0; i-- {
+		for j := len(b) - 1; j >= 0; j-- {
+			if a[i] == b[j] {
+				lengths[i][j] = lengths[i+1][j+1] + 1
 			} else {
-				l[i][j] = max(l[i+1][j], l[i][j+1])
+				lengths[i][j] = max(lengths[i+1][j], lengths[i][j+1])
 			}
 		}
 	}
-	return l
+	return lengths
 }
--- a/lychee/apply/plan.go
+++ b/lychee/apply/plan.go
@@ -1,5 +1,6 @@
 // Package apply compares objects with those at the platform and writes the
-// changed ones, each under the condition that nobody else changed it.
+// changed ones. Each write takes effect only if nobody else has changed the
+// object since it was read.
 package apply
 
 import (
@@ -15,60 +16,65 @@
 	"lycheepond/core/spec"
 )
 
-// Change is the difference between an object of a file and the platform.
+// Change is the difference between an object of a file and the platform's
+// version of it.
 type Change struct {
 	Item spec.Item
 	// Version is the platform's version, zero if it has no such object.
 	Version int64
-	// By is who wrote the platform's version, nil if it does not tell.
-	By *spec.Applied
-	// Lines is the difference, from the platform's version to the file's. It
-	// is empty when both are the same.
-	Lines []string
+	// WrittenBy is the author of the platform's version, nil if the object
+	// doesn't say.
+	WrittenBy *spec.Applied
+	// DiffLines is the difference from the platform's version to the file's, as
+	// returned by Diff. It is empty if the two are equal.
+	DiffLines []string
 }
 
-// Same reports whether there is nothing to write.
-func (c Change) Same() bool { return len(c.Lines) == 0 }
+// IsUnchanged reports whether the file's object equals the platform's.
+func (c Change) IsUnchanged() bool { return len(c.DiffLines) == 0 }
 
-// Getter reads one object of the platform.
+// Getter reads one object from the platform.
 type Getter func(ctx context.Context, kind, name string) (plat.Object, error)
 
-// Compare compares an object with the platform's.
-func Compare(ctx context.Context, get Getter, it spec.Item) (Change, error) {
-	now, err := get(ctx, it.Kind, it.Name)
+// Compare reads the platform's version of an object and compares the two. An
+// object that the platform doesn't have differs in every line.
+func Compare(ctx context.Context, get Getter, item spec.Item) (Change, error) {
+	current, err := get(ctx, item.Kind, item.Name)
 	if errors.Is(err, plat.ErrNotFound) {
-		return Change{Item: it, Lines: Lines("", Text(it.Kind, it.Object))}, nil
+		return Change{Item: item, DiffLines: Diff("", FormatYAML(item.Kind, item.Object))}, nil
 	}
 	if err != nil {
-		return Change{}, eris.Wrap(err, it.Ref())
+		return Change{}, eris.Wrap(err, item.Ref())
 	}
-	return against(it, now)
+	return compareWith(item, current)
 }
 
-func against(it spec.Item, now plat.Object) (Change, error) {
-	c := Change{Item: it, Version: now.Version, By: spec.AppliedOf(now.Data)}
-	had, problems := spec.Decode(now.Kind, now.Name, now.Data)
+// compareWith compares an object with the platform's version of it.
+func compareWith(item spec.Item, current plat.Object) (Change, error) {
+	change := Change{Item: item, Version: current.Version, WrittenBy: spec.AppliedOf(current.Data)}
+	currentObject, problems := spec.Decode(current.Kind, current.Name, current.Data)
 	if len(problems) > 0 {
-		// A bad object is shown as it stands, so that its mistake is seen.
-		c.Lines = Lines(string(now.Data)+"\n", Text(it.Kind, it.Object))
-		return c, nil
+		// An invalid object is shown as stored, so that the operator sees what
+		// is wrong with it.
+		change.DiffLines = Diff(string(current.Data)+"\n", FormatYAML(item.Kind, item.Object))
+		return change, nil
 	}
-	a, err := spec.Encode(had, nil)
+	currentData, err := spec.Encode(currentObject, nil)
 	if err != nil {
-		return c, err
+		return change, err
 	}
-	b, err := spec.Encode(it.Object, nil)
+	itemData, err := spec.Encode(item.Object, nil)
 	if err != nil {
-		return c, err
+		return change, err
 	}
-	if !bytes.Equal(a, b) {
-		c.Lines = Lines(Text(now.Kind, had), Text(it.Kind, it.Object))
+	if !bytes.Equal(currentData, itemData) {
+		change.DiffLines = Diff(FormatYAML(current.Kind, currentObject), FormatYAML(item.Kind, item.Object))
 	}
-	return c, nil
+	return change, nil
 }
 
-// Text returns an object as YAML, as files hold it.
-func Text(kind string, o spec.Named) string {
+// FormatYAML returns an object as the YAML document of a file, with its kind.
+func FormatYAML(kind string, o spec.Named) string {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "kind: %s\n", kind)
 	enc := yaml.NewEncoder(&b)
--- a/lychee/fleet.go
+++ b/lychee/fleet.go
@@ -14,57 +14,62 @@
 	"lycheepond/lychee/trace"
 )
 
-func status(ctx context.Context, t *tool) int {
-	r, err := t.surveyor().Report(ctx)
+// runStatus shows the state of the fleet. While the platform is away, it shows
+// the state of the entries given with --entry and fails.
+func runStatus(ctx context.Context, t *tool) int {
+	report, err := t.newCollector().BuildReport(ctx)
 	if err != nil {
-		fmt.Fprintln(t.errOut, "lychee:", err)
+		fmt.Fprintln(t.stderr, "lychee:", err)
 	}
-	t.show.Report(r)
+	t.results.WriteReport(report)
 	switch {
 	case err != nil:
 		return exitFailed
-	case !r.InForce:
-		return exitLags
+	case !report.InForceEverywhere:
+		return exitNotInForce
 	}
-	return exitGood
+	return exitOK
 }
 
-func drain(ctx context.Context, t *tool) int {
-	roster, err := t.surveyor().Roster(ctx)
+// runDrain makes an endpoint's agent finish its requests and stop.
+func runDrain(ctx context.Context, t *tool) int {
+	roster, err := t.newCollector().FetchRoster(ctx)
 	if err != nil {
 		return t.fail(err)
 	}
-	for _, i := range roster.Instances {
-		if i.Name != t.first {
+	for _, instance := range roster.Instances {
+		if instance.Name != t.firstArg {
 			continue
 		}
-		if i.Role != plat.RoleEndpoint || i.Admin == "" {
-			fmt.Fprintf(t.errOut, "lychee: %s is no endpoint with an admin address: stop it with SIGTERM, which drains it too\n", i.Name)
-			return exitInput
+		if instance.Role != plat.RoleEndpoint || instance.Admin == "" {
+			fmt.Fprintf(t.stderr, "lychee: %s is no endpoint with an admin address: stop it with SIGTERM, which drains it too\n", instance.Name)
+			return exitInvalidInput
 		}
-		if err := t.admin.Drain(ctx, i.Admin); err != nil {
+		if err := t.admin.Drain(ctx, instance.Admin); err != nil {
 			return t.fail(err)
 		}
-		t.show.Message(i.Name + ": takes no more work, finishes what runs and stops; `lychee status` shows it as leaving")
-		return exitGood
+		t.results.WriteMessage(instance.Name + ": takes no more work, finishes what runs and stops; `lychee status` shows it as leaving")
+		return exitOK
 	}
-	fmt.Fprintf(t.errOut, "lychee: no instance %q in the instance list: `lychee status` shows the endpoints\n", t.first)
-	return exitInput
+	fmt.Fprintf(t.stderr, "lychee: no instance %q in the instance list: `lychee status` shows the endpoints\n", t.firstArg)
+	return exitInvalidInput
 }
 
-func explain(ctx context.Context, t *tool) int {
-	if _, err := ident.Parse(t.first); err != nil {
-		fmt.Fprintln(t.errOut, "lychee:", err, "(the Lychee-Request-Id of an answer)")
-		return exitInput
+// runExplain shows the decisions about a request, from the first entry that has a
+// record of it.
+func runExplain(ctx context.Context, t *tool) int {
+	if _, err := ident.Parse(t.firstArg); err != nil {
+		fmt.Fprintln(t.stderr, "lychee:", err, "(the Lychee-Request-Id of an answer)")
+		return exitInvalidInput
 	}
-	// With the platform away the entries that were given are still asked.
-	roster, rosterErr := t.surveyor().Roster(ctx)
-	entries := t.surveyor().EntryAddresses(roster)
+	// While the platform is away, only the entries given with --entry are asked.
+	roster, rosterErr := t.newCollector().FetchRoster(ctx)
+	entries := t.newCollector().ListEntries(roster)
 	errs := []error{rosterErr}
-	for _, e := range entries {
-		found, err := t.explainAt(ctx, e)
+	for _, entry := range entries {
+		found, err := t.explainFrom(ctx, entry)
 		if found {
-			return exitGood
+			return exitOK
 		}
 		errs = append(errs, err)
 	}
@@ -72,20 +77,22 @@
 	return t.fail(errors.Join(errs...))
 }
 
-func (t *tool) explainAt(ctx context.Context, e survey.Entry) (bool, error) {
-	found, err := t.admin.Explain(ctx, e.Address, t.first)
-	if errors.Is(err, admin.ErrUnknown) {
+// explainFrom asks one entry for its record of the request and writes it. It
+// returns false without an error if the entry has no record of the request.
+func (t *tool) explainFrom(ctx context.Context, entry survey.Entry) (bool, error) {
+	record, err := t.admin.Explain(ctx, entry.Address, t.firstArg)
+	if errors.Is(err, admin.ErrNotFound) {
 		return false, nil
 	}
 	if err != nil {
 		return false, err
 	}
-	t.show.Explained(e.Name, found)
+	t.results.WriteExplanation(entry.Name, record)
 	return true, nil
 }
 
-// traceLogs tells from logs what became of a request.
-func traceLogs(_ context.Context, t *tool) int {
+// runTrace finds out from log files how a request ended and why.
+func runTrace(_ context.Context, t *tool) int {
 	var logs []io.Reader
 	for _, name := range t.files {
 		switch name {
@@ -95,22 +102,23 @@
 		default:
 			f, err := os.Open(name)
 			if err != nil {
-				fmt.Fprintln(t.errOut, "lychee:", err)
-				return exitInput
+				fmt.Fprintln(t.stderr, "lychee:", err)
+				return exitInvalidInput
 			}
 			defer f.Close()
 			logs = append(logs, f)
 		}
 	}
-	found, err := trace.Read(t.first, logs...)
+	result, err := trace.Read(t.firstArg, logs...)
 	if err != nil {
 		return t.fail(err)
 	}
-	t.show.Trace(found)
-	return exitGood
+	t.results.WriteTrace(result)
+	return exitOK
 }
 
-func version(_ context.Context, t *tool) int {
-	t.show.Message("lychee " + release)
-	return exitGood
+// runVersion prints the version of the program.
+func runVersion(_ context.Context, t *tool) int {
+	t.results.WriteMessage("lychee " + release)
+	return exitOK
 }
--- a/lychee/input/input.go
+++ b/lychee/input/input.go
@@ -1,4 +1,5 @@
-// Package input reads the files that operators give: objects and settings.
+// Package input reads operators' files, which hold objects or the settings of a
+// process.
 package input
 
 import (
@@ -33,78 +34,83 @@
 	return f.File + ": " + f.Problem.String()
 }
 
-// Content is what the files hold.
+// Content holds the objects and the problems of a set of files.
 type Content struct {
-	// Items are the objects without a problem of their own.
+	// Items are the valid objects, classes before customers. Problems between
+	// objects don't count.
 	Items []spec.Item
-	// Settings counts settings files.
-	Settings int
-	Findings []Finding
-	// files tells the file of each object by its reference.
-	files map[string]string
+	// SettingsFiles counts the settings files.
+	SettingsFiles int
+	Findings      []Finding
+	// fileByRef maps an object's reference, KIND/NAME, to its file.
+	fileByRef map[string]string
 }
 
-// Find adds a problem of an object that was read.
-func (c *Content) Find(p spec.Problem) {
-	c.Findings = append(c.Findings, Finding{File: c.files[p.Object], Problem: p})
+// AddFinding adds a problem of an object of the files.
+func (c *Content) AddFinding(p spec.Problem) {
+	c.Findings = append(c.Findings, Finding{File: c.fileByRef[p.Object], Problem: p})
 }
 
-// Set returns the objects for a check between them. Those with a problem of
-// their own stand in it by their names, so that what names them is not said to
-// name nothing.
-func (c *Content) Set() []spec.Item {
-	set := slices.Clone(c.Items)
+// ItemsToCheck returns the objects for spec.CheckSet, which checks the references
+// between objects. An invalid object is included with its kind and name only, so
+// that references to it are not reported as missing.
+func (c *Content) ItemsToCheck() []spec.Item {
+	items := slices.Clone(c.Items)
 	seen := make(map[string]bool)
 	for _, f := range c.Findings {
 		kind, name, ok := strings.Cut(f.Object, "/")
 		if ok && !seen[f.Object] {
 			seen[f.Object] = true
-			set = append(set, spec.Item{Kind: kind, Name: name, Line: f.Line})
+			items = append(items, spec.Item{Kind: kind, Name: name, Line: f.Line})
 		}
 	}
-	return set
+	return items
 }
 
-// Has reports whether a file holds the object of a reference.
-func (c *Content) Has(ref string) bool { return c.files[ref] != "" }
+// Has reports whether the files hold a valid object with this reference.
+func (c *Content) Has(ref string) bool { return c.fileByRef[ref] != "" }
 
-// order puts classes before the customers that name them.
-var order = []string{spec.KindClass, spec.KindModel, spec.KindService, spec.KindCustomer}
+// kindOrder is the order in which objects are written. Classes come before the
+// customers that refer to them.
+var kindOrder = []string{spec.KindClass, spec.KindModel, spec.KindService, spec.KindCustomer}
 
-// Read reads files and, of directories, the files that end in .yaml, .yml or
-// .json. env looks environment variables up for settings.
-func Read(paths []string, env func(string) (string, bool)) (*Content, error) {
-	files, err := expand(paths)
+// Read reads files. For a directory, it reads the files in it that end in .yaml,
+// .yml or .json. lookupEnv looks up the environment variables that settings refer
+// to. An error means that a file can't be read; problems within files are in
+// Findings.
+func Read(paths []string, lookupEnv func(string) (string, bool)) (*Content, error) {
+	files, err := expandPaths(paths)
 	if err != nil {
 		return nil, err
 	}
-	c := &Content{files: make(map[string]string)}
+	c := &Content{fileByRef: make(map[string]string)}
 	for _, path := range files {
 		data, err := os.ReadFile(path)
 		if err != nil {
 			return nil, eris.Wrap(err, "check the file's name")
 		}
-		c.add(path, data, env)
+		c.addFile(path, data, lookupEnv)
 	}
 	slices.SortStableFunc(c.Items, func(a, b spec.Item) int {
-		return slices.Index(order, a.Kind) - slices.Index(order, b.Kind)
+		return slices.Index(kindOrder, a.Kind) - slices.Index(kindOrder, b.Kind)
 	})
 	return c, nil
 }
 
-func (c *Content) add(path string, data []byte, env func(string) (string, bool)) {
+// addFile adds the objects or the settings of one file, and their problems.
+func (c *Content) addFile(path string, data []byte, lookupEnv func(string) (string, bool)) {
 	var problems spec.Problems
-	if into := settingsOf(data); into != nil {
-		c.Settings++
-		err := conf.Parse(data, env, into)
+	if settings := newSettings(data); settings != nil {
+		c.SettingsFiles++
+		err := conf.Parse(data, lookupEnv, settings)
 		if err != nil && !errors.As(err, &problems) {
 			problems = spec.Problems{{Reason: err.Error()}}
 		}
 	} else {
 		var items []spec.Item
 		items, problems = spec.Read(data)
-		for _, it := range items {
-			c.files[it.Ref()] = path
+		for _, item := range items {
+			c.fileByRef[item.Ref()] = path
 		}
 		c.Items = append(c.Items, items...)
 	}
@@ -113,27 +119,29 @@
 	}
 }
 
-// settingsOf returns what to read the settings into, nil if data holds objects.
-func settingsOf(data []byte) any {
-	var first map[string]any
-	if yaml.NewDecoder(bytes.NewReader(data)).Decode(&first) != nil || first["kind"] != nil {
+// newSettings returns empty settings of the type that data holds, and nil if data
+// holds objects.
+func newSettings(data []byte) any {
+	var document map[string]any
+	if yaml.NewDecoder(bytes.NewReader(data)).Decode(&document) != nil || document["kind"] != nil {
 		return nil
 	}
-	if first["endpoint"] != nil {
+	if document["endpoint"] != nil {
 		return new(conf.Agent)
 	}
-	if first["ready"] != nil {
+	if document["ready"] != nil {
 		return new(conf.Direct)
 	}
 	for _, field := range []string{"listen", "link", "fleet_key", "fleet_keys", "platform"} {
-		if first[field] != nil {
+		if document[field] != nil {
 			return new(conf.Entry)
 		}
 	}
 	return nil
 }
 
-func expand(paths []string) ([]string, error) {
+// expandPaths replaces each directory by the files in it.
+func expandPaths(paths []string) ([]string, error) {
 	var files []string
 	for _, path := range paths {
 		info, err := os.Stat(path)
--- a/lychee/main.go
+++ b/lychee/main.go
@@ -1,5 +1,5 @@
-// Command lychee is for operators: it checks, compares, applies and reads
-// configuration, and shows how a fleet is.
+// Command lychee is the operators' command-line tool. It checks, compares,
+// applies and reads configuration, and shows the state of a fleet.
 package main
 
 import (
@@ -15,57 +15,65 @@
 
 // Exit codes; docs/OPERATIONS.md lists them.
 const (
-	exitGood = iota
-	// exitFailed: something could not be reached or read.
+	exitOK = iota
+	// exitFailed: something could not be reached, read or found.
 	exitFailed
-	// exitInput: the command line or a file is wrong; nothing was written.
-	exitInput
-	// exitDiffers: `diff` found differences.
-	exitDiffers
-	// exitConflict: someone else changed an object; it was not written.
+	// exitInvalidInput: the command line or a file is invalid; nothing was
+	// written.
+	exitInvalidInput
+	// exitDifferences: `diff` found differences.
+	exitDifferences
+	// exitConflict: someone else changed an object, so it was not written.
 	exitConflict
 	// exitUncertain: a write may or may not have taken effect.
 	exitUncertain
-	// exitLags: `status` found a configuration that is not in force everywhere.
-	exitLags
+	// exitNotInForce: `status` found that the newest configuration is not in
+	// force at every entry.
+	exitNotInForce
 )
 
-// release is set by the linker.
+// release is the version of the program. The linker sets it.
 var release = "dev"
 
-// world is what a command touches.
-type world struct {
-	args   []string
-	env    func(string) (string, bool)
-	out    io.Writer
-	errOut io.Writer
-	now    func() time.Time
-	newID  func() string
-	// pause waits before a call to the platform is repeated.
+// environment holds the arguments of a command and its access to environment
+// variables, output, time and random IDs. Tests substitute their own.
+type environment struct {
+	args      []string
+	lookupEnv func(string) (string, bool)
+	stdout    io.Writer
+	stderr    io.Writer
+	now       func() time.Time
+	// newID returns a fresh ID for one write.
+	newID func() string
+	// pause waits before a call to the platform is repeated. It returns early
+	// when ctx is done.
 	pause func(ctx context.Context)
 }
 
-// pauseBetween is the time between two calls that follow up a lost reply.
-const pauseBetween = 500 * time.Millisecond
+// retryInterval is the time between two calls that find out whether a write
+// whose reply was lost took effect.
+const retryInterval = 500 * time.Millisecond
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	code := run(ctx, world{
-		args: os.Args[1:], env: os.LookupEnv, out: os.Stdout, errOut: os.Stderr,
-		now: time.Now, newID: newID, pause: pause,
+	code := run(ctx, environment{
+		args: os.Args[1:], lookupEnv: os.LookupEnv, stdout: os.Stdout, stderr: os.Stderr,
+		now: time.Now, newID: newID, pause: waitRetryInterval,
 	})
 	stop()
 	os.Exit(code)
 }
 
+// newID returns 12 random bytes in hexadecimal.
 func newID() string {
 	var b [12]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-func pause(ctx context.Context) {
-	t := time.NewTimer(pauseBetween)
+// waitRetryInterval waits for retryInterval, or until ctx is done.
+func waitRetryInterval(ctx context.Context) {
+	t := time.NewTimer(retryInterval)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
--- a/lychee/show/trace.go
+++ b/lychee/show/trace.go
@@ -8,31 +8,32 @@
 	"lycheepond/lychee/trace"
 )
 
-// Trace writes what logs say of a request.
-func (w *Writer) Trace(t *trace.Trace) {
-	if w.value(struct {
-		Cause  string            `json:"cause"`
-		Before []json.RawMessage `json:"before,omitempty"`
-		Lines  []json.RawMessage `json:"lines"`
-	}{t.Cause, raw(t.Before), raw(t.Lines)}) {
+// WriteTrace writes how a request ended, with the log lines that show it.
+func (w *Writer) WriteTrace(t *trace.Trace) {
+	if w.writeIfJSON(struct {
+		Cause        string            `json:"cause"`
+		StateChanges []json.RawMessage `json:"before,omitempty"`
+		Lines        []json.RawMessage `json:"lines"`
+	}{t.Cause, rawJSON(t.StateChanges), rawJSON(t.Lines)}) {
 		return
 	}
 	fmt.Fprintln(w.out, t.Cause)
-	w.logLines("what its entries came to believe shortly before:", t.Before)
-	w.logLines("the request:", t.Lines)
+	w.writeLogLines("state changes at its entries shortly before:", t.StateChanges)
+	w.writeLogLines("log lines of the request:", t.Lines)
 }
 
-func (w *Writer) logLines(head string, lines []trace.Line) {
+func (w *Writer) writeLogLines(heading string, lines []trace.Line) {
 	if len(lines) == 0 {
 		return
 	}
-	fmt.Fprintf(w.out, "\n%s\n", head)
+	fmt.Fprintf(w.out, "\n%s\n", heading)
 	for _, l := range lines {
 		fmt.Fprintf(w.out, "%s %s %s\n    %s\n", l.Time.Format(time.StampMicro), l.Process, l.Event, l.Text)
 	}
 }
 
-func raw(lines []trace.Line) []json.RawMessage {
+// rawJSON returns the log lines as they were written.
+func rawJSON(lines []trace.Line) []json.RawMessage {
 	var out []json.RawMessage
 	for _, l := range lines {
 		out = append(out, json.RawMessage(l.Text))
--- a/lychee/survey/pools.go
+++ b/lychee/survey/pools.go
@@ -9,87 +9,94 @@
 	"lycheepond/core/report"
 )
 
-// pools joins what the entries say of each pool with what the agents say of
-// themselves. An entry is linked to some agents only, and its view of them is
-// as old as their last message.
-func (s *Surveyor) pools(ctx context.Context, entries []report.Entry, roster plat.Roster) []Pool {
+// collectPools combines the entries' view of each pool with the agents' own
+// status. An entry is linked to only some of the agents, and its view of an agent
+// is as old as that agent's last message.
+func (c *Collector) collectPools(ctx context.Context, statuses []report.Entry, roster plat.Roster) []Pool {
 	byName := make(map[string]*Pool)
-	lines := make(map[string]map[string]Line)
-	for _, e := range entries {
-		for _, p := range e.Pools {
+	endpoints := make(map[string]map[string]Endpoint)
+	for _, status := range statuses {
+		for _, p := range status.Pools {
 			pool := byName[p.Pool]
 			if pool == nil {
-				pool = &Pool{Name: p.Pool, Level: p.Level}
-				byName[p.Pool], lines[p.Pool] = pool, make(map[string]Line)
+				pool = &Pool{Name: p.Pool, ShedLevel: p.Level}
+				byName[p.Pool], endpoints[p.Pool] = pool, make(map[string]Endpoint)
 			}
-			pool.Level = min(pool.Level, p.Level)
-			pool.Waiting += p.Queued
+			pool.ShedLevel = min(pool.ShedLevel, p.Level)
+			pool.WaitingAtEntries += p.Queued
 			for _, a := range p.Agents {
-				lines[p.Pool][a.Name] = lines[p.Pool][a.Name].join(a)
+				endpoints[p.Pool][a.Name] = endpoints[p.Pool][a.Name].merge(a)
 			}
 		}
 	}
-	var out []Pool
+	var pools []Pool
 	for name, pool := range byName {
-		for _, l := range lines[name] {
-			pool.Agents = append(pool.Agents, l)
+		for _, e := range endpoints[name] {
+			pool.Endpoints = append(pool.Endpoints, e)
 		}
-		s.ask(ctx, pool.Agents, roster)
-		pool.sum()
-		out = append(out, *pool)
+		c.queryAgents(ctx, pool.Endpoints, roster)
+		pool.sumEndpoints()
+		pools = append(pools, *pool)
 	}
-	slices.SortFunc(out, func(a, b Pool) int { return cmp.Compare(a.Name, b.Name) })
-	return out
+	slices.SortFunc(pools, func(a, b Pool) int { return cmp.Compare(a.Name, b.Name) })
+	return pools
 }
 
-func (l Line) join(a report.Agent) Line {
-	l.Name, l.Zone = a.Name, a.Zone
+// merge adds an entry's view of the endpoint's agent: the highest count, and each
+// flag that at least one entry has set.
+func (e Endpoint) merge(a report.Agent) Endpoint {
+	e.Name, e.Zone = a.Name, a.Zone
 	if a.Version != "" {
-		l.Version = a.Version
+		e.Version = a.Version
 	}
-	l.InFlight, l.Bound, l.Queued = max(l.InFlight, a.InFlight), max(l.Bound, a.Bound), max(l.Queued, a.Queued)
-	l.Linked, l.Leaving, l.Slow = l.Linked || a.Linked, l.Leaving || a.Leaving, l.Slow || a.Slow
-	return l
+	e.InFlight, e.InFlightBound, e.QueuedRequests = max(e.InFlight, a.InFlight), max(e.InFlightBound, a.Bound), max(e.QueuedRequests, a.Queued)
+	e.IsLinked, e.IsLeaving, e.IsSlow = e.IsLinked || a.Linked, e.IsLeaving || a.Leaving, e.IsSlow || a.Slow
+	return e
 }
 
-// ask puts each agent's own figures in place of the entries' view of it.
-func (s *Surveyor) ask(ctx context.Context, agents []Line, roster plat.Roster) {
-	addresses := make(map[string]string)
+// queryAgents replaces the entries' view of each agent by the agent's own status.
+// The entries' view stays for an agent that has no admin address or doesn't
+// answer.
+func (c *Collector) queryAgents(ctx context.Context, endpoints []Endpoint, roster plat.Roster) {
+	adminAddresses := make(map[string]string)
 	for _, i := range roster.Instances {
 		if i.Role == plat.RoleEndpoint {
-			addresses[i.Name] = i.Admin
+			adminAddresses[i.Name] = i.Admin
 		}
 	}
-	each(len(agents), func(i int) {
-		l := &agents[i]
-		if addresses[l.Name] == "" {
+	runConcurrently(len(endpoints), func(i int) {
+		e := &endpoints[i]
+		if adminAddresses[e.Name] == "" {
 			return
 		}
-		own, err := s.Admin.Agent(ctx, addresses[l.Name])
+		status, err := c.Admin.AgentStatus(ctx, adminAddresses[e.Name])
 		if err != nil {
 			return
 		}
-		l.InFlight, l.Bound, l.Queued = own.InFlight, own.Bound, own.Queued
-		l.Version, l.Leaving, l.Slow, l.Down = own.Version, own.Leaving, own.Slow, own.Down
+		e.InFlight, e.InFlightBound, e.QueuedRequests = status.InFlight, status.InFlightBound, status.QueuedRequests
+		e.Version, e.IsLeaving, e.IsSlow, e.IsDown = status.EndpointVersion, status.IsLeaving, status.EndpointSlow, status.EndpointDown
 	})
 }
 
-func (p *Pool) sum() {
-	for _, l := range p.Agents {
-		p.InFlight += l.InFlight
-		p.Bound += l.Bound
-		p.Queued += l.Queued
+// sumEndpoints adds the endpoints' counts to the pool's and sorts the endpoints
+// by name.
+func (p *Pool) sumEndpoints() {
+	for _, e := range p.Endpoints {
+		p.InFlight += e.InFlight
+		p.InFlightBound += e.InFlightBound
+		p.QueuedRequests += e.QueuedRequests
 	}
-	slices.SortFunc(p.Agents, func(a, b Line) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(p.Endpoints, func(a, b Endpoint) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Versions returns how many endpoints serve each version.
-func (p *Pool) Versions() map[string]int {
-	out := make(map[string]int)
-	for _, l := range p.Agents {
-		if l.Version != "" {
-			out[l.Version]++
+// CountVersions returns the number of endpoints that serve each version.
+// Endpoints of unknown version are left out.
+func (p *Pool) CountVersions() map[string]int {
+	counts := make(map[string]int)
+	for _, e := range p.Endpoints {
+		if e.Version != "" {
+			counts[e.Version]++
 		}
 	}
-	return out
+	return counts
 }
--- a/lychee/survey/survey.go
+++ b/lychee/survey/survey.go
@@ -1,5 +1,5 @@
-// Package survey finds out how a fleet is: which configuration is in force
-// where, and how full each pool is.
+// Package survey collects the state of a fleet: which configuration is in force
+// at each entry, and how loaded each pool is.
 package survey
 
 import (
@@ -15,39 +15,46 @@
 	"lycheepond/lychee/admin"
 )
 
-// atOnce bounds the questions that are open at one time.
-const atOnce = 32
+// maxConcurrentCalls bounds the calls to entries or agents that are in flight at
+// one time.
+const maxConcurrentCalls = 32
 
 // Report is the state of a fleet.
 type Report struct {
-	// Away is set when the platform does not answer. Entries are then compared
-	// with the newest among them.
-	Away bool `json:"platform_away"`
-	// Config is the newest configuration version at the platform, or among the
-	// entries while it is away.
-	Config int64 `json:"config_version"`
-	// InForce is set when every entry has exactly the platform's configuration
-	// in force.
-	InForce bool    `json:"in_force_everywhere"`
-	Entries []Entry `json:"entries"`
-	Pools   []Pool  `json:"pools"`
+	// PlatformAway is set when the platform doesn't answer. The entries are then
+	// compared with the entry that has the newest configuration.
+	PlatformAway bool `json:"platform_away"`
+	// ConfigVersion is the newest configuration version at the platform, or among
+	// the entries while the platform is away.
+	ConfigVersion int64 `json:"config_version"`
+	// InForceEverywhere is set when every entry has exactly the platform's
+	// configuration in force. It is false while the platform is away, when an
+	// entry doesn't answer and when there is no entry.
+	InForceEverywhere bool    `json:"in_force_everywhere"`
+	Entries           []Entry `json:"entries"`
+	Pools             []Pool  `json:"pools"`
 }
 
 // Entry is one entry of a Report.
 type Entry struct {
-	Name    string `json:"name"`
-	Zone    string `json:"zone"`
-	Address string `json:"address"`
-	Config  int64  `json:"config_version"`
-	Running int    `json:"running"`
+	Name            string `json:"name"`
+	Zone            string `json:"zone"`
+	Address         string `json:"address"`
+	ConfigVersion   int64  `json:"config_version"`
+	RunningRequests int    `json:"running"`
 	// State is ready, not-ready, leaving or silent.
 	State string `json:"state"`
-	// Lags is set when the entry has another configuration than the platform.
-	Lags     bool              `json:"lags"`
-	Away     bool              `json:"platform_away"`
-	AgeMS    int64             `json:"platform_answer_age_ms"`
-	Rejected []store.Rejection `json:"rejected,omitempty"`
-	Error    string            `json:"error,omitempty"`
+	// IsOutdated is set when the entry's configuration differs from the
+	// platform's.
+	IsOutdated bool `json:"lags"`
+	// PlatformAway is set while the platform doesn't answer the entry.
+	// PlatformAnswerAgeMS is the age of its last answer in milliseconds.
+	PlatformAway        bool  `json:"platform_away"`
+	PlatformAnswerAgeMS int64 `json:"platform_answer_age_ms"`
+	// Rejections are the versions of objects that the entry refused.
+	Rejections []store.Rejection `json:"rejected,omitempty"`
+	// Error says why the entry did not answer.
+	Error string `json:"error,omitempty"`
 }
 
 // The states of an Entry.
@@ -55,168 +62,180 @@
 	StateReady    = "ready"
 	StateNotReady = "not-ready"
 	StateLeaving  = "leaving"
-	StateSilent   = "silent"
+	// StateSilent: the entry did not answer.
+	StateSilent = "silent"
 )
 
 // Pool is one pool of a Report.
 type Pool struct {
 	Name string `json:"name"`
-	// Wanted is the version that the operator wants a model's endpoints to
-	// serve, empty for none.
-	Wanted string `json:"wanted_version,omitempty"`
-	// Level is the lowest tier that every entry still admits.
-	Level    int    `json:"shed_level"`
-	InFlight int    `json:"in_flight"`
-	Bound    int    `json:"bound"`
-	Queued   int    `json:"queued"`
-	Waiting  int    `json:"waiting_at_entries"`
-	Agents   []Line `json:"endpoints"`
+	// WantedVersion is the version that the operator wants the model's endpoints
+	// to serve. It is empty if there is none.
+	WantedVersion string `json:"wanted_version,omitempty"`
+	// ShedLevel is the highest tier number that every entry still admits: the
+	// entries admit tiers 0 to ShedLevel.
+	ShedLevel int `json:"shed_level"`
+	// InFlight, InFlightBound and QueuedRequests are sums over the endpoints.
+	InFlight       int `json:"in_flight"`
+	InFlightBound  int `json:"bound"`
+	QueuedRequests int `json:"queued"`
+	// WaitingAtEntries counts the requests in the entries' own queues.
+	WaitingAtEntries int        `json:"waiting_at_entries"`
+	Endpoints        []Endpoint `json:"endpoints"`
 }
 
-// Line is one endpoint of a Pool.
-type Line struct {
-	Name     string `json:"name"`
-	Zone     string `json:"zone"`
-	Version  string `json:"version,omitempty"`
-	InFlight int    `json:"in_flight"`
-	Bound    int    `json:"bound"`
-	Queued   int    `json:"queued"`
-	Linked   bool   `json:"linked"`
-	Leaving  bool   `json:"leaving"`
-	Slow     bool   `json:"slow"`
-	Down     bool   `json:"down"`
+// Endpoint is one endpoint of a Pool, as its agent or else the entries report it.
+type Endpoint struct {
+	Name           string `json:"name"`
+	Zone           string `json:"zone"`
+	Version        string `json:"version,omitempty"`
+	InFlight       int    `json:"in_flight"`
+	InFlightBound  int    `json:"bound"`
+	QueuedRequests int    `json:"queued"`
+	// IsLinked is set when at least one entry has a link to the agent.
+	IsLinked  bool `json:"linked"`
+	IsLeaving bool `json:"leaving"`
+	IsSlow    bool `json:"slow"`
+	IsDown    bool `json:"down"`
 }
 
-// Surveyor asks the platform and the processes.
-type Surveyor struct {
+// Collector collects the state of a fleet from the platform, the entries and the
+// agents.
+type Collector struct {
 	Platform *plat.Client
 	Admin    *admin.Client
-	// Entries are admin addresses besides those of the instance list.
-	Entries []string
+	// ExtraEntries are admin addresses of entries, in addition to those of the
+	// instance list.
+	ExtraEntries []string
 }
 
-// Roster returns the instance list.
-func (s *Surveyor) Roster(ctx context.Context) (plat.Roster, error) {
-	return s.Platform.Instances(ctx, 0, 0)
+// FetchRoster reads the instance list from the platform.
+func (c *Collector) FetchRoster(ctx context.Context) (plat.Roster, error) {
+	return c.Platform.Instances(ctx, 0, 0)
 }
 
-// EntryAddresses returns the admin address of every entry by its name; an
-// address that was given stands for itself.
-func (s *Surveyor) EntryAddresses(roster plat.Roster) []Entry {
-	var out []Entry
-	for _, i := range roster.Instances {
-		if i.Role == plat.RoleEntry && i.Admin != "" {
-			out = append(out, Entry{Name: i.Name, Zone: i.Zone, Address: i.Admin})
+// ListEntries returns the name and admin address of every entry, sorted by name.
+// An entry known only from ExtraEntries has its address as its name.
+func (c *Collector) ListEntries(roster plat.Roster) []Entry {
+	var entries []Entry
+	for _, instance := range roster.Instances {
+		if instance.Role == plat.RoleEntry && instance.Admin != "" {
+			entries = append(entries, Entry{Name: instance.Name, Zone: instance.Zone, Address: instance.Admin})
 		}
 	}
-	for _, a := range s.Entries {
-		if !slices.ContainsFunc(out, func(e Entry) bool { return e.Address == a }) {
-			out = append(out, Entry{Name: a, Address: a})
+	for _, address := range c.ExtraEntries {
+		if !slices.ContainsFunc(entries, func(e Entry) bool { return e.Address == address }) {
+			entries = append(entries, Entry{Name: address, Address: address})
 		}
 	}
-	slices.SortFunc(out, func(a, b Entry) int { return cmp.Compare(a.Name, b.Name) })
-	return out
+	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Name, b.Name) })
+	return entries
 }
 
-// Config reads the operators' objects of the platform.
-func (s *Surveyor) Config(ctx context.Context) (*store.Store, error) {
-	have := store.New()
+// FetchConfig reads the operators' objects from the platform: classes, models,
+// services and customers.
+func (c *Collector) FetchConfig(ctx context.Context) (*store.Store, error) {
+	config := store.New()
 	for _, kind := range []string{spec.KindClass, spec.KindModel, spec.KindService, spec.KindCustomer} {
-		b, err := s.Platform.List(ctx, kind)
+		list, err := c.Platform.List(ctx, kind)
 		if err != nil {
 			return nil, err
 		}
-		have.AcceptList(kind, b)
+		config.AcceptList(kind, list)
 	}
-	return have, nil
+	return config, nil
 }
 
-// Report asks everyone. The platform may be away: the error is then returned
-// with what the given entries say.
-func (s *Surveyor) Report(ctx context.Context) (Report, error) {
-	roster, rosterErr := s.Roster(ctx)
-	config, err := s.Config(ctx)
+// BuildReport collects the state of the fleet. While the platform is away, it
+// returns the platform's error together with a report on ExtraEntries.
+func (c *Collector) BuildReport(ctx context.Context) (Report, error) {
+	roster, rosterErr := c.FetchRoster(ctx)
+	config, err := c.FetchConfig(ctx)
 	if err == nil {
 		err = rosterErr
 	}
 	var r Report
-	r.Entries = s.EntryAddresses(roster)
-	answers := make([]report.Entry, len(r.Entries))
-	each(len(r.Entries), func(i int) {
+	r.Entries = c.ListEntries(roster)
+	statuses := make([]report.Entry, len(r.Entries))
+	runConcurrently(len(r.Entries), func(i int) {
 		var err error
-		if answers[i], err = s.Admin.Entry(ctx, r.Entries[i].Address); err != nil {
+		if statuses[i], err = c.Admin.EntryStatus(ctx, r.Entries[i].Address); err != nil {
 			r.Entries[i].Error, r.Entries[i].State = err.Error(), StateSilent
 		}
 	})
-	r.InForce, r.Away = err == nil && len(r.Entries) > 0, err != nil
-	want := wanted(config, answers)
-	r.Config = want.version
+	r.InForceEverywhere, r.PlatformAway = err == nil && len(r.Entries) > 0, err != nil
+	expected := expectedConfig(config, statuses)
+	r.ConfigVersion = expected.version
 	for i := range r.Entries {
-		r.Entries[i].take(answers[i], want.digest)
-		if r.Entries[i].Lags || r.Entries[i].State == StateSilent {
-			r.InForce = false
+		r.Entries[i].fillFrom(statuses[i], expected.digest)
+		if r.Entries[i].IsOutdated || r.Entries[i].State == StateSilent {
+			r.InForceEverywhere = false
 		}
 	}
-	r.Pools = s.pools(ctx, answers, roster)
+	r.Pools = c.collectPools(ctx, statuses, roster)
 	for i := range r.Pools {
-		if m, ok := modelOf(config, r.Pools[i].Name); ok {
-			r.Pools[i].Wanted = m.Version
+		if m, ok := findModel(config, r.Pools[i].Name); ok {
+			r.Pools[i].WantedVersion = m.Version
 		}
 	}
 	return r, err
 }
 
-func modelOf(config *store.Store, name string) (spec.Model, bool) {
+// findModel returns the model of a name. A nil config has none.
+func findModel(config *store.Store, name string) (spec.Model, bool) {
 	if config == nil {
 		return spec.Model{}, false
 	}
 	return config.Model(name)
 }
 
-// sight is a configuration by its newest version and its digest.
-type sight struct {
+// configState identifies a configuration by its newest version and its digest.
+type configState struct {
 	version int64
 	digest  uint64
 }
 
-// wanted returns what every entry should have in force.
-func wanted(config *store.Store, answers []report.Entry) sight {
+// expectedConfig returns the configuration that every entry should have in force:
+// the platform's, or the newest among the entries if config is nil.
+func expectedConfig(config *store.Store, statuses []report.Entry) configState {
 	if config != nil {
-		return sight{config.Version(), config.Digest()}
+		return configState{config.Version(), config.Digest()}
 	}
-	var newest sight
-	for _, a := range answers {
-		if a.Config > newest.version {
-			newest = sight{a.Config, a.Digest}
+	var newest configState
+	for _, status := range statuses {
+		if status.Config > newest.version {
+			newest = configState{status.Config, status.Digest}
 		}
 	}
 	return newest
 }
 
-func (e *Entry) take(a report.Entry, digest uint64) {
+// fillFrom copies an entry's status, unless the entry is silent.
+func (e *Entry) fillFrom(status report.Entry, expectedDigest uint64) {
 	if e.State == StateSilent {
 		return
 	}
-	e.Name, e.Zone, e.Config, e.Running = a.Name, a.Zone, a.Config, a.Running
-	e.Away, e.AgeMS, e.Rejected = a.Away, a.AgeMS, a.Rejected
-	e.Lags = a.Digest != digest
+	e.Name, e.Zone, e.ConfigVersion, e.RunningRequests = status.Name, status.Zone, status.Config, status.Running
+	e.PlatformAway, e.PlatformAnswerAgeMS, e.Rejections = status.Away, status.AgeMS, status.Rejected
+	e.IsOutdated = status.Digest != expectedDigest
 	e.State = StateNotReady
-	if a.Leaving {
+	if status.Leaving {
 		e.State = StateLeaving
-	} else if a.Ready {
+	} else if status.Ready {
 		e.State = StateReady
 	}
 }
 
-// each calls f for 0 to n-1, some at once, and returns when all have ended.
-func each(n int, f func(int)) {
+// runConcurrently calls f for 0 to n-1, at most maxConcurrentCalls at a time, and
+// returns when all calls have returned.
+func runConcurrently(n int, f func(int)) {
 	var wg sync.WaitGroup
-	room := make(chan struct{}, atOnce)
+	semaphore := make(chan struct{}, maxConcurrentCalls)
 	for i := range n {
-		room <- struct{}{}
+		semaphore <- struct{}{}
 		wg.Go(func() {
 			f(i)
-			<-room
+			<-semaphore
 		})
 	}
 	wg.Wait()
--- a/lychee/trace/trace.go
+++ b/lychee/trace/trace.go
@@ -1,5 +1,6 @@
-// Package trace works out from the logs of entries what became of one request:
-// the lines about it, what the entry believed at the time, and the cause.
+// Package trace finds out from the logs of entries how a request ended and why:
+// it selects the log lines of the request and the state changes that its entries
+// logged shortly before, and describes the cause.
 package trace
 
 import (
@@ -14,61 +15,71 @@
 	"time"
 )
 
-// around is how long before a request's line a change of what its entry believed
-// is shown: the longest that requests usually take, and the detection of a loss
-// before them.
-const around = 20 * time.Second
+// contextWindow is the time before a request's last log line from which state
+// changes are shown. It covers the longest usual duration of a request and,
+// before it, the time to detect a failure.
+const contextWindow = 20 * time.Second
 
-// maxLine bounds one line of a log.
-const maxLine = 1 << 20
+// maxLineBytes bounds one line of a log. A longer line is an error.
+const maxLineBytes = 1 << 20
 
-// Line is one line of a log.
+// Line is one line of a log. Which fields are set depends on the event.
 type Line struct {
-	Time    time.Time `json:"time"`
-	Event   string    `json:"event"`
-	Process string    `json:"process"`
-	Request string    `json:"request_id"`
-	// Text is the line as it was written.
+	Time      time.Time `json:"time"`
+	Event     string    `json:"event"`
+	Process   string    `json:"process"`
+	RequestID string    `json:"request_id"`
+	// Text is the JSON object of the line as it was written.
 	Text string `json:"-"`
 
 	Why      string `json:"why"`
 	Outcome  string `json:"outcome"`
 	Endpoint string `json:"endpoint"`
-	Lacks    string `json:"lacks"`
-	// Fingerprint identifies what the request asked for.
-	Fingerprint string   `json:"fingerprint"`
-	From        string   `json:"from"`
-	To          string   `json:"to"`
-	Retry       Duration `json:"retry"`
-	Heard       int      `json:"heard"`
-	Known       int      `json:"known"`
-	Ahead       int      `json:"ahead"`
-	Prompt      int      `json:"prompt"`
-	Output      int      `json:"output"`
-	// Predicted and First are the predicted and the actual time to the first
-	// event, Took that to the end.
-	Predicted Duration `json:"predicted"`
-	First     Duration `json:"first"`
-	Took      Duration `json:"took"`
-	// Wait is the part of Predicted that is the wait for a slot, Target what was
-	// wanted.
-	Wait   Duration `json:"wait"`
-	Target Duration `json:"target"`
-	// Left is how long the caller would have waited for the whole answer.
-	Left Duration `json:"left"`
-	// Stood is how long the request stood in line at the entry.
-	Stood Duration `json:"stood"`
-	// Silent is how long the endpoint had sent nothing when its try ended, Bound
-	// the longest that was waited for; zero if the entry would have gone on waiting.
-	Silent Duration `json:"silent"`
-	Bound  Duration `json:"bound"`
+	// RetryObstacle is why a late request could not be sent to another endpoint.
+	RetryObstacle string `json:"lacks"`
+	// Fingerprint identifies a request by its content.
+	Fingerprint string `json:"fingerprint"`
+	// FromEndpoint and ToEndpoint are the endpoints of the failed attempt and of
+	// the next one.
+	FromEndpoint string `json:"from"`
+	ToEndpoint   string `json:"to"`
+	// RetryAfter is how long the caller was told to wait before it repeats the
+	// request.
+	RetryAfter Duration `json:"retry"`
+	// ReportingEntries is the number of entries, out of KnownEntries, whose
+	// reports of their load the entry had.
+	ReportingEntries int `json:"heard"`
+	KnownEntries     int `json:"known"`
+	// RequestsAhead counts the requests of all entries at the endpoint, and
+	// PromptTokens the prompt tokens it had to read, including this request's.
+	RequestsAhead int `json:"ahead"`
+	PromptTokens  int `json:"prompt"`
+	OutputTokens  int `json:"output"`
+	// PredictedLatency and FirstEventLatency are the predicted and the actual
+	// time to the first event. TotalTime is the time to the end of the answer.
+	PredictedLatency  Duration `json:"predicted"`
+	FirstEventLatency Duration `json:"first"`
+	TotalTime         Duration `json:"took"`
+	// PredictedWait is the part of PredictedLatency spent waiting for a slot.
+	// Target is the time within which the first event is wanted.
+	PredictedWait Duration `json:"wait"`
+	Target        Duration `json:"target"`
+	// TimeLeft is the time until the caller's deadline for the whole answer.
+	TimeLeft Duration `json:"left"`
+	// QueueTime is the time that the request spent in the entry's queue.
+	QueueTime Duration `json:"stood"`
+	// SilentTime is the time that the endpoint had sent nothing when its attempt
+	// ended. SilenceLimit is the time after which the entry gives an attempt up,
+	// zero if it would have gone on waiting.
+	SilentTime   Duration `json:"silent"`
+	SilenceLimit Duration `json:"bound"`
 }
 
-// Duration is written as Go spells durations.
+// Duration is a duration in the format of time.ParseDuration.
 type Duration time.Duration
 
-// UnmarshalJSON reads a duration; what is none is zero, as other lines may use
-// the key for something else.
+// UnmarshalJSON reads a duration. A value that is no duration leaves d unchanged
+// without an error, because other events may use the key for something else.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	v, err := time.ParseDuration(strings.Trim(string(b), `"`))
 	if err == nil {
@@ -77,10 +88,12 @@
 	return nil
 }
 
+// String returns the duration rounded to milliseconds.
 func (d Duration) String() string { return time.Duration(d).Round(time.Millisecond).String() }
 
-// believed are the events that change what a process believes.
-var believed = map[string]bool{
+// stateEvents are the events that log a change in what an entry knows of the rest
+// of the system, or its own start or stop.
+var stateEvents = map[string]bool{
 	"endpoint_away": true, "endpoint_back": true, "platform_away": true, "platform_back": true,
 	"peer_silent": true, "peer_heard": true, "link_lost": true, "config_changed": true, "config_from_peers": true,
 	"roster_changed": true, "starting": true, "leaving": true, "quarantined": true, "quarantine_lifted": true, "limit_changed": true, "rollout": true,
@@ -88,169 +101,175 @@
 
 // Trace is what the logs say of one request.
 type Trace struct {
-	// Lines are those about the request, in order of time.
+	// Lines are the log lines of the request in order of time.
 	Lines []Line
-	// Before are changes of what its entry believed shortly before, in order of
-	// time.
-	Before []Line
-	// Cause is the reason in plain words.
+	// StateChanges are the state changes that its entries logged within
+	// contextWindow before the last line, in order of time.
+	StateChanges []Line
+	// Cause describes in a sentence how the request ended and why.
 	Cause string
 }
 
-// ErrUnknown reports that no line names the request.
-var ErrUnknown = errors.New("no line names the request: give the logs of all entries, as a caller that tries again comes to another one; under load only one in a hundred lines of an event is kept")
+// ErrNotFound reports that no log line has the request's ID.
+var ErrNotFound = errors.New("no log line has this request ID: give the logs of all entries, as a caller that repeats a request may reach another one; under load only one in a hundred lines of an event is kept")
 
-// Read looks for a request in logs. Anything before a line's first brace is
-// passed over, and lines that are not JSON are.
-func Read(id string, logs ...io.Reader) (*Trace, error) {
-	var own, beliefs []Line
+// Read looks for a request in logs, and returns ErrNotFound if no line has its ID.
+// It skips the part of a line before the first opening brace, and lines that hold
+// no JSON object.
+func Read(requestID string, logs ...io.Reader) (*Trace, error) {
+	var requestLines, stateChanges []Line
 	for _, r := range logs {
 		s := bufio.NewScanner(r)
-		s.Buffer(nil, maxLine)
+		s.Buffer(nil, maxLineBytes)
 		for s.Scan() {
-			l, ok := parse(s.Bytes())
+			l, ok := parseLine(s.Bytes())
 			switch {
 			case !ok:
-			case l.Request == id:
-				own = append(own, l)
-			case believed[l.Event]:
-				beliefs = append(beliefs, l)
+			case l.RequestID == requestID:
+				requestLines = append(requestLines, l)
+			case stateEvents[l.Event]:
+				stateChanges = append(stateChanges, l)
 			}
 		}
 		if err := s.Err(); err != nil {
 			return nil, err
 		}
 	}
-	if len(own) == 0 {
-		return nil, ErrUnknown
+	if len(requestLines) == 0 {
+		return nil, ErrNotFound
 	}
 	byTime := func(a, b Line) int { return a.Time.Compare(b.Time) }
-	slices.SortStableFunc(own, byTime)
-	slices.SortStableFunc(beliefs, byTime)
-	t := &Trace{Lines: own, Before: relevant(own, beliefs)}
-	t.Cause = cause(own, t.Before)
+	slices.SortStableFunc(requestLines, byTime)
+	slices.SortStableFunc(stateChanges, byTime)
+	t := &Trace{Lines: requestLines, StateChanges: selectStateChanges(requestLines, stateChanges)}
+	t.Cause = describeCause(requestLines, t.StateChanges)
 	return t, nil
 }
 
-func parse(b []byte) (Line, bool) {
+// parseLine reads one line of a log. It returns false if the line is not the JSON
+// object of an event.
+func parseLine(b []byte) (Line, bool) {
 	i := bytes.IndexByte(b, '{')
 	if i < 0 {
 		return Line{}, false
 	}
 	l := Line{Text: string(b[i:])}
 	err := json.Unmarshal(b[i:], &l)
-	var other *json.UnmarshalTypeError
-	if errors.As(err, &other) {
-		// Another event uses the key for something else; the rest was read.
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		// Another event uses a key with another type. The remaining keys were
+		// read.
 		err = nil
 	}
 	return l, err == nil && l.Event != ""
 }
 
-// relevant returns the changes that the request's entries took in shortly before
-// its last line. Those of endpoints count only if the request went there, those of a
-// fingerprint only if it is the request's.
-func relevant(own, beliefs []Line) []Line {
-	last := own[len(own)-1].Time
-	// What a process knew before it started again is lost.
-	began := make(map[string]time.Time)
-	for _, l := range beliefs {
-		if l.Event == "starting" && !l.Time.After(last) {
-			began[l.Process] = l.Time
+// selectStateChanges returns the state changes that the request's entries logged
+// within contextWindow before its last line. It leaves out those of endpoints
+// that the request was not sent to and those of other requests' fingerprints.
+func selectStateChanges(requestLines, stateChanges []Line) []Line {
+	lastTime := requestLines[len(requestLines)-1].Time
+	// A process loses its state when it restarts, so changes from before its last
+	// start are left out.
+	startedAt := make(map[string]time.Time)
+	for _, l := range stateChanges {
+		if l.Event == "starting" && !l.Time.After(lastTime) {
+			startedAt[l.Process] = l.Time
 		}
 	}
 	processes, endpoints, fingerprints := make(map[string]bool), make(map[string]bool), map[string]bool{"": true}
-	for _, l := range own {
+	for _, l := range requestLines {
 		processes[l.Process], fingerprints[l.Fingerprint] = true, true
-		for _, e := range []string{l.Endpoint, l.From, l.To} {
-			endpoints[e] = e != ""
+		for _, endpoint := range []string{l.Endpoint, l.FromEndpoint, l.ToEndpoint} {
+			endpoints[endpoint] = endpoint != ""
 		}
 	}
-	var out []Line
-	for _, l := range beliefs {
-		if !processes[l.Process] || l.Time.After(last) || last.Sub(l.Time) > around || l.Time.Before(began[l.Process]) {
+	var selected []Line
+	for _, l := range stateChanges {
+		if !processes[l.Process] || l.Time.After(lastTime) || lastTime.Sub(l.Time) > contextWindow || l.Time.Before(startedAt[l.Process]) {
 			continue
 		}
 		if (l.Endpoint == "" || endpoints[l.Endpoint]) && fingerprints[l.Fingerprint] {
-			out = append(out, l)
+			selected = append(selected, l)
 		}
 	}
-	return out
+	return selected
 }
 
-// cause puts the end of a request into words.
-func cause(own, before []Line) string {
-	end := own[len(own)-1]
+// describeCause describes how a request ended and why.
+func describeCause(requestLines, stateChanges []Line) string {
+	last := requestLines[len(requestLines)-1]
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s ", end.Process)
+	fmt.Fprintf(&b, "%s ", last.Process)
 	switch {
-	case end.Outcome == "limited":
-		fmt.Fprintf(&b, "refused it: the customer was over its limit, over all entries together, and was told to come back after %v", end.Retry)
-	case end.Outcome == "refused" && end.Why == "full":
-		fmt.Fprintf(&b, "refused it: the first event was predicted after %v at the best endpoint, %v of it waiting for a slot, where %v are wanted: more than its tier may wait", end.Predicted, end.Wait, end.Target)
-		if end.Stood > 0 {
-			fmt.Fprintf(&b, "; it stood in line for %v without finding a slot", end.Stood)
+	case last.Outcome == "limited":
+		fmt.Fprintf(&b, "refused it: the customer was over its limit, summed over all entries, and was told to come back after %v", last.RetryAfter)
+	case last.Outcome == "refused" && last.Why == "full":
+		fmt.Fprintf(&b, "refused it: the first event was predicted after %v at the best endpoint, %v of it waiting for a slot, where %v are wanted: more than its tier may wait", last.PredictedLatency, last.PredictedWait, last.Target)
+		if last.QueueTime > 0 {
+			fmt.Fprintf(&b, "; it stood in line for %v without finding a slot", last.QueueTime)
 		}
-		fmt.Fprintf(&b, "; the caller was told to come back after %v", end.Retry)
-	case end.Outcome == "refused" && end.Why == "late":
-		fmt.Fprintf(&b, "refused it: the first event was predicted after %v at the best endpoint that had room, where %v are wanted; the caller was told to come back after %v", end.Predicted, end.Target, end.Retry)
-	case end.Outcome == "refused" && end.Why == "too long" && end.Left > 0:
-		fmt.Fprintf(&b, "refused it: the first event was predicted after %v, and the answer would not have been complete in the %v that the caller had left", end.Predicted, end.Left)
-	case end.Outcome == "quarantined":
-		fmt.Fprintf(&b, "refused it: requests with its fingerprint %s have crashed endpoints, and the caller was told to come back after %v, when one is let through as a probe", end.Fingerprint, end.Retry)
-	case end.Event == "request_refused":
-		fmt.Fprintf(&b, "refused it: %s", end.Why)
-	case end.Outcome == "late" || strings.HasPrefix(end.Why, "time is up"):
-		fmt.Fprintf(&b, "ran out of time with it at %s: %s", name(end.Endpoint), slow(end))
-	case end.Outcome == "cut":
-		fmt.Fprintf(&b, "ended its caller's connection itself while %s was at work on it: %s", name(end.Endpoint), end.Why)
-	case end.Event == "request_unknown":
-		fmt.Fprintf(&b, "lost its answer at %s: %s", name(end.Endpoint), end.Why)
-	case end.Event == "request_done":
-		fmt.Fprintf(&b, "answered it from %s after %v: %s", name(end.Endpoint), end.Took, slow(end))
+		fmt.Fprintf(&b, "; the caller was told to come back after %v", last.RetryAfter)
+	case last.Outcome == "refused" && last.Why == "late":
+		fmt.Fprintf(&b, "refused it: the first event was predicted after %v at the best endpoint that had room, where %v are wanted; the caller was told to come back after %v", last.PredictedLatency, last.Target, last.RetryAfter)
+	case last.Outcome == "refused" && last.Why == "too long" && last.TimeLeft > 0:
+		fmt.Fprintf(&b, "refused it: the first event was predicted after %v, and the answer would not have been complete in the %v that the caller had left", last.PredictedLatency, last.TimeLeft)
+	case last.Outcome == "quarantined":
+		fmt.Fprintf(&b, "refused it: requests with its fingerprint %s have crashed endpoints, and the caller was told to come back after %v, when one is let through as a probe", last.Fingerprint, last.RetryAfter)
+	case last.Event == "request_refused":
+		fmt.Fprintf(&b, "refused it: %s", last.Why)
+	case last.Outcome == "late" || strings.HasPrefix(last.Why, "time is up"):
+		fmt.Fprintf(&b, "ran out of time with it at %s: %s", endpointName(last.Endpoint), describeLatency(last))
+	case last.Outcome == "cut":
+		fmt.Fprintf(&b, "ended its caller's connection itself while %s was processing it: %s", endpointName(last.Endpoint), last.Why)
+	case last.Event == "request_unknown":
+		fmt.Fprintf(&b, "lost its answer at %s: %s", endpointName(last.Endpoint), last.Why)
+	case last.Event == "request_done":
+		fmt.Fprintf(&b, "answered it from %s after %v: %s", endpointName(last.Endpoint), last.TotalTime, describeLatency(last))
 	default:
-		fmt.Fprintf(&b, "last wrote %s: %s", end.Event, end.Why)
+		fmt.Fprintf(&b, "last wrote %s: %s", last.Event, last.Why)
 	}
-	for _, l := range own[:len(own)-1] {
+	for _, l := range requestLines[:len(requestLines)-1] {
 		if l.Event == "answer_late" {
-			fmt.Fprintf(&b, "; before, it was late (%s) and stayed at %s, as another try lacked something: %s", l.Why, l.Endpoint, l.Lacks)
+			fmt.Fprintf(&b, "; before, it was late (%s) and stayed at %s, as no other attempt was possible: %s", l.Why, l.Endpoint, l.RetryObstacle)
 		}
 		if l.Event == "request_returned" {
-			fmt.Fprintf(&b, "; before, %s failed it (%s) and %s was tried", l.From, l.Why, l.To)
-			if l.Bound > 0 && l.Silent >= l.Bound {
-				fmt.Fprintf(&b, ", given up by the entry after %v without a byte", l.Silent)
+			fmt.Fprintf(&b, "; before, %s failed it (%s) and %s was tried", l.FromEndpoint, l.Why, l.ToEndpoint)
+			if l.SilenceLimit > 0 && l.SilentTime >= l.SilenceLimit {
+				fmt.Fprintf(&b, ", given up by the entry after %v without a byte", l.SilentTime)
 			}
 		}
 	}
-	if end.Heard < end.Known {
-		fmt.Fprintf(&b, "; it heard only %d of %d entries, so it knew a part of the load and gave out a part of limits", end.Heard, end.Known)
+	if last.ReportingEntries < last.KnownEntries {
+		fmt.Fprintf(&b, "; it had reports of only %d of %d entries, so it knew only a part of the load and granted only a part of each limit", last.ReportingEntries, last.KnownEntries)
 	}
-	for _, l := range before {
+	for _, l := range stateChanges {
 		if l.Event == "endpoint_away" {
-			fmt.Fprintf(&b, "; it had found %s failing %v before", l.Endpoint, end.Time.Sub(l.Time).Round(time.Millisecond))
+			fmt.Fprintf(&b, "; it had detected the failure of %s %v before", l.Endpoint, last.Time.Sub(l.Time).Round(time.Millisecond))
 		}
 	}
 	return b.String()
 }
 
-func name(endpoint string) string {
+// endpointName returns the endpoint's name for a sentence.
+func endpointName(endpoint string) string {
 	if endpoint == "" {
 		return "no endpoint"
 	}
 	return endpoint
 }
 
-// slow tells where the time went.
-func slow(l Line) string {
+// describeLatency describes which part of the request took the time.
+func describeLatency(l Line) string {
 	switch {
-	case l.Known == 0:
-		return "the line does not say where"
-	case l.First == 0 && l.Prompt == 0:
-		return fmt.Sprintf("%v were predicted with %d requests ahead; a plain service tells nothing before its answer", l.Predicted, l.Ahead)
-	case l.First == 0:
-		return fmt.Sprintf("no first event came, %v were predicted with %d requests ahead", l.Predicted, l.Ahead)
-	case l.First > 2*l.Predicted:
-		return fmt.Sprintf("the first event took %v where %v were predicted with %d requests ahead: the endpoint had become slow or silent", l.First, l.Predicted, l.Ahead)
+	case l.KnownEntries == 0:
+		return "the log line does not say what took the time"
+	case l.FirstEventLatency == 0 && l.PromptTokens == 0:
+		return fmt.Sprintf("%v were predicted with %d requests ahead; a plain service sends nothing before its answer", l.PredictedLatency, l.RequestsAhead)
+	case l.FirstEventLatency == 0:
+		return fmt.Sprintf("no first event came, %v were predicted with %d requests ahead", l.PredictedLatency, l.RequestsAhead)
+	case l.FirstEventLatency > 2*l.PredictedLatency:
+		return fmt.Sprintf("the first event took %v where %v were predicted with %d requests ahead: the endpoint had become slow or silent", l.FirstEventLatency, l.PredictedLatency, l.RequestsAhead)
 	}
-	return fmt.Sprintf("the first event took %v, %v were predicted with %d requests ahead, and the rest was the answer's length of %d tokens", l.First, l.Predicted, l.Ahead, l.Output)
+	return fmt.Sprintf("the first event took %v, %v were predicted with %d requests ahead, and the rest of the time went into the answer of %d tokens", l.FirstEventLatency, l.PredictedLatency, l.RequestsAhead, l.OutputTokens)
 }
--- a/lychee/trace/trace_test.go
+++ b/lychee/trace/trace_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func open(t *testing.T) *os.File {
+func openLog(t *testing.T) *os.File {
 	t.Helper()
 	f, err := os.Open("testdata/day.log")
 	if err != nil {
@@ -17,9 +17,9 @@
 	return f
 }
 
-// A user complains, and there is nothing but the logs of that day. Each kind of
-// failed request must lead to its cause, and to what its entry knew.
-func TestFromIDToCause(t *testing.T) {
+// When a user reports a failed request, only the logs of that day remain. The cause
+// must be found from the request ID for each kind of failure.
+func TestCauseOfFailedRequest(t *testing.T) {
 	for _, tc := range []struct {
 		name, id string
 		cause    []string
@@ -30,39 +30,40 @@
 		{"sent again", "9e5151bb470600ea", []string{"answered it from i-3db9eaa1f3 after 77ms", "i-06ef1c71a9 failed it (endpoint answered with an error)"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got, err := Read(tc.id, open(t))
+			got, err := Read(tc.id, openLog(t))
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, part := range tc.cause {
 				if !strings.Contains(got.Cause, part) {
-					t.Errorf("cause %q does not tell %q", got.Cause, part)
+					t.Errorf("cause %q does not contain %q", got.Cause, part)
 				}
 			}
 		})
 	}
 }
 
-// An entry was replaced shortly before. What it believed before its start has
-// nothing to do with the request.
-func TestOnlyWhatTheProcessKnew(t *testing.T) {
-	got, err := Read("7e0e25be0ec9cbb4", open(t))
+// An entry restarted shortly before the request. State changes from before the
+// restart, and those of other entries, have no bearing on the request and must not
+// be shown.
+func TestStateChangesSinceProcessStart(t *testing.T) {
+	got, err := Read("7e0e25be0ec9cbb4", openLog(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(got.Before) == 0 || got.Before[0].Event != "starting" {
-		t.Fatalf("begins with %+v, want the start of the process", got.Before)
+	if len(got.StateChanges) == 0 || got.StateChanges[0].Event != "starting" {
+		t.Fatalf("begins with %+v, want the start of the process", got.StateChanges)
 	}
-	for _, l := range got.Before {
+	for _, l := range got.StateChanges {
 		if l.Process != "edge-hall-c-1" {
-			t.Errorf("shows what %s believed", l.Process)
+			t.Errorf("shows a state change of %s", l.Process)
 		}
 	}
 }
 
-// Logs hold lines of other programs, cut lines and keys that other events use for
-// something else.
-func TestLinesThatAreNoneOfOurs(t *testing.T) {
+// Logs also hold lines of other programs, truncated lines, and lines of other events
+// that use a key with another type. They must not prevent the cause from being found.
+func TestForeignAndDamagedLines(t *testing.T) {
 	log := strings.Join([]string{
 		"Started.", "{", `{"event":"endpoint_away","endpoint":7,"process":"e"}`, `{"level":"info"}`,
 		`12.5 e {"time":"2026-01-01T00:00:00Z","event":"request_refused","process":"e","request_id":"x","outcome":"limited","retry":"250ms","heard":3,"known":5}`,
@@ -73,18 +74,19 @@
 	}
 	for _, part := range []string{"over its limit", "250ms", "3 of 5 entries"} {
 		if !strings.Contains(got.Cause, part) {
-			t.Errorf("cause %q does not tell %q", got.Cause, part)
+			t.Errorf("cause %q does not contain %q", got.Cause, part)
 		}
 	}
-	if _, err := Read("y", strings.NewReader(log)); !errors.Is(err, ErrUnknown) {
-		t.Errorf("%v, want ErrUnknown", err)
+	if _, err := Read("y", strings.NewReader(log)); !errors.Is(err, ErrNotFound) {
+		t.Errorf("%v, want ErrNotFound", err)
 	}
 }
 
-// A caller asks why it was turned away. "No slot" and "no time left to read the
-// prompt" have different remedies, and one that stood in line waited for longer
-// than the line's time alone tells.
-func TestWhyThereWasNoRoom(t *testing.T) {
+// A caller asks why its request was refused. A lack of slots and a lack of time to
+// read the prompt have different remedies, so the cause must distinguish them. A
+// request from the entry's queue waited longer than the predicted wait shows, so the
+// cause must also give its time in the queue.
+func TestCauseOfRefusal(t *testing.T) {
 	for _, tt := range []struct {
 		why   string
 		parts []string
@@ -100,15 +102,16 @@
 		}
 		for _, part := range tt.parts {
 			if !strings.Contains(got.Cause, part) {
-				t.Errorf("cause %q does not tell %q", got.Cause, part)
+				t.Errorf("cause %q does not contain %q", got.Cause, part)
 			}
 		}
 	}
 }
 
-// A caller's connection ended early. Whether it left, or the entry ended it, has
-// different remedies; so has an endpoint that broke off, or was given up as slow.
-func TestWhoEndedIt(t *testing.T) {
+// A caller's connection or an attempt ended early. The remedy depends on whether the
+// caller left or the entry closed the connection, and on whether the endpoint failed
+// or the entry gave it up as slow, so the cause must distinguish these cases.
+func TestCauseOfEarlyEnd(t *testing.T) {
 	for _, tt := range []struct {
 		line  string
 		parts []string
@@ -134,14 +137,14 @@
 		}
 		for _, part := range tt.parts {
 			if !strings.Contains(got.Cause, part) {
-				t.Errorf("cause %q does not tell %q", got.Cause, part)
+				t.Errorf("cause %q does not contain %q", got.Cause, part)
 			}
 		}
 	}
 }
 
-// Guards against taking another request's quarantine for the cause.
-func TestQuarantine(t *testing.T) {
+// The quarantine of another request's fingerprint must not be shown as the cause.
+func TestQuarantineOfSameFingerprint(t *testing.T) {
 	log := `{"time":"2026-01-01T00:00:01Z","event":"quarantined","process":"e","fingerprint":"f1","left":"5m0s"}
 {"time":"2026-01-01T00:00:02Z","event":"quarantined","process":"e","fingerprint":"f2","left":"5m0s"}
 {"time":"2026-01-01T00:00:03Z","event":"request_refused","process":"e","request_id":"r","outcome":"quarantined","fingerprint":"f1","retry":"4m58s"}
@@ -150,8 +153,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(got.Before) != 1 || got.Before[0].Fingerprint != "f1" {
-		t.Errorf("before it: %+v", got.Before)
+	if len(got.StateChanges) != 1 || got.StateChanges[0].Fingerprint != "f1" {
+		t.Errorf("state changes: %+v, want the quarantine of f1", got.StateChanges)
 	}
 	if !strings.Contains(got.Cause, "f1 have crashed endpoints") || !strings.Contains(got.Cause, "4m58s") {
 		t.Errorf("cause: %s", got.Cause)
