--- a/trial/platf/http.go
+++ b/trial/platf/http.go
@@ -11,10 +11,10 @@
 	"lycheepond/trial/serve"
 )
 
-// maxObject is the largest object that the platform takes.
-const maxObject = 1 << 20
+// maxObjectBytes is the size limit of an object's JSON in bytes.
+const maxObjectBytes = 1 << 20
 
-// Stats counts calls by kind.
+// Stats counts API calls by kind.
 type Stats struct {
 	Get       int64 `json:"get"`
 	List      int64 `json:"list"`
@@ -25,17 +25,18 @@
 	Weights   int64 `json:"weights"`
 	Conflicts int64 `json:"conflicts"`
 	Refused   int64 `json:"refused"`
-	// Waiting is how many watches wait at present.
+	// Waiting is the number of long polls that are waiting now.
 	Waiting int64 `json:"waiting"`
 }
 
-// Total returns the number of calls that the system made. A waiting watch is
-// one call.
+// Total returns the number of calls by the system under test. A long poll
+// counts as one call, however long it waits.
 func (s Stats) Total() int64 {
 	return s.Get + s.List + s.Put + s.Delete + s.Watch + s.Instances + s.Weights
 }
 
-// Since returns the calls that were made after from was read.
+// Since returns the calls counted after the snapshot from was taken. Waiting is
+// the current number in s.
 func (s Stats) Since(from Stats) Stats {
 	return Stats{
 		Get: s.Get - from.Get, List: s.List - from.List, Put: s.Put - from.Put, Delete: s.Delete - from.Delete,
@@ -44,12 +45,14 @@
 	}
 }
 
-// conflict is the body of an answer to a write whose condition did not hold.
+// conflict is the body of a 409 answer to a conditional write. Current is the
+// object's version.
 type conflict struct {
 	Current int64 `json:"current"`
 }
 
-// guard checks the token and applies the faults that concern every call.
+// guard wraps h with the token check and the Slow and Down faults, which apply
+// to every call.
 func (p *Platform) guard(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if p.cfg.Token != "" && r.Header.Get("Authorization") != "Bearer "+p.cfg.Token {
@@ -70,12 +73,14 @@
 	}
 }
 
+// refuse answers 503 and counts the call as refused.
 func (p *Platform) refuse(w http.ResponseWriter) {
-	p.count(func(s *Stats) { s.Refused++ })
+	p.updateStats(func(s *Stats) { s.Refused++ })
 	http.Error(w, "platform is out", http.StatusServiceUnavailable)
 }
 
-func (p *Platform) count(f func(*Stats)) {
+// updateStats updates the statistics under mu.
+func (p *Platform) updateStats(f func(*Stats)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(&p.stats)
@@ -84,7 +89,7 @@
 func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	p.stats.List++
-	b := p.batch(r.PathValue("kind"))
+	b := p.listObjects(r.PathValue("kind"))
 	p.mu.Unlock()
 	serve.JSON(w, http.StatusOK, b)
 }
@@ -92,7 +97,7 @@
 func (p *Platform) get(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	p.stats.Get++
-	t, _ := p.view()
+	t, _ := p.visibleObjects()
 	o, ok := t[r.PathValue("kind")][r.PathValue("name")]
 	p.mu.Unlock()
 	if !ok {
@@ -102,30 +107,32 @@
 	serve.JSON(w, http.StatusOK, o)
 }
 
-// wanted reads the version that a write asks for.
-func wanted(w http.ResponseWriter, r *http.Request) (int64, bool) {
+// parseExpectedVersion returns the version in the If-Match header, which the
+// object must have for the write to take effect, or AnyVersion without that
+// header. If the header is invalid, it answers 400 and returns false.
+func parseExpectedVersion(w http.ResponseWriter, r *http.Request) (int64, bool) {
 	tag := r.Header.Get("If-Match")
 	if tag == "" {
-		return Unconditional, true
+		return AnyVersion, true
 	}
 	if s, err := strconv.Unquote(tag); err == nil {
 		tag = s
 	}
-	n, err := strconv.ParseInt(tag, 10, 64)
-	if err != nil || n < 0 {
+	version, err := strconv.ParseInt(tag, 10, 64)
+	if err != nil || version < 0 {
 		http.Error(w, "If-Match holds no version", http.StatusBadRequest)
 		return 0, false
 	}
-	return n, true
+	return version, true
 }
 
 func (p *Platform) put(w http.ResponseWriter, r *http.Request) {
-	p.count(func(s *Stats) { s.Put++ })
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxObject+1))
+	p.updateStats(func(s *Stats) { s.Put++ })
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxObjectBytes+1))
 	if err != nil {
 		return
 	}
-	if len(data) > maxObject {
+	if len(data) > maxObjectBytes {
 		http.Error(w, "object over 1 MiB", http.StatusRequestEntityTooLarge)
 		return
 	}
@@ -133,42 +140,43 @@
 		http.Error(w, "body is not JSON", http.StatusBadRequest)
 		return
 	}
-	want, ok := wanted(w, r)
+	expectedVersion, ok := parseExpectedVersion(w, r)
 	if !ok {
 		return
 	}
-	o, ok := p.Put(r.PathValue("kind"), r.PathValue("name"), data, want)
+	o, ok := p.Put(r.PathValue("kind"), r.PathValue("name"), data, expectedVersion)
 	if !ok {
 		serve.JSON(w, http.StatusConflict, conflict{Current: o.Version})
 		return
 	}
-	if p.losing() {
+	if p.consumeLostReply() {
 		panic(http.ErrAbortHandler)
 	}
 	serve.JSON(w, http.StatusOK, o)
 }
 
 func (p *Platform) remove(w http.ResponseWriter, r *http.Request) {
-	p.count(func(s *Stats) { s.Delete++ })
-	want, ok := wanted(w, r)
+	p.updateStats(func(s *Stats) { s.Delete++ })
+	expectedVersion, ok := parseExpectedVersion(w, r)
 	if !ok {
 		return
 	}
-	version, ok := p.Delete(r.PathValue("kind"), r.PathValue("name"), want)
+	version, ok := p.Delete(r.PathValue("kind"), r.PathValue("name"), expectedVersion)
 	switch {
 	case !ok && version == 0:
 		http.NotFound(w, r)
 	case !ok:
 		serve.JSON(w, http.StatusConflict, conflict{Current: version})
-	case p.losing():
+	case p.consumeLostReply():
 		panic(http.ErrAbortHandler)
 	default:
 		serve.JSON(w, http.StatusOK, plat.Batch{Version: version})
 	}
 }
 
-// losing reports whether the reply to the write at hand is to be lost.
-func (p *Platform) losing() bool {
+// consumeLostReply reports whether the reply to the current write must be
+// dropped, and uses up one of the replies to lose.
+func (p *Platform) consumeLostReply() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.fault.LoseReplies <= 0 {
@@ -178,25 +186,28 @@
 	return true
 }
 
-// defaultWait and maxWait bound a long poll.
+// Waiting time of a long poll without a wait parameter, and its upper limit.
 const (
-	defaultWait = 30 * time.Second
-	maxWait     = time.Minute
+	defaultPollWait = 30 * time.Second
+	maxPollWait     = time.Minute
 )
 
-func pollOf(w http.ResponseWriter, r *http.Request) (after int64, until time.Time, ok bool) {
+// parsePoll parses the parameters of a long poll: the version after which it
+// waits for news, and the time at which it must be answered. If a parameter is
+// invalid, it answers 400 and returns false.
+func parsePoll(w http.ResponseWriter, r *http.Request) (after int64, until time.Time, ok bool) {
 	q := r.URL.Query()
 	after, err := strconv.ParseInt(q.Get("after"), 10, 64)
 	if q.Get("after") != "" && err != nil {
 		http.Error(w, "after is no version", http.StatusBadRequest)
 		return 0, until, false
 	}
-	wait := defaultWait
+	wait := defaultPollWait
 	if s := q.Get("wait"); s != "" {
 		if wait, err = time.ParseDuration(s); err != nil {
 			http.Error(w, "wait is no duration", http.StatusBadRequest)
 			return 0, until, false
 		}
 	}
-	return after, time.Now().Add(min(wait, maxWait)), true
+	return after, time.Now().Add(min(wait, maxPollWait)), true
 }
--- a/trial/platf/platf.go
+++ b/trial/platf/platf.go
@@ -1,6 +1,6 @@
-// Package platf is a stand-in for the platform: objects with versions,
-// conditional updates and watches, a lagging instance list and a weight store
-// with a bounded rate. It can be told to fail as the platform does.
+// Package platf simulates the platform: versioned objects with conditional
+// updates and watches, an instance list, and a weight store with limited
+// concurrency. Faults of the real platform can be injected.
 package platf
 
 import (
@@ -13,32 +13,35 @@
 	"lycheepond/trial/serve"
 )
 
-// Config sets the platform's habits.
+// Config configures the simulated platform.
 type Config struct {
-	// Token is what callers must present; empty accepts everyone.
+	// Token is the bearer token that callers must send. Empty disables the check.
 	Token string
-	// Retain is how many events a watch can go back; older ones are compacted.
+	// MaxEvents is the number of events kept for watches; older ones are
+	// compacted.
 	Retain int
-	// WeightTime is how long one set of weights takes.
+	// WeightReadTime is the time that it takes to read one set of weights.
 	WeightTime time.Duration
-	// WeightRate is how many sets of weights may be read at once.
+	// MaxWeightReads is the maximum number of concurrent reads of weights.
 	WeightRate int
 }
 
-// Fault is how the platform misbehaves at present.
+// Fault is the set of faults that are injected now. The zero value means none.
 type Fault struct {
 	// Down answers 503 to every call.
 	Down bool `json:"down"`
-	// Slow delays every call.
+	// Slow is a delay before every call is handled.
 	Slow spec.Duration `json:"slow"`
-	// LoseReplies is how many of the next writes take effect unanswered.
+	// LoseReplies is the number of coming writes that take effect but whose
+	// connection is closed without a reply.
 	LoseReplies int `json:"lose_replies"`
-	// Lag delays the instance list and watches.
+	// Lag is the time after which a change shows up in the instance list and in
+	// watches.
 	Lag spec.Duration `json:"lag"`
-	// Replay is how many old events a watch repeats behind the new ones, the
-	// oldest last.
+	// Replay is the number of old events that a watch repeats after the new
+	// ones, in reverse order.
 	Replay int `json:"replay"`
-	// StaleReads makes reads and watches answer from that long ago.
+	// StaleReads is the age of the state that reads and watches return.
 	StaleReads spec.Duration `json:"stale_reads"`
 }
 
@@ -49,7 +52,8 @@
 	DefaultWeightRate = 2
 )
 
-// Platform is the stand-in. Its methods may be called at any time.
+// Platform is the simulated platform. Its methods may be called from any
+// goroutine.
 type Platform struct {
 	cfg Config
 	now func() time.Time
@@ -58,36 +62,41 @@
 	// version grows by one with every write of an object.
 	version int64
 	objects table
-	// log holds the newest events, oldest first; events before it are folded
-	// into base.
-	log  []logged
+	// log holds the newest events, oldest first. base holds the objects as they
+	// were before the first event of log.
+	log  []loggedEvent
 	base table
-	// compacted is the version of the newest event that left the log.
-	compacted int64
-	rosters   []dated
-	instances map[string]plat.Instance
-	fault     Fault
-	// changed is closed and replaced whenever a waiting call must look again.
+	// compactedVersion is the version of the newest event that was removed from
+	// log.
+	compactedVersion int64
+	// rosterHistory holds the latest versions of the instance list, oldest first.
+	rosterHistory []datedRoster
+	instances     map[string]plat.Instance
+	fault         Fault
+	// changed is closed and replaced whenever long polls must check again.
 	changed chan struct{}
 	stats   Stats
-	// loading counts reads of weights under way.
-	loading int
+	// weightReads is the number of reads of weights in progress.
+	weightReads int
 }
 
-// table is the objects by kind and name.
+// table holds objects by kind and name.
 type table map[string]map[string]plat.Object
 
-type logged struct {
+// loggedEvent is an event and the time of its write.
+type loggedEvent struct {
 	at    time.Time
 	event plat.Event
 }
 
-type dated struct {
+// datedRoster is a version of the instance list and the time of its change.
+type datedRoster struct {
 	at     time.Time
 	roster plat.Roster
 }
 
-// New returns an empty platform.
+// New returns a platform without objects or instances. Zero or negative values
+// in cfg are replaced by the defaults.
 func New(cfg Config) *Platform {
 	if cfg.Retain <= 0 {
 		cfg.Retain = DefaultRetain
@@ -121,16 +130,16 @@
 	return m
 }
 
-// SetFault changes how the platform misbehaves.
+// SetFault replaces the injected faults.
 func (p *Platform) SetFault(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
-	p.wake()
+	p.wakePolls()
 }
 
-// wake makes waiting calls look again. The caller holds mu.
-func (p *Platform) wake() {
+// wakePolls makes every long poll check again. The caller holds mu.
+func (p *Platform) wakePolls() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
--- a/trial/platf/platf_test.go
+++ b/trial/platf/platf_test.go
@@ -12,14 +12,16 @@
 	"lycheepond/core/spec"
 )
 
-func call(t *testing.T, method, url, match, body string, into any) int {
+// call makes an HTTP call and decodes the answer into the variable that into
+// points to, if any. It returns the status, or 0 if there was no reply.
+func call(t *testing.T, method, url, ifMatch, body string, into any) int {
 	t.Helper()
 	req, err := http.NewRequest(method, url, bytes.NewReader([]byte(body)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if match != "" {
-		req.Header.Set("If-Match", match)
+	if ifMatch != "" {
+		req.Header.Set("If-Match", ifMatch)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -69,7 +71,7 @@
 }
 
 // The reply to a write is lost after the write took effect. A client that
-// simply repeats the write sees a conflict with its own change.
+// repeats the write gets a conflict caused by its own change.
 func TestLostReply(t *testing.T) {
 	p := New(Config{})
 	srv := httptest.NewServer(p.Handler())
@@ -77,37 +79,37 @@
 	p.SetFault(Fault{LoseReplies: 1})
 	u := srv.URL + "/v1/objects/class/swap"
 	if got := call(t, "PUT", u, "0", `{}`, nil); got != 0 {
-		t.Fatalf("the reply arrived: %d", got)
+		t.Fatalf("the reply was not lost: status %d", got)
 	}
 	if got := call(t, "PUT", u, "0", `{}`, nil); got != 409 {
-		t.Errorf("the write did not take effect: %d", got)
+		t.Errorf("repeated write: status %d, want 409", got)
 	}
 }
 
-// A replica that lags answers reads from the past; a watch repeats old events
-// behind new ones. A reader that takes what comes last would go back to an old
-// configuration.
+// Checks three faults: reads of stale state, a watch that repeats old events
+// after new ones, and a watch that lags. A reader that applies the last event it
+// gets regardless of its version would return to an old configuration.
 func TestStaleAndReplay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := New(Config{})
 	p.now = func() time.Time { return now }
-	put := func(data string) { p.Put("class", "swap", json.RawMessage(data), Unconditional) }
+	put := func(data string) { p.Put("class", "swap", json.RawMessage(data), AnyVersion) }
 	put(`1`)
 	now = now.Add(10 * time.Second)
 	put(`2`)
 	p.SetFault(Fault{StaleReads: spec.Duration(5 * time.Second)})
-	if b := p.batch("class"); b.Version != 1 || string(b.Events[0].Object.Data) != "1" {
+	if b := p.listObjects("class"); b.Version != 1 || string(b.Events[0].Object.Data) != "1" {
 		t.Errorf("stale list: %+v", b)
 	}
 	p.SetFault(Fault{Replay: 1})
-	b, _ := p.since("class", 1)
+	b, _ := p.eventsAfter("class", 1)
 	if len(b.Events) != 2 || b.Version != 2 || b.Events[1].Object.Version != 1 {
 		t.Errorf("replay: %+v", b)
 	}
 	p.SetFault(Fault{Lag: spec.Duration(5 * time.Second)})
-	b, hidden := p.since("class", 1)
-	if len(b.Events) != 0 || hidden != 5*time.Second {
-		t.Errorf("lag: %+v, hidden %v", b, hidden)
+	b, untilVisible := p.eventsAfter("class", 1)
+	if len(b.Events) != 0 || untilVisible != 5*time.Second {
+		t.Errorf("lag: %+v, visible in %v", b, untilVisible)
 	}
 }
 
@@ -126,6 +128,6 @@
 	}
 	p.SetFault(Fault{Down: true})
 	if got := call(t, "GET", srv.URL+"/v1/instances", "", "", nil); got != 503 {
-		t.Errorf("an outage: %d", got)
+		t.Errorf("instance list during an outage: status %d, want 503", got)
 	}
 }
--- a/trial/platf/poll.go
+++ b/trial/platf/poll.go
@@ -8,25 +8,27 @@
 	"lycheepond/trial/serve"
 )
 
-// look is what one pass of a waiting call found.
-type look struct {
-	// found ends the wait.
+// pollResult is the result of one check by a long poll.
+type pollResult struct {
+	// found reports whether there is news, which ends the poll.
 	found bool
-	// hidden is when an event that lags can be seen; zero means none lags.
-	hidden time.Duration
-	answer any
-	status int
+	// untilVisible is the time until the next lagging change becomes visible;
+	// zero if there is none.
+	untilVisible time.Duration
+	body         any
+	status       int
 }
 
-// poll calls see, with mu held, until it finds something or time is up. The
-// last look is the answer.
-func (p *Platform) poll(w http.ResponseWriter, r *http.Request, until time.Time, see func() look) {
-	p.count(func(s *Stats) { s.Waiting++ })
-	defer p.count(func(s *Stats) { s.Waiting-- })
+// poll calls see with mu held, first at once and then after every change, until
+// it finds something or the time until is reached. It answers with the last
+// result.
+func (p *Platform) poll(w http.ResponseWriter, r *http.Request, until time.Time, check func() pollResult) {
+	p.updateStats(func(s *Stats) { s.Waiting++ })
+	defer p.updateStats(func(s *Stats) { s.Waiting-- })
 	for {
 		p.mu.Lock()
 		down := p.fault.Down
-		l := see()
+		res := check()
 		changed := p.changed
 		p.mu.Unlock()
 		if down {
@@ -34,12 +36,12 @@
 			return
 		}
 		left := time.Until(until)
-		if l.found || left <= 0 {
-			serve.JSON(w, l.status, l.answer)
+		if res.found || left <= 0 {
+			serve.JSON(w, res.status, res.body)
 			return
 		}
-		if l.hidden > 0 {
-			left = min(left, l.hidden)
+		if res.untilVisible > 0 {
+			left = min(left, res.untilVisible)
 		}
 		t := time.NewTimer(left)
 		select {
@@ -54,39 +56,39 @@
 }
 
 func (p *Platform) watch(w http.ResponseWriter, r *http.Request) {
-	p.count(func(s *Stats) { s.Watch++ })
-	after, until, ok := pollOf(w, r)
+	p.updateStats(func(s *Stats) { s.Watch++ })
+	after, until, ok := parsePoll(w, r)
 	if !ok {
 		return
 	}
 	kind := r.PathValue("kind")
-	p.poll(w, r, until, func() look {
-		if after < p.compacted {
-			return look{found: true, status: http.StatusGone, answer: plat.Batch{Version: p.version}}
+	p.poll(w, r, until, func() pollResult {
+		if after < p.compactedVersion {
+			return pollResult{found: true, status: http.StatusGone, body: plat.Batch{Version: p.version}}
 		}
-		b, hidden := p.since(kind, after)
-		return look{found: len(b.Events) > 0, hidden: hidden, status: http.StatusOK, answer: b}
+		b, untilVisible := p.eventsAfter(kind, after)
+		return pollResult{found: len(b.Events) > 0, untilVisible: untilVisible, status: http.StatusOK, body: b}
 	})
 }
 
 func (p *Platform) roster(w http.ResponseWriter, r *http.Request) {
-	p.count(func(s *Stats) { s.Instances++ })
-	after, until, ok := pollOf(w, r)
+	p.updateStats(func(s *Stats) { s.Instances++ })
+	after, until, ok := parsePoll(w, r)
 	if !ok {
 		return
 	}
-	p.poll(w, r, until, func() look {
-		list, hidden := p.seen()
-		return look{found: list.Version > after, hidden: hidden, status: http.StatusOK, answer: list}
+	p.poll(w, r, until, func() pollResult {
+		list, untilVisible := p.visibleRoster()
+		return pollResult{found: list.Version > after, untilVisible: untilVisible, status: http.StatusOK, body: list}
 	})
 }
 
 func (p *Platform) weights(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	p.stats.Weights++
-	full := p.loading >= p.cfg.WeightRate
+	full := p.weightReads >= p.cfg.WeightRate
 	if !full {
-		p.loading++
+		p.weightReads++
 	}
 	p.mu.Unlock()
 	if full {
@@ -96,7 +98,7 @@
 	}
 	defer func() {
 		p.mu.Lock()
-		p.loading--
+		p.weightReads--
 		p.mu.Unlock()
 	}()
 	if serve.Sleep(r.Context(), p.cfg.WeightTime) {
--- a/trial/platf/store.go
+++ b/trial/platf/store.go
@@ -10,16 +10,18 @@
 	"lycheepond/core/plat"
 )
 
-// Unconditional as the wanted version writes whatever the object's version is.
-const Unconditional = -1
+// AnyVersion is the expected version of a write that takes effect whatever
+// version the object has.
+const AnyVersion = -1
 
-// Put writes an object if its version is want. It returns the object and true,
-// or the present one and false.
-func (p *Platform) Put(kind, name string, data json.RawMessage, want int64) (plat.Object, bool) {
+// Put writes an object if its current version is expectedVersion; 0 means that
+// it must not exist yet. It returns the written object and true, or the current
+// one and false.
+func (p *Platform) Put(kind, name string, data json.RawMessage, expectedVersion int64) (plat.Object, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old := p.objects[kind][name]
-	if want != Unconditional && old.Version != want {
+	if expectedVersion != AnyVersion && old.Version != expectedVersion {
 		p.stats.Conflicts++
 		return old, false
 	}
@@ -29,13 +31,14 @@
 	return o, true
 }
 
-// Delete removes an object if its version is want. It returns the version of
-// the deletion and true, or the present version and false.
-func (p *Platform) Delete(kind, name string, want int64) (int64, bool) {
+// Delete removes an object if its current version is expectedVersion. It
+// returns the version of the deletion and true, or the current version, 0 if
+// the object does not exist, and false.
+func (p *Platform) Delete(kind, name string, expectedVersion int64) (int64, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old, ok := p.objects[kind][name]
-	if !ok || (want != Unconditional && old.Version != want) {
+	if !ok || (expectedVersion != AnyVersion && old.Version != expectedVersion) {
 		return old.Version, false
 	}
 	p.version++
@@ -43,26 +46,27 @@
 	return p.version, true
 }
 
-// record applies an event, logs it and wakes the watches. The caller holds mu.
+// record applies an event, adds it to the log, compacts the log and wakes the
+// long polls. The caller holds mu.
 func (p *Platform) record(ev plat.Event) {
 	p.objects.apply(ev)
-	p.log = append(p.log, logged{at: p.now(), event: ev})
+	p.log = append(p.log, loggedEvent{at: p.now(), event: ev})
 	for len(p.log) > p.cfg.Retain {
 		p.base.apply(p.log[0].event)
-		p.compacted = p.log[0].event.Object.Version
+		p.compactedVersion = p.log[0].event.Object.Version
 		p.log = p.log[1:]
 	}
-	p.wake()
+	p.wakePolls()
 }
 
-// view returns the objects and the version that a reader sees. The caller holds
-// mu.
-func (p *Platform) view() (table, int64) {
+// visibleObjects returns the objects that a reader sees under the current
+// faults, and their version. The caller holds mu and must not change the table.
+func (p *Platform) visibleObjects() (table, int64) {
 	stale := p.fault.StaleReads.Std()
 	if stale <= 0 {
 		return p.objects, p.version
 	}
-	t, version := p.base.copy(), p.compacted
+	t, version := p.base.copy(), p.compactedVersion
 	cut := p.now().Add(-stale)
 	for _, l := range p.log {
 		if l.at.After(cut) {
@@ -74,8 +78,10 @@
 	return t, version
 }
 
-func (p *Platform) batch(kind string) plat.Batch {
-	t, version := p.view()
+// listObjects returns the visible objects of kind, ordered by kind and name. The
+// caller holds mu.
+func (p *Platform) listObjects(kind string) plat.Batch {
+	t, version := p.visibleObjects()
 	b := plat.Batch{Version: version, Events: []plat.Event{}}
 	for k, byName := range t {
 		if kind != anyKind && k != kind {
@@ -91,19 +97,20 @@
 	return b
 }
 
-// anyKind watches or lists the objects of every kind.
+// anyKind in a list or watch selects the objects of every kind.
 const anyKind = "*"
 
-// since returns the events of kind after version that a watch may see now, and
-// how long until the next hidden one can be seen. The caller holds mu.
-func (p *Platform) since(kind string, after int64) (b plat.Batch, hidden time.Duration) {
+// eventsAfter returns the events of kind after version after that a watch sees
+// now, and the time until the next event becomes visible, zero if there is
+// none. The caller holds mu.
+func (p *Platform) eventsAfter(kind string, after int64) (b plat.Batch, untilVisible time.Duration) {
 	lag := max(p.fault.Lag.Std(), p.fault.StaleReads.Std())
 	b = plat.Batch{Version: after, Events: []plat.Event{}}
 	now := p.now()
 	var old []plat.Event
 	for _, l := range p.log {
 		if wait := l.at.Add(lag).Sub(now); wait > 0 {
-			hidden = wait
+			untilVisible = wait
 			break
 		}
 		if l.event.Object.Version <= after {
@@ -116,55 +123,60 @@
 		}
 	}
 	if n := min(p.fault.Replay, len(old)); n > 0 && len(b.Events) > 0 {
-		// The oldest comes last, so that whoever believes the last word reverts.
+		// The oldest event comes last, so that a reader that trusts the last
+		// event regardless of its version reverts.
 		for i := range n {
 			b.Events = append(b.Events, old[len(old)-1-i])
 		}
 	}
-	return b, hidden
+	return b, untilVisible
 }
 
-// PutInstance adds or changes a line of the instance list.
+// PutInstance adds an instance to the instance list or replaces it there.
 func (p *Platform) PutInstance(in plat.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.instances[in.Name] = in
-	p.keepRoster()
+	p.recordRoster()
 }
 
-// DropInstance removes a line of the instance list.
+// DropInstance removes an instance from the instance list.
 func (p *Platform) DropInstance(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.instances, name)
-	p.keepRoster()
+	p.recordRoster()
 }
 
-// rosterKeep is how many versions of the instance list are kept for the lag.
-const rosterKeep = 256
+// maxRosterVersions is the number of versions of the instance list that are
+// kept, so that a lagging reader can be given an old one.
+const maxRosterVersions = 256
 
-func (p *Platform) keepRoster() {
+// recordRoster stores the instance list as a new version and wakes the long
+// polls. The caller holds mu.
+func (p *Platform) recordRoster() {
 	var version int64 = 1
-	if n := len(p.rosters); n > 0 {
-		version = p.rosters[n-1].roster.Version + 1
+	if n := len(p.rosterHistory); n > 0 {
+		version = p.rosterHistory[n-1].roster.Version + 1
 	}
 	r := plat.Roster{Version: version, Instances: []plat.Instance{}}
 	for _, name := range slices.Sorted(maps.Keys(p.instances)) {
 		r.Instances = append(r.Instances, p.instances[name])
 	}
-	p.rosters = append(p.rosters, dated{at: p.now(), roster: r})
-	if len(p.rosters) > rosterKeep {
-		p.rosters = p.rosters[1:]
+	p.rosterHistory = append(p.rosterHistory, datedRoster{at: p.now(), roster: r})
+	if len(p.rosterHistory) > maxRosterVersions {
+		p.rosterHistory = p.rosterHistory[1:]
 	}
-	p.wake()
+	p.wakePolls()
 }
 
-// seen returns the instance list that a reader sees now, and how long until the
-// next one shows. The caller holds mu.
-func (p *Platform) seen() (r plat.Roster, hidden time.Duration) {
+// visibleRoster returns the instance list that a reader sees now, and the time
+// until the next version becomes visible, zero if there is none. The caller
+// holds mu.
+func (p *Platform) visibleRoster() (r plat.Roster, untilVisible time.Duration) {
 	r.Instances = []plat.Instance{}
 	lag, now := p.fault.Lag.Std(), p.now()
-	for _, d := range p.rosters {
+	for _, d := range p.rosterHistory {
 		if wait := d.at.Add(lag).Sub(now); wait > 0 {
 			return r, wait
 		}
