--- a/trial/fleet/fleet.go
+++ b/trial/fleet/fleet.go
@@ -201,7 +201,7 @@
 	if err != nil {
 		return "", err
 	}
-	return f.set.Write(name, data)
+	return f.set.WriteFile(name, data)
 }
 
 func (f *Fleet) launchAgent(u *Unit) (err error) {
@@ -285,7 +285,7 @@
 		return err
 	}
 	if err := procs.WaitHTTP(ctx, "http://"+e.Listen+"/readyz"); err != nil {
-		return errors.Join(err, fmt.Errorf("fleet: %s is not ready: read %s", e.Name, e.Proc.Log()))
+		return errors.Join(err, fmt.Errorf("fleet: %s is not ready: read %s", e.Name, e.Proc.LogPath()))
 	}
 	return f.platform.PutInstance(ctx, plat.Instance{
 		Name: e.Name, Role: plat.RoleEntry, Zone: e.Zone, Link: e.Link, Admin: e.Admin, State: plat.StateLive,
--- a/trial/procs/port.go
+++ b/trial/procs/port.go
@@ -8,30 +8,31 @@
 	"sync/atomic"
 )
 
-// Ports are taken from below the range from which the kernel serves outgoing
-// connections. A port of that range, chosen before the process starts that is
-// to listen there, may by then be the near end of some connection; the process
-// would end with "address already in use".
+// The range from which ports are chosen. It lies below the kernel's range of
+// ephemeral ports: between the choice of an ephemeral port and the start of the
+// process that listens on it, an outgoing connection might use it, and the
+// process would end with "address already in use".
 const (
 	firstPort = 10000
 	lastPort  = 32000
 )
 
-// ErrNoPort reports that every port of the range is taken.
+// ErrNoPort is returned by FreeAddr if every port of the range is in use.
 var ErrNoPort = errors.New("procs: no free port from 10000 to 32000: end processes that listen there")
 
-// lastTried is the port that was tried last, counted from firstPort. It begins
-// at random, so that test programs that run side by side seldom meet.
-var lastTried atomic.Uint32
+// lastTriedOffset is the last port that FreeAddr tried, as an offset from
+// firstPort. It starts at a random value, so that test programs that run in
+// parallel rarely choose the same port.
+var lastTriedOffset atomic.Uint32
 
-func init() { lastTried.Store(rand.Uint32N(lastPort - firstPort)) }
+func init() { lastTriedOffset.Store(rand.Uint32N(lastPort - firstPort)) }
 
-// Port returns a loopback address whose port is free at present and that no
-// other call of this process returned lately.
+// Port returns a loopback address, as host:port, on which nothing listens now.
+// It does not return an address again until it has tried the whole range.
 func Port() (string, error) {
 	for range lastPort - firstPort {
-		n := firstPort + int(lastTried.Add(1)%(lastPort-firstPort))
-		addr := net.JoinHostPort("127.0.0.1", strconv.Itoa(n))
+		port := firstPort + int(lastTriedOffset.Add(1)%(lastPort-firstPort))
+		addr := net.JoinHostPort("127.0.0.1", strconv.Itoa(port))
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
 			continue
--- a/trial/procs/proc.go
+++ b/trial/procs/proc.go
@@ -16,22 +16,25 @@
 	"time"
 )
 
-// ErrEnded reports a signal to a process that has ended.
+// ErrEnded is returned for a signal to a process that has ended.
 var ErrEnded = errors.New("procs: the process has ended: start it again")
 
 // PID returns the process ID.
 func (p *Proc) PID() int { return p.cmd.Process.Pid }
 
-// Log returns the path of the process's log.
-func (p *Proc) Log() string { return p.log }
+// LogPath returns the path of the process's log file.
+func (p *Proc) LogPath() string { return p.logPath }
 
-// Done is closed when the process has ended and was reaped.
+// Done returns a channel that is closed once the process has ended and was
+// reaped.
 func (p *Proc) Done() <-chan struct{} { return p.done }
 
-// Exit returns how the process ended; it is meaningful once Done is closed.
-func (p *Proc) Exit() error { return p.err }
+// ExitErr returns the error with which the process ended, nil for exit status
+// 0. It may be called only after Done is closed.
+func (p *Proc) ExitErr() error { return p.exitErr }
 
-// Signal sends sig to the process, never to a process that took over its ID.
+// Signal sends sig to the process, or returns ErrEnded if it was reaped. It never
+// signals another process that was given the same ID later.
 func (p *Proc) Signal(sig syscall.Signal) error {
 	select {
 	case <-p.done:
@@ -44,7 +47,7 @@
 	return nil
 }
 
-// Kill ends the process at once, without any chance to say so, and reaps it.
+// Kill ends the process with SIGKILL and waits until it is reaped.
 func (p *Proc) Kill() error {
 	if err := p.Signal(syscall.SIGKILL); err != nil {
 		return err
@@ -53,16 +56,16 @@
 	return nil
 }
 
-// Pause stops the process until Resume; its connections stay open. It returns
-// once every thread has stopped: the signal is delivered to each when it next
-// enters the kernel, and on a busy machine a thread may answer one more request
-// before that.
+// Pause stops the process with SIGSTOP until Resume is called; its connections
+// stay open. Pause returns once every thread has stopped. A thread gets the
+// signal only when it next enters the kernel, so without this wait a thread
+// could answer one more request on a busy machine.
 func (p *Proc) Pause() error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	for end := time.Now().Add(stopTime); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		stopped, err := allStopped(p.cmd.Process.Pid)
+	for deadline := time.Now().Add(pauseTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		stopped, err := allThreadsStopped(p.cmd.Process.Pid)
 		if err != nil || stopped {
 			return err
 		}
@@ -70,14 +73,15 @@
 	return ErrNotStopped
 }
 
-// stopTime bounds the wait for all threads to stop; it takes milliseconds.
-const stopTime = 10 * time.Second
+// pauseTimeout is the time limit for all threads to stop, which usually takes
+// milliseconds.
+const pauseTimeout = 10 * time.Second
 
-// ErrNotStopped reports a process that a signal did not stop.
-var ErrNotStopped = errors.New("procs: the process did not stop: look whether it is being traced")
+// ErrNotStopped is returned by Pause if a thread still runs after pauseTimeout.
+var ErrNotStopped = errors.New("procs: the process did not stop: check whether it is being traced")
 
-// allStopped reports whether every thread of a process is stopped.
-func allStopped(pid int) (bool, error) {
+// allThreadsStopped reports whether every thread of a process is stopped.
+func allThreadsStopped(pid int) (bool, error) {
 	files, err := filepath.Glob("/proc/" + strconv.Itoa(pid) + "/task/*/stat")
 	if err != nil {
 		return false, err
@@ -85,51 +89,54 @@
 	for _, name := range files {
 		data, err := os.ReadFile(name)
 		if err != nil {
-			// The thread has ended since.
+			// The thread has ended since the directory was read.
 			continue
 		}
-		// The state follows the name, which stands in parentheses and may hold
-		// any character.
-		_, rest, found := strings.Cut(string(data[bytes.LastIndexByte(data, ')')+1:]), " ")
-		if !found || !strings.HasPrefix(rest, "T") {
+		// The state follows the command name, which is in parentheses and may
+		// contain any character.
+		_, rest, ok := strings.Cut(string(data[bytes.LastIndexByte(data, ')')+1:]), " ")
+		if !ok || !strings.HasPrefix(rest, "T") {
 			return false, nil
 		}
 	}
 	return len(files) > 0, nil
 }
 
-// Resume lets a paused process go on.
+// Resume continues a paused process.
 func (p *Proc) Resume() error { return p.Signal(syscall.SIGCONT) }
 
-// Stop asks the process to end and waits for it, at most grace.
+// Stop sends SIGTERM and waits for the process to end. After grace it kills the
+// process and returns an error.
 func (p *Proc) Stop(grace time.Duration) error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	return p.reap(grace)
+	return p.waitOrKill(grace)
 }
 
-// reap waits for the end and kills the process when grace is over.
-func (p *Proc) reap(grace time.Duration) error {
-	t := time.NewTimer(max(grace, 0))
-	defer t.Stop()
+// waitOrKill waits until the process is reaped. After grace it kills the
+// process and returns an error.
+func (p *Proc) waitOrKill(grace time.Duration) error {
+	timer := time.NewTimer(max(grace, 0))
+	defer timer.Stop()
 	select {
 	case <-p.done:
 		return nil
-	case <-t.C:
+	case <-timer.C:
 	}
 	if err := p.Kill(); err != nil && !errors.Is(err, ErrEnded) && !errors.Is(err, os.ErrProcessDone) {
 		return err
 	}
-	return fmt.Errorf("procs: %s did not stop within its grace time and was killed: read %s", p.name, p.log)
+	return fmt.Errorf("procs: %s did not stop within its grace time and was killed: read %s", p.name, p.logPath)
 }
 
-// pollEvery is the pause between two looks at a process that is not ready.
-const pollEvery = 20 * time.Millisecond
+// pollInterval is the interval between requests to a process that is not ready.
+const pollInterval = 20 * time.Millisecond
 
-// WaitHTTP asks url until it answers 200.
+// WaitHTTP repeats a GET request to url until it is answered with 200 or ctx
+// ends.
 func WaitHTTP(ctx context.Context, url string) error {
-	var last error
+	var lastErr error
 	for {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 		if err != nil {
@@ -144,47 +151,50 @@
 			err = errors.New(resp.Status)
 		}
 		if ctx.Err() == nil {
-			last = err
+			lastErr = err
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("procs: %s did not answer 200 in time: %w", url, last)
-		case <-time.After(pollEvery):
+			return fmt.Errorf("procs: %s did not answer 200 in time: %w", url, lastErr)
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
 // forker starts processes from one thread that never ends.
 type forker struct {
-	asks chan fork
+	requests chan forkRequest
 }
 
-type fork struct {
+// forkRequest is a request to start cmd. The result is sent to done.
+type forkRequest struct {
 	cmd  *exec.Cmd
 	done chan error
 }
 
-// starts is the one forker. Pdeathsig is bound to the thread that forks: if the
-// runtime retired that thread, the kernel would kill a healthy process, seen as
-// a process that dies with SIGKILL for no reason.
-var starts = newForker()
+// processForker is the forker that starts all processes. The kernel sends
+// Pdeathsig when the thread that forked ends, not when its process ends. If the
+// Go runtime ended that thread, a healthy process would die of SIGKILL for no
+// visible reason.
+var processForker = newForker()
 
 func newForker() *forker {
-	f := &forker{asks: make(chan fork)}
+	f := &forker{requests: make(chan forkRequest)}
 	go f.run()
 	return f
 }
 
-// run lasts as long as the process, which is what Pdeathsig needs.
+// run serves requests on a locked OS thread. It never returns, so the thread
+// lives as long as this program.
 func (f *forker) run() {
 	runtime.LockOSThread()
-	for a := range f.asks {
-		a.done <- a.cmd.Start()
+	for req := range f.requests {
+		req.done <- req.cmd.Start()
 	}
 }
 
 func (f *forker) start(cmd *exec.Cmd) error {
 	done := make(chan error, 1)
-	f.asks <- fork{cmd: cmd, done: done}
+	f.requests <- forkRequest{cmd: cmd, done: done}
 	return <-done
 }
--- a/trial/procs/procs.go
+++ b/trial/procs/procs.go
@@ -1,5 +1,5 @@
-// Package procs starts programs as processes of their own, waits until they are
-// ready, and stops, pauses or kills them by their process ID.
+// Package procs runs programs as child processes: it starts them, waits until
+// they are ready, and pauses, stops or kills them.
 package procs
 
 import (
@@ -18,17 +18,19 @@
 	"lycheepond/trial/serve"
 )
 
-// Config says where programs are and where their output goes.
+// Config holds the directories and the environment of the processes of a Set.
 type Config struct {
-	// Bin is the directory of the built programs.
+	// BinDir is the directory of the built programs.
 	Bin string
-	// Dir takes settings files and logs.
+	// Dir is the directory for settings files and logs.
 	Dir string
-	// Env is added to the environment of every process.
+	// Env holds variables, as NAME=VALUE, that are added to the environment of
+	// every process.
 	Env []string
 }
 
-// Set is the processes of one experiment. Close ends those that still run.
+// Set holds the processes of one experiment. Its methods may be called from any
+// goroutine. Close ends the processes that still run.
 type Set struct {
 	cfg Config
 
@@ -36,21 +38,23 @@
 	procs []*Proc
 }
 
-// Proc is one process.
+// Proc is a process that was started by a Set.
 type Proc struct {
-	name string
-	cmd  *exec.Cmd
-	log  string
-	// ready is closed when the process has printed its ready line; listen is
-	// set before that.
-	ready  chan struct{}
-	listen string
-	// done is closed when the process has been reaped; err is set before that.
-	done chan struct{}
-	err  error
+	name    string
+	cmd     *exec.Cmd
+	logPath string
+	// ready is closed when the process has printed its ready line. listenAddr,
+	// the address in that line, is set before.
+	ready      chan struct{}
+	listenAddr string
+	// done is closed when the process has been reaped. exitErr, the result of
+	// Wait, is set before.
+	done    chan struct{}
+	exitErr error
 }
 
-// New returns an empty set and makes its directory.
+// New creates the directory of settings files and logs and returns a set without
+// processes.
 func New(cfg Config) (*Set, error) {
 	if err := os.MkdirAll(cfg.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("procs: %w: choose a directory that can be written", err)
@@ -58,17 +62,18 @@
 	return &Set{cfg: cfg}, nil
 }
 
-// Dir returns the directory of settings and logs.
+// Dir returns the directory of settings files and logs.
 func (s *Set) Dir() string { return s.cfg.Dir }
 
-// Write stores a settings file and returns its path.
-func (s *Set) Write(name string, data []byte) (string, error) {
+// WriteFile writes a file with the given name in Dir, readable only by its
+// owner, and returns its path.
+func (s *Set) WriteFile(name string, data []byte) (string, error) {
 	path := filepath.Join(s.cfg.Dir, name)
 	return path, os.WriteFile(path, data, 0o600)
 }
 
-// Start runs a program of Bin under a name of its own. Its standard error and
-// what follows the ready line go to NAME.log in Dir.
+// Start starts a program of BinDir as a process called name. Its standard error
+// and its standard output except the ready line are appended to NAME.log in Dir.
 func (s *Set) Start(name, program string, args ...string) (*Proc, error) {
 	logPath := filepath.Join(s.cfg.Dir, name+".log")
 	file, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -78,47 +83,48 @@
 	cmd := exec.Command(filepath.Join(s.cfg.Bin, program), args...)
 	cmd.Env = append(os.Environ(), s.cfg.Env...)
 	cmd.Stderr = file
-	// A group of its own keeps the terminal's Ctrl-C from the process, so that
-	// the harness alone decides the order in which things stop. Pdeathsig ends
-	// the process if the harness is killed.
+	// In a process group of its own the process doesn't get the terminal's
+	// Ctrl-C, so only this program decides the order in which processes stop.
+	// Pdeathsig ends the process if this program is killed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		file.Close()
 		return nil, err
 	}
-	p := &Proc{name: name, cmd: cmd, log: logPath, ready: make(chan struct{}), done: make(chan struct{})}
+	p := &Proc{name: name, cmd: cmd, logPath: logPath, ready: make(chan struct{}), done: make(chan struct{})}
 	if err := s.launch(p); err != nil {
 		file.Close()
 		return nil, fmt.Errorf("procs: start %s: %w: run make build first", name, err)
 	}
-	go p.follow(bufio.NewReader(out), file)
+	go p.copyOutput(bufio.NewReader(out), file)
 	return p, nil
 }
 
-// launch starts the process from the set's own thread: Pdeathsig acts when the
-// thread that forked ends, not the process.
+// launch starts the process through the shared forker, because Pdeathsig is sent
+// when the thread that forked ends, and adds it to the set.
 func (s *Set) launch(p *Proc) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := starts.start(p.cmd); err != nil {
+	if err := processForker.start(p.cmd); err != nil {
 		return err
 	}
 	s.procs = append(s.procs, p)
 	return nil
 }
 
-// follow reads standard output until it ends and then reaps the process.
-func (p *Proc) follow(out *bufio.Reader, file *os.File) {
+// copyOutput copies the standard output of the process to its log, except the
+// ready line, until it ends, and then reaps the process.
+func (p *Proc) copyOutput(out *bufio.Reader, file *os.File) {
 	defer close(p.done)
 	defer file.Close()
-	seen := false
+	isReady := false
 	for {
 		line, err := out.ReadBytes('\n')
 		var r serve.Ready
-		if !seen && json.Unmarshal(line, &r) == nil && r.Ready != "" {
-			seen = true
-			p.listen = r.Listen
+		if !isReady && json.Unmarshal(line, &r) == nil && r.Ready != "" {
+			isReady = true
+			p.listenAddr = r.Listen
 			close(p.ready)
 		} else if _, werr := file.Write(line); werr != nil {
 			break
@@ -127,43 +133,44 @@
 			break
 		}
 	}
-	p.err = p.cmd.Wait()
+	p.exitErr = p.cmd.Wait()
 }
 
-// Procs returns the processes that were started, in order.
+// Procs returns the processes in the order in which they were started.
 func (s *Set) Procs() []*Proc {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*Proc(nil), s.procs...)
 }
 
-// Close stops every process, newest first, and kills those that need longer
-// than grace.
+// Close sends SIGTERM to every process, newest first, and kills those that run on
+// after grace, which covers all of them. It returns an error for each one killed.
 func (s *Set) Close(grace time.Duration) error {
 	var errs []error
-	list := s.Procs()
-	until := time.Now().Add(grace)
-	for i := len(list) - 1; i >= 0; i-- {
+	procs := s.Procs()
+	deadline := time.Now().Add(grace)
+	for i := len(procs) - 1; i >= 0; i-- {
 		// A paused process can't act on SIGTERM.
-		list[i].Signal(syscall.SIGCONT)
-		list[i].Signal(syscall.SIGTERM)
+		procs[i].Signal(syscall.SIGCONT)
+		procs[i].Signal(syscall.SIGTERM)
 	}
-	for i := len(list) - 1; i >= 0; i-- {
-		if err := list[i].reap(time.Until(until)); err != nil {
+	for i := len(procs) - 1; i >= 0; i-- {
+		if err := procs[i].waitOrKill(time.Until(deadline)); err != nil {
 			errs = append(errs, err)
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// Ready waits until p has printed its ready line and returns where it listens.
+// Ready waits until p has printed its ready line and returns the address it
+// listens on. It returns an error if p ends or ctx ends first.
 func (p *Proc) Ready(ctx context.Context) (string, error) {
 	select {
 	case <-p.ready:
-		return p.listen, nil
+		return p.listenAddr, nil
 	case <-p.done:
-		return "", fmt.Errorf("procs: %s ended before it was ready (%v): read %s", p.name, p.err, p.log)
+		return "", fmt.Errorf("procs: %s ended before it was ready (%v): read %s", p.name, p.exitErr, p.logPath)
 	case <-ctx.Done():
-		return "", fmt.Errorf("procs: %s is not ready: %w: read %s", p.name, context.Cause(ctx), p.log)
+		return "", fmt.Errorf("procs: %s is not ready: %w: read %s", p.name, context.Cause(ctx), p.logPath)
 	}
 }
--- a/trial/procs/procs_test.go
+++ b/trial/procs/procs_test.go
@@ -10,9 +10,10 @@
 	"time"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-func build(t *testing.T) string {
+// buildTrial builds the program trial and returns its directory.
+func buildTrial(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	out, err := exec.Command("go", "build", "-o", filepath.Join(dir, "trial"), "lycheepond/trial").CombinedOutput()
@@ -22,14 +23,14 @@
 	return dir
 }
 
-func newSet(t *testing.T, bin string) *Set {
+func newSet(t *testing.T, binDir string) *Set {
 	t.Helper()
-	s, err := New(Config{Bin: bin, Dir: t.TempDir()})
+	s, err := New(Config{Bin: binDir, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if err := s.Close(patience); err != nil {
+		if err := s.Close(testTimeout); err != nil {
 			t.Error(err)
 		}
 	})
@@ -37,8 +38,8 @@
 }
 
 func TestProcess(t *testing.T) {
-	s := newSet(t, build(t))
-	ctx, stop := context.WithTimeout(context.Background(), patience)
+	s := newSet(t, buildTrial(t))
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
 	p, err := s.Start("platform", "trial", "platform")
 	if err != nil {
@@ -54,9 +55,9 @@
 	if err := p.Pause(); err != nil {
 		t.Fatal(err)
 	}
-	short, end := context.WithTimeout(ctx, 100*time.Millisecond)
-	defer end()
-	if err := WaitHTTP(short, "http://"+addr+"/admin/stats"); err == nil {
+	shortCtx, stopShort := context.WithTimeout(ctx, 100*time.Millisecond)
+	defer stopShort()
+	if err := WaitHTTP(shortCtx, "http://"+addr+"/admin/stats"); err == nil {
 		t.Error("a paused process answered")
 	}
 	if err := p.Resume(); err != nil {
@@ -65,26 +66,26 @@
 	if err := WaitHTTP(ctx, "http://"+addr+"/admin/stats"); err != nil {
 		t.Error(err)
 	}
-	if err := p.Stop(patience); err != nil || p.Exit() != nil {
-		t.Errorf("stop: %v, exit %v", err, p.Exit())
+	if err := p.Stop(testTimeout); err != nil || p.ExitErr() != nil {
+		t.Errorf("stop: %v, exit %v", err, p.ExitErr())
 	}
 	if err := p.Signal(syscall.SIGTERM); err != ErrEnded {
 		t.Errorf("signal to an ended process: %v", err)
 	}
 }
 
-// A program that ends at once, for instance on bad settings, prints no ready
-// line. Whoever waits for it must hear so, with the place of the log, and not
-// wait until the time is up.
+// A program that ends at once, for instance because of invalid settings, prints
+// no ready line. Ready must return an error that names the log file instead of
+// waiting until its context ends.
 func TestEndsBeforeReady(t *testing.T) {
-	s := newSet(t, build(t))
+	s := newSet(t, buildTrial(t))
 	p, err := s.Start("bad", "trial", "platform", "--listen", "127.0.0.1:notaport")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, err = p.Ready(context.Background())
-	if err == nil || !strings.Contains(err.Error(), p.Log()) {
-		t.Errorf("got %v, want an error that names %s", err, p.Log())
+	if err == nil || !strings.Contains(err.Error(), p.LogPath()) {
+		t.Errorf("got %v, want an error that names %s", err, p.LogPath())
 	}
 }
 
--- a/trial/proof/leave_test.go
+++ b/trial/proof/leave_test.go
@@ -158,8 +158,8 @@
 			}
 			select {
 			case <-proc.Done():
-				if proc.Exit() != nil {
-					t.Errorf("%s ended with %v", who, proc.Exit())
+				if proc.ExitErr() != nil {
+					t.Errorf("%s ended with %v", who, proc.ExitErr())
 				}
 			case <-r.ctx.Done():
 				t.Errorf("%s did not end", who)
--- a/trial/proof/once_test.go
+++ b/trial/proof/once_test.go
@@ -212,7 +212,7 @@
 	r.t.Helper()
 	lost := make(map[string]int)
 	for _, u := range r.fleet.Units() {
-		data, err := os.ReadFile(u.Agent.Log())
+		data, err := os.ReadFile(u.Agent.LogPath())
 		r.must(err)
 		lost[u.Name] = 0
 		for text := range bytes.Lines(data) {
--- a/trial/proof/rig_test.go
+++ b/trial/proof/rig_test.go
@@ -181,11 +181,11 @@
 func (r *rig) dump() {
 	const tail = 4000
 	for _, p := range r.set.Procs() {
-		data, err := os.ReadFile(p.Log())
+		data, err := os.ReadFile(p.LogPath())
 		if err != nil || len(data) == 0 {
 			continue
 		}
-		r.t.Logf("%s:\n%s", filepath.Base(p.Log()), data[max(0, len(data)-tail):])
+		r.t.Logf("%s:\n%s", filepath.Base(p.LogPath()), data[max(0, len(data)-tail):])
 	}
 }
 
