--- a/trial/engin/engin.go
+++ b/trial/engin/engin.go
@@ -83,7 +83,7 @@
 	m.HandleFunc("POST /orders", e.order)
 	m.HandleFunc("GET /record", e.record)
 	m.HandleFunc("GET /stats", e.showStats)
-	m.HandleFunc("POST /admin/fault", serve.Take(e.SetFault))
+	m.HandleFunc("POST /admin/fault", serve.SetHandler(e.SetFault))
 	return m
 }
 
--- a/trial/engin/http.go
+++ b/trial/engin/http.go
@@ -61,7 +61,7 @@
 
 func (e *Engine) take(w http.ResponseWriter, r *http.Request, kind string) {
 	var a Ask
-	if !serve.Read(w, r, &a) || !e.thawed(r) {
+	if !serve.ReadJSON(w, r, &a) || !e.thawed(r) {
 		return
 	}
 	e.mu.Lock()
@@ -180,5 +180,5 @@
 		http.Error(w, "no such request is running", http.StatusNotFound)
 		return
 	}
-	serve.JSON(w, http.StatusOK, struct{}{})
+	serve.WriteJSON(w, http.StatusOK, struct{}{})
 }
--- a/trial/engin/order.go
+++ b/trial/engin/order.go
@@ -32,14 +32,14 @@
 
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var o Order
-	if !serve.Read(w, r, &o) || !e.thawed(r) {
+	if !serve.ReadJSON(w, r, &o) || !e.thawed(r) {
 		return
 	}
 	e.mu.Lock()
 	fence := e.served.fence
 	if e.cfg.ChecksFence && o.Fence < fence {
 		e.mu.Unlock()
-		serve.JSON(w, http.StatusConflict, orderRefusal{Fence: fence})
+		serve.WriteJSON(w, http.StatusConflict, orderRefusal{Fence: fence})
 		return
 	}
 	e.served.fence = max(fence, o.Fence)
@@ -50,7 +50,7 @@
 	e.mu.Unlock()
 	select {
 	case e.orders <- o:
-		serve.JSON(w, http.StatusOK, orderRefusal{Fence: o.Fence})
+		serve.WriteJSON(w, http.StatusOK, orderRefusal{Fence: o.Fence})
 	default:
 		http.Error(w, "too many orders wait", http.StatusTooManyRequests)
 	}
--- a/trial/engin/report.go
+++ b/trial/engin/report.go
@@ -40,7 +40,7 @@
 		l.AsOfMS = time.Since(e.loadAt[0]).Milliseconds()
 	}
 	e.mu.Unlock()
-	serve.JSON(w, http.StatusOK, l)
+	serve.WriteJSON(w, http.StatusOK, l)
 }
 
 // thawed waits while the engine is frozen.
@@ -128,7 +128,7 @@
 	e.mu.Lock()
 	a := e.events.since(time.Now(), after)
 	e.mu.Unlock()
-	serve.JSON(w, http.StatusOK, a)
+	serve.WriteJSON(w, http.StatusOK, a)
 }
 
 func (e *Engine) record(w http.ResponseWriter, _ *http.Request) {
@@ -141,5 +141,5 @@
 }
 
 func (e *Engine) showStats(w http.ResponseWriter, _ *http.Request) {
-	serve.JSON(w, http.StatusOK, e.Stats())
+	serve.WriteJSON(w, http.StatusOK, e.Stats())
 }
--- a/trial/plain/plain.go
+++ b/trial/plain/plain.go
@@ -1,5 +1,5 @@
-// Package plain is a stand-in for a plain service: it answers any call with
-// what it received and keeps a record of every call that it ran.
+// Package plain simulates a plain service. It answers every call with a
+// description of the call and keeps a record of all calls.
 package plain
 
 import (
@@ -16,19 +16,19 @@
 	"lycheepond/trial/serve"
 )
 
-// Config describes the service.
+// Config configures a Service.
 type Config struct {
 	Name string
-	// Work is how long one call takes.
+	// CallTime is the time that a call takes.
 	Work time.Duration
-	// Slots is how many calls run at once; the others wait.
+	// Slots is the maximum number of concurrent calls. Further calls wait.
 	Slots int
 }
 
-// DefaultSlots is how many calls run at once unless configured.
+// DefaultSlots is the number of slots if Config.Slots is not positive.
 const DefaultSlots = 8
 
-// Echo is the answer to a call.
+// Echo is the answer to a call. ID is the call's X-Request-Id.
 type Echo struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
@@ -38,42 +38,50 @@
 	ID     string `json:"id"`
 }
 
-// Record is one call that was run.
+// Record is the record of a call that the service ran.
 type Record struct {
-	ID           string `json:"id"`
-	Kind         string `json:"kind"`
-	Key          string `json:"key"`
+	ID string `json:"id"`
+	// Kind is the HTTP method.
+	Kind string `json:"kind"`
+	// Key is the idempotency key.
+	Key string `json:"key"`
+	// PromptDigest is the SHA-256 of the body in hexadecimal digits.
 	PromptDigest string `json:"prompt_digest"`
-	StartedMS    int64  `json:"started_ms"`
-	Finished     bool   `json:"finished"`
-	Cancelled    bool   `json:"cancelled"`
+	// StartedMS is the start of the call in milliseconds after the start of the
+	// service.
+	StartedMS int64 `json:"started_ms"`
+	Finished  bool  `json:"finished"`
+	Cancelled bool  `json:"cancelled"`
 }
 
-// Fault is how the service misbehaves at present.
+// Fault is the set of faults that are injected now. The zero value means none.
 type Fault struct {
-	// Delay is added to every call before it runs.
+	// Delay is added to the time that every call takes.
 	Delay spec.Duration `json:"delay"`
-	// TruncateNext is how many of the next answers break off.
+	// TruncateNext is the number of coming calls whose answer breaks off.
 	TruncateNext int `json:"truncate_next"`
-	// Freeze stops calls before they answer.
+	// Freeze holds calls back before they are answered.
 	Freeze bool `json:"freeze"`
 }
 
-// Service is the stand-in.
+// Service is the simulated service. Its methods may be called from any goroutine.
 type Service struct {
-	cfg     Config
-	start   time.Time
-	slots   chan struct{}
+	cfg   Config
+	start time.Time
+	// slots holds an element for each running call.
+	slots chan struct{}
+	// waiting is the number of calls that wait for a slot.
 	waiting atomic.Int64
 
 	mu      sync.Mutex
 	records []*Record
 	fault   Fault
-	// thawed is closed when a freeze ends.
-	thawed chan struct{}
+	// unfrozen is closed when the current freeze ends; nil if the service is not
+	// frozen.
+	unfrozen chan struct{}
 }
 
-// New returns a service.
+// New returns a service that has run no calls.
 func New(cfg Config) *Service {
 	if cfg.Slots <= 0 {
 		cfg.Slots = DefaultSlots
@@ -84,40 +92,40 @@
 // Handler returns the service's HTTP API.
 func (s *Service) Handler() http.Handler {
 	m := http.NewServeMux()
-	m.HandleFunc("GET /load", s.load)
-	m.HandleFunc("GET /record", s.record)
+	m.HandleFunc("GET /load", s.showLoad)
+	m.HandleFunc("GET /record", s.showRecords)
 	m.HandleFunc("POST /admin/fault", s.setFault)
 	m.HandleFunc("/", s.call)
 	return m
 }
 
 func (s *Service) call(w http.ResponseWriter, r *http.Request) {
-	sum := sha256.New()
-	if _, err := io.Copy(sum, r.Body); err != nil {
+	hash := sha256.New()
+	if _, err := io.Copy(hash, r.Body); err != nil {
 		return
 	}
-	digest := hex.EncodeToString(sum.Sum(nil))
-	rec, f := s.begin(r, digest)
+	digest := hex.EncodeToString(hash.Sum(nil))
+	rec, f := s.startRecord(r, digest)
 	s.waiting.Add(1)
 	s.slots <- struct{}{}
 	s.waiting.Add(-1)
-	// The call runs to its end even if the caller hangs up, as a service does
-	// that does not look at its connection while it works.
+	// The call runs to its end even if the caller closes the connection, like a
+	// service that doesn't check its connection while it works.
 	time.Sleep(s.cfg.Work + f.Delay.Std())
 	<-s.slots
-	s.thaw()
-	s.end(rec)
+	s.waitUnfrozen()
+	s.finishRecord(rec)
 	echo := Echo{Service: s.cfg.Name, Method: r.Method, Path: r.URL.Path, Digest: digest, ID: r.Header.Get("X-Request-Id")}
 	if f.TruncateNext > 0 {
 		w.Header().Set("Content-Length", "4096")
-		serve.JSON(w, http.StatusOK, echo)
+		serve.WriteJSON(w, http.StatusOK, echo)
 		panic(http.ErrAbortHandler)
 	}
-	serve.JSON(w, http.StatusOK, echo)
+	serve.WriteJSON(w, http.StatusOK, echo)
 }
 
-// begin records the call and returns the faults that hit it.
-func (s *Service) begin(r *http.Request, digest string) (*Record, Fault) {
+// startRecord adds a record of the call and returns the faults that apply to it.
+func (s *Service) startRecord(r *http.Request, digest string) (*Record, Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	rec := &Record{
@@ -132,29 +140,31 @@
 	return rec, f
 }
 
-func (s *Service) end(rec *Record) {
+// finishRecord marks the call as finished.
+func (s *Service) finishRecord(rec *Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	rec.Finished = true
 }
 
-func (s *Service) thaw() {
+// waitUnfrozen waits while the service is frozen.
+func (s *Service) waitUnfrozen() {
 	s.mu.Lock()
-	ch := s.thawed
+	ch := s.unfrozen
 	s.mu.Unlock()
 	if ch != nil {
 		<-ch
 	}
 }
 
-func (s *Service) load(w http.ResponseWriter, _ *http.Request) {
-	serve.JSON(w, http.StatusOK, struct {
+func (s *Service) showLoad(w http.ResponseWriter, _ *http.Request) {
+	serve.WriteJSON(w, http.StatusOK, struct {
 		Running int64 `json:"running"`
 		Waiting int64 `json:"waiting"`
 	}{int64(len(s.slots)), s.waiting.Load()})
 }
 
-// Records returns what was run, in order.
+// Records returns a copy of the records in the order in which calls started.
 func (s *Service) Records() []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +175,7 @@
 	return out
 }
 
-func (s *Service) record(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) showRecords(w http.ResponseWriter, _ *http.Request) {
 	enc := json.NewEncoder(w)
 	for _, r := range s.Records() {
 		if enc.Encode(r) != nil {
@@ -176,18 +186,18 @@
 
 func (s *Service) setFault(w http.ResponseWriter, r *http.Request) {
 	var f Fault
-	if !serve.Read(w, r, &f) {
+	if !serve.ReadJSON(w, r, &f) {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
-	if f.Freeze && s.thawed == nil {
-		s.thawed = make(chan struct{})
+	if f.Freeze && s.unfrozen == nil {
+		s.unfrozen = make(chan struct{})
 	}
-	if !f.Freeze && s.thawed != nil {
-		close(s.thawed)
-		s.thawed = nil
+	if !f.Freeze && s.unfrozen != nil {
+		close(s.unfrozen)
+		s.unfrozen = nil
 	}
-	serve.JSON(w, http.StatusOK, f)
+	serve.WriteJSON(w, http.StatusOK, f)
 }
--- a/trial/platf/http.go
+++ b/trial/platf/http.go
@@ -91,7 +91,7 @@
 	p.stats.List++
 	b := p.listObjects(r.PathValue("kind"))
 	p.mu.Unlock()
-	serve.JSON(w, http.StatusOK, b)
+	serve.WriteJSON(w, http.StatusOK, b)
 }
 
 func (p *Platform) get(w http.ResponseWriter, r *http.Request) {
@@ -104,7 +104,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	serve.JSON(w, http.StatusOK, o)
+	serve.WriteJSON(w, http.StatusOK, o)
 }
 
 // parseExpectedVersion returns the version in the If-Match header, which the
@@ -146,13 +146,13 @@
 	}
 	o, ok := p.Put(r.PathValue("kind"), r.PathValue("name"), data, expectedVersion)
 	if !ok {
-		serve.JSON(w, http.StatusConflict, conflict{Current: o.Version})
+		serve.WriteJSON(w, http.StatusConflict, conflict{Current: o.Version})
 		return
 	}
 	if p.consumeLostReply() {
 		panic(http.ErrAbortHandler)
 	}
-	serve.JSON(w, http.StatusOK, o)
+	serve.WriteJSON(w, http.StatusOK, o)
 }
 
 func (p *Platform) remove(w http.ResponseWriter, r *http.Request) {
@@ -166,11 +166,11 @@
 	case !ok && version == 0:
 		http.NotFound(w, r)
 	case !ok:
-		serve.JSON(w, http.StatusConflict, conflict{Current: version})
+		serve.WriteJSON(w, http.StatusConflict, conflict{Current: version})
 	case p.consumeLostReply():
 		panic(http.ErrAbortHandler)
 	default:
-		serve.JSON(w, http.StatusOK, plat.Batch{Version: version})
+		serve.WriteJSON(w, http.StatusOK, plat.Batch{Version: version})
 	}
 }
 
--- a/trial/platf/platf.go
+++ b/trial/platf/platf.go
@@ -125,7 +125,7 @@
 	m.HandleFunc("GET /v1/weights/{model}/{version}", p.guard(p.weights))
 	m.HandleFunc("PUT /admin/instances/{name}", p.putInstance)
 	m.HandleFunc("DELETE /admin/instances/{name}", p.dropInstance)
-	m.HandleFunc("POST /admin/fault", serve.Take(p.SetFault))
+	m.HandleFunc("POST /admin/fault", serve.SetHandler(p.SetFault))
 	m.HandleFunc("GET /admin/stats", p.showStats)
 	return m
 }
--- a/trial/platf/poll.go
+++ b/trial/platf/poll.go
@@ -37,7 +37,7 @@
 		}
 		left := time.Until(until)
 		if res.found || left <= 0 {
-			serve.JSON(w, res.status, res.body)
+			serve.WriteJSON(w, res.status, res.body)
 			return
 		}
 		if res.untilVisible > 0 {
@@ -102,13 +102,13 @@
 		p.mu.Unlock()
 	}()
 	if serve.Sleep(r.Context(), p.cfg.WeightTime) {
-		serve.JSON(w, http.StatusOK, struct{}{})
+		serve.WriteJSON(w, http.StatusOK, struct{}{})
 	}
 }
 
 func (p *Platform) putInstance(w http.ResponseWriter, r *http.Request) {
 	var in plat.Instance
-	if !serve.Read(w, r, &in) {
+	if !serve.ReadJSON(w, r, &in) {
 		return
 	}
 	in.Name = r.PathValue("name")
@@ -116,7 +116,7 @@
 		in.State = plat.StateLive
 	}
 	p.PutInstance(in)
-	serve.JSON(w, http.StatusOK, in)
+	serve.WriteJSON(w, http.StatusOK, in)
 }
 
 func (p *Platform) dropInstance(w http.ResponseWriter, r *http.Request) {
@@ -128,5 +128,5 @@
 	p.mu.Lock()
 	s := p.stats
 	p.mu.Unlock()
-	serve.JSON(w, http.StatusOK, s)
+	serve.WriteJSON(w, http.StatusOK, s)
 }
--- a/trial/proof/keys_test.go
+++ b/trial/proof/keys_test.go
@@ -15,20 +15,22 @@
 	"lycheepond/trial/platf"
 )
 
-// runs returns how often the endpoints ran a job.
-func (r *rig) runs(j load.Job) int { return r.executed()[digest(j)] }
+// countRuns returns the number of executions of a job at all endpoints.
+func (r *rig) countRuns(j load.Job) int { return r.executions()[jobDigest(j)] }
 
-// homed waits until keyed calls are served, which needs the first table.
-func (r *rig) homed() {
+// awaitKeyedCalls waits until calls with an idempotency key are served, for
+// which the entries need the first table of homes.
+func (r *rig) awaitKeyedCalls() {
 	r.t.Helper()
-	n := 0
+	sent := 0
 	r.await("keyed calls are served", func() bool {
-		n++
-		return r.callers[n%len(r.callers)].Send(r.ctx, 0, post(fmt.Sprintf("warm-%d", n), newKey(r.t))).Outcome == load.Complete
+		sent++
+		return r.callers[sent%len(r.callers)].Send(r.ctx, 0, serviceJob(fmt.Sprintf("warm-%d", sent), newKey(r.t))).Outcome == load.Complete
 	})
 }
 
-// newKey returns a key that tells when it was made.
+// newKey returns a new idempotency key, a UUIDv7, which contains its creation
+// time.
 func newKey(t *testing.T) string {
 	t.Helper()
 	id, err := uuid.NewV7()
@@ -38,9 +40,9 @@
 	return id.String()
 }
 
-// held slows every call of the services down, so that a test can act while
-// one runs.
-func (r *rig) held(d time.Duration) {
+// delayServices adds delay d to every call of the plain services, so that a
+// test can act while a call runs.
+func (r *rig) delayServices(d time.Duration) {
 	r.t.Helper()
 	for _, u := range r.fleet.Units() {
 		if u.Plain != nil {
@@ -49,26 +51,26 @@
 	}
 }
 
-// An entry is killed after it handed a register submission to an agent. The
-// caller, who saw its connection break, retries with the same key through the
-// other entry. It gets the answer of the first run; the submission is made
-// once.
+// An entry is killed while an agent runs a call that it forwarded. The caller's
+// connection breaks, and the caller retries with the same idempotency key through
+// the other entry. It must get the answer of the first execution, without a
+// second one, also while the platform is down.
 func TestRetryThroughOtherEntryAfterKill(t *testing.T) {
 	t.Parallel()
 	for _, platformDown := range []bool{false, true} {
 		t.Run(fmt.Sprintf("platform-down=%v", platformDown), func(t *testing.T) {
-			r := newRig(t, shape{services: 2, work: 10 * time.Millisecond, entries: 2})
-			r.homed()
-			r.held(1500 * time.Millisecond)
+			r := newRig(t, rigConfig{services: 2, callTime: 10 * time.Millisecond, entries: 2})
+			r.awaitKeyedCalls()
+			r.delayServices(1500 * time.Millisecond)
 			if platformDown {
 				r.must(r.fleet.Platform().Fault(r.ctx, platf.Fault{Down: true}))
 			}
-			j := post("submission", newKey(t))
-			var b batch
+			j := serviceJob("submission", newKey(t))
+			var b requestBatch
 			r.send(&b, 0, j)
-			r.await("the submission runs", func() bool { return r.runs(j) == 1 })
+			r.await("the submission runs", func() bool { return r.countRuns(j) == 1 })
 			r.must(r.fleet.Entries()[0].Proc.Kill())
-			first := b.end()[0]
+			first := b.wait()[0]
 			if first.Outcome != load.Unknown {
 				t.Errorf("the caller of the killed entry saw %s", first.Outcome)
 			}
@@ -76,61 +78,61 @@
 			if retry.Outcome != load.Complete {
 				t.Errorf("the retry ended as %s: %s", retry.Outcome, retry.Detail)
 			}
-			if n := r.runs(j); n != 1 {
+			if n := r.countRuns(j); n != 1 {
 				t.Errorf("the submission ran %d times", n)
 			}
 		})
 	}
 }
 
-// The agent that ran a submission is killed before it could answer and is
-// started again, without any memory of it. The caller's retries are never run:
-// they hear unknown, or not-run while nobody may act for the key. Fresh keys are
-// served again soon.
+// All agents are killed while one of them runs a call, and are restarted without
+// any record of it. Retries with the same idempotency key must never run: they
+// are answered unknown, or not-run while the key has no home. Calls with new keys
+// must be served again.
 func TestRetryAfterAgentRestart(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, shape{services: 2, work: 10 * time.Millisecond, entries: 2})
-	r.homed()
-	r.held(1500 * time.Millisecond)
-	j := post("submission", newKey(t))
-	var b batch
+	r := newRig(t, rigConfig{services: 2, callTime: 10 * time.Millisecond, entries: 2})
+	r.awaitKeyedCalls()
+	r.delayServices(1500 * time.Millisecond)
+	j := serviceJob("submission", newKey(t))
+	var b requestBatch
 	r.send(&b, 0, j)
-	r.await("the submission runs", func() bool { return r.runs(j) == 1 })
+	r.await("the submission runs", func() bool { return r.countRuns(j) == 1 })
 	for _, u := range r.fleet.Units() {
 		r.must(u.Agent.Kill())
 		r.must(r.fleet.RestartAgent(r.ctx, u))
 	}
-	first := b.end()[0]
+	first := b.wait()[0]
 	if first.Outcome == load.Refused {
-		t.Errorf("the caller was told that its submission was not run")
+		t.Errorf("the caller was answered not-run although its submission ran")
 	}
-	r.held(0)
-	r.homed()
+	r.delayServices(0)
+	r.awaitKeyedCalls()
 	for i := range 2 {
 		retry := r.callers[i].Send(r.ctx, 0, j)
 		if retry.Outcome != load.Unknown {
 			t.Errorf("retry %d ended as %s: %s", i, retry.Outcome, retry.Detail)
 		}
 	}
-	if n := r.runs(j); n != 1 {
+	if n := r.countRuns(j); n != 1 {
 		t.Errorf("the submission ran %d times", n)
 	}
 }
 
-// The agent that ran a submission is stopped as planned, as in each of the
-// nightly restarts, and the caller, whose line broke, asks again with the same
-// key. Through either entry it gets the answer that was made, soon and not only
-// after the lease of the agent that left; the register sees the submission once.
-// Keys that were never used, made before the stop, are served too.
+// The agent that ran keyed calls is stopped as planned, as in a nightly restart,
+// and callers whose connection broke retry with the same keys. Through either
+// entry they must get the stored answer, before the lease of the stopped agent
+// expires, and no call runs twice. Unused keys that were created before the stop
+// must be served too.
 func TestRetryAfterPlannedStopOfHome(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, shape{services: 2, work: 10 * time.Millisecond, entries: 2})
-	r.homed()
+	r := newRig(t, rigConfig{services: 2, callTime: 10 * time.Millisecond, entries: 2})
+	r.awaitKeyedCalls()
 	var jobs, unused []load.Job
 	stopped := ""
 	for i := range 12 {
-		jobs = append(jobs, post(fmt.Sprintf("submission-%d", i), newKey(t)))
-		unused = append(unused, post(fmt.Sprintf("unused-%d", i), newKey(t)))
+		jobs = append(jobs, serviceJob(fmt.Sprintf("submission-%d", i), newKey(t)))
+		unused = append(unused, serviceJob(fmt.Sprintf("unused-%d", i), newKey(t)))
 		first := r.callers[i%2].Send(r.ctx, 0, jobs[i])
 		if first.Outcome != load.Complete {
 			t.Fatalf("first: %s %s", first.Outcome, first.Detail)
@@ -141,98 +143,99 @@
 			stopped = u.Name
 		}
 	}
-	home := r.fleet.Unit(stopped).Agent
-	r.must(home.Signal(syscall.SIGTERM))
+	agent := r.fleet.Unit(stopped).Agent
+	r.must(agent.Signal(syscall.SIGTERM))
 	select {
-	case <-home.Done():
+	case <-agent.Done():
 	case <-r.ctx.Done():
-		t.Fatal("the agent did not end")
+		t.Fatal("the stopped agent did not end")
 	}
-	begun := time.Now()
+	stoppedAt := time.Now()
 	for i, j := range append(jobs, unused...) {
-		for c := range 2 {
+		for entry := range 2 {
 			var res load.Result
 			r.await("the key is answered", func() bool {
-				res = r.callers[c].Send(r.ctx, 0, j)
+				res = r.callers[entry].Send(r.ctx, 0, j)
 				return res.Outcome != load.Refused
 			})
 			if res.Outcome != load.Complete {
-				t.Errorf("job %d through entry %d ended as %s: %s", i, c, res.Outcome, res.Detail)
+				t.Errorf("job %d through entry %d ended as %s: %s", i, entry, res.Outcome, res.Detail)
 			}
 		}
-		if n := r.runs(j); n != 1 {
+		if n := r.countRuns(j); n != 1 {
 			t.Errorf("job %d ran %d times", i, n)
 		}
 	}
-	t.Logf("%s left; its keys were answered within %v", stopped, time.Since(begun))
+	t.Logf("%s stopped; its keys were answered within %v", stopped, time.Since(stoppedAt))
 }
 
-// Two retries of one confirmation arrive at the same moment through two
-// entries, as when an impatient caller presses twice. Both get the one answer;
-// the referee is confirmed once.
-func TestRacingRetries(t *testing.T) {
+// A call arrives four times at the same moment with the same idempotency key,
+// through two entries, as when a user submits a form repeatedly. It must run
+// once, and every caller must get its answer.
+func TestConcurrentRetries(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, shape{services: 2, work: 50 * time.Millisecond, entries: 2})
-	r.homed()
-	var b batch
+	r := newRig(t, rigConfig{services: 2, callTime: 50 * time.Millisecond, entries: 2})
+	r.awaitKeyedCalls()
+	var b requestBatch
 	for i := range 10 {
-		j := post(fmt.Sprintf("confirm-%d", i), newKey(t))
+		j := serviceJob(fmt.Sprintf("confirm-%d", i), newKey(t))
 		for n := range 4 {
 			r.send(&b, n%2, j)
 		}
 	}
-	results := b.end()
-	seen := r.judge(results)
-	if seen[load.Complete] != len(results) {
-		t.Errorf("outcomes %v", seen)
+	results := b.wait()
+	outcomes := r.checkResults(results)
+	if outcomes[load.Complete] != len(results) {
+		t.Errorf("outcomes %v", outcomes)
 	}
 }
 
-// A caller uses one key for two different submissions by mistake. The second is
-// refused as a mistake and is not run in place of the first.
+// A caller uses one idempotency key for two different calls by mistake. The
+// second must be refused with status 409 and must not run.
 func TestKeyUsedForAnotherRequest(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, shape{services: 1, work: 10 * time.Millisecond, entries: 1})
-	r.homed()
+	r := newRig(t, rigConfig{services: 1, callTime: 10 * time.Millisecond, entries: 1})
+	r.awaitKeyedCalls()
 	key := newKey(t)
-	if res := r.callers[0].Send(r.ctx, 0, post("one", key)); res.Outcome != load.Complete {
+	if res := r.callers[0].Send(r.ctx, 0, serviceJob("one", key)); res.Outcome != load.Complete {
 		t.Fatalf("first: %s %s", res.Outcome, res.Detail)
 	}
-	other := post("two", key)
+	other := serviceJob("two", key)
 	res := r.callers[0].Send(r.ctx, 0, other)
-	if res.Status != 409 || r.runs(other) != 0 {
-		t.Errorf("status %d, ran %d times", res.Status, r.runs(other))
+	if res.Status != 409 || r.countRuns(other) != 0 {
+		t.Errorf("status %d, ran %d times", res.Status, r.countRuns(other))
 	}
 }
 
-// The platform is away for longer than the lease of the keys' homes. Calls with
-// a key are refused, truthfully and at once, with a time to come back; all other
-// work goes on. When the platform is back, keyed calls are served and none ran
+// The platform is down for longer than the lease of the agents that are homes of
+// idempotency keys. Calls with a key must then be refused at once with a
+// Retry-After time, and must not run; requests without a key are still served.
+// Once the platform is back, calls with a key must be served again, and none ran
 // twice.
-func TestPlatformAwayLongerThanLease(t *testing.T) {
+func TestPlatformDownLongerThanLease(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, shape{engines: []engin.Config{quick()}, services: 2, work: 10 * time.Millisecond, entries: 2})
-	r.homed()
+	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine()}, services: 2, callTime: 10 * time.Millisecond, entries: 2})
+	r.awaitKeyedCalls()
 	r.must(r.fleet.Platform().Fault(r.ctx, platf.Fault{Down: true}))
 	var results []load.Result
 	n := 0
 	r.await("the lease has run out", func() bool {
 		n++
-		res := r.callers[n%2].Send(r.ctx, 0, post(fmt.Sprintf("away-%d", n), newKey(t)))
+		res := r.callers[n%2].Send(r.ctx, 0, serviceJob(fmt.Sprintf("away-%d", n), newKey(t)))
 		results = append(results, res)
 		return res.Outcome == load.Refused
 	})
 	if last := results[len(results)-1]; last.RetryAfter <= 0 {
-		t.Errorf("refused without a time to come back: %s", last.Detail)
+		t.Errorf("refused without Retry-After: %s", last.Detail)
 	}
-	var b batch
+	var b requestBatch
 	for i := range 8 {
-		r.send(&b, i%2, ask(i%spec.Tiers, fmt.Sprintf("model-%d", i), 10, true))
+		r.send(&b, i%2, modelJob(i%spec.Tiers, fmt.Sprintf("model-%d", i), 10, true))
 	}
-	if seen := r.judge(b.end()); seen[load.Complete] != 8 {
-		t.Errorf("work without a key: %v", seen)
+	if outcomes := r.checkResults(b.wait()); outcomes[load.Complete] != 8 {
+		t.Errorf("requests without a key: outcomes %v", outcomes)
 	}
 	r.must(r.fleet.Platform().Fault(r.ctx, platf.Fault{}))
-	r.homed()
-	r.judge(results)
+	r.awaitKeyedCalls()
+	r.checkResults(results)
 }
--- a/trial/proof/leave_test.go
+++ b/trial/proof/leave_test.go
@@ -15,106 +15,110 @@
 	"lycheepond/trial/proxy"
 )
 
-// leaveWithin is how soon an endpoint that is leaving must get no new work.
-const leaveWithin = 3 * time.Second
+// maxLeaveDelay is the time after the announcement from which a leaving endpoint
+// must get no new requests.
+const maxLeaveDelay = 3 * time.Second
 
-// poured is the most requests that pour has on their way: fewer than one engine serves at
-// once, so that nothing need be refused on a slow machine.
-const poured = 3
+// maxContinuousInFlight is the maximum number of requests of sendContinuously
+// in flight. It is less than the slots of one engine, so that no request has to
+// be refused on a slow machine.
+const maxContinuousInFlight = 3
 
-// pour sends short work through both entries until stop is closed.
-func (r *rig) pour(b *batch, tag string, stop <-chan struct{}) {
-	b.wait.Go(func() {
+// sendContinuously starts to send short requests through both entries, which it
+// continues until stop is closed. Then the results are added to b. tag must be
+// unique within a test.
+func (r *rig) sendContinuously(b *requestBatch, tag string, stop <-chan struct{}) {
+	b.wg.Go(func() {
 		tick := time.NewTicker(15 * time.Millisecond)
 		defer tick.Stop()
-		var one batch
-		places := make(chan struct{}, poured)
+		var sent requestBatch
+		slots := make(chan struct{}, maxContinuousInFlight)
 		for n := 0; ; n++ {
 			select {
 			case <-stop:
-				b.add(one.end())
+				b.add(sent.wait())
 				return
 			case <-r.ctx.Done():
-				b.add(one.end())
+				b.add(sent.wait())
 				return
 			case <-tick.C:
 			}
-			places <- struct{}{}
-			one.wait.Go(func() {
-				defer func() { <-places }()
-				one.add([]load.Result{r.callers[n%2].Send(r.ctx, 0, ask(n%4, fmt.Sprintf("%s-%d", tag, n), 4, n%2 == 0))})
+			slots <- struct{}{}
+			sent.wg.Go(func() {
+				defer func() { <-slots }()
+				sent.add([]load.Result{r.callers[n%2].Send(r.ctx, 0, modelJob(n%4, fmt.Sprintf("%s-%d", tag, n), 4, n%2 == 0))})
 			})
 		}
 	})
 }
 
-// An instance is about to go. Its own agent says so, or only the platform's
-// list does, or both. Work that is sent to it after a few seconds would be lost
-// with it.
-func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
+// An instance is about to be removed. This is announced by its agent, by the
+// platform's instance list, or by both. After maxLeaveDelay it must get no new
+// requests, because they would be lost with it.
+func TestLeavingEndpointGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
-		name       string
-		self, list bool
+		name            string
+		byAgent, byList bool
 	}{
-		{"told by itself", true, false},
-		{"told by the instance list", false, true},
-		{"told by both", true, true},
+		{"announced by its agent", true, false},
+		{"announced by the instance list", false, true},
+		{"announced by both", true, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t, shape{engines: []engin.Config{quick(), quick()}, entries: 2})
+			r := newRig(t, rigConfig{engines: []engin.Config{fastEngine(), fastEngine()}, entries: 2})
 			u := r.fleet.Unit("engine-1")
-			var b batch
+			var b requestBatch
 			stop := make(chan struct{})
-			r.pour(&b, "pour", stop)
-			r.await("the endpoint works", func() bool { return len(r.records(u)) > 5 })
-			if tc.list {
+			r.sendContinuously(&b, "pour", stop)
+			r.await("the endpoint executes requests", func() bool { return len(r.records(u)) > 5 })
+			if tc.byList {
 				r.must(r.fleet.SetState(r.ctx, u, plat.StateLeaving))
 			}
-			if tc.self {
+			if tc.byAgent {
 				r.must(u.Agent.Signal(syscall.SIGTERM))
 			}
-			time.Sleep(leaveWithin)
+			time.Sleep(maxLeaveDelay)
 			before := len(r.records(u))
 			others := len(r.records(r.fleet.Unit("engine-2")))
-			r.await("the other endpoint works on", func() bool {
+			r.await("the other endpoint executes more requests", func() bool {
 				return len(r.records(r.fleet.Unit("engine-2"))) > others+20
 			})
 			if after := len(r.records(u)); after != before {
 				t.Errorf("%d requests were started on the leaving endpoint", after-before)
 			}
 			close(stop)
-			seen := r.judge(b.end())
-			if seen[load.Unknown]+seen[load.Refused] > 0 {
-				t.Errorf("outcomes %v", seen)
+			outcomes := r.checkResults(b.wait())
+			if outcomes[load.Unknown]+outcomes[load.Refused] > 0 {
+				t.Errorf("outcomes %v", outcomes)
 			}
 		})
 	}
 }
 
-// An agent dies without a word while the instance list, which lags, still calls
-// it live. It gets no new work, because it claims none.
-func TestSilentAgentGetsNoNewWork(t *testing.T) {
+// An agent stops responding without notice, while the lagging instance list still
+// shows it as live. It must get no requests, because it claims none.
+func TestUnresponsiveAgentGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, shape{engines: []engin.Config{quick(), quick()}, entries: 2})
+	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine(), fastEngine()}, entries: 2})
 	r.must(r.fleet.Platform().Fault(r.ctx, platf.Fault{Lag: 60e9}))
 	u := r.fleet.Unit("engine-1")
 	r.must(u.Agent.Pause())
-	var b batch
+	var b requestBatch
 	for i := range 24 {
-		r.send(&b, i%2, ask(i%4, fmt.Sprintf("silent-%d", i), 6, i%2 == 0))
+		r.send(&b, i%2, modelJob(i%4, fmt.Sprintf("silent-%d", i), 6, i%2 == 0))
 	}
-	seen := r.judge(b.end())
-	if seen[load.Complete] != 24 {
-		t.Errorf("outcomes %v", seen)
+	outcomes := r.checkResults(b.wait())
+	if outcomes[load.Complete] != 24 {
+		t.Errorf("outcomes %v", outcomes)
 	}
 	if n := len(r.records(u)); n != 0 {
-		t.Errorf("%d requests on the silent endpoint", n)
+		t.Errorf("%d requests were executed by the endpoint of the paused agent", n)
 	}
 	r.must(u.Agent.Resume())
 }
 
-// records returns what one endpoint executed.
+// records returns the executions that an endpoint recorded.
 func (r *rig) records(u *fleet.Unit) []engin.Record {
 	r.t.Helper()
 	recs, err := u.Records(r.ctx)
@@ -122,47 +126,48 @@
 	return recs
 }
 
-// An operator restarts an agent or an entry as planned, while answers stream
-// through it. Every answer that has begun comes to its end, and the process
-// leaves by itself.
+// An operator stops an agent or an entry as planned while it streams answers.
+// Every request in flight must complete, and the process must then exit without
+// an error.
 func TestPlannedStopInterruptsNothing(t *testing.T) {
 	t.Parallel()
-	for _, who := range []string{"agent", "entry"} {
-		t.Run(who, func(t *testing.T) {
-			r := newRig(t, shape{engines: []engin.Config{quick(), quick()}, services: 1, work: 700 * time.Millisecond, entries: 2})
+	for _, stopped := range []string{"agent", "entry"} {
+		t.Run(stopped, func(t *testing.T) {
+			r := newRig(t, rigConfig{engines: []engin.Config{fastEngine(), fastEngine()}, services: 1, callTime: 700 * time.Millisecond, entries: 2})
 			proc := r.fleet.Unit("engine-1").Agent
-			if who == "entry" {
+			if stopped == "entry" {
 				proc = r.fleet.Entries()[0].Proc
 			}
-			var b batch
+			var b requestBatch
 			for i := range 8 {
-				r.send(&b, i%2, ask(i%4, fmt.Sprintf("stop-%d", i), 200, i%2 == 0))
+				r.send(&b, i%2, modelJob(i%4, fmt.Sprintf("stop-%d", i), 200, i%2 == 0))
 			}
 			for i := range 2 {
-				j := post(fmt.Sprintf("stop-call-%d", i), "")
+				j := serviceJob(fmt.Sprintf("stop-call-%d", i), "")
 				r.send(&b, i%2, j)
 			}
-			// Which endpoint gets the streams is the placement's choice.
-			r.await("engine-1 works and answers stream", func() bool {
-				pieces := 0
+			// The streams may be placed at either engine, so count frames at all
+			// proxies.
+			r.await("engine-1 executes a request and answers are streamed", func() bool {
+				chunks := 0
 				for _, p := range r.proxies {
-					pieces += p.Seen(proxy.Down, wire.KindChunk)
+					chunks += p.FramesForwarded(proxy.Down, wire.KindChunk)
 				}
-				return pieces >= 3 && len(r.records(r.fleet.Unit("engine-1"))) > 0
+				return chunks >= 3 && len(r.records(r.fleet.Unit("engine-1"))) > 0
 			})
-			r.await("the service works", func() bool { return len(r.records(r.fleet.Unit("service-1"))) == 2 })
+			r.await("the service executes both calls", func() bool { return len(r.records(r.fleet.Unit("service-1"))) == 2 })
 			r.must(proc.Signal(syscall.SIGTERM))
-			seen := r.judge(b.end())
-			if seen[load.Complete] != 10 {
-				t.Errorf("outcomes %v", seen)
+			outcomes := r.checkResults(b.wait())
+			if outcomes[load.Complete] != 10 {
+				t.Errorf("outcomes %v", outcomes)
 			}
 			select {
 			case <-proc.Done():
 				if proc.ExitErr() != nil {
-					t.Errorf("%s ended with %v", who, proc.ExitErr())
+					t.Errorf("%s ended with %v", stopped, proc.ExitErr())
 				}
 			case <-r.ctx.Done():
-				t.Errorf("%s did not end", who)
+				t.Errorf("%s did not end", stopped)
 			}
 		})
 	}
--- a/trial/proof/once_test.go
+++ b/trial/proof/once_test.go
@@ -18,13 +18,13 @@
 	"lycheepond/trial/proxy"
 )
 
-// A network between entries and agents delivers a frame twice, late, or not at
-// all, or breaks at any step of a request. A caller sees at worst a refusal or
-// outcome unknown; no assignment is made twice and none is called not-run that
-// was made.
-func TestFramesMisbehave(t *testing.T) {
+// The network between entries and agents delivers a frame twice or late, or the
+// connection breaks before or after a frame, at each step of the protocol. A
+// caller must get at worst a refusal or outcome unknown. No request may run
+// twice, and none that ran may be answered not-run.
+func TestDuplicatedLateAndLostFrames(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, shape{engines: []engin.Config{quick(), quick()}, entries: 2})
+	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine(), fastEngine()}, entries: 2})
 	steps := []struct {
 		kind wire.Kind
 		dir  proxy.Direction
@@ -38,29 +38,30 @@
 		{wire.KindEnd, proxy.Down},
 	}
 	for _, step := range steps {
-		for _, action := range []proxy.Action{proxy.Duplicate, proxy.Late, proxy.CutBefore, proxy.CutAfter} {
+		for _, action := range []proxy.Action{proxy.Duplicate, proxy.Delay, proxy.CutBefore, proxy.CutAfter} {
 			name := fmt.Sprintf("%s-%s", step.kind, action)
-			trick := proxy.Trick{Direction: step.dir, Kind: step.kind, Action: action, Hold: spec.Duration(300 * time.Millisecond)}
+			trick := proxy.FrameFault{Direction: step.dir, Kind: step.kind, Action: action, Hold: spec.Duration(300 * time.Millisecond)}
 			for _, p := range r.proxies {
-				p.Play(trick)
+				p.AddFrameFault(trick)
 			}
-			var b batch
+			var b requestBatch
 			for i := range 8 {
-				r.send(&b, i%2, ask(i%spec.Tiers, fmt.Sprintf("%s-%d", name, i), 12, i%3 != 0))
+				r.send(&b, i%2, modelJob(i%spec.Tiers, fmt.Sprintf("%s-%d", name, i), 12, i%3 != 0))
 			}
-			seen := r.judge(b.end())
-			t.Log(name, seen)
-			r.settled(name)
+			outcomes := r.checkResults(b.wait())
+			t.Log(name, outcomes)
+			r.awaitRecovery(name)
 		}
 	}
 }
 
-// A link stops carrying bytes without closing, at any step, for longer than the
-// heartbeats allow, and then goes on with what it held back. The agent then gets
-// grants that are long given up. A caller hears unknown at worst.
+// A link freezes without closing, at several steps of the protocol, for longer
+// than the heartbeat timeout. Then it delivers the bytes that it held back, so
+// that the agent gets grants that the entry has given up. A caller must get at
+// worst outcome unknown.
 func TestLinkFreezes(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, shape{engines: []engin.Config{quick(), quick()}, entries: 2})
+	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine(), fastEngine()}, entries: 2})
 	steps := []struct {
 		kind wire.Kind
 		dir  proxy.Direction
@@ -73,142 +74,145 @@
 	for _, step := range steps {
 		name := fmt.Sprintf("freeze-%s", step.kind)
 		p := r.proxies["engine-1"]
-		p.Play(proxy.Trick{Direction: step.dir, Kind: step.kind, Action: proxy.FreezeAt})
-		var b batch
+		p.AddFrameFault(proxy.FrameFault{Direction: step.dir, Kind: step.kind, Action: proxy.FreezeBefore})
+		var b requestBatch
 		for i := range 8 {
-			r.send(&b, i%2, ask(i%spec.Tiers, fmt.Sprintf("%s-%d", name, i), 12, i%3 != 0))
+			r.send(&b, i%2, modelJob(i%spec.Tiers, fmt.Sprintf("%s-%d", name, i), 12, i%3 != 0))
 		}
-		results := b.end()
+		results := b.wait()
 		p.Set(proxy.Fault{})
-		r.settled(name)
-		t.Log(name, r.judge(results))
+		r.awaitRecovery(name)
+		t.Log(name, r.checkResults(results))
 	}
 }
 
-// moment is a frame on the way between entries and one agent.
-type moment struct {
+// protocolStep is a step of the protocol between entries and an agent: a frame
+// of kind that passes in direction dir.
+type protocolStep struct {
 	name string
 	dir  proxy.Direction
 	kind wire.Kind
 }
 
-// catch sends work through both entries until the moment has come at engine-1,
-// with two engines so that the other one can serve.
-func catch(t *testing.T, tag string, at moment) (*rig, *fleet.Unit, *batch) {
+// startAndAwaitStep starts a deployment with two engines, sends requests
+// through both entries and waits until the step happens at the agent of
+// engine-1. It returns the deployment, engine-1 and the requests in flight.
+func startAndAwaitStep(t *testing.T, tag string, step protocolStep) (*rig, *fleet.Unit, *requestBatch) {
 	t.Helper()
-	r := newRig(t, shape{engines: []engin.Config{quick(), quick()}, entries: 2})
+	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine(), fastEngine()}, entries: 2})
 	u := r.fleet.Unit("engine-1")
-	before := r.proxies[u.Name].Seen(at.dir, at.kind)
-	b := new(batch)
+	passed := r.proxies[u.Name].FramesForwarded(step.dir, step.kind)
+	b := new(requestBatch)
 	for i := range 16 {
-		r.send(b, i%2, ask(i%spec.Tiers, fmt.Sprintf("%s-%s-%d", tag, at.name, i), 30, i%3 != 0))
+		r.send(b, i%2, modelJob(i%spec.Tiers, fmt.Sprintf("%s-%s-%d", tag, step.name, i), 30, i%3 != 0))
 	}
-	r.must(r.proxies[u.Name].Await(r.ctx, at.dir, at.kind, before+1))
+	r.must(r.proxies[u.Name].AwaitFrames(r.ctx, step.dir, step.kind, passed+1))
 	return r, u, b
 }
 
-// An agent is killed while offers wait at it and answers stream from it, and is
-// started again. Its callers hear unknown or are served elsewhere; what ran once
-// does not run again.
+// An agent is killed while it has queued offers and streams answers, and is
+// restarted. Its requests must end as unknown or be served by the other endpoint,
+// and no request may run twice.
 func TestAgentKilled(t *testing.T) {
 	t.Parallel()
-	for _, at := range []moment{
+	for _, step := range []protocolStep{
 		{"offer", proxy.Up, wire.KindOffer},
 		{"claim", proxy.Down, wire.KindClaim},
 		{"grant", proxy.Up, wire.KindGrant},
 		{"chunk", proxy.Down, wire.KindChunk},
 		{"end", proxy.Down, wire.KindEnd},
 	} {
-		t.Run(at.name, func(t *testing.T) {
-			r, u, b := catch(t, "kill", at)
+		t.Run(step.name, func(t *testing.T) {
+			r, u, b := startAndAwaitStep(t, "kill", step)
 			r.must(u.Agent.Kill())
 			r.must(r.fleet.RestartAgent(r.ctx, u))
-			seen := r.judge(b.end())
-			t.Log(seen)
-			if seen[load.Complete] == 0 {
+			outcomes := r.checkResults(b.wait())
+			t.Log(outcomes)
+			if outcomes[load.Complete] == 0 {
 				t.Error("nothing was completed by the other endpoint")
 			}
-			r.settled(at.name)
+			r.awaitRecovery(step.name)
 		})
 	}
 }
 
-// An agent is paused, by its instance or a debugger, holding claims and grants,
-// for longer than the entries wait. When it wakes it finds grants that were
-// given up and offers that ran elsewhere. It runs none of those for which a
-// caller was told not-run, and nothing twice.
-func TestAgentPausedAndWakesLate(t *testing.T) {
+// An agent is paused, as by its instance or a debugger, while it has claims and
+// grants, for longer than the entries wait. After it resumes, it finds grants
+// that the entries have given up and offers that ran elsewhere. It must run
+// none that was answered not-run, and no request may run twice.
+func TestAgentPausedBeyondTimeouts(t *testing.T) {
 	t.Parallel()
-	for _, at := range []moment{
+	for _, step := range []protocolStep{
 		{"offer", proxy.Up, wire.KindOffer},
 		{"claim", proxy.Down, wire.KindClaim},
 		{"grant", proxy.Up, wire.KindGrant},
 		{"chunk", proxy.Down, wire.KindChunk},
 	} {
-		t.Run(at.name, func(t *testing.T) {
-			r, u, b := catch(t, "pause", at)
+		t.Run(step.name, func(t *testing.T) {
+			r, u, b := startAndAwaitStep(t, "pause", step)
 			r.must(u.Agent.Pause())
-			results := b.end()
+			results := b.wait()
 			r.must(u.Agent.Resume())
-			r.settled(at.name)
-			t.Log(r.judge(results))
+			r.awaitRecovery(step.name)
+			t.Log(r.checkResults(results))
 		})
 	}
 }
 
-// An entry is killed, or paused past every timeout, while its callers' requests
-// run. Its callers see the connection break or end late; the requests ran at
-// most once. The other entry goes on: it ends all of its requests while the
-// paused one is silent, whose links the agents close.
+// An entry is killed, or paused for longer than every timeout, while its requests
+// run. Its callers' connections break or end late, and each request may run at
+// most once. Meanwhile the other entry must end all of its requests. The agents
+// must close their links to the paused entry.
 func TestEntryKilledOrPaused(t *testing.T) {
 	t.Parallel()
 	for _, pause := range []bool{false, true} {
 		t.Run(fmt.Sprintf("pause=%v", pause), func(t *testing.T) {
-			r := newRig(t, shape{engines: []engin.Config{quick(), quick()}, entries: 2})
+			r := newRig(t, rigConfig{engines: []engin.Config{fastEngine(), fastEngine()}, entries: 2})
 			e := r.fleet.Entries()[0]
-			var own, others batch
+			var ownBatch, otherBatch requestBatch
 			var jobs []load.Job
 			for i := range 8 {
-				jobs = append(jobs, ask(i%spec.Tiers, fmt.Sprintf("entry-%v-%d", pause, i), 60, i%3 != 0))
-				r.send(&own, 0, jobs[i])
-				r.send(&others, 1, ask(i%spec.Tiers, fmt.Sprintf("other-%v-%d", pause, i), 60, i%3 != 0))
+				jobs = append(jobs, modelJob(i%spec.Tiers, fmt.Sprintf("entry-%v-%d", pause, i), 60, i%3 != 0))
+				r.send(&ownBatch, 0, jobs[i])
+				r.send(&otherBatch, 1, modelJob(i%spec.Tiers, fmt.Sprintf("other-%v-%d", pause, i), 60, i%3 != 0))
 			}
-			r.must(r.proxies["engine-1"].Await(r.ctx, proxy.Down, wire.KindChunk, 1))
-			r.await("a request of the entry runs", func() bool {
-				ran := r.executed()
-				return slices.ContainsFunc(jobs, func(j load.Job) bool { return ran[digest(j)] > 0 })
+			r.must(r.proxies["engine-1"].AwaitFrames(r.ctx, proxy.Down, wire.KindChunk, 1))
+			r.await("a request of the first entry runs", func() bool {
+				runs := r.executions()
+				return slices.ContainsFunc(jobs, func(j load.Job) bool { return runs[jobDigest(j)] > 0 })
 			})
 			if pause {
-				before := r.linksLost(e)
+				lostBefore := r.countLostLinks(e)
 				r.must(e.Proc.Pause())
-				r.await("the agents have closed the silent links", func() bool {
-					for name, n := range r.linksLost(e) {
-						if n == before[name] {
+				r.await("all agents have closed their link to the paused entry", func() bool {
+					for name, n := range r.countLostLinks(e) {
+						if n == lostBefore[name] {
 							return false
 						}
 					}
 					return true
 				})
-				time.Sleep(heartbeat * 5)
-				if seen := r.judge(others.end()); seen[load.Complete] == 0 {
-					t.Errorf("the other entry completed nothing meanwhile: %v", seen)
+				time.Sleep(heartbeatInterval * 5)
+				if outcomes := r.checkResults(otherBatch.wait()); outcomes[load.Complete] == 0 {
+					t.Errorf("the other entry completed nothing during the pause: %v", outcomes)
 				}
 				r.must(e.Proc.Resume())
 			} else {
 				r.must(e.Proc.Kill())
 			}
-			results := append(own.end(), others.end()...)
+			results := append(ownBatch.wait(), otherBatch.wait()...)
 			if !pause {
 				r.must(r.fleet.RestartEntry(r.ctx, e))
 			}
-			r.settled("entry")
-			t.Log(r.judge(results))
+			r.awaitRecovery("entry")
+			t.Log(r.checkResults(results))
 		})
 	}
 }
 
-// linksLost counts by agent how often its log says that a link to e has ended.
-func (r *rig) linksLost(e *fleet.Entry) map[string]int {
+// countLostLinks returns, by agent, the number of lost links to e in the
+// agent's log.
+func (r *rig) countLostLinks(e *fleet.Entry) map[string]int {
 	r.t.Helper()
 	lost := make(map[string]int)
 	for _, u := range r.fleet.Units() {
@@ -228,20 +232,20 @@
 	return lost
 }
 
-// An engine breaks an answer off half way. The caller never takes the half for
-// the whole: a whole answer becomes outcome unknown, a stream ends with an
-// error.
+// An engine breaks off its answers halfway. A caller must not take half an answer
+// for a complete one: without streaming it must get outcome unknown, and a stream
+// must end with an error, unless the answer is completed after all.
 func TestTruncatedAnswers(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, shape{engines: []engin.Config{quick()}, services: 1, entries: 1})
+	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine()}, services: 1, entries: 1})
 	r.must(r.fleet.Unit("engine-1").Fault(r.ctx, engin.Fault{TruncateNext: 4}))
-	var b batch
+	var b requestBatch
 	for i := range 4 {
-		r.send(&b, 0, ask(1, fmt.Sprintf("cut-%d", i), 20, i%2 == 0))
+		r.send(&b, 0, modelJob(1, fmt.Sprintf("cut-%d", i), 20, i%2 == 0))
 	}
-	seen := r.judge(b.end())
-	t.Log(seen)
-	if seen[load.Complete]+seen[load.Unknown] != 4 {
-		t.Errorf("outcomes %v", seen)
+	outcomes := r.checkResults(b.wait())
+	t.Log(outcomes)
+	if outcomes[load.Complete]+outcomes[load.Unknown] != 4 {
+		t.Errorf("outcomes %v", outcomes)
 	}
 }
--- a/trial/proof/rig_test.go
+++ b/trial/proof/rig_test.go
@@ -20,17 +20,17 @@
 	"lycheepond/trial/proxy"
 )
 
-// bin is where TestMain built the programs.
-var bin string
+// binDir is the directory into which TestMain builds the programs.
+var binDir string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "lycheepond-proof-")
 	if err != nil {
 		panic(err)
 	}
-	bin = dir
-	// The programs run with the race detector too, so that a data race in a
-	// real process ends it and the test that met it fails.
+	binDir = dir
+	// The programs are built with the race detector, too. A data race ends the
+	// process, so that the test in which it happened fails.
 	build := exec.Command("go", "build", "-race", "-o", dir+"/", "lycheepond/entry", "lycheepond/agent", "lycheepond/lychee", "lycheepond/trial")
 	build.Stderr = os.Stderr
 	if err := build.Run(); err != nil {
@@ -50,20 +50,23 @@
 	service  = "docket"
 	customer = "metro"
 	bearer   = "metro-key"
-	// limit bounds one test. It is far above what any of them needs, so that a
-	// busy machine changes no verdict.
-	limit = 2 * time.Minute
-	// heartbeat makes a dead peer known soon.
-	heartbeat = 400 * time.Millisecond
-	grace     = 20 * time.Second
+	// testTimeout is the time limit of one test. It is far longer than any test
+	// needs, so that no test fails because the machine is busy.
+	testTimeout = 2 * time.Minute
+	// heartbeatInterval is shorter than the default, so that a dead peer is
+	// detected soon.
+	heartbeatInterval = 400 * time.Millisecond
+	grace             = 20 * time.Second
 )
 
-// classes holds one class for each tier, with a loose target so that only
-// faults decide, and deadlines that let a test end.
+// classes holds one class for each tier. Their latency targets are loose, so that
+// only faults affect the results, and their deadlines are short enough for a test
+// to end in time.
 var classes = [spec.Tiers]spec.Class{}
 
-// slate is long work of the lowest tier that nobody waits for on a screen.
-var slate = spec.Class{Name: "slate", Tier: spec.Tiers - 1, Deadline: spec.Duration(90 * time.Second)}
+// longClass is a class of the lowest tier for long requests without a latency
+// target.
+var longClass = spec.Class{Name: "slate", Tier: spec.Tiers - 1, Deadline: spec.Duration(90 * time.Second)}
 
 func init() {
 	for i := range classes {
@@ -76,42 +79,51 @@
 
 // rig is a deployment under test. Entries reach each agent through a proxy.
 type rig struct {
-	t       *testing.T
-	ctx     context.Context
-	set     *procs.Set
-	fleet   *fleet.Fleet
+	t     *testing.T
+	ctx   context.Context
+	set   *procs.Set
+	fleet *fleet.Fleet
+	// proxies holds the proxy in front of each agent, by endpoint name.
 	proxies map[string]*proxy.Proxy
+	// callers holds one caller for each entry.
 	callers []*load.Caller
 }
 
-// shape says what a rig consists of.
-type shape struct {
-	engines  []engin.Config
+// rigConfig configures a rig.
+type rigConfig struct {
+	// engines holds a configuration for each engine; they are called engine-1 and
+	// so on.
+	engines []engin.Config
+	// services is the number of plain services, called service-1 and so on.
+	// callTime is the time that each of their calls takes.
 	services int
-	work     time.Duration
+	callTime time.Duration
 	entries  int
-	objects  []spec.Item
+	// objects are written to the platform after those of every rig.
+	objects []spec.Item
 }
 
-// quick is an engine that answers soon and holds few sequences.
-func quick() engin.Config {
+// fastEngine returns the configuration of a fast engine with few slots.
+func fastEngine() engin.Config {
 	c := engin.Default()
 	c.Slots, c.PrefillTPS, c.DecodeTPS = 4, 40000, 200
 	c.LoadLag = 200 * time.Millisecond
 	return c
 }
 
-func newRig(t *testing.T, s shape) *rig {
+// newRig starts a deployment and ends it when the test ends. If the test failed,
+// it prints the ends of all logs.
+func newRig(t *testing.T, s rigConfig) *rig {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
-	set, err := procs.New(procs.Config{Bin: bin, Dir: t.TempDir(), Env: []string{"GORACE=halt_on_error=1"}})
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	set, err := procs.New(procs.Config{Bin: binDir, Dir: t.TempDir(), Env: []string{"GORACE=halt_on_error=1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{t: t, ctx: ctx, set: set, proxies: make(map[string]*proxy.Proxy)}
 	t.Cleanup(func() {
 		if t.Failed() {
-			r.dump()
+			r.logTails()
 		}
 		if err := set.Close(grace); err != nil && !t.Failed() {
 			t.Error(err)
@@ -119,14 +131,14 @@
 		cancel()
 	})
 	plan := fleet.Plan{
-		Name: "proof", Zones: []string{zone}, Entries: s.entries, Heartbeat: heartbeat, Grace: grace,
-		Via: r.via, Objects: append(objects(), s.objects...),
+		Name: "proof", Zones: []string{zone}, Entries: s.entries, Heartbeat: heartbeatInterval, Grace: grace,
+		Via: r.startProxy, Objects: append(objects(), s.objects...),
 	}
 	for i, c := range s.engines {
 		plan.Endpoints = append(plan.Endpoints, fleet.EngineEndpoint(fmt.Sprintf("engine-%d", i+1), zone, model, c))
 	}
 	for i := range s.services {
-		plan.Endpoints = append(plan.Endpoints, fleet.PlainEndpoint(fmt.Sprintf("service-%d", i+1), zone, service, plain.Config{Work: s.work, Slots: 4}))
+		plan.Endpoints = append(plan.Endpoints, fleet.PlainEndpoint(fmt.Sprintf("service-%d", i+1), zone, service, plain.Config{Work: s.callTime, Slots: 4}))
 	}
 	if r.fleet, err = fleet.Start(ctx, set, plan); err != nil {
 		t.Fatal(err)
@@ -137,6 +149,8 @@
 	return r
 }
 
+// objects returns the objects that every rig uses: a customer, a model, a service
+// and the classes.
 func objects() []spec.Item {
 	sum := sha256.Sum256([]byte(bearer))
 	items := []spec.Item{
@@ -144,14 +158,14 @@
 		{Kind: spec.KindModel, Name: model, Object: spec.Model{Name: model, Endpoints: map[string]string{"model": model}}},
 		{Kind: spec.KindService, Name: service, Object: spec.Service{Name: service, Endpoints: map[string]string{"service": service}}},
 	}
-	for _, c := range append(classes[:], slate) {
+	for _, c := range append(classes[:], longClass) {
 		items = append(items, spec.Item{Kind: spec.KindClass, Name: c.Name, Object: c})
 	}
 	return items
 }
 
-// via puts a proxy in front of an agent's link.
-func (r *rig) via(name, link string) (string, error) {
+// startProxy starts a proxy in front of an agent's link and returns its address.
+func (r *rig) startProxy(name, link string) (string, error) {
 	p, err := proxy.New(proxy.Config{Listen: "127.0.0.1:0", Upstream: link, Frames: true})
 	if err != nil {
 		return "", err
@@ -169,7 +183,7 @@
 	return p.Addr(), nil
 }
 
-// must fails the test on an error.
+// must ends the test if err is not nil.
 func (r *rig) must(err error) {
 	r.t.Helper()
 	if err != nil {
@@ -177,8 +191,8 @@
 	}
 }
 
-// dump shows the ends of all logs after a failure.
-func (r *rig) dump() {
+// logTails prints the last 4000 bytes of each process's log.
+func (r *rig) logTails() {
 	const tail = 4000
 	for _, p := range r.set.Procs() {
 		data, err := os.ReadFile(p.LogPath())
@@ -189,7 +203,8 @@
 	}
 }
 
-// await polls until ok reports true or the test's limit is over.
+// await polls ok until it returns true, and ends the test at its time limit. what
+// describes the awaited state.
 func (r *rig) await(what string, ok func() bool) {
 	r.t.Helper()
 	tick := time.NewTicker(20 * time.Millisecond)
@@ -197,7 +212,7 @@
 	for !ok() {
 		select {
 		case <-r.ctx.Done():
-			r.t.Fatalf("gave up waiting until %s", what)
+			r.t.Fatalf("timeout while waiting until %s", what)
 		case <-tick.C:
 		}
 	}
--- a/trial/proof/tier_test.go
+++ b/trial/proof/tier_test.go
@@ -9,57 +9,59 @@
 	"lycheepond/trial/load"
 )
 
-// starved reports refusals of higher tiers at a time at which a request of a
-// lower tier was being served: between the first and the last byte of its
-// answer, as its caller saw them.
-func starved(t *testing.T, results []load.Result, begin map[string]time.Time) {
+// checkNoTierInversion reports an error if a request was refused while a
+// request of a lower tier was being served. A request counts as being served
+// from the first to the last byte of its answer, as received by its caller.
+// sentAt holds the send times by prompt.
+func checkNoTierInversion(t *testing.T, results []load.Result, sentAt map[string]time.Time) {
 	t.Helper()
-	for _, up := range results {
-		if up.Outcome != load.Refused {
+	for _, refused := range results {
+		if refused.Outcome != load.Refused {
 			continue
 		}
-		at := begin[up.Job.Ask.Prompt].Add(up.Total)
-		for _, low := range results {
-			if low.Outcome != load.Complete || low.Job.Class.Tier <= up.Job.Class.Tier {
+		refusedAt := sentAt[refused.Job.Ask.Prompt].Add(refused.Total)
+		for _, served := range results {
+			if served.Outcome != load.Complete || served.Job.Class.Tier <= refused.Job.Class.Tier {
 				continue
 			}
-			from, to := begin[low.Job.Ask.Prompt].Add(low.First), begin[low.Job.Ask.Prompt].Add(low.Total)
-			if at.After(from) && at.Before(to) {
-				t.Errorf("tier %d was refused while tier %d was served: %s", up.Job.Class.Tier, low.Job.Class.Tier, up.Detail)
+			servedFrom, servedUntil := sentAt[served.Job.Ask.Prompt].Add(served.First), sentAt[served.Job.Ask.Prompt].Add(served.Total)
+			if refusedAt.After(servedFrom) && refusedAt.Before(servedUntil) {
+				t.Errorf("tier %d was refused while tier %d was served: %s", refused.Job.Class.Tier, served.Job.Class.Tier, refused.Detail)
 				return
 			}
 		}
 	}
 }
 
-// A weekend burst of swaps arrives through one entry while the other has filled
-// the pool with long jobs of the lowest tier. The entry of the burst did not
-// place the long jobs and knows of them only by the agents. No swap is refused
-// while they are served, even when it is late.
-func TestBurstOfTopTierOntoLongJobs(t *testing.T) {
+// A burst of top-tier requests, called swaps, arrives through one entry while
+// the other entry has filled the pool with long requests of the lowest tier.
+// The entry of the burst did not place the long requests and knows of them only
+// from the agents. Every swap must complete, even a late one, instead of being
+// refused while long requests are served.
+func TestTopTierBurstDuringLongRequests(t *testing.T) {
 	t.Parallel()
-	slow := quick()
-	slow.DecodeTPS = 40
-	r := newRig(t, shape{engines: []engin.Config{slow, slow}, entries: 2})
-	begin := make(map[string]time.Time)
-	var b batch
-	start := func(entry int, j load.Job) {
-		begin[j.Ask.Prompt] = time.Now()
+	slowEngine := fastEngine()
+	slowEngine.DecodeTPS = 40
+	r := newRig(t, rigConfig{engines: []engin.Config{slowEngine, slowEngine}, entries: 2})
+	sentAt := make(map[string]time.Time)
+	var b requestBatch
+	send := func(entry int, j load.Job) {
+		sentAt[j.Ask.Prompt] = time.Now()
 		r.send(&b, entry, j)
 	}
 	for i := range 16 {
-		j := ask(3, fmt.Sprintf("slate-%d", i), 250, true)
-		j.Class = slate
-		start(0, j)
+		j := modelJob(3, fmt.Sprintf("slate-%d", i), 250, true)
+		j.Class = longClass
+		send(0, j)
 	}
-	r.await("the pool is full of long jobs", func() bool { return len(r.executed()) >= 6 })
+	r.await("the pool is full of long requests", func() bool { return len(r.executions()) >= 6 })
 	for i := range 60 {
-		start(1, ask(0, fmt.Sprintf("swap-%d", i), 20, i%2 == 0))
+		send(1, modelJob(0, fmt.Sprintf("swap-%d", i), 20, i%2 == 0))
 	}
-	results := b.end()
-	seen := r.judge(results)
-	t.Log(seen)
-	starved(t, results, begin)
+	results := b.wait()
+	outcomes := r.checkResults(results)
+	t.Log(outcomes)
+	checkNoTierInversion(t, results, sentAt)
 	for _, res := range results {
 		if res.Job.Class.Tier == 0 && res.Outcome != load.Complete {
 			t.Errorf("a swap ended as %s: %s", res.Outcome, res.Detail)
@@ -67,40 +69,40 @@
 	}
 }
 
-// The pool is offered twice what it can do, in all tiers at once, through two
-// entries. Refusals come from the bottom: none of a tier while a lower one is
-// served, and each says when to come back.
-func TestOverloadRefusesFromTheBottom(t *testing.T) {
+// The load through two entries is twice the pool's capacity, equally in all
+// tiers. The lowest tiers must be refused first: no tier may be refused while a
+// lower one is served. Every refusal must have a Retry-After time.
+func TestOverloadRefusesLowestTiersFirst(t *testing.T) {
 	t.Parallel()
-	slow := quick()
-	slow.DecodeTPS = 60
-	r := newRig(t, shape{engines: []engin.Config{slow, slow}, entries: 2})
-	begin := make(map[string]time.Time)
-	var b batch
+	slowEngine := fastEngine()
+	slowEngine.DecodeTPS = 60
+	r := newRig(t, rigConfig{engines: []engin.Config{slowEngine, slowEngine}, entries: 2})
+	sentAt := make(map[string]time.Time)
+	var b requestBatch
 	tick := time.NewTicker(35 * time.Millisecond)
 	defer tick.Stop()
 	for i := range 300 {
 		<-tick.C
-		j := ask(i%4, fmt.Sprintf("over-%d", i), 30, i%3 == 0)
-		begin[j.Ask.Prompt] = time.Now()
+		j := modelJob(i%4, fmt.Sprintf("over-%d", i), 30, i%3 == 0)
+		sentAt[j.Ask.Prompt] = time.Now()
 		r.send(&b, i/4%2, j)
 	}
-	results := b.end()
-	seen := r.judge(results)
-	t.Log(seen)
-	starved(t, results, begin)
-	refused := [4]int{}
+	results := b.wait()
+	outcomes := r.checkResults(results)
+	t.Log(outcomes)
+	checkNoTierInversion(t, results, sentAt)
+	refusedByTier := [4]int{}
 	for _, res := range results {
 		if res.Outcome != load.Refused {
 			continue
 		}
-		refused[res.Job.Class.Tier]++
+		refusedByTier[res.Job.Class.Tier]++
 		if res.RetryAfter <= 0 {
-			t.Errorf("refused without a time to come back: %s", res.Detail)
+			t.Errorf("refused without Retry-After: %s", res.Detail)
 		}
 	}
-	t.Log("refused by tier", refused)
-	if refused[0] > 0 {
-		t.Errorf("%d of the top tier were refused, whose own load is under capacity", refused[0])
+	t.Log("refused by tier", refusedByTier)
+	if refusedByTier[0] > 0 {
+		t.Errorf("%d requests of the top tier were refused, although its load alone is below capacity", refusedByTier[0])
 	}
 }
--- a/trial/proxy/admin.go
+++ b/trial/proxy/admin.go
@@ -6,13 +6,14 @@
 	"lycheepond/trial/serve"
 )
 
-// Admin returns the HTTP API that sets faults: POST /fault/{listen} takes a
-// Fault, POST /trick/{listen} a Trick; listen is the proxy's address.
+// Admin returns the HTTP API for the faults of proxies. POST /fault/ADDR sets a
+// Fault and POST /trick/ADDR adds a FrameFault; ADDR is the address on which the
+// proxy listens.
 func Admin(proxies []*Proxy) http.Handler {
 	m := http.NewServeMux()
 	for _, p := range proxies {
-		m.HandleFunc("POST /fault/"+p.Addr(), serve.Take(p.Set))
-		m.HandleFunc("POST /trick/"+p.Addr(), serve.Take(p.Play))
+		m.HandleFunc("POST /fault/"+p.Addr(), serve.SetHandler(p.Set))
+		m.HandleFunc("POST /trick/"+p.Addr(), serve.SetHandler(p.AddFrameFault))
 	}
 	return m
 }
--- a/trial/proxy/proxy.go
+++ b/trial/proxy/proxy.go
@@ -10,88 +10,105 @@
 	"lycheepond/core/wire"
 )
 
-// Direction names one half of a connection.
+// Direction is a direction of transfer through the proxy.
 type Direction string
 
-// The directions. Both is the default; Up is from the side that dialled.
+// The directions. Both is the default. Up is from the client, which connected to
+// the proxy, to the upstream server; Down is the reverse.
 const (
 	Both Direction = ""
 	Up   Direction = "up"
 	Down Direction = "down"
 )
 
-func (d Direction) covers(one Direction) bool { return d == Both || d == one }
+func (d Direction) includes(dir Direction) bool { return d == Both || d == dir }
 
-// Fault is what the proxy does at present. Cut closes every connection and
-// refuses new ones. Direction limits the others: Freeze holds bytes back, and
-// Delay holds what comes together back for that long.
+// Fault is a fault of all connections that lasts until it is replaced. The zero
+// value means no fault.
 type Fault struct {
-	Direction Direction     `json:"direction"`
-	Cut       bool          `json:"cut"`
-	Freeze    bool          `json:"freeze"`
-	Delay     spec.Duration `json:"delay"`
+	// Direction limits Freeze and Delay to one direction.
+	Direction Direction `json:"direction"`
+	// Cut closes every connection, and new ones as soon as they are accepted.
+	Cut bool `json:"cut"`
+	// Freeze holds back all bytes.
+	Freeze bool `json:"freeze"`
+	// Delay is the time for which data are held back. Frames that arrive together
+	// are delayed once.
+	Delay spec.Duration `json:"delay"`
 }
 
-// Action is what happens to one frame.
+// Action is what a FrameFault does to a frame.
 type Action string
 
-// The actions on a frame: send it twice, send it after Hold while others
-// overtake it, close the connection before or after it, freeze before it.
 const (
+	// Duplicate forwards the frame twice.
 	Duplicate Action = "duplicate"
-	Late      Action = "late"
+	// Delay forwards the frame after Hold; later frames overtake it.
+	Delay Action = "late"
+	// CutBefore closes the connection instead of forwarding the frame.
 	CutBefore Action = "cut-before"
-	CutAfter  Action = "cut-after"
-	FreezeAt  Action = "freeze-at"
+	// CutAfter forwards the frame and then closes the connection.
+	CutAfter Action = "cut-after"
+	// FreezeBefore replaces the current Fault, before it forwards the frame, by a
+	// freeze in both directions.
+	FreezeBefore Action = "freeze-at"
 )
 
-// Trick is done once, to the next frame of its kind.
-type Trick struct {
-	Direction Direction     `json:"direction"`
-	Kind      wire.Kind     `json:"kind"`
-	Action    Action        `json:"action"`
-	Hold      spec.Duration `json:"hold"`
+// FrameFault is a fault that is injected once, into the next frame of its kind
+// and direction.
+type FrameFault struct {
+	Direction Direction `json:"direction"`
+	Kind      wire.Kind `json:"kind"`
+	Action    Action    `json:"action"`
+	// Hold is the time for which the action Delay holds the frame back; the other
+	// actions ignore it.
+	Hold spec.Duration `json:"hold"`
 }
 
-// Config describes one proxy. Frames makes it pass whole frames, which Trick
-// and Await need.
+// Config configures a proxy.
 type Config struct {
+	// Listen and Upstream are TCP addresses as host:port.
 	Listen, Upstream string
-	Frames           bool
+	// WholeFrames makes the proxy forward the data frame by frame, which
+	// FrameFault and AwaitFrames need.
+	Frames bool
 }
 
-// Proxy is one listener with its connections.
+// Proxy is a TCP proxy with one listener. Its methods may be called from any
+// goroutine.
 type Proxy struct {
-	cfg    Config
-	ln     net.Listener
-	mu     sync.Mutex
-	fault  Fault
-	tricks []Trick
-	// life is the context of connections; it has ended while they are cut.
-	life context.Context
-	cut  context.CancelFunc
-	// seen counts the frames that were passed on.
-	seen map[Direction]map[wire.Kind]int
-	// changed tells of each change of fault or seen.
+	cfg         Config
+	ln          net.Listener
+	mu          sync.Mutex
+	fault       Fault
+	frameFaults []FrameFault
+	// connCtx is the context of all connections. It is canceled while they are
+	// cut.
+	connCtx  context.Context
+	cutConns context.CancelFunc
+	// forwardedFrames counts the forwarded frames.
+	forwardedFrames map[Direction]map[wire.Kind]int
+	// changed signals every change of fault or forwardedFrames.
 	changed *sync.Cond
 }
 
-// New starts to listen; connections are served by Run.
+// New starts to listen. Run must be called to serve connections.
 func New(cfg Config) (*Proxy, error) {
 	ln, err := net.Listen("tcp", cfg.Listen)
-	p := &Proxy{cfg: cfg, ln: ln, seen: map[Direction]map[wire.Kind]int{Up: {}, Down: {}}}
+	p := &Proxy{cfg: cfg, ln: ln, forwardedFrames: map[Direction]map[wire.Kind]int{Up: {}, Down: {}}}
 	p.changed = sync.NewCond(&p.mu)
-	p.life, p.cut = context.WithCancel(context.Background())
+	p.connCtx, p.cutConns = context.WithCancel(context.Background())
 	return p, err
 }
 
 // Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.ln.Addr().String() }
 
-// Run serves connections until ctx ends.
+// Run serves connections until ctx ends. Then it closes the listener and all
+// connections and returns nil.
 func (p *Proxy) Run(ctx context.Context) error {
-	var wait sync.WaitGroup
-	defer wait.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	defer context.AfterFunc(ctx, func() { p.ln.Close(); p.Set(Fault{Cut: true}) })()
 	for {
 		c, err := p.ln.Accept()
@@ -101,48 +118,51 @@
 		case err != nil:
 			return err
 		}
-		wait.Go(func() { p.serve(c) })
+		wg.Go(func() { p.forwardConn(c) })
 	}
 }
 
-// Set replaces the fault.
+// Set replaces the current fault.
 func (p *Proxy) Set(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if f.Cut {
-		p.cut()
+		p.cutConns()
 	} else if p.fault.Cut {
-		p.life, p.cut = context.WithCancel(context.Background())
+		p.connCtx, p.cutConns = context.WithCancel(context.Background())
 	}
 	p.fault = f
 	p.changed.Broadcast()
 }
 
-// Play adds a trick.
-func (p *Proxy) Play(t Trick) {
+// AddFrameFault adds a fault for one frame.
+func (p *Proxy) AddFrameFault(t FrameFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tricks = append(p.tricks, t)
+	p.frameFaults = append(p.frameFaults, t)
 }
 
-// Seen returns how many frames of kind have passed in direction dir.
-func (p *Proxy) Seen(dir Direction, kind wire.Kind) int {
+// FramesForwarded returns the number of frames of kind that were forwarded in
+// direction dir since the proxy started.
+func (p *Proxy) FramesForwarded(dir Direction, kind wire.Kind) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.seen[dir][kind]
+	return p.forwardedFrames[dir][kind]
 }
 
-// Await waits until n frames of kind have passed since the start of the proxy.
-func (p *Proxy) Await(ctx context.Context, dir Direction, kind wire.Kind, n int) error {
-	return p.until(ctx, func() bool { return p.seen[dir][kind] >= n })
+// AwaitFrames waits until n frames of kind were forwarded in direction dir
+// since the proxy started, or until ctx ends.
+func (p *Proxy) AwaitFrames(ctx context.Context, dir Direction, kind wire.Kind, n int) error {
+	return p.waitUntil(ctx, func() bool { return p.forwardedFrames[dir][kind] >= n })
 }
 
-// until waits for what holds, which is called with mu held.
-func (p *Proxy) until(ctx context.Context, holds func() bool) error {
+// waitUntil waits until holds returns true or ctx ends. It calls holds with mu
+// held.
+func (p *Proxy) waitUntil(ctx context.Context, condition func() bool) error {
 	defer context.AfterFunc(ctx, func() { p.mu.Lock(); defer p.mu.Unlock(); p.changed.Broadcast() })()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for !holds() && ctx.Err() == nil {
+	for !condition() && ctx.Err() == nil {
 		p.changed.Wait()
 	}
 	return context.Cause(ctx)
--- a/trial/proxy/proxy_test.go
+++ b/trial/proxy/proxy_test.go
@@ -13,15 +13,15 @@
 	"lycheepond/core/wire"
 )
 
-// pair returns a proxy and a function that makes a connection through it, as
-// seen from both ends.
-func pair(t *testing.T, frames bool) (*Proxy, func() (near, far net.Conn)) {
+// startProxy starts a proxy and returns it with a function that opens a
+// connection through it and returns the client's and the server's end.
+func startProxy(t *testing.T, frames bool) (*Proxy, func() (client, server net.Conn)) {
 	t.Helper()
-	up, err := net.Listen("tcp", "127.0.0.1:0")
+	upstream, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := New(Config{Listen: "127.0.0.1:0", Upstream: up.Addr().String(), Frames: frames})
+	p, err := New(Config{Listen: "127.0.0.1:0", Upstream: upstream.Addr().String(), Frames: frames})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,22 +30,22 @@
 	go func() { ended <- p.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
-		up.Close()
+		upstream.Close()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
 	})
-	return p, func() (near, far net.Conn) {
-		near, err := net.Dial("tcp", p.Addr())
+	return p, func() (client, server net.Conn) {
+		client, err := net.Dial("tcp", p.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
-		far, err = up.Accept()
+		server, err = upstream.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { near.Close(); far.Close() })
-		return near, far
+		t.Cleanup(func() { client.Close(); server.Close() })
+		return client, server
 	}
 }
 
@@ -61,101 +61,101 @@
 }
 
 func TestCut(t *testing.T) {
-	p, dial := pair(t, false)
-	near, far := dial()
-	if _, err := near.Write([]byte("x")); err != nil {
+	p, dial := startProxy(t, false)
+	client, server := dial()
+	if _, err := client.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadFull(far, make([]byte, 1)); err != nil {
+	if _, err := io.ReadFull(server, make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
 	p.Set(Fault{Cut: true})
-	if n, err := io.Copy(io.Discard, far); n != 0 {
-		t.Errorf("%d bytes after the cut, %v", n, err)
+	if n, err := io.Copy(io.Discard, server); n != 0 {
+		t.Errorf("%d bytes arrived after the cut, %v", n, err)
 	}
-	again, err := net.Dial("tcp", p.Addr())
+	second, err := net.Dial("tcp", p.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer again.Close()
-	if n, _ := again.Read(make([]byte, 1)); n != 0 {
-		t.Error("a new connection passed the cut")
+	defer second.Close()
+	if n, _ := second.Read(make([]byte, 1)); n != 0 {
+		t.Error("a new connection carried data during the cut")
 	}
 	p.Set(Fault{})
-	near, far = dial()
-	if _, err := near.Write([]byte("y")); err != nil {
+	client, server = dial()
+	if _, err := client.Write([]byte("y")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadFull(far, make([]byte, 1)); err != nil {
+	if _, err := io.ReadFull(server, make([]byte, 1)); err != nil {
 		t.Errorf("after the cut: %v", err)
 	}
 }
 
 func TestDelay(t *testing.T) {
 	const delay = 50 * time.Millisecond
-	p, dial := pair(t, true)
-	near, far := dial()
+	p, dial := startProxy(t, true)
+	client, server := dial()
 	p.Set(Fault{Delay: spec.Duration(delay), Direction: Up})
-	sent := time.Now()
+	sentAt := time.Now()
 	for range 20 {
-		send(t, near, &wire.Deny{ID: ident.Make(1, 3)})
+		send(t, client, &wire.Deny{ID: ident.Make(1, 3)})
 	}
-	r := wire.NewReader(far)
+	r := wire.NewReader(server)
 	for range 20 {
 		if _, err := r.Next(); err != nil {
 			t.Fatal(err)
 		}
-		if d := time.Since(sent); d < delay {
-			t.Fatalf("a frame came after %v", d)
+		if d := time.Since(sentAt); d < delay {
+			t.Fatalf("a frame arrived after only %v", d)
 		}
 	}
 }
 
 func TestFreezeOneDirection(t *testing.T) {
-	p, dial := pair(t, false)
-	near, far := dial()
+	p, dial := startProxy(t, false)
+	client, server := dial()
 	p.Set(Fault{Freeze: true, Direction: Up})
-	if _, err := near.Write([]byte("held")); err != nil {
+	if _, err := client.Write([]byte("held")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := far.Write([]byte("free")); err != nil {
+	if _, err := server.Write([]byte("free")); err != nil {
 		t.Fatal(err)
 	}
 	buf := make([]byte, 4)
-	if _, err := io.ReadFull(near, buf); err != nil || string(buf) != "free" {
-		t.Fatalf("the free direction: %q, %v", buf, err)
+	if _, err := io.ReadFull(client, buf); err != nil || string(buf) != "free" {
+		t.Fatalf("the direction that is not frozen: %q, %v", buf, err)
 	}
-	far.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+	server.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	var timeout net.Error
-	if n, err := far.Read(buf); n != 0 || !errors.As(err, &timeout) || !timeout.Timeout() {
+	if n, err := server.Read(buf); n != 0 || !errors.As(err, &timeout) || !timeout.Timeout() {
 		t.Fatalf("the frozen direction: %d bytes, %v", n, err)
 	}
-	far.SetReadDeadline(time.Time{})
+	server.SetReadDeadline(time.Time{})
 	p.Set(Fault{})
-	if _, err := io.ReadFull(far, buf); err != nil || string(buf) != "held" {
+	if _, err := io.ReadFull(server, buf); err != nil || string(buf) != "held" {
 		t.Fatalf("after the freeze: %q, %v", buf, err)
 	}
 }
 
-func TestTricks(t *testing.T) {
+func TestFrameFaults(t *testing.T) {
 	id := ident.Make(1, 1)
 	tests := []struct {
 		action Action
 		want   []wire.Kind
 	}{
 		{Duplicate, []wire.Kind{wire.KindGrant, wire.KindGrant, wire.KindDeny}},
-		{Late, []wire.Kind{wire.KindDeny, wire.KindGrant}},
+		{Delay, []wire.Kind{wire.KindDeny, wire.KindGrant}},
 		{CutBefore, nil},
 		{CutAfter, []wire.Kind{wire.KindGrant}},
 	}
 	for _, test := range tests {
 		t.Run(string(test.action), func(t *testing.T) {
-			p, dial := pair(t, true)
-			near, far := dial()
-			p.Play(Trick{Kind: wire.KindGrant, Action: test.action, Hold: spec.Duration(100 * time.Millisecond)})
-			send(t, near, &wire.Grant{ID: id})
-			send(t, near, &wire.Deny{ID: id})
-			r := wire.NewReader(far)
+			p, dial := startProxy(t, true)
+			client, server := dial()
+			p.AddFrameFault(FrameFault{Kind: wire.KindGrant, Action: test.action, Hold: spec.Duration(100 * time.Millisecond)})
+			send(t, client, &wire.Grant{ID: id})
+			send(t, client, &wire.Deny{ID: id})
+			r := wire.NewReader(server)
 			for i, want := range test.want {
 				m, err := r.Next()
 				if err != nil || m.Kind() != want {
@@ -166,20 +166,20 @@
 				return
 			}
 			if _, err := r.Next(); err == nil {
-				t.Error("a frame came after the cut")
+				t.Error("a frame arrived after the cut")
 			}
 		})
 	}
 }
 
-func TestAwait(t *testing.T) {
-	p, dial := pair(t, true)
-	near, far := dial()
-	send(t, near, &wire.Deny{ID: ident.Make(1, 2)})
-	if _, err := wire.NewReader(far).Next(); err != nil {
+func TestAwaitFrames(t *testing.T) {
+	p, dial := startProxy(t, true)
+	client, server := dial()
+	send(t, client, &wire.Deny{ID: ident.Make(1, 2)})
+	if _, err := wire.NewReader(server).Next(); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Await(context.Background(), Up, wire.KindDeny, 1); err != nil {
+	if err := p.AwaitFrames(context.Background(), Up, wire.KindDeny, 1); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/trial/proxy/pump.go
+++ b/trial/proxy/pump.go
@@ -13,120 +13,131 @@
 	"lycheepond/core/wire"
 )
 
-const frameHead = 5
+// frameHeaderLen is the length of a frame's header in bytes: the length of the
+// body and the kind.
+const frameHeaderLen = 5
 
-// piece is one frame, or what one read returned, to be passed on when due.
-type piece struct {
+// segment is a frame, or without WholeFrames the data of one read, that is
+// forwarded at the time due.
+type segment struct {
 	data []byte
 	kind wire.Kind
 	due  time.Time
 }
 
-// half is one direction of a connection.
-type half struct {
+// forwarder forwards one direction of a connection.
+type forwarder struct {
 	*Proxy
 	dir  Direction
 	from *bufio.Reader
 	to   net.Conn
-	late *sync.WaitGroup
+	// delayedFrames waits for the goroutines that forward delayed frames.
+	delayedFrames *sync.WaitGroup
 }
 
-// serve copies both directions until either side ends: neither lycheepond's
-// links nor HTTP need half-closed connections here.
-func (p *Proxy) serve(c net.Conn) {
-	var wait sync.WaitGroup
-	defer wait.Wait()
+// forwardConn forwards both directions of a connection until one side closes it.
+// Half-closed connections are not supported, because neither the links nor HTTP
+// need them here.
+func (p *Proxy) forwardConn(c net.Conn) {
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	defer c.Close()
 	p.mu.Lock()
-	ctx, stop := context.WithCancel(p.life)
+	ctx, stop := context.WithCancel(p.connCtx)
 	p.mu.Unlock()
 	defer stop()
-	up, err := new(net.Dialer).DialContext(ctx, "tcp", p.cfg.Upstream)
+	upstream, err := new(net.Dialer).DialContext(ctx, "tcp", p.cfg.Upstream)
 	if err != nil {
 		return
 	}
-	context.AfterFunc(ctx, func() { c.Close(); up.Close() })
-	wait.Go(func() { defer stop(); half{p, Up, bufio.NewReader(c), up, &wait}.pump(ctx) })
-	half{p, Down, bufio.NewReader(up), c, &wait}.pump(ctx)
+	context.AfterFunc(ctx, func() { c.Close(); upstream.Close() })
+	wg.Go(func() { defer stop(); forwarder{p, Up, bufio.NewReader(c), upstream, &wg}.forwardAll(ctx) })
+	forwarder{p, Down, bufio.NewReader(upstream), c, &wg}.forwardAll(ctx)
 }
 
-func (h half) pump(ctx context.Context) {
-	for pc, err := h.next(); err == nil && h.write(ctx, pc); {
-		pc, err = h.next()
+// forwardAll forwards data until the connection or ctx ends.
+func (f forwarder) forwardAll(ctx context.Context) {
+	for seg, err := f.readSegment(); err == nil && f.forward(ctx, seg); {
+		seg, err = f.readSegment()
 	}
 }
 
-func (h half) next() (pc piece, err error) {
-	together, size := h.from.Buffered() > 0, 1
-	if h.cfg.Frames {
-		size = frameHead
+// readSegment reads the next segment and sets the time at which it is due.
+func (f forwarder) readSegment() (seg segment, err error) {
+	arrivedTogether, size := f.from.Buffered() > 0, 1
+	if f.cfg.Frames {
+		size = frameHeaderLen
 	}
-	head, err := h.from.Peek(size)
+	header, err := f.from.Peek(size)
 	if err != nil {
-		return pc, err
+		return seg, err
 	}
-	pc.data = make([]byte, h.from.Buffered())
-	if h.cfg.Frames {
-		// A longer frame is cut short: whoever reads it refuses it by its head.
-		n := min(binary.BigEndian.Uint32(head), wire.MaxFrame)
-		pc.data, pc.kind = make([]byte, frameHead+n), wire.Kind(head[frameHead-1])
+	seg.data = make([]byte, f.from.Buffered())
+	if f.cfg.Frames {
+		// A frame that is too long is truncated. Its receiver refuses it
+		// because of the length in its header.
+		n := min(binary.BigEndian.Uint32(header), wire.MaxFrame)
+		seg.data, seg.kind = make([]byte, frameHeaderLen+n), wire.Kind(header[frameHeaderLen-1])
 	}
-	_, err = io.ReadFull(h.from, pc.data)
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if !together && h.fault.Direction.covers(h.dir) {
-		pc.due = time.Now().Add(h.fault.Delay.Std())
+	_, err = io.ReadFull(f.from, seg.data)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if !arrivedTogether && f.fault.Direction.includes(f.dir) {
+		seg.due = time.Now().Add(f.fault.Delay.Std())
 	}
-	return pc, err
+	return seg, err
 }
 
-// write passes pc on as the first trick for it says, and returns false if the
-// connection ends with it.
-func (h half) write(ctx context.Context, pc piece) bool {
-	t := h.trick(pc.kind)
-	switch t.Action {
+// forward forwards a segment and applies the first frame fault for its kind, if
+// any. It returns false if the connection must be closed.
+func (f forwarder) forward(ctx context.Context, seg segment) bool {
+	fault := f.takeFrameFault(seg.kind)
+	switch fault.Action {
 	case CutBefore:
 		return false
-	case Late:
-		pc.due = time.Now().Add(t.Hold.Std())
-		h.late.Go(func() { h.pass(ctx, pc) })
+	case Delay:
+		seg.due = time.Now().Add(fault.Hold.Std())
+		f.delayedFrames.Go(func() { f.writeWhenDue(ctx, seg) })
 		return true
 	case Duplicate:
-		return h.pass(ctx, pc) && h.pass(ctx, pc)
-	case FreezeAt:
-		h.Set(Fault{Freeze: true})
+		return f.writeWhenDue(ctx, seg) && f.writeWhenDue(ctx, seg)
+	case FreezeBefore:
+		f.Set(Fault{Freeze: true})
 	}
-	return h.pass(ctx, pc) && t.Action != CutAfter
+	return f.writeWhenDue(ctx, seg) && fault.Action != CutAfter
 }
 
-func (h half) trick(kind wire.Kind) (t Trick) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	i := slices.IndexFunc(h.tricks, func(t Trick) bool { return t.Kind == kind && t.Direction.covers(h.dir) })
+// takeFrameFault removes and returns the first frame fault for a frame of kind.
+// Without one it returns the zero value.
+func (f forwarder) takeFrameFault(kind wire.Kind) (fault FrameFault) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	i := slices.IndexFunc(f.frameFaults, func(fault FrameFault) bool { return fault.Kind == kind && fault.Direction.includes(f.dir) })
 	if i >= 0 {
-		t = h.tricks[i]
-		h.tricks = slices.Delete(h.tricks, i, i+1)
+		fault = f.frameFaults[i]
+		f.frameFaults = slices.Delete(f.frameFaults, i, i+1)
 	}
-	return t
+	return fault
 }
 
-// pass writes one piece when it is due and the proxy isn't frozen.
-func (h half) pass(ctx context.Context, pc piece) bool {
+// writeWhenDue waits until the segment is due and the direction is not frozen,
+// and then writes it. It returns false if ctx ends or the write fails.
+func (f forwarder) writeWhenDue(ctx context.Context, seg segment) bool {
 	select {
-	case <-time.After(time.Until(pc.due)):
+	case <-time.After(time.Until(seg.due)):
 	case <-ctx.Done():
 		return false
 	}
-	free := func() bool { return !h.fault.Freeze || !h.fault.Direction.covers(h.dir) }
-	if h.until(ctx, free) != nil {
+	isUnfrozen := func() bool { return !f.fault.Freeze || !f.fault.Direction.includes(f.dir) }
+	if f.waitUntil(ctx, isUnfrozen) != nil {
 		return false
 	}
-	if _, err := h.to.Write(pc.data); err != nil {
+	if _, err := f.to.Write(seg.data); err != nil {
 		return false
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.seen[h.dir][pc.kind]++
-	h.changed.Broadcast()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.forwardedFrames[f.dir][seg.kind]++
+	f.changed.Broadcast()
 	return true
 }
--- a/trial/serve/serve.go
+++ b/trial/serve/serve.go
@@ -1,5 +1,5 @@
-// Package serve runs the HTTP server of a stand-in and tells whoever started
-// the process where it listens.
+// Package serve runs the HTTP servers of the simulated endpoints and platform and
+// contains helpers for their handlers.
 package serve
 
 import (
@@ -13,17 +13,21 @@
 	"time"
 )
 
-// Ready is the line that a program prints on standard output once it listens.
+// Ready is the line, in JSON, that a program prints on standard output once it
+// listens.
 type Ready struct {
-	Ready  string `json:"ready"`
+	// Ready is the name of the program.
+	Ready string `json:"ready"`
+	// Listen is the address as host:port.
 	Listen string `json:"listen"`
 }
 
-// closeWait is how long running calls may take after the end of the context.
-const closeWait = 500 * time.Millisecond
+// shutdownTimeout is the time that running calls have after the context of Run
+// has ended. Then their connections are closed.
+const shutdownTimeout = 500 * time.Millisecond
 
-// Run listens on addr, writes the Ready line to out and serves h until ctx
-// ends.
+// Run listens on addr, writes the Ready line to out and serves h until ctx ends.
+// It returns nil after a shutdown by ctx.
 func Run(ctx context.Context, name, addr string, h http.Handler, out io.Writer) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -42,13 +46,14 @@
 		return err
 	case <-ctx.Done():
 	}
-	return shut(srv, ended)
+	return shutdown(srv, ended)
 }
 
-func shut(srv *http.Server, ended <-chan error) error {
-	wait, stop := context.WithTimeout(context.Background(), closeWait)
-	defer stop()
-	if err := srv.Shutdown(wait); err != nil {
+// shutdown stops the server and returns its error, if any, from ended.
+func shutdown(srv *http.Server, ended <-chan error) error {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	defer cancel()
+	if err := srv.Shutdown(ctx); err != nil {
 		srv.Close()
 	}
 	if err := <-ended; !errors.Is(err, http.ErrServerClosed) {
@@ -57,16 +62,17 @@
 	return nil
 }
 
-// JSON answers with v.
-func JSON(w http.ResponseWriter, status int, v any) {
+// WriteJSON answers with the status and v as JSON.
+func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// An error here means that the caller is gone.
+	// An error means that the caller has closed the connection.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Read decodes the body of r into v and answers 400 if it can't.
-func Read(w http.ResponseWriter, r *http.Request, v any) bool {
+// ReadJSON decodes the body of r into v. If the body is invalid, it answers 400
+// and returns false.
+func ReadJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := json.NewDecoder(io.LimitReader(r.Body, 8<<20)).Decode(v); err != nil {
 		http.Error(w, "body is not the expected JSON: "+err.Error(), http.StatusBadRequest)
 		return false
@@ -74,7 +80,7 @@
 	return true
 }
 
-// Sleep waits for d and returns false if ctx ends first.
+// Sleep waits for d. It returns false if ctx ends before.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -89,14 +95,14 @@
 	}
 }
 
-// Take returns a handler that gives set what the body of a request holds, and
-// answers with it.
-func Take[T any](set func(T)) http.HandlerFunc {
+// SetHandler returns a handler that decodes the body of a request, passes the
+// value to set and answers with it.
+func SetHandler[T any](set func(T)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var v T
-		if Read(w, r, &v) {
+		if ReadJSON(w, r, &v) {
 			set(v)
-			JSON(w, http.StatusOK, v)
+			WriteJSON(w, http.StatusOK, v)
 		}
 	}
 }
