--- a/trial/fleet/apply.go
+++ b/trial/fleet/apply.go
@@ -11,10 +11,12 @@
 	"lycheepond/core/spec"
 )
 
-// kindOrder puts classes before the customers that name them.
+// kindOrder is the order in which objects are written. Classes come before the
+// customers that refer to them.
 var kindOrder = []string{spec.KindClass, spec.KindCustomer, spec.KindModel, spec.KindService}
 
-// ReadDir reads and checks every object of the YAML files in dir.
+// ReadDir reads and validates the objects of all YAML files in dir, and returns
+// them in the order in which Apply must write them.
 func ReadDir(dir string) ([]spec.Item, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.yaml"))
 	if err != nil {
@@ -41,14 +43,15 @@
 	return items, nil
 }
 
-// Apply writes objects to the platform.
+// Apply writes objects to the platform. Adjacent objects of the same kind are
+// written concurrently; other objects wait for those before them.
 func (f *Fleet) Apply(ctx context.Context, items []spec.Item) error {
 	for len(items) > 0 {
 		n := 1
 		for n < len(items) && items[n].Kind == items[0].Kind {
 			n++
 		}
-		if err := f.applyKind(ctx, items[:n]); err != nil {
+		if err := f.applyConcurrently(ctx, items[:n]); err != nil {
 			return err
 		}
 		items = items[n:]
@@ -56,26 +59,27 @@
 	return nil
 }
 
-// writers is how many objects are written at once.
-const writers = 16
+// maxConcurrentWrites is the number of concurrent writes of objects.
+const maxConcurrentWrites = 16
 
-func (f *Fleet) applyKind(ctx context.Context, items []spec.Item) error {
-	next, errs := make(chan spec.Item), make(chan error, writers)
-	for range writers {
+// applyConcurrently writes objects concurrently and returns all errors.
+func (f *Fleet) applyConcurrently(ctx context.Context, items []spec.Item) error {
+	next, errs := make(chan spec.Item), make(chan error, maxConcurrentWrites)
+	for range maxConcurrentWrites {
 		go func() {
 			var err error
-			for it := range next {
-				err = errors.Join(err, f.platform.PutObject(ctx, it.Kind, it.Name, it.Object))
+			for item := range next {
+				err = errors.Join(err, f.platform.PutObject(ctx, item.Kind, item.Name, item.Object))
 			}
 			errs <- err
 		}()
 	}
-	for _, it := range items {
-		next <- it
+	for _, item := range items {
+		next <- item
 	}
 	close(next)
 	var err error
-	for range writers {
+	for range maxConcurrentWrites {
 		err = errors.Join(err, <-errs)
 	}
 	return err
--- a/trial/fleet/fleet.go
+++ b/trial/fleet/fleet.go
@@ -13,11 +13,11 @@
 	"lycheepond/trial/procs"
 )
 
-// Fleet is a deployment that runs.
+// Fleet is a running deployment.
 type Fleet struct {
 	set      *procs.Set
 	plan     Plan
-	platform *Platform
+	platform *PlatformClient
 	units    []*Unit
 	entries  []*Entry
 }
@@ -25,34 +25,41 @@
 // Unit is an endpoint with its agent.
 type Unit struct {
 	Endpoint
-	// Stand is the stand-in's process and Addr where it listens.
-	Stand *procs.Proc
-	Addr  string
-	// Agent is the agent's process, Link and Admin its addresses. They stay
-	// when the agent is started again.
+	// Simulator is the process of the simulated endpoint, and Addr the address it
+	// listens on.
+	Simulator *procs.Proc
+	Addr      string
+	// Agent is the agent's process. Link and Admin are the addresses it listens
+	// on, which stay the same when it is restarted.
 	Agent *procs.Proc
 	Link  string
 	Admin string
-	// Dial is where entries reach the agent.
-	Dial   string
-	config string
-	starts int
+	// DialAddr is the address at which entries connect to the agent: Link, or
+	// that of a proxy in front of it.
+	DialAddr string
+	// configPath is the path of the agent's settings file.
+	configPath string
+	// startCount is the number of starts of the agent.
+	startCount int
 }
 
-// Entry is one entry.
+// Entry is an entry of the deployment.
 type Entry struct {
 	Name, Zone string
 	Proc       *procs.Proc
-	// Listen is for callers.
+	// Listen, Link and Admin are the addresses for callers, links and the admin
+	// API. They stay the same when the entry is restarted.
 	Listen, Link, Admin string
-	config              string
-	starts              int
+	// configPath is the path of the entry's settings file.
+	configPath string
+	// startCount is the number of starts of the entry.
+	startCount int
 }
 
 // Start starts the processes of a plan and waits until each is ready. The
-// caller ends them with set.Close.
+// processes belong to set, which the caller must close, also after an error.
 func Start(ctx context.Context, set *procs.Set, plan Plan) (*Fleet, error) {
-	if err := plan.check(); err != nil {
+	if err := plan.validate(); err != nil {
 		return nil, err
 	}
 	f := &Fleet{set: set, plan: plan}
@@ -71,16 +78,18 @@
 	return f, f.startEntries(ctx)
 }
 
-// Platform returns the client of the platform's stand-in.
-func (f *Fleet) Platform() *Platform { return f.platform }
+// Platform returns a client of the simulated platform.
+func (f *Fleet) Platform() *PlatformClient { return f.platform }
 
-// Units returns the endpoints in the plan's order.
+// Units returns the endpoints in the order of the plan. The caller must not
+// change the slice.
 func (f *Fleet) Units() []*Unit { return f.units }
 
-// Entries returns the entries.
+// Entries returns the entries in the order in which they were started. The caller
+// must not change the slice.
 func (f *Fleet) Entries() []*Entry { return f.entries }
 
-// Unit returns the endpoint called name, nil if there is none.
+// Unit returns the endpoint called name, or nil if there is none.
 func (f *Fleet) Unit(name string) *Unit {
 	for _, u := range f.units {
 		if u.Name == name {
@@ -91,35 +100,37 @@
 }
 
 func (f *Fleet) startPlatform(ctx context.Context) error {
-	p, err := f.set.Start(f.plan.Name+"-platform", "trial", "platform", "--listen", loopback, "--token", f.plan.Token)
+	p, err := f.set.Start(f.plan.Name+"-platform", "trial", "platform", "--listen", anyLoopbackPort, "--token", f.plan.Token)
 	if err != nil {
 		return err
 	}
 	addr, err := p.Ready(ctx)
-	f.platform = &Platform{addr: addr, token: f.plan.Token}
+	f.platform = &PlatformClient{addr: addr, token: f.plan.Token}
 	return err
 }
 
+// startUnits starts the simulated endpoints, waits until they are ready and then
+// starts the agents, unless the plan has none.
 func (f *Fleet) startUnits(ctx context.Context) error {
 	for _, ep := range f.plan.Endpoints {
 		if ep.Share != "" {
 			f.units = append(f.units, &Unit{Endpoint: ep})
 			continue
 		}
-		stand, err := f.set.Start(ep.Name, "trial", ep.args(loopback, f.platform.addr)...)
+		simulator, err := f.set.Start(ep.Name, "trial", ep.simulatorArgs(anyLoopbackPort, f.platform.addr)...)
 		if err != nil {
 			return err
 		}
-		f.units = append(f.units, &Unit{Endpoint: ep, Stand: stand})
+		f.units = append(f.units, &Unit{Endpoint: ep, Simulator: simulator})
 	}
 	for _, u := range f.units {
-		if other := f.Unit(u.Share); other != nil {
-			u.Stand = other.Stand
+		if shared := f.Unit(u.Share); shared != nil {
+			u.Simulator = shared.Simulator
 		}
-		if u.Stand == nil {
-			return fmt.Errorf("fleet: endpoint %s shares %s, which does not stand before it: correct the plan", u.Name, u.Share)
+		if u.Simulator == nil {
+			return fmt.Errorf("fleet: endpoint %s shares the process of %s, which is not listed before it: correct the plan", u.Name, u.Share)
 		}
-		addr, err := u.Stand.Ready(ctx)
+		addr, err := u.Simulator.Ready(ctx)
 		if err != nil {
 			return err
 		}
@@ -131,9 +142,11 @@
 	return f.startAgents(ctx)
 }
 
+// startAgents starts all agents, waits until they are ready and adds them to the
+// instance list.
 func (f *Fleet) startAgents(ctx context.Context) error {
 	for _, u := range f.units {
-		if err := f.configure(u); err != nil {
+		if err := f.configureAgent(u); err != nil {
 			return err
 		}
 		if err := f.launchAgent(u); err != nil {
@@ -151,20 +164,21 @@
 	return nil
 }
 
+// instance returns the endpoint's instance as the instance list shows it.
 func (u *Unit) instance(state string) plat.Instance {
 	return plat.Instance{
-		Name: u.Name, Role: plat.RoleEndpoint, Zone: u.Zone, Labels: u.Labels, Link: u.Dial,
+		Name: u.Name, Role: plat.RoleEndpoint, Zone: u.Zone, Labels: u.Labels, Link: u.DialAddr,
 		Admin: u.Admin, State: state,
 	}
 }
 
-// SetState changes the endpoint's line in the instance list.
+// SetState changes the endpoint's state in the instance list.
 func (f *Fleet) SetState(ctx context.Context, u *Unit, state string) error {
 	return f.platform.PutInstance(ctx, u.instance(state))
 }
 
-// configure chooses the agent's addresses and writes its settings.
-func (f *Fleet) configure(u *Unit) error {
+// configureAgent chooses the agent's addresses and writes its settings file.
+func (f *Fleet) configureAgent(u *Unit) error {
 	var err error
 	if u.Link, err = procs.Port(); err != nil {
 		return err
@@ -172,31 +186,33 @@
 	if u.Admin, err = procs.Port(); err != nil {
 		return err
 	}
-	u.Dial = u.Link
-	if f.plan.Via != nil {
-		if u.Dial, err = f.plan.Via(u.Name, u.Link); err != nil {
+	u.DialAddr = u.Link
+	if f.plan.LinkProxy != nil {
+		if u.DialAddr, err = f.plan.LinkProxy(u.Name, u.Link); err != nil {
 			return err
 		}
 	}
-	s := agentSettings{
-		commonSettings: f.common(u.Name, u.Zone), Link: u.Link,
+	settings := agentSettings{
+		commonSettings: f.newCommonSettings(u.Name, u.Zone), Link: u.Link,
 		Endpoint:  endpointSettings{Address: "http://" + u.Addr, Kind: u.kind()},
 		Admin:     adminSettings{Listen: u.Admin, Token: AdminToken},
 		Heartbeat: spec.Duration(f.plan.Heartbeat), IdleHeartbeat: spec.Duration(f.plan.IdleHeartbeat), Grace: spec.Duration(f.plan.Grace),
 	}
-	s.Endpoint.ChecksFence = u.Engine != nil && u.Engine.ChecksFence
-	u.config, err = f.write("agent-"+u.Name+".yaml", s)
+	settings.Endpoint.ChecksFence = u.Engine != nil && u.Engine.ChecksFence
+	u.configPath, err = f.writeSettings("agent-"+u.Name+".yaml", settings)
 	return err
 }
 
-func (f *Fleet) common(name, zone string) commonSettings {
+// newCommonSettings returns the settings that agents and entries share.
+func (f *Fleet) newCommonSettings(name, zone string) commonSettings {
 	return commonSettings{
 		Name: name, Zone: zone, FleetKey: fleetKey,
 		Platform: platformSettings{Address: "http://" + f.platform.addr, Token: f.plan.Token},
 	}
 }
 
-func (f *Fleet) write(name string, settings any) (string, error) {
+// writeSettings writes a settings file and returns its path.
+func (f *Fleet) writeSettings(name string, settings any) (string, error) {
 	data, err := yaml.Marshal(settings)
 	if err != nil {
 		return "", err
@@ -205,12 +221,13 @@
 }
 
 func (f *Fleet) launchAgent(u *Unit) (err error) {
-	u.starts++
-	u.Agent, err = f.set.Start(fmt.Sprintf("agent-%s-%d", u.Name, u.starts), "agent", "--config", u.config)
+	u.startCount++
+	u.Agent, err = f.set.Start(fmt.Sprintf("agent-%s-%d", u.Name, u.startCount), "agent", "--config", u.configPath)
 	return err
 }
 
-// RestartAgent starts an agent that has ended again, at the same addresses.
+// RestartAgent starts the agent of u again after it has ended, with the same
+// addresses, and waits until it is ready.
 func (f *Fleet) RestartAgent(ctx context.Context, u *Unit) error {
 	if err := f.launchAgent(u); err != nil {
 		return err
@@ -219,6 +236,9 @@
 	return err
 }
 
+// startEntries starts all entries, waits until they are ready and adds them to
+// the instance list. It chooses all addresses first, because the settings of each
+// entry contain the addresses of the others.
 func (f *Fleet) startEntries(ctx context.Context) error {
 	for i := range f.plan.Entries {
 		e := &Entry{Name: fmt.Sprintf("%s-entry-%d", f.plan.Name, i+1), Zone: f.plan.Zones[i%len(f.plan.Zones)]}
@@ -246,28 +266,30 @@
 	return nil
 }
 
+// configureEntry writes the entry's settings file.
 func (f *Fleet) configureEntry(e *Entry) (err error) {
-	s := entrySettings{
-		commonSettings: f.common(e.Name, e.Zone), Listen: e.Listen, Link: e.Link,
+	settings := entrySettings{
+		commonSettings: f.newCommonSettings(e.Name, e.Zone), Listen: e.Listen, Link: e.Link,
 		Admin:     adminSettings{Listen: e.Admin, Token: AdminToken},
 		Heartbeat: spec.Duration(f.plan.Heartbeat), IdleHeartbeat: spec.Duration(f.plan.IdleHeartbeat), Grace: spec.Duration(f.plan.Grace),
 	}
 	for _, other := range f.entries {
 		if other != e {
-			s.Peers = append(s.Peers, other.Link)
+			settings.Peers = append(settings.Peers, other.Link)
 		}
 	}
-	e.config, err = f.write(e.Name+".yaml", s)
+	e.configPath, err = f.writeSettings(e.Name+".yaml", settings)
 	return err
 }
 
 func (f *Fleet) launchEntry(e *Entry) (err error) {
-	e.starts++
-	e.Proc, err = f.set.Start(fmt.Sprintf("%s-%d", e.Name, e.starts), "entry", "--config", e.config)
+	e.startCount++
+	e.Proc, err = f.set.Start(fmt.Sprintf("%s-%d", e.Name, e.startCount), "entry", "--config", e.configPath)
 	return err
 }
 
-// RestartEntry starts an entry that has ended again, at the same addresses.
+// RestartEntry starts e again after it has ended, with the same addresses, and
+// waits until it is ready.
 func (f *Fleet) RestartEntry(ctx context.Context, e *Entry) error {
 	if err := f.launchEntry(e); err != nil {
 		return err
@@ -275,11 +297,13 @@
 	return f.awaitEntry(ctx, e)
 }
 
-// readyWait bounds the wait for an entry's balancer check.
-const readyWait = 15 * time.Second
+// entryReadyTimeout is the time limit for an entry to start and to pass
+// /readyz, the health check for load balancers.
+const entryReadyTimeout = 15 * time.Second
 
+// awaitEntry waits until the entry is ready and adds it to the instance list.
 func (f *Fleet) awaitEntry(ctx context.Context, e *Entry) error {
-	ctx, stop := context.WithTimeout(ctx, readyWait)
+	ctx, stop := context.WithTimeout(ctx, entryReadyTimeout)
 	defer stop()
 	if _, err := e.Proc.Ready(ctx); err != nil {
 		return err
--- a/trial/fleet/plan.go
+++ b/trial/fleet/plan.go
@@ -1,5 +1,5 @@
-// Package fleet starts a whole deployment as processes on loopback: the
-// platform's stand-in, endpoints with their agents, and entries.
+// Package fleet starts a whole deployment as processes on loopback: the simulated
+// platform, simulated endpoints with their agents, and entries.
 package fleet
 
 import (
@@ -14,61 +14,68 @@
 
 // Plan describes a deployment.
 type Plan struct {
-	// Name opens the names of its processes.
+	// Name is the prefix of the names of entries and of the platform's process.
 	Name string
-	// Zones are given to entries in turn.
+	// Zones are assigned to the entries in turn.
 	Zones     []string
 	Endpoints []Endpoint
-	// Entries is how many entries run.
+	// Entries is the number of entries.
 	Entries int
-	// Heartbeat, IdleHeartbeat and Grace go into the settings; zero leaves the default.
+	// Heartbeat, IdleHeartbeat and Grace are written to the settings files of
+	// agents and entries. Zero means the default.
 	Heartbeat, IdleHeartbeat, Grace time.Duration
-	// Token is what the platform asks for; empty for none.
+	// Token is the bearer token that the platform requires; empty for none.
 	Token string
-	// Via returns the address under which entries reach the link of an agent;
-	// nil is the link itself. A fault-injecting proxy goes here.
-	Via func(name, link string) (string, error)
-	// Objects are written to the platform before anything else starts.
+	// LinkProxy returns the address at which entries connect to the agent of the
+	// endpoint called name, whose own address is link. Tests start a
+	// fault-injecting proxy here. Nil means link itself.
+	LinkProxy func(name, link string) (string, error)
+	// Objects are written to the platform before endpoints, agents and entries
+	// start.
 	Objects []spec.Item
-	// NoAgents leaves agents and entries out, for the baselines.
+	// NoAgents means that neither agents nor entries are started, as the baselines
+	// need it.
 	NoAgents bool
 }
 
-// Endpoint is one endpoint with its stand-in's configuration: exactly one of
-// Engine and Plain is set.
+// Endpoint describes a simulated endpoint. Exactly one of Engine and Plain is
+// set.
 type Endpoint struct {
 	Name   string
 	Zone   string
 	Labels map[string]string
 	Engine *engin.Config
 	Plain  *plain.Config
-	// Share names an earlier endpoint whose stand-in this one uses too, to
-	// have many agents with few stand-ins.
+	// SharesWith is the name of an earlier endpoint whose simulator process this
+	// endpoint uses too, so that many agents need few such processes. Empty means
+	// a process of its own.
 	Share string
 }
 
-// Admin tokens and the key of links. They guard nothing but loopback.
+// The token of admin APIs and the key of links. They protect only processes on
+// loopback.
 const (
 	AdminToken = "operator-of-the-trial"
 	fleetKey   = "fleet-key-of-the-trial-0123456789"
 )
 
-const loopback = "127.0.0.1:0"
+// anyLoopbackPort makes a process listen on any free port.
+const anyLoopbackPort = "127.0.0.1:0"
 
-// EngineEndpoint returns an endpoint for an engine that serves model.
+// EngineEndpoint returns an endpoint that is an engine for model.
 func EngineEndpoint(name, zone, model string, cfg engin.Config) Endpoint {
 	cfg.Name, cfg.Model = name, model
 	return Endpoint{Name: name, Zone: zone, Labels: map[string]string{"model": model}, Engine: &cfg}
 }
 
-// PlainEndpoint returns an endpoint for a plain service.
+// PlainEndpoint returns an endpoint that is a plain service.
 func PlainEndpoint(name, zone, service string, cfg plain.Config) Endpoint {
 	cfg.Name = service
 	return Endpoint{Name: name, Zone: zone, Labels: map[string]string{"service": service}, Plain: &cfg}
 }
 
-// args returns the command line of the stand-in.
-func (ep Endpoint) args(listen, platform string) []string {
+// simulatorArgs returns the command line arguments of the simulator.
+func (ep Endpoint) simulatorArgs(listen, platform string) []string {
 	if ep.Plain != nil {
 		return []string{
 			"service", "--listen", listen, "--name", ep.Plain.Name, "--work", ep.Plain.Work.String(),
@@ -78,11 +85,11 @@
 	c := ep.Engine
 	args := []string{
 		"engine", "--listen", listen, "--name", c.Name, "--model", c.Model, "--model-version", c.Version,
-		"--platform", platform, "--slots", strconv.Itoa(c.Slots), "--prefill-tps", number(c.PrefillTPS),
-		"--decode-tps", number(c.DecodeTPS), "--batch-slope", number(c.BatchSlope),
+		"--platform", platform, "--slots", strconv.Itoa(c.Slots), "--prefill-tps", formatFloat(c.PrefillTPS),
+		"--decode-tps", formatFloat(c.DecodeTPS), "--batch-slope", formatFloat(c.BatchSlope),
 		"--kv-blocks", strconv.Itoa(c.KVBlocks), "--block-tokens", strconv.Itoa(c.BlockTokens),
 		"--load-lag", c.LoadLag.String(), "--event-lag", c.EventLag.String(),
-		"--event-loss", number(c.EventLoss), "--speed", number(c.Speed),
+		"--event-loss", formatFloat(c.EventLoss), "--speed", formatFloat(c.Speed),
 	}
 	if c.ChecksFence {
 		args = append(args, "--checks-fence")
@@ -90,9 +97,9 @@
 	return args
 }
 
-func number(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
+func formatFloat(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-// kind returns the endpoint's kind as settings name it.
+// kind returns the endpoint's kind as it is called in settings files.
 func (ep Endpoint) kind() string {
 	if ep.Plain != nil {
 		return "service"
@@ -100,7 +107,7 @@
 	return "engine"
 }
 
-func (p Plan) check() error {
+func (p Plan) validate() error {
 	if len(p.Zones) == 0 {
 		return fmt.Errorf("fleet: plan %s has no zone: name at least one", p.Name)
 	}
@@ -112,7 +119,7 @@
 	return nil
 }
 
-// The settings files as core/conf reads them.
+// The content of settings files, which core/conf reads.
 type (
 	commonSettings struct {
 		Name     string           `yaml:"name"`
--- a/trial/fleet/plat.go
+++ b/trial/fleet/plat.go
@@ -13,47 +13,48 @@
 	"lycheepond/trial/platf"
 )
 
-// Platform talks to the platform's stand-in.
-type Platform struct{ addr, token string }
+// PlatformClient is a client of the simulated platform.
+type PlatformClient struct{ addr, token string }
 
 // Addr returns the platform's address.
-func (p *Platform) Addr() string { return p.addr }
+func (p *PlatformClient) Addr() string { return p.addr }
 
-// PutInstance adds or changes a line of the instance list.
-func (p *Platform) PutInstance(ctx context.Context, in plat.Instance) error {
+// PutInstance adds an instance to the instance list or replaces it there.
+func (p *PlatformClient) PutInstance(ctx context.Context, in plat.Instance) error {
 	return Do(ctx, http.MethodPut, "http://"+p.addr+"/admin/instances/"+in.Name, p.token, in, nil)
 }
 
-// PutObject writes an object whatever its version is.
-func (p *Platform) PutObject(ctx context.Context, kind, name string, data any) error {
+// PutObject writes an object, whatever its current version is.
+func (p *PlatformClient) PutObject(ctx context.Context, kind, name string, data any) error {
 	return Do(ctx, http.MethodPut, "http://"+p.addr+"/v1/objects/"+kind+"/"+name, p.token, data, nil)
 }
 
-// PutVersion is PutObject and returns the version written.
-func (p *Platform) PutVersion(ctx context.Context, kind, name string, data any) (int64, error) {
+// PutVersion writes an object like PutObject and returns its new version.
+func (p *PlatformClient) PutVersion(ctx context.Context, kind, name string, data any) (int64, error) {
 	var o plat.Object
 	err := Do(ctx, http.MethodPut, "http://"+p.addr+"/v1/objects/"+kind+"/"+name, p.token, data, &o)
 	return o.Version, err
 }
 
-// Fault changes how the platform misbehaves.
-func (p *Platform) Fault(ctx context.Context, f platf.Fault) error {
+// Fault replaces the faults that are injected into the platform.
+func (p *PlatformClient) Fault(ctx context.Context, f platf.Fault) error {
 	return Do(ctx, http.MethodPost, "http://"+p.addr+"/admin/fault", p.token, f, nil)
 }
 
-// Stats returns the counts of calls.
-func (p *Platform) Stats(ctx context.Context) (s platf.Stats, err error) {
+// Stats returns the platform's call counts.
+func (p *PlatformClient) Stats(ctx context.Context) (s platf.Stats, err error) {
 	err = Do(ctx, http.MethodGet, "http://"+p.addr+"/admin/stats", p.token, nil, &s)
 	return s, err
 }
 
-// Fault changes how the endpoint misbehaves: an engin.Fault or a plain.Fault.
+// Fault replaces the faults that are injected into the endpoint. fault is an
+// engin.Fault or a plain.Fault, according to the kind of endpoint.
 func (u *Unit) Fault(ctx context.Context, fault any) error {
 	return Do(ctx, http.MethodPost, "http://"+u.Addr+"/admin/fault", "", fault, nil)
 }
 
-// Records returns what the endpoint executed. Records of plain services have
-// the fields that they share with those of engines.
+// Records returns the executions that the endpoint recorded. For plain services,
+// only the fields that plain.Record has are set.
 func (u *Unit) Records(ctx context.Context) ([]engin.Record, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+u.Addr+"/record", nil)
 	if err != nil {
@@ -64,20 +65,23 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	var out []engin.Record
+	var records []engin.Record
 	for dec := json.NewDecoder(resp.Body); dec.More(); {
 		var r engin.Record
 		if err := dec.Decode(&r); err != nil {
 			return nil, err
 		}
-		out = append(out, r)
+		records = append(records, r)
 	}
-	return out, nil
+	return records, nil
 }
 
-const maxAnswer = 64 << 20
+// maxAnswerBytes is the size limit of an answer in bytes.
+const maxAnswerBytes = 64 << 20
 
-// Do makes one JSON call. Any status but 2xx is an error.
+// Do makes an HTTP call with in as its JSON body, if not nil, and decodes the
+// JSON answer into out, if not nil. An empty token sends no Authorization header.
+// A status other than 2xx is an error.
 func Do(ctx context.Context, method, url, token string, in, out any) error {
 	var body bytes.Buffer
 	if in != nil {
@@ -97,7 +101,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return err
 	}
--- a/trial/proof/rig_test.go
+++ b/trial/proof/rig_test.go
@@ -132,7 +132,7 @@
 	})
 	plan := fleet.Plan{
 		Name: "proof", Zones: []string{zone}, Entries: s.entries, Heartbeat: heartbeatInterval, Grace: grace,
-		Via: r.startProxy, Objects: append(objects(), s.objects...),
+		LinkProxy: r.startProxy, Objects: append(objects(), s.objects...),
 	}
 	for i, c := range s.engines {
 		plan.Endpoints = append(plan.Endpoints, fleet.EngineEndpoint(fmt.Sprintf("engine-%d", i+1), zone, model, c))
