--- a/trial/engin/batch.go
+++ b/trial/engin/batch.go
@@ -2,69 +2,83 @@
 
 import "time"
 
-// seq is one request in the engine. Run alone changes it, but for rec, which
-// Engine.mu guards, and sink, which guards itself.
-type seq struct {
-	rec  *Record
-	sink *sink
-	// prompt is the prompt's tokens and want the tokens to produce.
-	prompt, want int
-	hashes       []uint64
-	// held counts the leading hashes that are cached and held; private counts
-	// the blocks that belong to this sequence alone.
-	held, private int
-	// target is how many tokens must be in memory before decoding; pos is how
-	// many are.
-	target, pos int
-	out         int
-	cached      int
-	// computed counts the prefill done and not yet thrown away; wasted what was
-	// thrown away or done twice.
-	computed, wasted int
-	// redo is set after a preemption.
-	redo bool
-	// chunk is the prefill of the present step.
-	chunk    int
+// sequence is a request in the engine. It is owned by the goroutine of Run,
+// except for rec, which is guarded by Engine.mu, and progress, which has its
+// own mutex.
+type sequence struct {
+	rec      *Record
+	progress *answerProgress
+	// promptTokens is the length of the prompt, and answerTokens that of the
+	// answer.
+	promptTokens, answerTokens int
+	// blockHashes holds the hashes of the full blocks of the prompt.
+	blockHashes []uint64
+	// heldBlocks is the number of leading blocks of the prompt that are in the
+	// prefix cache and referenced by this sequence. privateBlocks is the number
+	// of blocks that belong to this sequence only.
+	heldBlocks, privateBlocks int
+	// targetTokens is the number of tokens that must be in KV memory before
+	// decoding starts. kvTokens is the number of tokens that are.
+	targetTokens, kvTokens int
+	// outTokens is the number of tokens produced so far.
+	outTokens int
+	// cachedTokens is the number of prompt tokens found in the prefix cache
+	// when the sequence was first admitted.
+	cachedTokens int
+	// prefilledTokens is the number of tokens prefilled since the last
+	// preemption. wastedTokens is the number of tokens whose prefill was
+	// discarded or repeated.
+	prefilledTokens, wastedTokens int
+	// wasPreempted reports whether the sequence was ever preempted.
+	wasPreempted bool
+	// stepTokens is the number of tokens to prefill in the current step.
+	stepTokens int
+	// truncate makes the answer break off halfway.
 	truncate bool
 	digest   string
-	chat     bool
+	isChat   bool
 }
 
-func (s *seq) decoding() bool { return s.pos >= s.target }
+func (s *sequence) isDecoding() bool { return s.kvTokens >= s.targetTokens }
 
-// prefillChunk is how many prompt tokens a step takes in at most. It bounds how
-// long a prompt holds up the sequences that decode.
-const prefillChunk = 512
+// maxPrefillTokens is the maximum number of tokens that a step prefills. It
+// limits the time for which a long prompt delays the sequences that decode.
+const maxPrefillTokens = 512
 
-// batch is the running and the waiting sequences. It knows no clock.
+// batch holds the running and the waiting sequences. It does not use a clock: its
+// caller paces the steps. It is owned by the goroutine of Run.
 type batch struct {
 	cfg     Config
-	mem     *memory
-	running []*seq
-	// waiting is in order of arrival; a preempted sequence goes to its front.
-	waiting []*seq
-	// seen holds the prompt blocks that were computed here before: computing
-	// one again is waste.
-	seen      map[uint64]struct{}
-	preempted int64
-	computed  int64
+	kv      *kvMemory
+	running []*sequence
+	// waiting is in order of arrival, but a preempted sequence is put in front.
+	waiting []*sequence
+	// computedHashes holds the hashes of the prompt blocks that were computed
+	// before. Computing one of them again counts as waste.
+	computedHashes map[uint64]struct{}
+	// preemptions is the number of preemptions so far.
+	preemptions int64
+	// prefilledTokens is the number of tokens prefilled so far.
+	prefilledTokens int64
 }
 
-// maxSeen bounds seen; at 16 tokens a block it is 16 million prompt tokens.
-const maxSeen = 1 << 20
+// maxComputedHashes is the size limit of computedHashes. With 16 tokens a block,
+// it covers 16 million prompt tokens.
+const maxComputedHashes = 1 << 20
 
-func newBatch(cfg Config, mem *memory) batch {
-	return batch{cfg: cfg, mem: mem, seen: make(map[uint64]struct{})}
+func newBatch(cfg Config, kv *kvMemory) batch {
+	return batch{cfg: cfg, kv: kv, computedHashes: make(map[uint64]struct{})}
 }
 
-// blocks returns the blocks that n tokens need.
-func (b *batch) blocks(n int) int { return (n + b.cfg.BlockTokens - 1) / b.cfg.BlockTokens }
+// blocksFor returns the number of blocks that n tokens need.
+func (b *batch) blocksFor(n int) int { return (n + b.cfg.BlockTokens - 1) / b.cfg.BlockTokens }
 
-// admit moves waiting sequences into the batch, strictly in order.
+// admit moves waiting sequences into the batch, strictly in order, while there
+// are free slots and KV memory for the first one.
 func (b *batch) admit() {
 	for len(b.waiting) > 0 && len(b.running) < b.cfg.Slots {
 		s := b.waiting[0]
-		if !b.enter(s) {
+		if !b.reserveBlocks(s) {
 			return
 		}
 		b.waiting = b.waiting[1:]
@@ -72,67 +86,71 @@
 	}
 }
 
-func (b *batch) enter(s *seq) bool {
-	target := s.prompt + s.out
-	hit := b.mem.match(s.hashes)
-	// Holding first keeps take from evicting the very blocks that were found.
-	b.mem.hold(s.hashes[:hit])
-	need := b.blocks(target+1) - hit
-	if !b.mem.take(need) {
-		b.mem.drop(s.hashes[:hit])
+// reserveBlocks reserves the blocks that s needs, and uses cached blocks for its
+// prompt as far as possible. It returns false if there is not enough memory.
+func (b *batch) reserveBlocks(s *sequence) bool {
+	targetTokens := s.promptTokens + s.outTokens
+	cachedBlocks := b.kv.cachedPrefixLen(s.blockHashes)
+	// The cached blocks are acquired first, so that kv.reserve can't evict them.
+	b.kv.acquire(s.blockHashes[:cachedBlocks])
+	privateBlocks := b.blocksFor(targetTokens+1) - cachedBlocks
+	if !b.kv.reserve(privateBlocks) {
+		b.kv.release(s.blockHashes[:cachedBlocks])
 		return false
 	}
-	s.held, s.private = hit, need
-	// The last token is always computed: its result is the next token.
-	s.target, s.pos = target, min(hit*b.cfg.BlockTokens, target-1)
-	if !s.redo {
-		s.cached = s.pos
+	s.heldBlocks, s.privateBlocks = cachedBlocks, privateBlocks
+	// The last token is computed even if it is cached, because its result is the
+	// next token.
+	s.targetTokens, s.kvTokens = targetTokens, min(cachedBlocks*b.cfg.BlockTokens, targetTokens-1)
+	if !s.wasPreempted {
+		s.cachedTokens = s.kvTokens
 	}
 	return true
 }
 
-// plan chooses the work of the next step and returns how long it takes at
+// planStep chooses the work of the next step and returns its duration at
 // speed 1.
-func (b *batch) plan() time.Duration {
-	budget, decoding, prefill := prefillChunk, 0, 0
+func (b *batch) planStep() time.Duration {
+	budget, decodingSeqs, prefillTokens := maxPrefillTokens, 0, 0
 	for _, s := range b.running {
-		s.chunk = 0
-		if s.decoding() {
-			decoding++
+		s.stepTokens = 0
+		if s.isDecoding() {
+			decodingSeqs++
 			continue
 		}
-		s.chunk = min(budget, s.target-s.pos)
-		budget -= s.chunk
-		prefill += s.chunk
+		s.stepTokens = min(budget, s.targetTokens-s.kvTokens)
+		budget -= s.stepTokens
+		prefillTokens += s.stepTokens
 	}
-	var d float64
-	if decoding > 0 {
-		d = (1 + b.cfg.BatchSlope*float64(decoding-1)) / b.cfg.DecodeTPS
+	var seconds float64
+	if decodingSeqs > 0 {
+		seconds = (1 + b.cfg.BatchSlope*float64(decodingSeqs-1)) / b.cfg.DecodeTPS
 	}
-	d += float64(prefill) / b.cfg.PrefillTPS
-	return time.Duration(d * float64(time.Second))
+	seconds += float64(prefillTokens) / b.cfg.PrefillTPS
+	return time.Duration(seconds * float64(time.Second))
 }
 
-// step carries out what plan chose. It returns the sequences that finished.
-func (b *batch) step() (finished []*seq) {
-	for _, s := range append([]*seq(nil), b.running...) {
+// runStep performs the work that planStep chose and returns the sequences that
+// finished.
+func (b *batch) runStep() (finished []*sequence) {
+	for _, s := range append([]*sequence(nil), b.running...) {
 		switch {
-		case s.chunk > 0:
+		case s.stepTokens > 0:
 			b.prefill(s)
-		case s.decoding() && b.active(s):
+		case s.isDecoding() && b.isRunning(s):
 			b.decode(s)
 		}
-		if s.out >= s.want && b.active(s) {
-			b.leave(s)
+		if s.outTokens >= s.answerTokens && b.isRunning(s) {
+			b.removeRunning(s)
 			finished = append(finished, s)
 		}
 	}
 	return finished
 }
 
-// active reports whether s was not preempted by an earlier sequence of the
-// same step.
-func (b *batch) active(s *seq) bool {
+// isRunning reports whether s is in the batch. During a step, an earlier sequence
+// may have preempted it.
+func (b *batch) isRunning(s *sequence) bool {
 	for _, r := range b.running {
 		if r == s {
 			return true
@@ -141,96 +159,101 @@
 	return false
 }
 
-func (b *batch) prefill(s *seq) {
-	if !b.active(s) {
+// prefill computes the tokens of s that planStep chose, unless s was preempted
+// since.
+func (b *batch) prefill(s *sequence) {
+	if !b.isRunning(s) {
 		return
 	}
-	s.pos += s.chunk
-	s.computed += s.chunk
-	b.computed += int64(s.chunk)
-	if s.redo && s.pos > len(s.hashes)*b.cfg.BlockTokens {
-		s.wasted += min(s.chunk, s.pos-len(s.hashes)*b.cfg.BlockTokens)
+	s.kvTokens += s.stepTokens
+	s.prefilledTokens += s.stepTokens
+	b.prefilledTokens += int64(s.stepTokens)
+	if s.wasPreempted && s.kvTokens > len(s.blockHashes)*b.cfg.BlockTokens {
+		s.wastedTokens += min(s.stepTokens, s.kvTokens-len(s.blockHashes)*b.cfg.BlockTokens)
 	}
-	for s.held < len(s.hashes) && (s.held+1)*b.cfg.BlockTokens <= s.pos {
-		b.store(s)
+	for s.heldBlocks < len(s.blockHashes) && (s.heldBlocks+1)*b.cfg.BlockTokens <= s.kvTokens {
+		b.commitBlock(s)
 	}
-	if s.decoding() {
-		s.out++
+	if s.isDecoding() {
+		s.outTokens++
 	}
 }
 
-// store commits the next full block of the prompt to the prefix cache.
-func (b *batch) store(s *seq) {
-	h := s.hashes[s.held]
-	if _, again := b.seen[h]; again {
-		s.wasted += b.cfg.BlockTokens
-	} else if len(b.seen) < maxSeen {
-		b.seen[h] = struct{}{}
-	}
-	b.mem.commit(h)
-	s.held++
-	s.private--
+// commitBlock moves the next full block of the prompt of s to the prefix cache.
+func (b *batch) commitBlock(s *sequence) {
+	h := s.blockHashes[s.heldBlocks]
+	if _, isRepeated := b.computedHashes[h]; isRepeated {
+		s.wastedTokens += b.cfg.BlockTokens
+	} else if len(b.computedHashes) < maxComputedHashes {
+		b.computedHashes[h] = struct{}{}
+	}
+	b.kv.commit(h)
+	s.heldBlocks++
+	s.privateBlocks--
 }
 
-func (b *batch) decode(s *seq) {
-	s.pos++
-	s.target = s.pos
-	if b.blocks(s.pos+1) > s.held+s.private && !b.grow(s) {
+// decode produces the next token of s, unless s is preempted for lack of memory.
+func (b *batch) decode(s *sequence) {
+	s.kvTokens++
+	s.targetTokens = s.kvTokens
+	if b.blocksFor(s.kvTokens+1) > s.heldBlocks+s.privateBlocks && !b.addBlock(s) {
 		return
 	}
-	s.out++
+	s.outTokens++
 }
 
-// grow finds one more block for s and preempts the newest sequences for it,
-// s itself last. It returns false if s was preempted.
-func (b *batch) grow(s *seq) bool {
-	for !b.mem.take(1) {
+// addBlock reserves one more block for s. If there is no memory, it preempts the
+// newest sequences until there is, and s itself if it is the newest one left. It
+// returns false if s was preempted.
+func (b *batch) addBlock(s *sequence) bool {
+	for !b.kv.reserve(1) {
 		last := b.running[len(b.running)-1]
 		b.preempt(last)
 		if last == s {
 			return false
 		}
 	}
-	s.private++
+	s.privateBlocks++
 	return true
 }
 
-// preempt throws the memory of s away. What it computed is computed again
-// later.
-func (b *batch) preempt(s *seq) {
-	b.leave(s)
-	s.redo, s.computed, s.pos, s.chunk = true, 0, 0, 0
-	b.waiting = append([]*seq{s}, b.waiting...)
-	b.preempted++
+// preempt frees the memory of s and puts s in front of the waiting sequences. Its
+// tokens are computed again later, except those that are still cached then.
+func (b *batch) preempt(s *sequence) {
+	b.removeRunning(s)
+	s.wasPreempted, s.prefilledTokens, s.kvTokens, s.stepTokens = true, 0, 0, 0
+	b.waiting = append([]*sequence{s}, b.waiting...)
+	b.preemptions++
 }
 
-// leave takes s out of the batch and frees its memory.
-func (b *batch) leave(s *seq) {
+// removeRunning removes s from the batch, if it is there, and frees its memory.
+func (b *batch) removeRunning(s *sequence) {
 	for i, r := range b.running {
 		if r == s {
 			b.running = append(b.running[:i], b.running[i+1:]...)
-			b.mem.drop(s.hashes[:s.held])
-			b.mem.give(s.private)
-			s.held, s.private = 0, 0
+			b.kv.release(s.blockHashes[:s.heldBlocks])
+			b.kv.free(s.privateBlocks)
+			s.heldBlocks, s.privateBlocks = 0, 0
 			return
 		}
 	}
 }
 
-// remove cancels s wherever it is. Its prefill is thrown away.
-func (b *batch) remove(s *seq) {
+// cancel removes s from the batch or from the waiting sequences. The prefill of s
+// counts as waste.
+func (b *batch) cancel(s *sequence) {
 	for i, w := range b.waiting {
 		if w == s {
 			b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
 		}
 	}
-	if b.active(s) {
-		// Already counted as waste here, so that a second run of the same
-		// prompt does not count it once more.
-		for _, h := range s.hashes[s.cached/b.cfg.BlockTokens : s.held] {
-			delete(b.seen, h)
+	if b.isRunning(s) {
+		// These blocks are counted as waste below, so a later sequence with the
+		// same prompt must not count them again.
+		for _, h := range s.blockHashes[s.cachedTokens/b.cfg.BlockTokens : s.heldBlocks] {
+			delete(b.computedHashes, h)
 		}
 	}
-	b.leave(s)
-	s.wasted += max(0, s.computed-s.wasted)
+	b.removeRunning(s)
+	s.wastedTokens += max(0, s.prefilledTokens-s.wastedTokens)
 }
--- a/trial/engin/config.go
+++ b/trial/engin/config.go
@@ -1,6 +1,6 @@
-// Package engin is a stand-in for a model engine: continuous batching paced in
-// real time, limited KV memory with a prefix cache, admission in order of
-// arrival, preemption with recomputation, and reports that come late.
+// Package engin simulates a model engine in real time: continuous batching,
+// limited KV memory with a prefix cache, admission in order of arrival,
+// preemption with recomputation, and delayed load reports and cache events.
 package engin
 
 import (
@@ -9,39 +9,42 @@
 	"lycheepond/core/spec"
 )
 
-// Config describes an engine.
+// Config configures an Engine.
 type Config struct {
 	Name    string
 	Model   string
 	Version string
-	// Platform is the address of the weight store; empty loads without it.
+	// Platform is the address of the platform's weight store as host:port. Empty
+	// means that weights are loaded without it.
 	Platform string
-	// Slots is how many sequences run at once.
+	// Slots is the maximum number of sequences that run at the same time.
 	Slots int
-	// PrefillTPS is prompt tokens a second.
+	// PrefillTPS is the prefill rate in tokens per second.
 	PrefillTPS float64
-	// DecodeTPS is the tokens a second of a sequence that runs alone.
+	// DecodeTPS is the decode rate, in tokens per second, of a sequence that runs
+	// alone.
 	DecodeTPS float64
-	// BatchSlope is the growth of a step's time with each further sequence, as
-	// a share of the step of one.
+	// BatchSlope is the increase in the decode time of a step for each further
+	// sequence, as a fraction of the time for one sequence.
 	BatchSlope float64
-	// KVBlocks is the KV memory in blocks of BlockTokens tokens.
+	// KVBlocks is the size of the KV memory in blocks of BlockTokens tokens.
 	KVBlocks    int
 	BlockTokens int
-	// LoadLag and EventLag are how late load and cache events are reported;
-	// EventLoss is the share of cache events that are never reported.
+	// LoadLag and EventLag are the delays of load reports and cache events.
+	// EventLoss is the fraction of cache events that are never reported.
 	LoadLag   time.Duration
 	EventLag  time.Duration
 	EventLoss float64
-	// ChecksFence makes the engine refuse orders with an old fencing number.
+	// ChecksFence makes the engine refuse orders with an outdated fencing number.
 	ChecksFence bool
-	// Speed multiplies both rates.
+	// Speed is a factor for both rates.
 	Speed float64
-	// Grace is how long a request runs on whose caller went away.
+	// Grace is the time after which a request is cancelled if nobody reads its
+	// answer, and after which a finished answer that nobody reads is forgotten.
 	Grace time.Duration
 }
 
-// Default returns the configuration of an engine of middling speed.
+// Default returns the configuration of an engine of medium speed.
 func Default() Config {
 	return Config{
 		Name: "engine", Model: "roster", Version: "v1", Slots: 16, PrefillTPS: 8000, DecodeTPS: 80,
@@ -50,46 +53,51 @@
 	}
 }
 
-// Fault is how the engine misbehaves at present.
+// Fault is the set of faults that are injected now. The zero value means none.
 type Fault struct {
-	// Speed multiplies the configured speed; zero leaves it as it is.
+	// Speed is a factor for the configured speed. Zero means 1.
 	Speed float64 `json:"speed"`
-	// Freeze stops all progress, the load report included.
+	// Freeze stops all progress, including load reports.
 	Freeze bool `json:"freeze"`
-	// TruncateNext is how many of the next answers break off half way.
+	// TruncateNext is the number of coming requests whose answer breaks off
+	// halfway.
 	TruncateNext int `json:"truncate_next"`
-	// Delay is added before a request is taken.
+	// Delay is the time for which a request is held back before it is submitted.
 	Delay spec.Duration `json:"delay"`
 }
 
-// Record is one request or order that the engine executed.
+// Record is the record of a request or order that the engine executed.
 type Record struct {
-	ID           string `json:"id"`
-	Kind         string `json:"kind"`
-	Key          string `json:"key"`
+	ID   string `json:"id"`
+	Kind string `json:"kind"`
+	// Key is the idempotency key of a request.
+	Key string `json:"key"`
+	// PromptDigest is Digest of the prompt.
 	PromptDigest string `json:"prompt_digest"`
-	StartedMS    int64  `json:"started_ms"`
-	Finished     bool   `json:"finished"`
-	Cancelled    bool   `json:"cancelled"`
-	PromptTokens int    `json:"prompt_tokens"`
-	CachedTokens int    `json:"cached_tokens"`
-	// WastedPrefillTokens is prompt work that was computed again after
-	// preemption or eviction, or thrown away by a cancel.
+	// StartedMS is the time of arrival in milliseconds after the start of the
+	// engine.
+	StartedMS    int64 `json:"started_ms"`
+	Finished     bool  `json:"finished"`
+	Cancelled    bool  `json:"cancelled"`
+	PromptTokens int   `json:"prompt_tokens"`
+	CachedTokens int   `json:"cached_tokens"`
+	// WastedPrefillTokens is the number of tokens whose prefill was repeated
+	// after a preemption or eviction, or discarded by a cancellation.
 	WastedPrefillTokens int `json:"wasted_prefill_tokens"`
 	OutputTokens        int `json:"output_tokens"`
-	// Fence and Version are set on orders.
+	// Fence and Version are set for orders only.
 	Fence   int64  `json:"fence,omitempty"`
 	Version string `json:"version,omitempty"`
 }
 
-// The kinds of records.
+// Kinds of records.
 const (
 	KindCompletion = "completion"
 	KindChat       = "chat"
 	KindOrder      = "order"
 )
 
-// Stats are an engine's totals.
+// Stats holds the totals since the start of an engine.
 type Stats struct {
 	Requests            int64 `json:"requests"`
 	Finished            int64 `json:"finished"`
@@ -103,7 +111,7 @@
 	Steps               int64 `json:"steps"`
 }
 
-// Load is the load report.
+// Load is the load report of an engine. KVUsed and KVTotal are in blocks.
 type Load struct {
 	Running int    `json:"running"`
 	Waiting int    `json:"waiting"`
@@ -112,6 +120,6 @@
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Role    string `json:"role"`
-	// AsOfMS is the age of the report.
+	// AsOfMS is the age of the report in milliseconds.
 	AsOfMS int64 `json:"as_of_ms"`
 }
--- a/trial/engin/engin_test.go
+++ b/trial/engin/engin_test.go
@@ -14,13 +14,14 @@
 	"time"
 )
 
-// start runs an engine that is fast enough for tests.
-func start(t *testing.T, change func(*Config)) (*Engine, *httptest.Server) {
+// startEngine starts a fast engine, whose configuration change may adjust, and
+// a server for its API.
+func startEngine(t *testing.T, adjust func(*Config)) (*Engine, *httptest.Server) {
 	t.Helper()
 	cfg := Default()
 	cfg.PrefillTPS, cfg.DecodeTPS = 200000, 2000
-	if change != nil {
-		change(&cfg)
+	if adjust != nil {
+		adjust(&cfg)
 	}
 	e := New(cfg)
 	ctx, stop := context.WithCancel(context.Background())
@@ -55,8 +56,8 @@
 	return resp
 }
 
-// read returns the text and the usage of a stream.
-func read(t *testing.T, r io.Reader) (string, *usage) {
+// readStream reads a stream and returns the text and the usage in it.
+func readStream(t *testing.T, r io.Reader) (string, *usage) {
 	t.Helper()
 	var text strings.Builder
 	var u *usage
@@ -66,7 +67,7 @@
 		if !ok || line == "[DONE]" {
 			continue
 		}
-		var a answer
+		var a completionAnswer
 		if err := json.Unmarshal([]byte(line), &a); err != nil {
 			t.Fatal(err)
 		}
@@ -78,17 +79,18 @@
 	return text.String(), u
 }
 
-func prompt(n int, seed string) string { return strings.Repeat(seed, n*bytesPerToken/len(seed)) }
+// makePrompt returns a prompt of n tokens that repeats seed.
+func makePrompt(n int, seed string) string { return strings.Repeat(seed, n*bytesPerToken/len(seed)) }
 
 func TestAnswers(t *testing.T) {
-	_, srv := start(t, nil)
-	p := prompt(100, "ab")
+	_, srv := startEngine(t, nil)
+	p := makePrompt(100, "ab")
 	resp := post(t, srv.URL+"/v1/completions", "r1", Ask{Model: "roster", Prompt: p, MaxTokens: 5, Stream: true})
-	text, u := read(t, resp.Body)
+	text, u := readStream(t, resp.Body)
 	if text != Text(p, 5) || u == nil || u.PromptTokens != 100 || u.CompletionTokens != 5 {
 		t.Errorf("stream: %q, %+v", text, u)
 	}
-	var a answer
+	var a completionAnswer
 	resp = post(t, srv.URL+"/v1/chat/completions", "r2", Ask{Model: "roster", Messages: []Message{{Content: p}}, MaxTokens: 5})
 	if err := json.NewDecoder(resp.Body).Decode(&a); err != nil {
 		t.Fatal(err)
@@ -102,26 +104,26 @@
 	}
 }
 
-// A caller that loses its connection asks for the rest by the request's ID. If
-// the engine gave a token twice or left one out, the caller's answer would be
-// damaged without its noticing.
+// A caller whose connection broke requests the rest of its answer by the
+// request's ID. If the engine sent a token twice or skipped one, the caller
+// would get a wrong answer without noticing.
 func TestResume(t *testing.T) {
-	e, srv := start(t, func(c *Config) { c.DecodeTPS = 200 })
+	e, srv := startEngine(t, func(c *Config) { c.DecodeTPS = 200 })
 	e.SetFault(Fault{TruncateNext: 1})
-	p := prompt(20, "xy")
+	p := makePrompt(20, "xy")
 	resp := post(t, srv.URL+"/v1/completions", "r1", Ask{Model: "roster", Prompt: p, MaxTokens: 20, Stream: true})
 	b, err := io.ReadAll(resp.Body)
 	if err == nil {
 		t.Fatal("the answer was not truncated")
 	}
 	n := bytes.Count(b, []byte("data: "))
-	first, _ := read(t, bytes.NewReader(b))
+	first, _ := readStream(t, bytes.NewReader(b))
 	rest, err := http.Get(srv.URL + "/v1/requests/r1/stream?from=" + itoa(n))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer rest.Body.Close()
-	second, _ := read(t, rest.Body)
+	second, _ := readStream(t, rest.Body)
 	if first+second != Text(p, 20) {
 		t.Errorf("got %q + %q", first, second)
 	}
@@ -132,34 +134,34 @@
 	return string(b)
 }
 
-// When more sequences run than the KV memory holds, the engine throws the
-// newest one's memory away and computes it again. The caller still gets its
-// whole answer, later; the repeated work shows as wasted prefill.
+// If the running sequences need more than the KV memory, the engine frees the
+// memory of the newest one and computes it again later. The caller must still get
+// its complete answer, and the repeated work must be counted as wasted prefill.
 func TestPreemption(t *testing.T) {
-	e, srv := start(t, func(c *Config) { c.KVBlocks = 24; c.Slots = 4 })
+	e, srv := startEngine(t, func(c *Config) { c.KVBlocks = 24; c.Slots = 4 })
 	var wait sync.WaitGroup
 	for _, seed := range []string{"a", "b", "c", "d"} {
 		wait.Go(func() {
-			p := prompt(64, seed)
+			p := makePrompt(64, seed)
 			resp := post(t, srv.URL+"/v1/completions", seed, Ask{Model: "roster", Prompt: p, MaxTokens: 120, Stream: true})
-			if text, _ := read(t, resp.Body); text != Text(p, 120) {
+			if text, _ := readStream(t, resp.Body); text != Text(p, 120) {
 				t.Errorf("%s: wrong answer", seed)
 			}
 		})
 	}
 	wait.Wait()
-	s := e.Stats()
-	if s.Preempted == 0 || s.WastedPrefillTokens == 0 || s.Finished != 4 {
-		t.Errorf("stats %+v: want preemptions, waste and 4 finished", s)
+	stats := e.Stats()
+	if stats.Preempted == 0 || stats.WastedPrefillTokens == 0 || stats.Finished != 4 {
+		t.Errorf("stats %+v: want preemptions, waste and 4 finished", stats)
 	}
-	if e.mem.private != 0 || e.mem.used() != 0 {
-		t.Errorf("%d private and %d used blocks are left", e.mem.private, e.mem.used())
+	if e.kv.privateBlocks != 0 || e.kv.usedBlocks() != 0 {
+		t.Errorf("%d private and %d used blocks are left, want none", e.kv.privateBlocks, e.kv.usedBlocks())
 	}
 }
 
 func TestCancel(t *testing.T) {
-	e, srv := start(t, func(c *Config) { c.DecodeTPS = 50 })
-	resp := post(t, srv.URL+"/v1/completions", "r1", Ask{Model: "roster", Prompt: prompt(64, "q"), MaxTokens: 1000, Stream: true})
+	e, srv := startEngine(t, func(c *Config) { c.DecodeTPS = 50 })
+	resp := post(t, srv.URL+"/v1/completions", "r1", Ask{Model: "roster", Prompt: makePrompt(64, "q"), MaxTokens: 1000, Stream: true})
 	if _, err := bufio.NewReader(resp.Body).ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
@@ -167,7 +169,7 @@
 		t.Fatalf("cancel: %s", got.Status)
 	}
 	if _, err := io.ReadAll(resp.Body); err == nil {
-		t.Error("a cancelled stream ended as if it were whole")
+		t.Error("a cancelled stream ended without an error")
 	}
 	if got := post(t, srv.URL+"/v1/requests/r1/cancel", "", nil); got.StatusCode != http.StatusNotFound {
 		t.Errorf("second cancel: %s", got.Status)
@@ -179,68 +181,68 @@
 }
 
 func TestOrders(t *testing.T) {
-	for _, checks := range []bool{true, false} {
-		e, srv := start(t, func(c *Config) { c.ChecksFence = checks })
+	for _, checksFence := range []bool{true, false} {
+		e, srv := startEngine(t, func(c *Config) { c.ChecksFence = checksFence })
 		post(t, srv.URL+"/orders", "", Order{Fence: 5, Version: "v5"})
 		resp := post(t, srv.URL+"/orders", "", Order{Fence: 4, Version: "v4"})
-		if refused := resp.StatusCode == http.StatusConflict; refused != checks {
-			t.Errorf("checks %v: old order got %s", checks, resp.Status)
+		if refused := resp.StatusCode == http.StatusConflict; refused != checksFence {
+			t.Errorf("checks %v: the outdated order got %s", checksFence, resp.Status)
 		}
 		want := 2
-		if checks {
+		if checksFence {
 			want = 1
 		}
 		if got := len(e.Records()); got != want {
-			t.Errorf("checks %v: %d orders obeyed, want %d", checks, got, want)
+			t.Errorf("checks %v: %d orders accepted, want %d", checksFence, got, want)
 		}
 	}
 }
 
-// The batch alone, without a clock: the prefix cache serves the second prompt,
-// and what was evicted and is computed again counts as waste.
+// Runs a batch without a clock. The second run of a prompt must use the prefix
+// cache. After its blocks were evicted, computing them again must count as waste.
 func TestPrefixCache(t *testing.T) {
 	cfg := Default()
 	cfg.KVBlocks = 20
-	mem := newMemory(cfg.KVBlocks, func(string, uint64) {})
-	b := newBatch(cfg, mem)
-	run := func(p string) *seq {
-		s := &seq{prompt: tokens(p), want: 2, hashes: chain(p, cfg.BlockTokens)}
+	kv := newKVMemory(cfg.KVBlocks, func(string, uint64) {})
+	b := newBatch(cfg, kv)
+	run := func(p string) *sequence {
+		s := &sequence{promptTokens: countTokens(p), answerTokens: 2, blockHashes: hashBlocks(p, cfg.BlockTokens)}
 		b.waiting = append(b.waiting, s)
 		for range 100 {
 			b.admit()
-			b.plan()
-			if len(b.step()) > 0 {
+			b.planStep()
+			if len(b.runStep()) > 0 {
 				return s
 			}
 		}
-		t.Fatal("did not finish")
+		t.Fatal("the sequence did not finish")
 		return nil
 	}
-	p1, p2 := prompt(160, "1"), prompt(240, "2")
-	if s := run(p1); s.cached != 0 || s.wasted != 0 {
-		t.Errorf("first: cached %d, wasted %d", s.cached, s.wasted)
+	p1, p2 := makePrompt(160, "1"), makePrompt(240, "2")
+	if s := run(p1); s.cachedTokens != 0 || s.wastedTokens != 0 {
+		t.Errorf("first: cached %d, wasted %d", s.cachedTokens, s.wastedTokens)
 	}
-	if s := run(p1); s.cached != 159 {
-		t.Errorf("second: cached %d", s.cached)
+	if s := run(p1); s.cachedTokens != 159 {
+		t.Errorf("second: cached %d", s.cachedTokens)
 	}
 	run(p2)
-	if s := run(p1); s.wasted == 0 || s.cached >= 159 {
-		t.Errorf("after eviction: cached %d, wasted %d", s.cached, s.wasted)
+	if s := run(p1); s.wastedTokens == 0 || s.cachedTokens >= 159 {
+		t.Errorf("after eviction: cached %d, wasted %d", s.cachedTokens, s.wastedTokens)
 	}
 }
 
-func TestLoadLags(t *testing.T) {
+func TestLoadReportLag(t *testing.T) {
 	e := New(Default())
 	now := time.Now()
-	e.shown.running = 1
-	e.keepLoad(now)
-	e.shown.running = 2
-	e.keepLoad(now.Add(e.cfg.LoadLag / 2))
-	if got := e.loads[0].Running; got != 1 {
-		t.Errorf("shows %d, want the older report", got)
-	}
-	e.keepLoad(now.Add(2 * e.cfg.LoadLag))
-	if got := e.loads[0].Running; got != 2 {
-		t.Errorf("shows %d, want the newer report", got)
+	e.batchState.running = 1
+	e.recordLoad(now)
+	e.batchState.running = 2
+	e.recordLoad(now.Add(e.cfg.LoadLag / 2))
+	if got := e.loadReports[0].Running; got != 1 {
+		t.Errorf("the load report shows %d running, want the older report", got)
+	}
+	e.recordLoad(now.Add(2 * e.cfg.LoadLag))
+	if got := e.loadReports[0].Running; got != 2 {
+		t.Errorf("the load report shows %d running, want the newer report", got)
 	}
 }
--- a/trial/engin/http.go
+++ b/trial/engin/http.go
@@ -10,15 +10,15 @@
 	"lycheepond/trial/serve"
 )
 
-// Ask is the body of a request for model work.
+// Ask is the body of a completions or chat completions request.
 type Ask struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt,omitempty"`
 	Messages  []Message `json:"messages,omitempty"`
 	MaxTokens int       `json:"max_tokens"`
 	Stream    bool      `json:"stream,omitempty"`
-	// StopAt ends the answer early, as a model does that has said all; zero
-	// goes on to MaxTokens.
+	// StopAt is the number of tokens after which the answer ends, as if the model
+	// had finished it before MaxTokens. Zero means no such limit.
 	StopAt int `json:"stop_at,omitempty"`
 }
 
@@ -28,8 +28,8 @@
 	Content string `json:"content"`
 }
 
-// Text returns the text of the prompt, of which the answer holds the digest:
-// the contents of a chat are joined by line feeds.
+// Text returns the text of the prompt, whose digest is part of the answer. The
+// contents of chat messages are joined by line feeds.
 func (a Ask) Text() string {
 	if len(a.Messages) == 0 {
 		return a.Prompt
@@ -41,11 +41,11 @@
 	return strings.Join(parts, "\n")
 }
 
-// Want returns how many tokens the answer has.
+// Want returns the number of tokens of the answer.
 func (a Ask) Want() int {
 	n := a.MaxTokens
 	if n <= 0 {
-		n = defaultMax
+		n = defaultAnswerTokens
 	}
 	if a.StopAt > 0 {
 		n = min(n, a.StopAt)
@@ -53,30 +53,35 @@
 	return n
 }
 
-const defaultMax = 16
+// defaultAnswerTokens is the length of the answer if MaxTokens is not positive.
+const defaultAnswerTokens = 16
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) { e.take(w, r, KindCompletion) }
+func (e *Engine) handleCompletion(w http.ResponseWriter, r *http.Request) {
+	e.handleRequest(w, r, KindCompletion)
+}
 
-func (e *Engine) chat(w http.ResponseWriter, r *http.Request) { e.take(w, r, KindChat) }
+func (e *Engine) handleChat(w http.ResponseWriter, r *http.Request) { e.handleRequest(w, r, KindChat) }
 
-func (e *Engine) take(w http.ResponseWriter, r *http.Request, kind string) {
-	var a Ask
-	if !serve.ReadJSON(w, r, &a) || !e.thawed(r) {
+// handleRequest handles a request of the given kind: it submits the request and
+// writes the answer.
+func (e *Engine) handleRequest(w http.ResponseWriter, r *http.Request, kind string) {
+	var req Ask
+	if !serve.ReadJSON(w, r, &req) || !e.waitUnfrozen(r) {
 		return
 	}
 	e.mu.Lock()
-	f, model := e.fault, e.served.model
+	f, model := e.fault, e.serving.model
 	if f.TruncateNext > 0 {
 		e.fault.TruncateNext--
 	}
 	e.mu.Unlock()
-	if a.Model != model {
-		http.Error(w, "model "+a.Model+" is not loaded", http.StatusNotFound)
+	if req.Model != model {
+		http.Error(w, "model "+req.Model+" is not loaded", http.StatusNotFound)
 		return
 	}
-	s := e.newSeq(a, kind, r)
+	s := e.newSequence(req, kind, r)
 	s.truncate = f.TruncateNext > 0
-	if e.batch.blocks(s.prompt+s.want+1) > e.cfg.KVBlocks {
+	if e.batch.blocksFor(s.promptTokens+s.answerTokens+1) > e.cfg.KVBlocks {
 		http.Error(w, "prompt and answer are longer than the KV memory", http.StatusBadRequest)
 		return
 	}
@@ -84,22 +89,22 @@
 		return
 	}
 	e.submit(s)
-	if a.Stream {
-		s.stream(w, r, 0, s.truncate)
+	if req.Stream {
+		s.streamAnswer(w, r, 0, s.truncate)
 		return
 	}
-	e.whole(w, r, s)
+	e.writeWhenDone(w, r, s)
 }
 
-func (e *Engine) newSeq(a Ask, kind string, r *http.Request) *seq {
-	text := a.Text()
-	s := &seq{
-		sink: newSink(), prompt: tokens(text), want: a.Want(), hashes: chain(text, e.cfg.BlockTokens),
-		digest: Digest(text), chat: kind == KindChat,
+func (e *Engine) newSequence(req Ask, kind string, r *http.Request) *sequence {
+	text := req.Text()
+	s := &sequence{
+		progress: newAnswerProgress(), promptTokens: countTokens(text), answerTokens: req.Want(), blockHashes: hashBlocks(text, e.cfg.BlockTokens),
+		digest: Digest(text), isChat: kind == KindChat,
 	}
 	s.rec = &Record{
 		ID: r.Header.Get("X-Request-Id"), Kind: kind, Key: r.Header.Get("Idempotency-Key"),
-		PromptDigest: s.digest, StartedMS: time.Since(e.start).Milliseconds(), PromptTokens: s.prompt,
+		PromptDigest: s.digest, StartedMS: time.Since(e.start).Milliseconds(), PromptTokens: s.promptTokens,
 	}
 	if s.rec.ID == "" {
 		s.rec.ID = "anonymous-" + strconv.FormatInt(time.Since(e.start).Nanoseconds(), 36)
@@ -107,7 +112,8 @@
 	return s
 }
 
-type answer struct {
+// completionAnswer is the answer without streaming, or an event of a stream.
+type completionAnswer struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Model   string   `json:"model"`
@@ -125,38 +131,41 @@
 
 const finishStop = "stop"
 
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, s *seq) {
-	ch := s.sink.join()
-	defer s.sink.leave(ch)
+// writeWhenDone waits until s has ended and writes its answer in one piece.
+func (e *Engine) writeWhenDone(w http.ResponseWriter, r *http.Request, s *sequence) {
+	ch := s.progress.addReader()
+	defer s.progress.removeReader(ch)
 	for {
 		select {
 		case <-r.Context().Done():
 			return
 		case <-ch:
 		}
-		p := s.sink.look()
-		if !p.done {
+		state := s.progress.state()
+		if !state.done {
 			continue
 		}
-		if p.cancelled {
+		if state.cancelled {
 			panic(http.ErrAbortHandler)
 		}
-		e.writeWhole(w, s, p)
+		e.writeAnswer(w, s, state)
 		return
 	}
 }
 
-func (e *Engine) writeWhole(w http.ResponseWriter, s *seq, p progress) {
+// writeAnswer writes the complete answer of s, or half of it if the answer has to
+// be truncated.
+func (e *Engine) writeAnswer(w http.ResponseWriter, s *sequence, state progressState) {
 	c := choice{Finish: finishStop}
-	text := string(s.text(nil, s.want))
-	a := answer{ID: s.rec.ID, Object: "text_completion", Model: e.cfg.Model, Usage: &p.usage}
-	if s.chat {
-		a.Object, c.Message = "chat.completion", &Message{Role: "assistant", Content: text}
+	text := string(s.appendText(nil, s.answerTokens))
+	answer := completionAnswer{ID: s.rec.ID, Object: "text_completion", Model: e.cfg.Model, Usage: &state.usage}
+	if s.isChat {
+		answer.Object, c.Message = "chat.completion", &Message{Role: "assistant", Content: text}
 	} else {
 		c.Text = text
 	}
-	a.Choices = []choice{c}
-	body, err := json.Marshal(a)
+	answer.Choices = []choice{c}
+	body, err := json.Marshal(answer)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -164,7 +173,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if s.truncate {
-		// A write error means that the caller is gone.
+		// A write error means that the caller has closed the connection.
 		_, _ = w.Write(body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
@@ -172,8 +181,8 @@
 	_, _ = w.Write(body)
 }
 
-func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
-	if !e.thawed(r) {
+func (e *Engine) handleCancel(w http.ResponseWriter, r *http.Request) {
+	if !e.waitUnfrozen(r) {
 		return
 	}
 	if !e.Cancel(r.PathValue("id")) {
--- a/trial/engin/kv.go
+++ b/trial/engin/kv.go
@@ -2,111 +2,118 @@
 
 import "container/list"
 
-// memory is the KV memory: private blocks of running sequences and blocks of
-// prompt prefixes that are shared and stay cached until they are evicted.
-type memory struct {
-	total int
-	// private counts the blocks that belong to one sequence alone.
-	private int
-	cached  map[uint64]*block
-	// idle holds the cached blocks that no sequence uses, least recently used
+// kvMemory is the KV memory. It consists of private blocks, each of one running
+// sequence, and of cached blocks of prompt prefixes, which sequences share and
+// which stay until they are evicted. Sizes are in blocks.
+type kvMemory struct {
+	totalBlocks int
+	// privateBlocks is the number of private blocks.
+	privateBlocks int
+	// cachedBlocks holds the cached blocks by hash.
+	cachedBlocks map[uint64]*cachedBlock
+	// unused holds the cached blocks that no sequence uses, least recently used
 	// first.
-	idle  *list.List
-	event func(kind string, hash uint64)
+	unused *list.List
+	// onEvent is called for every block that is cached or evicted.
+	onEvent func(kind string, hash uint64)
 }
 
-type block struct {
+// cachedBlock is a cached block. refs is the number of sequences that use it.
+type cachedBlock struct {
 	hash uint64
 	refs int
-	// at is the block's place in idle; nil while refs > 0.
-	at *list.Element
+	// unusedElem is the block's element in the list unused; nil while refs > 0.
+	unusedElem *list.Element
 }
 
-// The kinds of cache events.
+// Types of cache events.
 const (
 	eventStored  = "stored"
 	eventEvicted = "evicted"
 )
 
-func newMemory(total int, event func(kind string, hash uint64)) *memory {
-	return &memory{total: total, cached: make(map[uint64]*block), idle: list.New(), event: event}
+func newKVMemory(totalBlocks int, onEvent func(kind string, hash uint64)) *kvMemory {
+	return &kvMemory{totalBlocks: totalBlocks, cachedBlocks: make(map[uint64]*cachedBlock), unused: list.New(), onEvent: onEvent}
 }
 
-// used counts the blocks that running sequences need.
-func (m *memory) used() int { return m.private + len(m.cached) - m.idle.Len() }
+// usedBlocks returns the number of blocks that running sequences use.
+func (m *kvMemory) usedBlocks() int { return m.privateBlocks + len(m.cachedBlocks) - m.unused.Len() }
 
-// room counts the blocks that can be had by evicting.
-func (m *memory) room() int { return m.total - m.used() }
+// availableBlocks returns the number of blocks that are free or can be evicted.
+func (m *kvMemory) availableBlocks() int { return m.totalBlocks - m.usedBlocks() }
 
-// match counts how many leading blocks of a prompt are cached.
-func (m *memory) match(hashes []uint64) int {
+// cachedPrefixLen returns the number of leading blocks of a prompt that are
+// cached.
+func (m *kvMemory) cachedPrefixLen(hashes []uint64) int {
 	for i, h := range hashes {
-		if m.cached[h] == nil {
+		if m.cachedBlocks[h] == nil {
 			return i
 		}
 	}
 	return len(hashes)
 }
 
-// hold marks cached blocks as used by one more sequence.
-func (m *memory) hold(hashes []uint64) {
+// acquire adds a reference to each of the cached blocks.
+func (m *kvMemory) acquire(hashes []uint64) {
 	for _, h := range hashes {
-		b := m.cached[h]
-		if b.at != nil {
-			m.idle.Remove(b.at)
-			b.at = nil
+		b := m.cachedBlocks[h]
+		if b.unusedElem != nil {
+			m.unused.Remove(b.unusedElem)
+			b.unusedElem = nil
 		}
 		b.refs++
 	}
 }
 
-// drop undoes hold. Blocks that nobody uses stay cached, the deepest first to
-// be evicted.
-func (m *memory) drop(hashes []uint64) {
+// release removes a reference from each of the cached blocks. Blocks without
+// references stay cached. Of these, the last block of the prefix is evicted
+// first.
+func (m *kvMemory) release(hashes []uint64) {
 	for i := len(hashes) - 1; i >= 0; i-- {
-		b := m.cached[hashes[i]]
+		b := m.cachedBlocks[hashes[i]]
 		b.refs--
 		if b.refs == 0 {
-			b.at = m.idle.PushBack(b)
+			b.unusedElem = m.unused.PushBack(b)
 		}
 	}
 }
 
-// take reserves n private blocks and evicts for them; false if there is no
-// room.
-func (m *memory) take(n int) bool {
-	if n > m.room() {
+// reserve reserves n private blocks and evicts unused cached blocks as needed. It
+// returns false if there is not enough memory.
+func (m *kvMemory) reserve(n int) bool {
+	if n > m.availableBlocks() {
 		return false
 	}
-	for m.total-m.private-len(m.cached) < n {
-		b := m.idle.Remove(m.idle.Front()).(*block)
-		delete(m.cached, b.hash)
-		m.event(eventEvicted, b.hash)
+	for m.totalBlocks-m.privateBlocks-len(m.cachedBlocks) < n {
+		b := m.unused.Remove(m.unused.Front()).(*cachedBlock)
+		delete(m.cachedBlocks, b.hash)
+		m.onEvent(eventEvicted, b.hash)
 	}
-	m.private += n
+	m.privateBlocks += n
 	return true
 }
 
-// give returns n private blocks.
-func (m *memory) give(n int) { m.private -= n }
+// free frees n private blocks.
+func (m *kvMemory) free(n int) { m.privateBlocks -= n }
 
-// commit turns one private block into the cached block of hash, held once.
-func (m *memory) commit(hash uint64) {
-	m.private--
-	if m.cached[hash] != nil {
-		m.hold([]uint64{hash})
+// commit turns a private block into a cached block with one reference, or adds a
+// reference if the block is cached already.
+func (m *kvMemory) commit(hash uint64) {
+	m.privateBlocks--
+	if m.cachedBlocks[hash] != nil {
+		m.acquire([]uint64{hash})
 		return
 	}
-	m.cached[hash] = &block{hash: hash, refs: 1}
-	m.event(eventStored, hash)
+	m.cachedBlocks[hash] = &cachedBlock{hash: hash, refs: 1}
+	m.onEvent(eventStored, hash)
 }
 
-// flush forgets every idle block, as new weights do.
-func (m *memory) flush() {
-	for m.idle.Len() > 0 {
-		b := m.idle.Remove(m.idle.Front()).(*block)
-		delete(m.cached, b.hash)
-		m.event(eventEvicted, b.hash)
+// flush evicts all unused cached blocks. It is called when the weights change.
+func (m *kvMemory) flush() {
+	for m.unused.Len() > 0 {
+		b := m.unused.Remove(m.unused.Front()).(*cachedBlock)
+		delete(m.cachedBlocks, b.hash)
+		m.onEvent(eventEvicted, b.hash)
 	}
 }
 
@@ -116,22 +123,23 @@
 	fnvPrime  = 1099511628211
 )
 
-// bytesPerToken is what the stand-in takes for one token of text.
+// bytesPerToken is the length of text, in bytes, that counts as one token.
 const bytesPerToken = 4
 
-// tokens returns the number of tokens of a text.
-func tokens(text string) int { return max(1, (len(text)+bytesPerToken-1)/bytesPerToken) }
+// countTokens returns the number of tokens of a text.
+func countTokens(text string) int { return max(1, (len(text)+bytesPerToken-1)/bytesPerToken) }
 
-// chain hashes a prompt block by block; each hash covers everything before it.
-func chain(prompt string, blockTokens int) []uint64 {
+// hashBlocks returns a hash for each full block of a prompt. Each hash covers the
+// prompt from its start to the end of the block.
+func hashBlocks(prompt string, blockTokens int) []uint64 {
 	size := blockTokens * bytesPerToken
 	out := make([]uint64, 0, len(prompt)/size)
-	h := uint64(fnvOffset)
-	for at := 0; at+size <= len(prompt); at += size {
-		for i := at; i < at+size; i++ {
-			h = (h ^ uint64(prompt[i])) * fnvPrime
+	hash := uint64(fnvOffset)
+	for start := 0; start+size <= len(prompt); start += size {
+		for i := start; i < start+size; i++ {
+			hash = (hash ^ uint64(prompt[i])) * fnvPrime
 		}
-		out = append(out, h)
+		out = append(out, hash)
 	}
 	return out
 }
--- a/trial/engin/sched.go
+++ b/trial/engin/sched.go
@@ -5,56 +5,58 @@
 	"time"
 )
 
-// Pauses of the scheduler.
+// Intervals of the scheduler.
 const (
-	// frozenLook is how often a frozen engine looks whether it may go on.
-	frozenLook = 10 * time.Millisecond
-	// sampleEvery is how often the load report is taken.
-	sampleEvery = 50 * time.Millisecond
-	// idleLook bounds how long abandoned requests go unnoticed.
-	idleLook = 500 * time.Millisecond
-	// maxStep bounds one sleep, so that a change of speed acts soon.
-	maxStep = 100 * time.Millisecond
+	// frozenPollInterval is the interval at which a frozen engine checks
+	// whether the freeze has ended.
+	frozenPollInterval = 10 * time.Millisecond
+	// loadSampleInterval is the interval between load reports.
+	loadSampleInterval = 50 * time.Millisecond
+	// sweepInterval is the interval between checks for abandoned requests.
+	sweepInterval = 500 * time.Millisecond
+	// maxSleep is the maximum length of one sleep during a step.
+	maxSleep = 100 * time.Millisecond
 )
 
-// schedule runs step after step, each as long as the configured speed makes it.
+// schedule runs the steps of the batch until ctx ends, each at the time that
+// results from the current speed.
 func (e *Engine) schedule(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	next, swept := time.Now(), time.Now()
+	nextStep, lastSweep := time.Now(), time.Now()
 	for ctx.Err() == nil {
-		e.takeIn()
-		if time.Since(swept) > idleLook {
+		e.processArrivals()
+		if time.Since(lastSweep) > sweepInterval {
 			e.sweep()
-			swept = time.Now()
+			lastSweep = time.Now()
 		}
 		speed := e.speed()
 		if speed == 0 {
-			e.pause(ctx, timer, frozenLook)
-			next = time.Now()
+			e.waitForWork(ctx, timer, frozenPollInterval)
+			nextStep = time.Now()
 			continue
 		}
 		e.batch.admit()
-		e.show()
+		e.recordBatchState()
 		if len(e.batch.running) == 0 {
-			e.pause(ctx, timer, idleLook)
-			next = time.Now()
+			e.waitForWork(ctx, timer, sweepInterval)
+			nextStep = time.Now()
 			continue
 		}
-		// A step that started late does not make the next one shorter by more
-		// than one step: the engine has lost that time, as real ones do.
-		step := time.Duration(float64(e.batch.plan()) / speed)
-		next = maxTime(next, time.Now().Add(-step)).Add(step)
-		e.sleepUntil(ctx, timer, next)
-		e.publish(e.batch.step())
+		// A delay of the scheduler is made up for by at most the length of one
+		// step. Beyond that the time is lost, as in real engines.
+		step := time.Duration(float64(e.batch.planStep()) / speed)
+		nextStep = maxTime(nextStep, time.Now().Add(-step)).Add(step)
+		e.sleepUntil(ctx, timer, nextStep)
+		e.publishStep(e.batch.runStep())
 	}
 }
 
-// show copies the state of the batch for the load report.
-func (e *Engine) show() {
-	s := shown{running: len(e.batch.running), waiting: len(e.batch.waiting), kvUsed: e.mem.used()}
+// recordBatchState copies the state of the batch for load reports.
+func (e *Engine) recordBatchState() {
+	state := batchState{running: len(e.batch.running), waiting: len(e.batch.waiting), kvUsed: e.kv.usedBlocks()}
 	e.mu.Lock()
-	e.shown = s
+	e.batchState = state
 	e.mu.Unlock()
 }
 
@@ -65,19 +67,20 @@
 	return b
 }
 
-// pause waits for d or until something arrives.
-func (e *Engine) pause(ctx context.Context, timer *time.Timer, d time.Duration) {
+// waitForWork waits for d, or until the engine is woken or ctx ends.
+func (e *Engine) waitForWork(ctx context.Context, timer *time.Timer, d time.Duration) {
 	timer.Reset(d)
 	select {
 	case <-timer.C:
-	case <-e.poke:
+	case <-e.wakeup:
 	case <-ctx.Done():
 	}
 }
 
+// sleepUntil waits until the given time or until ctx ends.
 func (e *Engine) sleepUntil(ctx context.Context, timer *time.Timer, until time.Time) {
 	for left := time.Until(until); left > 0; left = time.Until(until) {
-		timer.Reset(min(left, maxStep))
+		timer.Reset(min(left, maxSleep))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -86,7 +89,7 @@
 	}
 }
 
-// speed returns the present factor, zero while frozen.
+// speed returns the current speed factor, zero while the engine is frozen.
 func (e *Engine) speed() float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -99,100 +102,106 @@
 	return e.cfg.Speed
 }
 
-// takeIn takes over arrivals and cancels.
-func (e *Engine) takeIn() {
+// processArrivals moves new requests to the batch, cancels requests and clears
+// the prefix cache if necessary.
+func (e *Engine) processArrivals() {
 	e.mu.Lock()
-	arrived, cancels, flush := e.inbox, e.cancels, e.flush
-	e.inbox, e.cancels, e.flush = nil, nil, false
-	gone := make([]*seq, 0, len(cancels))
-	for _, id := range cancels {
-		if s := e.byID[id]; s != nil {
-			gone = append(gone, s)
+	arrivals, cancelIDs, flushCache := e.arrivals, e.cancelIDs, e.flushCache
+	e.arrivals, e.cancelIDs, e.flushCache = nil, nil, false
+	cancelled := make([]*sequence, 0, len(cancelIDs))
+	for _, id := range cancelIDs {
+		if s := e.requests[id]; s != nil {
+			cancelled = append(cancelled, s)
 		}
 	}
 	e.mu.Unlock()
-	if flush {
-		e.mem.flush()
+	if flushCache {
+		e.kv.flush()
 	}
-	e.batch.waiting = append(e.batch.waiting, arrived...)
-	for _, s := range gone {
-		if !s.sink.look().done {
-			e.drop(s)
+	e.batch.waiting = append(e.batch.waiting, arrivals...)
+	for _, s := range cancelled {
+		if !s.progress.state().done {
+			e.cancelSequence(s)
 		}
 	}
 }
 
-func (e *Engine) drop(s *seq) {
-	e.batch.remove(s)
+// cancelSequence cancels s and ends its answer.
+func (e *Engine) cancelSequence(s *sequence) {
+	e.batch.cancel(s)
 	e.mu.Lock()
 	s.rec.Cancelled = true
-	e.settle(s)
+	e.recordTokens(s)
 	e.stats.Cancelled++
 	e.mu.Unlock()
-	s.sink.finish(true, s.usage())
+	s.progress.finish(true, s.usage())
 }
 
-// settle copies the outcome of s into its record. The caller holds mu.
-func (e *Engine) settle(s *seq) {
-	s.rec.CachedTokens, s.rec.OutputTokens = s.cached, s.out
-	s.rec.WastedPrefillTokens = s.wasted
-	e.stats.CachedTokens += int64(s.cached)
-	e.stats.OutputTokens += int64(s.out)
-	e.stats.WastedPrefillTokens += int64(s.wasted)
+// recordTokens copies the token counts of s to its record and adds them to the
+// totals. The caller holds mu.
+func (e *Engine) recordTokens(s *sequence) {
+	s.rec.CachedTokens, s.rec.OutputTokens = s.cachedTokens, s.outTokens
+	s.rec.WastedPrefillTokens = s.wastedTokens
+	e.stats.CachedTokens += int64(s.cachedTokens)
+	e.stats.OutputTokens += int64(s.outTokens)
+	e.stats.WastedPrefillTokens += int64(s.wastedTokens)
 }
 
-func (s *seq) usage() usage {
+func (s *sequence) usage() usage {
 	return usage{
-		PromptTokens: s.prompt, CompletionTokens: s.out, TotalTokens: s.prompt + s.out,
-		Details: details{CachedTokens: s.cached},
+		PromptTokens: s.promptTokens, CompletionTokens: s.outTokens, TotalTokens: s.promptTokens + s.outTokens,
+		Details: promptDetails{CachedTokens: s.cachedTokens},
 	}
 }
 
-// publish shows the results of a step to the callers.
-func (e *Engine) publish(finished []*seq) {
+// publishStep makes the results of a step available to the callers and updates
+// the records and totals.
+func (e *Engine) publishStep(finished []*sequence) {
 	for _, s := range e.batch.running {
-		s.sink.emit(s.out)
+		s.progress.setTokens(s.outTokens)
 	}
 	e.mu.Lock()
 	for _, s := range finished {
 		s.rec.Finished = true
-		e.settle(s)
+		e.recordTokens(s)
 	}
 	e.stats.Finished += int64(len(finished))
-	e.stats.Preempted = e.batch.preempted
-	e.stats.ComputedTokens = e.batch.computed
+	e.stats.Preempted = e.batch.preemptions
+	e.stats.ComputedTokens = e.batch.prefilledTokens
 	e.stats.Steps++
 	e.mu.Unlock()
 	for _, s := range finished {
-		s.sink.emit(s.out)
-		s.sink.finish(false, s.usage())
+		s.progress.setTokens(s.outTokens)
+		s.progress.finish(false, s.usage())
 	}
 }
 
-// sweep cancels requests that nobody reads any more and forgets old answers.
+// sweep cancels requests that nobody has read for longer than Grace, and removes
+// finished ones that nobody has read for as long.
 func (e *Engine) sweep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for id, s := range e.byID {
+	for id, s := range e.requests {
 		switch {
-		case s.sink.orphaned(e.cfg.Grace):
-			e.cancels = append(e.cancels, id)
-		case s.sink.stale(e.cfg.Grace):
-			delete(e.byID, id)
+		case s.progress.isAbandoned(e.cfg.Grace):
+			e.cancelIDs = append(e.cancelIDs, id)
+		case s.progress.isExpired(e.cfg.Grace):
+			delete(e.requests, id)
 		}
 	}
 }
 
-// sample takes load reports, which are shown later by the configured lag.
-func (e *Engine) sample(ctx context.Context) {
-	t := time.NewTicker(sampleEvery)
+// sampleLoad stores a load report at each interval until ctx ends. Reports are
+// shown after the configured lag.
+func (e *Engine) sampleLoad(ctx context.Context) {
+	t := time.NewTicker(loadSampleInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			e.keepLoad(time.Now())
+			e.recordLoad(time.Now())
 		}
 	}
 }
--- a/trial/engin/sink.go
+++ b/trial/engin/sink.go
@@ -5,59 +5,71 @@
 	"time"
 )
 
-// sink joins the scheduler, which counts tokens, to the callers who read them.
-// The text of a token follows from its number, so nothing but a count is kept
-// and a stream can be resumed at any place.
-type sink struct {
+// answerProgress passes the progress of an answer from the scheduler to the
+// readers of the answer. It holds only the number of tokens, because the text
+// of a token depends only on its number. So a stream can be resumed at any
+// token. Its methods may be called from any goroutine.
+type answerProgress struct {
 	mu sync.Mutex
-	// n is how many tokens are out; it never falls, not even by preemption.
-	n int
-	// done is set once, when no further token follows; cancelled tells why.
+	// tokens is the number of tokens produced. It never decreases, not even
+	// after a preemption.
+	tokens int
+	// done is set when the answer has ended. cancelled reports whether it was
+	// cancelled, and usage holds its token counts.
 	done, cancelled bool
 	usage           usage
-	readers         map[chan struct{}]struct{}
-	// left is when the last reader went away.
-	left time.Time
+	// readers holds a channel for each reader, which gets a value after every
+	// change.
+	readers map[chan struct{}]struct{}
+	// lastReaderLeftAt is the time at which a reader last left, or the time of
+	// creation.
+	lastReaderLeftAt time.Time
 }
 
+// usage holds the token counts of an answer.
 type usage struct {
-	PromptTokens     int     `json:"prompt_tokens"`
-	CompletionTokens int     `json:"completion_tokens"`
-	TotalTokens      int     `json:"total_tokens"`
-	Details          details `json:"prompt_tokens_details"`
+	PromptTokens     int           `json:"prompt_tokens"`
+	CompletionTokens int           `json:"completion_tokens"`
+	TotalTokens      int           `json:"total_tokens"`
+	Details          promptDetails `json:"prompt_tokens_details"`
 }
 
-type details struct {
+type promptDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// progress is what a reader sees of a sink.
-type progress struct {
-	n               int
+// progressState is a copy of the state of an answerProgress.
+type progressState struct {
+	tokens          int
 	done, cancelled bool
 	usage           usage
 }
 
-func newSink() *sink { return &sink{readers: make(map[chan struct{}]struct{}), left: time.Now()} }
+func newAnswerProgress() *answerProgress {
+	return &answerProgress{readers: make(map[chan struct{}]struct{}), lastReaderLeftAt: time.Now()}
+}
 
-func (s *sink) emit(n int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if n > s.n {
-		s.n = n
-		s.notify()
+// setTokens sets the number of tokens produced, unless it is less than before.
+func (p *answerProgress) setTokens(n int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if n > p.tokens {
+		p.tokens = n
+		p.notifyReaders()
 	}
 }
 
-func (s *sink) finish(cancelled bool, u usage) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.done, s.cancelled, s.usage = true, cancelled, u
-	s.notify()
+// finish marks the answer as ended.
+func (p *answerProgress) finish(cancelled bool, u usage) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.done, p.cancelled, p.usage = true, cancelled, u
+	p.notifyReaders()
 }
 
-func (s *sink) notify() {
-	for ch := range s.readers {
+// notifyReaders informs every reader of a change. The caller holds mu.
+func (p *answerProgress) notifyReaders() {
+	for ch := range p.readers {
 		select {
 		case ch <- struct{}{}:
 		default:
@@ -65,38 +77,44 @@
 	}
 }
 
-func (s *sink) join() chan struct{} {
+// addReader adds a reader and returns its channel, which contains a value
+// already, so that the reader checks the state at once.
+func (p *answerProgress) addReader() chan struct{} {
 	ch := make(chan struct{}, 1)
 	ch <- struct{}{}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.readers[ch] = struct{}{}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.readers[ch] = struct{}{}
 	return ch
 }
 
-func (s *sink) leave(ch chan struct{}) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.readers, ch)
-	s.left = time.Now()
+// removeReader removes a reader.
+func (p *answerProgress) removeReader(ch chan struct{}) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.readers, ch)
+	p.lastReaderLeftAt = time.Now()
 }
 
-func (s *sink) look() progress {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return progress{n: s.n, done: s.done, cancelled: s.cancelled, usage: s.usage}
+// state returns a copy of the current state.
+func (p *answerProgress) state() progressState {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return progressState{tokens: p.tokens, done: p.done, cancelled: p.cancelled, usage: p.usage}
 }
 
-// orphaned reports whether nobody has read for longer than grace.
-func (s *sink) orphaned(grace time.Duration) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.readers) == 0 && !s.done && time.Since(s.left) > grace
+// isAbandoned reports whether the answer has not ended and has had no reader for
+// longer than grace.
+func (p *answerProgress) isAbandoned(grace time.Duration) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.readers) == 0 && !p.done && time.Since(p.lastReaderLeftAt) > grace
 }
 
-// stale reports whether a finished sink has gone unread for longer than grace.
-func (s *sink) stale(grace time.Duration) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.readers) == 0 && s.done && time.Since(s.left) > grace
+// isExpired reports whether the answer has ended and has had no reader for
+// longer than grace.
+func (p *answerProgress) isExpired(grace time.Duration) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.readers) == 0 && p.done && time.Since(p.lastReaderLeftAt) > grace
 }
--- a/trial/engin/sse.go
+++ b/trial/engin/sse.go
@@ -6,33 +6,34 @@
 	"strconv"
 )
 
-// An answer of n tokens is n+2 events: the tokens, the usage, and the end mark.
+// extraEvents is the number of events that follow the token events of a stream:
+// the usage and the end mark [DONE]. A stream of n tokens has n+2 events.
 const extraEvents = 2
 
-func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleResume(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
 	if r.URL.Query().Get("from") != "" && (err != nil || from < 0) {
 		http.Error(w, "from is no number of an event", http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
-	s := e.byID[r.PathValue("id")]
+	s := e.requests[r.PathValue("id")]
 	e.mu.Unlock()
 	if s == nil {
 		http.Error(w, "no such request", http.StatusNotFound)
 		return
 	}
-	// Only the first connection of a truncated answer breaks.
-	s.stream(w, r, from, false)
+	// A resumed stream is not truncated again.
+	s.streamAnswer(w, r, from, false)
 }
 
-// stream writes events from number at on until the answer is whole, or breaks
-// off half way.
-func (s *seq) stream(w http.ResponseWriter, r *http.Request, at int, truncate bool) {
-	ch := s.sink.join()
-	defer s.sink.leave(ch)
+// streamAnswer writes the events of the answer, from number next to the last, as
+// they become available. If truncate is set, it closes the connection halfway.
+func (s *sequence) streamAnswer(w http.ResponseWriter, r *http.Request, next int, truncate bool) {
+	ch := s.progress.addReader()
+	defer s.progress.removeReader(ch)
 	w.Header().Set("Content-Type", "text/event-stream")
-	flush := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	var buf []byte
 	for {
 		select {
@@ -40,70 +41,71 @@
 			return
 		case <-ch:
 		}
-		p := s.sink.look()
-		if p.cancelled {
+		state := s.progress.state()
+		if state.cancelled {
 			panic(http.ErrAbortHandler)
 		}
-		buf, at = s.events(buf[:0], at, p)
+		buf, next = s.appendEvents(buf[:0], next, state)
 		if len(buf) > 0 {
 			if _, err := w.Write(buf); err != nil {
 				return
 			}
-			if flush.Flush() != nil {
+			if controller.Flush() != nil {
 				return
 			}
 		}
-		if truncate && at > s.want/2 {
+		if truncate && next > s.answerTokens/2 {
 			panic(http.ErrAbortHandler)
 		}
-		if at >= s.want+extraEvents {
+		if next >= s.answerTokens+extraEvents {
 			return
 		}
 	}
 }
 
-// events appends the events from number at on that are out, and returns the
-// number of the next.
-func (s *seq) events(buf []byte, at int, p progress) ([]byte, int) {
-	for at < p.n && at < s.want {
-		buf = s.tokenEvent(buf, at)
-		at++
+// appendEvents appends to buf the available events from number next on. It
+// returns buf and the number of the first event that it did not append.
+func (s *sequence) appendEvents(buf []byte, next int, state progressState) ([]byte, int) {
+	for next < state.tokens && next < s.answerTokens {
+		buf = s.appendTokenEvent(buf, next)
+		next++
 	}
-	if !p.done {
-		return buf, at
+	if !state.done {
+		return buf, next
 	}
-	if at == s.want {
-		buf = s.usageEvent(buf, p.usage)
-		at++
+	if next == s.answerTokens {
+		buf = s.appendUsageEvent(buf, state.usage)
+		next++
 	}
-	if at == s.want+1 {
+	if next == s.answerTokens+1 {
 		buf = append(buf, "data: [DONE]\n\n"...)
-		at++
+		next++
 	}
-	return buf, at
+	return buf, next
 }
 
-// tokenEvent writes the JSON by hand: it is done for every token, and nothing
-// in it needs escaping but the ID.
-func (s *seq) tokenEvent(buf []byte, i int) []byte {
+// appendTokenEvent appends the event of token i to buf. For speed it does not
+// use encoding/json; only the request ID needs escaping.
+func (s *sequence) appendTokenEvent(buf []byte, i int) []byte {
 	buf = append(buf, `data: {"id":`...)
 	buf = strconv.AppendQuote(buf, s.rec.ID)
-	if s.chat {
+	if s.isChat {
 		buf = append(buf, `,"object":"chat.completion.chunk","choices":[{"index":0,"delta":{"content":"`...)
-		buf = append(buf, s.token(i)...)
+		buf = append(buf, s.tokenText(i)...)
 		return append(buf, "\"}}]}\n\n"...)
 	}
 	buf = append(buf, `,"object":"text_completion","choices":[{"index":0,"text":"`...)
-	buf = append(buf, s.token(i)...)
+	buf = append(buf, s.tokenText(i)...)
 	return append(buf, "\"}]}\n\n"...)
 }
 
-func (s *seq) usageEvent(buf []byte, u usage) []byte {
-	a := answer{ID: s.rec.ID, Object: "text_completion", Choices: []choice{{Finish: finishStop}}, Usage: &u}
-	if s.chat {
-		a.Object, a.Choices[0].Delta = "chat.completion.chunk", &Message{}
+// appendUsageEvent appends the event that contains the usage to buf.
+func (s *sequence) appendUsageEvent(buf []byte, u usage) []byte {
+	answer := completionAnswer{ID: s.rec.ID, Object: "text_completion", Choices: []choice{{Finish: finishStop}}, Usage: &u}
+	if s.isChat {
+		answer.Object, answer.Choices[0].Delta = "chat.completion.chunk", &Message{}
 	}
-	body, err := json.Marshal(a)
+	body, err := json.Marshal(answer)
 	if err != nil {
 		return buf
 	}
--- a/trial/proxy/proxy.go
+++ b/trial/proxy/proxy.go
@@ -82,7 +82,7 @@
 	mu          sync.Mutex
 	fault       Fault
 	frameFaults []FrameFault
-	// connCtx is the context of all connections. It is canceled while they are
+	// connCtx is the context of all connections. It is cancelled while they are
 	// cut.
 	connCtx  context.Context
 	cutConns context.CancelFunc
