--- a/trial/platf/http.go
+++ b/trial/platf/http.go
@@ -23,8 +23,10 @@
 	Watch     int64 `json:"watch"`
 	Instances int64 `json:"instances"`
 	Weights   int64 `json:"weights"`
+	// Conflicts is the number of writes whose expected version was wrong.
 	Conflicts int64 `json:"conflicts"`
-	Refused   int64 `json:"refused"`
+	// Refused is the number of calls answered with 503 because of Fault.Down.
+	Refused int64 `json:"refused"`
 	// Waiting is the number of long polls that are waiting now.
 	Waiting int64 `json:"waiting"`
 }
@@ -35,8 +37,8 @@
 	return s.Get + s.List + s.Put + s.Delete + s.Watch + s.Instances + s.Weights
 }
 
-// Since returns the calls counted after the snapshot from was taken. Waiting is
-// the current number in s.
+// Since returns the calls counted between the snapshots from and s. Its Waiting
+// is that of s.
 func (s Stats) Since(from Stats) Stats {
 	return Stats{
 		Get: s.Get - from.Get, List: s.List - from.List, Put: s.Put - from.Put, Delete: s.Delete - from.Delete,
@@ -45,9 +47,9 @@
 	}
 }
 
-// conflict is the body of a 409 answer to a conditional write. Current is the
-// object's version.
-type conflict struct {
+// conflictAnswer is the body of a 409 answer to a conditional write. Current is
+// the object's version.
+type conflictAnswer struct {
 	Current int64 `json:"current"`
 }
 
@@ -146,7 +148,7 @@
 	}
 	o, ok := p.Put(r.PathValue("kind"), r.PathValue("name"), data, expectedVersion)
 	if !ok {
-		serve.WriteJSON(w, http.StatusConflict, conflict{Current: o.Version})
+		serve.WriteJSON(w, http.StatusConflict, conflictAnswer{Current: o.Version})
 		return
 	}
 	if p.consumeLostReply() {
@@ -166,7 +168,7 @@
 	case !ok && version == 0:
 		http.NotFound(w, r)
 	case !ok:
-		serve.WriteJSON(w, http.StatusConflict, conflict{Current: version})
+		serve.WriteJSON(w, http.StatusConflict, conflictAnswer{Current: version})
 	case p.consumeLostReply():
 		panic(http.ErrAbortHandler)
 	default:
--- a/trial/platf/platf.go
+++ b/trial/platf/platf.go
@@ -61,11 +61,11 @@
 	mu sync.Mutex
 	// version grows by one with every write of an object.
 	version int64
-	objects table
+	objects objectTable
 	// log holds the newest events, oldest first. base holds the objects as they
 	// were before the first event of log.
 	log  []loggedEvent
-	base table
+	base objectTable
 	// compactedVersion is the version of the newest event that was removed from
 	// log.
 	compactedVersion int64
@@ -80,8 +80,8 @@
 	weightReads int
 }
 
-// table holds objects by kind and name.
-type table map[string]map[string]plat.Object
+// objectTable holds objects by kind and name.
+type objectTable map[string]map[string]plat.Object
 
 // loggedEvent is an event and the time of its write.
 type loggedEvent struct {
@@ -108,7 +108,7 @@
 		cfg.WeightRate = DefaultWeightRate
 	}
 	return &Platform{
-		cfg: cfg, now: time.Now, objects: make(table), base: make(table),
+		cfg: cfg, now: time.Now, objects: make(objectTable), base: make(objectTable),
 		instances: make(map[string]plat.Instance), changed: make(chan struct{}),
 	}
 }
@@ -144,14 +144,14 @@
 	p.changed = make(chan struct{})
 }
 
-func (t table) put(o plat.Object) {
+func (t objectTable) put(o plat.Object) {
 	if t[o.Kind] == nil {
 		t[o.Kind] = make(map[string]plat.Object)
 	}
 	t[o.Kind][o.Name] = o
 }
 
-func (t table) apply(ev plat.Event) {
+func (t objectTable) apply(ev plat.Event) {
 	if ev.Gone {
 		delete(t[ev.Object.Kind], ev.Object.Name)
 		return
@@ -159,8 +159,8 @@
 	t.put(ev.Object)
 }
 
-func (t table) copy() table {
-	out := make(table, len(t))
+func (t objectTable) copy() objectTable {
+	out := make(objectTable, len(t))
 	for _, byName := range t {
 		for _, o := range byName {
 			out.put(o)
--- a/trial/platf/platf_test.go
+++ b/trial/platf/platf_test.go
@@ -45,7 +45,7 @@
 	if got := call(t, "PUT", u, `"0"`, `{"a":1}`, &o); got != 200 || o.Version != 1 {
 		t.Fatalf("create: %d, %+v", got, o)
 	}
-	var c conflict
+	var c conflictAnswer
 	if got := call(t, "PUT", u, `"0"`, `{}`, &c); got != 409 || c.Current != 1 {
 		t.Errorf("create again: %d, %+v", got, c)
 	}
--- a/trial/platf/poll.go
+++ b/trial/platf/poll.go
@@ -19,9 +19,9 @@
 	status       int
 }
 
-// poll calls see with mu held, first at once and then after every change, until
-// it finds something or the time until is reached. It answers with the last
-// result.
+// poll answers a long poll. It calls check with mu held, first at once and then
+// after every change, until check finds news or the time until is reached, and
+// answers with the last result.
 func (p *Platform) poll(w http.ResponseWriter, r *http.Request, until time.Time, check func() pollResult) {
 	p.updateStats(func(s *Stats) { s.Waiting++ })
 	defer p.updateStats(func(s *Stats) { s.Waiting-- })
--- a/trial/platf/store.go
+++ b/trial/platf/store.go
@@ -14,9 +14,9 @@
 // version the object has.
 const AnyVersion = -1
 
-// Put writes an object if its current version is expectedVersion; 0 means that
-// it must not exist yet. It returns the written object and true, or the current
-// one and false.
+// Put writes an object if its current version is expectedVersion, where 0 means
+// that it must not exist and AnyVersion accepts every version. It returns the
+// written object and true, or the current one and false.
 func (p *Platform) Put(kind, name string, data json.RawMessage, expectedVersion int64) (plat.Object, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -31,9 +31,9 @@
 	return o, true
 }
 
-// Delete removes an object if its current version is expectedVersion. It
-// returns the version of the deletion and true, or the current version, 0 if
-// the object does not exist, and false.
+// Delete removes an object if its current version is expectedVersion, where
+// AnyVersion accepts every version. It returns the version of the deletion and
+// true, or the current version, 0 if the object does not exist, and false.
 func (p *Platform) Delete(kind, name string, expectedVersion int64) (int64, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,15 +61,15 @@
 
 // visibleObjects returns the objects that a reader sees under the current
 // faults, and their version. The caller holds mu and must not change the table.
-func (p *Platform) visibleObjects() (table, int64) {
-	stale := p.fault.StaleReads.Std()
-	if stale <= 0 {
+func (p *Platform) visibleObjects() (objectTable, int64) {
+	age := p.fault.StaleReads.Std()
+	if age <= 0 {
 		return p.objects, p.version
 	}
 	t, version := p.base.copy(), p.compactedVersion
-	cut := p.now().Add(-stale)
+	asOf := p.now().Add(-age)
 	for _, l := range p.log {
-		if l.at.After(cut) {
+		if l.at.After(asOf) {
 			break
 		}
 		t.apply(l.event)
