--- a/trial/platf/platf.go
+++ b/trial/platf/platf.go
@@ -1,6 +1,6 @@
-// Package platf is a stand-in for the platform: objects with versions,
-// conditional updates and watches, a lagging instance list and a weight store
-// with a bounded rate. It can be told to fail as the platform does.
+// Package platf simulates the platform: versioned objects with conditional
+// updates and watches, an instance list, and a weight store with limited
+// concurrency. Faults of the real platform can be injected.
 package platf
 
 import (
@@ -13,32 +13,35 @@
 	"lycheepond/trial/serve"
 )
 
-// Config sets the platform's habits.
+// Config configures the simulated platform.
 type Config struct {
-	// Token is what callers must present; empty accepts everyone.
+	// Token is the bearer token that callers must send. Empty disables the check.
 	Token string
-	// Retain is how many events a watch can go back; older ones are compacted.
+	// MaxEvents is the number of events kept for watches; older ones are
+	// compacted.
 	Retain int
-	// WeightTime is how long one set of weights takes.
+	// WeightReadTime is the time that it takes to read one set of weights.
 	WeightTime time.Duration
-	// WeightRate is how many sets of weights may be read at once.
+	// MaxWeightReads is the maximum number of concurrent reads of weights.
 	WeightRate int
 }
 
-// Fault is how the platform misbehaves at present.
+// Fault is the set of faults that are injected now. The zero value means none.
 type Fault struct {
 	// Down answers 503 to every call.
 	Down bool `json:"down"`
-	// Slow delays every call.
+	// Slow is a delay before every call is handled.
 	Slow spec.Duration `json:"slow"`
-	// LoseReplies is how many of the next writes take effect unanswered.
+	// LoseReplies is the number of coming writes that take effect but whose
+	// connection is closed without a reply.
 	LoseReplies int `json:"lose_replies"`
-	// Lag delays the instance list and watches.
+	// Lag is the time after which a change shows up in the instance list and in
+	// watches.
 	Lag spec.Duration `json:"lag"`
-	// Replay is how many old events a watch repeats behind the new ones, the
-	// oldest last.
+	// Replay is the number of old events that a watch repeats after the new
+	// ones, in reverse order.
 	Replay int `json:"replay"`
-	// StaleReads makes reads and watches answer from that long ago.
+	// StaleReads is the age of the state that reads and watches return.
 	StaleReads spec.Duration `json:"stale_reads"`
 }
 
@@ -49,7 +52,8 @@
 	DefaultWeightRate = 2
 )
 
-// Platform is the stand-in. Its methods may be called at any time.
+// Platform is the simulated platform. Its methods may be called from any
+// goroutine.
 type Platform struct {
 	cfg Config
 	now func() time.Time
@@ -57,37 +61,42 @@
 	mu sync.Mutex
 	// version grows by one with every write of an object.
 	version int64
-	objects table
-	// log holds the newest events, oldest first; events before it are folded
-	// into base.
-	log  []logged
-	base table
-	// compacted is the version of the newest event that left the log.
-	compacted int64
-	rosters   []dated
-	instances map[string]plat.Instance
-	fault     Fault
-	// changed is closed and replaced whenever a waiting call must look again.
+	objects objectTable
+	// log holds the newest events, oldest first. base holds the objects as they
+	// were before the first event of log.
+	log  []loggedEvent
+	base objectTable
+	// compactedVersion is the version of the newest event that was removed from
+	// log.
+	compactedVersion int64
+	// rosterHistory holds the latest versions of the instance list, oldest first.
+	rosterHistory []datedRoster
+	instances     map[string]plat.Instance
+	fault         Fault
+	// changed is closed and replaced whenever long polls must check again.
 	changed chan struct{}
 	stats   Stats
-	// loading counts reads of weights under way.
-	loading int
+	// weightReads is the number of reads of weights in progress.
+	weightReads int
 }
 
-// table is the objects by kind and name.
-type table map[string]map[string]plat.Object
+// objectTable holds objects by kind and name.
+type objectTable map[string]map[string]plat.Object
 
-type logged struct {
+// loggedEvent is an event and the time of its write.
+type loggedEvent struct {
 	at    time.Time
 	event plat.Event
 }
 
-type dated struct {
+// datedRoster is a version of the instance list and the time of its change.
+type datedRoster struct {
 	at     time.Time
 	roster plat.Roster
 }
 
-// New returns an empty platform.
+// New returns a platform without objects or instances. Zero or negative values
+// in cfg are replaced by the defaults.
 func New(cfg Config) *Platform {
 	if cfg.Retain <= 0 {
 		cfg.Retain = DefaultRetain
@@ -99,7 +108,7 @@
 		cfg.WeightRate = DefaultWeightRate
 	}
 	return &Platform{
-		cfg: cfg, now: time.Now, objects: make(table), base: make(table),
+		cfg: cfg, now: time.Now, objects: make(objectTable), base: make(objectTable),
 		instances: make(map[string]plat.Instance), changed: make(chan struct{}),
 	}
 }
@@ -116,33 +125,33 @@
 	m.HandleFunc("GET /v1/weights/{model}/{version}", p.guard(p.weights))
 	m.HandleFunc("PUT /admin/instances/{name}", p.putInstance)
 	m.HandleFunc("DELETE /admin/instances/{name}", p.dropInstance)
-	m.HandleFunc("POST /admin/fault", serve.Take(p.SetFault))
+	m.HandleFunc("POST /admin/fault", serve.SetHandler(p.SetFault))
 	m.HandleFunc("GET /admin/stats", p.showStats)
 	return m
 }
 
-// SetFault changes how the platform misbehaves.
+// SetFault replaces the injected faults.
 func (p *Platform) SetFault(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
-	p.wake()
+	p.wakePolls()
 }
 
-// wake makes waiting calls look again. The caller holds mu.
-func (p *Platform) wake() {
+// wakePolls makes every long poll check again. The caller holds mu.
+func (p *Platform) wakePolls() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-func (t table) put(o plat.Object) {
+func (t objectTable) put(o plat.Object) {
 	if t[o.Kind] == nil {
 		t[o.Kind] = make(map[string]plat.Object)
 	}
 	t[o.Kind][o.Name] = o
 }
 
-func (t table) apply(ev plat.Event) {
+func (t objectTable) apply(ev plat.Event) {
 	if ev.Deleted {
 		delete(t[ev.Object.Kind], ev.Object.Name)
 		return
@@ -150,8 +159,8 @@
 	t.put(ev.Object)
 }
 
-func (t table) copy() table {
-	out := make(table, len(t))
+func (t objectTable) copy() objectTable {
+	out := make(objectTable, len(t))
 	for _, byName := range t {
 		for _, o := range byName {
 			out.put(o)
