--- a/trial/basel/basel.go
+++ b/trial/basel/basel.go
@@ -95,7 +95,7 @@
 	}
 }
 
-func (d *Dispatcher) load(ctx context.Context, addr string) (l engin.Load, err error) {
+func (d *Dispatcher) load(ctx context.Context, addr string) (l engin.LoadReport, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/load", nil)
 	if err != nil {
 		return l, err
--- a/trial/basel/basel_test.go
+++ b/trial/basel/basel_test.go
@@ -33,7 +33,7 @@
 }
 
 func TestPush(t *testing.T) {
-	e := engin.New(engin.Default())
+	e := engin.New(engin.DefaultConfig())
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- e.Run(ctx) }()
@@ -51,7 +51,7 @@
 	for _, stream := range []bool{true, false} {
 		r := c.Send(ctx, 0, load.Job{
 			Class: spec.Class{Deadline: spec.Duration(30 * time.Second)},
-			Ask:   engin.Ask{Model: "roster", Prompt: "x", MaxTokens: 8, Stream: stream},
+			Ask:   engin.CompletionRequest{Model: "roster", Prompt: "x", MaxTokens: 8, Stream: stream},
 		})
 		if r.Outcome != load.Complete {
 			t.Errorf("stream %v: %s %s", stream, r.Outcome, r.Detail)
--- a/trial/capac/path.go
+++ b/trial/capac/path.go
@@ -74,7 +74,7 @@
 func pathJob(n, want int) load.Job {
 	return load.Job{
 		Class: spec.Class{Name: freeClass, Deadline: spec.Duration(time.Minute)}, Bearer: bearer(0),
-		Ask: engin.Ask{
+		Ask: engin.CompletionRequest{
 			Model: model, MaxTokens: want, Stream: true,
 			Prompt: fmt.Sprintf("stream %d ", n) + strings.Repeat("note ", promptWords),
 		},
--- a/trial/capac/phase.go
+++ b/trial/capac/phase.go
@@ -78,13 +78,13 @@
 	if err := show(s); err != nil {
 		return err
 	}
-	if err := f.Platform().Fault(ctx, platf.Fault{Down: true}); err != nil {
+	if err := f.Platform().SetFault(ctx, platf.Fault{Down: true}); err != nil {
 		return err
 	}
 	if !serve.Sleep(ctx, outage) {
 		return context.Cause(ctx)
 	}
-	if err := f.Platform().Fault(ctx, platf.Fault{}); err != nil {
+	if err := f.Platform().SetFault(ctx, platf.Fault{}); err != nil {
 		return err
 	}
 	return count(ctx, f, phaseAfter, p, afterSpan, show)
--- a/trial/capac/proc.go
+++ b/trial/capac/proc.go
@@ -95,7 +95,7 @@
 }
 
 func entryStatus(ctx context.Context, e *fleet.Entry) (s linkBytes, err error) {
-	err = fleet.Do(ctx, http.MethodGet, "http://"+e.Admin+"/status", fleet.AdminToken, nil, &s)
+	err = fleet.CallJSON(ctx, http.MethodGet, "http://"+e.Admin+"/status", fleet.AdminToken, nil, &s)
 	return s, err
 }
 
@@ -105,7 +105,7 @@
 		return u, err
 	}
 	var g gauges
-	err = fleet.Do(ctx, http.MethodGet, "http://"+a.Admin+"/metrics?format=json", fleet.AdminToken, nil, &g)
+	err = fleet.CallJSON(ctx, http.MethodGet, "http://"+a.Admin+"/metrics?format=json", fleet.AdminToken, nil, &g)
 	u.control = g.Gauges["agent_control_in_bytes"] + g.Gauges["agent_control_out_bytes"]
 	u.data = g.Gauges["agent_data_in_bytes"] + g.Gauges["agent_data_out_bytes"]
 	return u, err
--- a/trial/capac/run.go
+++ b/trial/capac/run.go
@@ -118,11 +118,11 @@
 func plan(n, customers, entries int) fleet.Plan {
 	p := fleet.Plan{Name: "capacity", Zones: []string{"z1", "z2"}, Entries: entries, Objects: objects(customers)}
 	for i := range n {
-		cfg := engin.Default()
+		cfg := engin.DefaultConfig()
 		cfg.Slots, cfg.DecodeTPS, cfg.KVBlocks = 64, 200, 16384
 		ep := fleet.EngineEndpoint(fmt.Sprintf("engine-%03d", i), p.Zones[i%len(p.Zones)], model, cfg)
 		if i >= engines {
-			ep.Share = fmt.Sprintf("engine-%03d", i%engines)
+			ep.SharesWith = fmt.Sprintf("engine-%03d", i%engines)
 		}
 		p.Endpoints = append(p.Endpoints, ep)
 	}
@@ -260,7 +260,7 @@
 		jobs = append(jobs, load.Job{
 			At: at, Class: spec.Class{Name: ownClass, Deadline: spec.Duration(10 * time.Second)},
 			Bearer: bearer(0),
-			Ask: engin.Ask{
+			Ask: engin.CompletionRequest{
 				Model: model, MaxTokens: answerWant, Stream: true,
 				Prompt: fmt.Sprintf("job %d ", len(jobs)) + strings.Repeat("note ", promptWords),
 			},
--- a/trial/engin/config.go
+++ b/trial/engin/config.go
@@ -44,8 +44,8 @@
 	Grace time.Duration
 }
 
-// Default returns the configuration of an engine of medium speed.
-func Default() Config {
+// DefaultConfig returns the configuration of an engine of medium speed.
+func DefaultConfig() Config {
 	return Config{
 		Name: "engine", Model: "roster", Version: "v1", Slots: 16, PrefillTPS: 8000, DecodeTPS: 80,
 		BatchSlope: 0.05, KVBlocks: 2048, BlockTokens: 16, LoadLag: 500 * time.Millisecond,
@@ -111,8 +111,8 @@
 	Steps               int64 `json:"steps"`
 }
 
-// Load is the load report of an engine. KVUsed and KVTotal are in blocks.
-type Load struct {
+// LoadReport is the load report of an engine. KVUsed and KVTotal are in blocks.
+type LoadReport struct {
 	Running int    `json:"running"`
 	Waiting int    `json:"waiting"`
 	KVUsed  int    `json:"kv_used"`
--- a/trial/engin/engin.go
+++ b/trial/engin/engin.go
@@ -38,7 +38,7 @@
 	batchState batchState
 	// loadReports holds the load reports that are not older than needed for
 	// LoadLag, oldest first. loadTimes holds their times.
-	loadReports []Load
+	loadReports []LoadReport
 	loadTimes   []time.Time
 	events      eventLog
 	// flushCache makes Run clear the prefix cache.
--- a/trial/engin/engin_test.go
+++ b/trial/engin/engin_test.go
@@ -18,7 +18,7 @@
 // a server for its API.
 func startEngine(t *testing.T, adjust func(*Config)) (*Engine, *httptest.Server) {
 	t.Helper()
-	cfg := Default()
+	cfg := DefaultConfig()
 	cfg.PrefillTPS, cfg.DecodeTPS = 200000, 2000
 	if adjust != nil {
 		adjust(&cfg)
@@ -85,20 +85,20 @@
 func TestAnswers(t *testing.T) {
 	_, srv := startEngine(t, nil)
 	p := makePrompt(100, "ab")
-	resp := post(t, srv.URL+"/v1/completions", "r1", Ask{Model: "roster", Prompt: p, MaxTokens: 5, Stream: true})
+	resp := post(t, srv.URL+"/v1/completions", "r1", CompletionRequest{Model: "roster", Prompt: p, MaxTokens: 5, Stream: true})
 	text, u := readStream(t, resp.Body)
-	if text != Text(p, 5) || u == nil || u.PromptTokens != 100 || u.CompletionTokens != 5 {
+	if text != AnswerText(p, 5) || u == nil || u.PromptTokens != 100 || u.CompletionTokens != 5 {
 		t.Errorf("stream: %q, %+v", text, u)
 	}
 	var a completionAnswer
-	resp = post(t, srv.URL+"/v1/chat/completions", "r2", Ask{Model: "roster", Messages: []Message{{Content: p}}, MaxTokens: 5})
+	resp = post(t, srv.URL+"/v1/chat/completions", "r2", CompletionRequest{Model: "roster", Messages: []Message{{Content: p}}, MaxTokens: 5})
 	if err := json.NewDecoder(resp.Body).Decode(&a); err != nil {
 		t.Fatal(err)
 	}
-	if a.Choices[0].Message.Content != Text(p, 5) || a.Usage.Details.CachedTokens == 0 {
+	if a.Choices[0].Message.Content != AnswerText(p, 5) || a.Usage.Details.CachedTokens == 0 {
 		t.Errorf("whole: %+v, %+v", a.Choices[0].Message, a.Usage)
 	}
-	resp = post(t, srv.URL+"/v1/completions", "r3", Ask{Model: "other", Prompt: p})
+	resp = post(t, srv.URL+"/v1/completions", "r3", CompletionRequest{Model: "other", Prompt: p})
 	if resp.StatusCode != http.StatusNotFound {
 		t.Errorf("a model that isn't loaded: %s", resp.Status)
 	}
@@ -111,7 +111,7 @@
 	e, srv := startEngine(t, func(c *Config) { c.DecodeTPS = 200 })
 	e.SetFault(Fault{TruncateNext: 1})
 	p := makePrompt(20, "xy")
-	resp := post(t, srv.URL+"/v1/completions", "r1", Ask{Model: "roster", Prompt: p, MaxTokens: 20, Stream: true})
+	resp := post(t, srv.URL+"/v1/completions", "r1", CompletionRequest{Model: "roster", Prompt: p, MaxTokens: 20, Stream: true})
 	b, err := io.ReadAll(resp.Body)
 	if err == nil {
 		t.Fatal("the answer was not truncated")
@@ -124,7 +124,7 @@
 	}
 	defer rest.Body.Close()
 	second, _ := readStream(t, rest.Body)
-	if first+second != Text(p, 20) {
+	if first+second != AnswerText(p, 20) {
 		t.Errorf("got %q + %q", first, second)
 	}
 }
@@ -143,8 +143,8 @@
 	for _, seed := range []string{"a", "b", "c", "d"} {
 		wait.Go(func() {
 			p := makePrompt(64, seed)
-			resp := post(t, srv.URL+"/v1/completions", seed, Ask{Model: "roster", Prompt: p, MaxTokens: 120, Stream: true})
-			if text, _ := readStream(t, resp.Body); text != Text(p, 120) {
+			resp := post(t, srv.URL+"/v1/completions", seed, CompletionRequest{Model: "roster", Prompt: p, MaxTokens: 120, Stream: true})
+			if text, _ := readStream(t, resp.Body); text != AnswerText(p, 120) {
 				t.Errorf("%s: wrong answer", seed)
 			}
 		})
@@ -161,7 +161,7 @@
 
 func TestCancel(t *testing.T) {
 	e, srv := startEngine(t, func(c *Config) { c.DecodeTPS = 50 })
-	resp := post(t, srv.URL+"/v1/completions", "r1", Ask{Model: "roster", Prompt: makePrompt(64, "q"), MaxTokens: 1000, Stream: true})
+	resp := post(t, srv.URL+"/v1/completions", "r1", CompletionRequest{Model: "roster", Prompt: makePrompt(64, "q"), MaxTokens: 1000, Stream: true})
 	if _, err := bufio.NewReader(resp.Body).ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
@@ -201,7 +201,7 @@
 // Runs a batch without a clock. The second run of a prompt must use the prefix
 // cache. After its blocks were evicted, computing them again must count as waste.
 func TestPrefixCache(t *testing.T) {
-	cfg := Default()
+	cfg := DefaultConfig()
 	cfg.KVBlocks = 20
 	kv := newKVMemory(cfg.KVBlocks, func(string, uint64) {})
 	b := newBatch(cfg, kv)
@@ -232,7 +232,7 @@
 }
 
 func TestLoadReportLag(t *testing.T) {
-	e := New(Default())
+	e := New(DefaultConfig())
 	now := time.Now()
 	e.batchState.running = 1
 	e.recordLoad(now)
--- a/trial/engin/http.go
+++ b/trial/engin/http.go
@@ -10,8 +10,8 @@
 	"lycheepond/trial/serve"
 )
 
-// Ask is the body of a completions or chat completions request.
-type Ask struct {
+// CompletionRequest is the body of a completions or chat completions request.
+type CompletionRequest struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt,omitempty"`
 	Messages  []Message `json:"messages,omitempty"`
@@ -28,9 +28,9 @@
 	Content string `json:"content"`
 }
 
-// Text returns the text of the prompt, whose digest is part of the answer. The
+// PromptText returns the text of the prompt, whose digest is part of the answer. The
 // contents of chat messages are joined by line feeds.
-func (a Ask) Text() string {
+func (a CompletionRequest) PromptText() string {
 	if len(a.Messages) == 0 {
 		return a.Prompt
 	}
@@ -41,8 +41,8 @@
 	return strings.Join(parts, "\n")
 }
 
-// Want returns the number of tokens of the answer.
-func (a Ask) Want() int {
+// AnswerTokens returns the number of tokens of the answer.
+func (a CompletionRequest) AnswerTokens() int {
 	n := a.MaxTokens
 	if n <= 0 {
 		n = defaultAnswerTokens
@@ -65,7 +65,7 @@
 // handleRequest handles a request of the given kind: it submits the request and
 // writes the answer.
 func (e *Engine) handleRequest(w http.ResponseWriter, r *http.Request, kind string) {
-	var req Ask
+	var req CompletionRequest
 	if !serve.ReadJSON(w, r, &req) || !e.waitUnfrozen(r) {
 		return
 	}
@@ -96,10 +96,10 @@
 	e.writeWhenDone(w, r, s)
 }
 
-func (e *Engine) newSequence(req Ask, kind string, r *http.Request) *sequence {
-	text := req.Text()
+func (e *Engine) newSequence(req CompletionRequest, kind string, r *http.Request) *sequence {
+	text := req.PromptText()
 	s := &sequence{
-		progress: newAnswerProgress(), promptTokens: countTokens(text), answerTokens: req.Want(), blockHashes: hashBlocks(text, e.cfg.BlockTokens),
+		progress: newAnswerProgress(), promptTokens: countTokens(text), answerTokens: req.AnswerTokens(), blockHashes: hashBlocks(text, e.cfg.BlockTokens),
 		digest: Digest(text), isChat: kind == KindChat,
 	}
 	s.rec = &Record{
--- a/trial/engin/report.go
+++ b/trial/engin/report.go
@@ -20,7 +20,7 @@
 	if e.fault.Freeze {
 		return
 	}
-	l := Load{
+	l := LoadReport{
 		Running: e.batchState.running, Waiting: e.batchState.waiting, KVUsed: e.batchState.kvUsed,
 		KVTotal: e.cfg.KVBlocks, Model: e.serving.model, Version: e.serving.version, Role: e.serving.role,
 	}
@@ -35,7 +35,7 @@
 		return
 	}
 	e.mu.Lock()
-	l := Load{KVTotal: e.cfg.KVBlocks, Model: e.serving.model, Version: e.serving.version, Role: e.serving.role}
+	l := LoadReport{KVTotal: e.cfg.KVBlocks, Model: e.serving.model, Version: e.serving.version, Role: e.serving.role}
 	if len(e.loadReports) > 0 {
 		l = e.loadReports[0]
 		l.AsOfMS = time.Since(e.loadTimes[0]).Milliseconds()
--- a/trial/engin/text.go
+++ b/trial/engin/text.go
@@ -29,9 +29,9 @@
 	return "t" + strconv.Itoa(i) + " "
 }
 
-// Text returns the complete text of the answer to prompt, which has the given
+// AnswerText returns the complete text of the answer to prompt, which has the given
 // number of tokens.
-func Text(prompt string, tokens int) string {
+func AnswerText(prompt string, tokens int) string {
 	s := sequence{answerTokens: tokens, digest: Digest(prompt)}
 	return string(s.appendText(nil, tokens))
 }
--- a/trial/exper/exper_test.go
+++ b/trial/exper/exper_test.go
@@ -34,8 +34,8 @@
 }
 
 func TestLines(t *testing.T) {
-	top := load.Job{Class: spec.Class{Tier: 0}, Ask: engin.Ask{Prompt: "a"}}
-	low := load.Job{Class: spec.Class{Tier: 3}, Ask: engin.Ask{Prompt: "b", Stream: true}}
+	top := load.Job{Class: spec.Class{Tier: 0}, Ask: engin.CompletionRequest{Prompt: "a"}}
+	low := load.Job{Class: spec.Class{Tier: 3}, Ask: engin.CompletionRequest{Prompt: "b", Stream: true}}
 	o := Outcome{
 		Results: []load.Result{
 			{Job: top, Outcome: load.Complete, Total: time.Second},
--- a/trial/exper/run.go
+++ b/trial/exper/run.go
@@ -114,7 +114,7 @@
 	}
 	for range 2 {
 		f := new(front)
-		if f.listen, err = procs.Port(); err != nil {
+		if f.listen, err = procs.FreeAddr(); err != nil {
 			return err
 		}
 		r.fronts = append(r.fronts, f)
@@ -200,11 +200,11 @@
 
 // slowDown makes the fastest engine slow and says nothing.
 func slowDown(r *runner) error {
-	return r.fleet.Units()[0].Fault(r.ctx, engin.Fault{Speed: slowedTo})
+	return r.fleet.Units()[0].SetFault(r.ctx, engin.Fault{Speed: slowedTo})
 }
 
 func platformDown(r *runner) error {
-	return r.fleet.Platform().Fault(r.ctx, platf.Fault{Down: true})
+	return r.fleet.Platform().SetFault(r.ctx, platf.Fault{Down: true})
 }
 
 // killAgent kills an agent without warning and starts it again. The baselines
--- a/trial/exper/scene.go
+++ b/trial/exper/scene.go
@@ -110,7 +110,7 @@
 
 // engine returns the measured engines at speed 1.
 func engine() engin.Config {
-	c := engin.Default()
+	c := engin.DefaultConfig()
 	c.DecodeTPS, c.PrefillTPS, c.BatchSlope = 100, 10000, 0.05
 	c.Slots, c.KVBlocks, c.BlockTokens = 16, 1024, 16
 	return c
--- a/trial/exper/sum.go
+++ b/trial/exper/sum.go
@@ -51,7 +51,7 @@
 	}
 	for _, r := range o.counted() {
 		tier := r.Job.Class.Tier
-		tierOf[engin.Digest(r.Job.Ask.Text())] = tier
+		tierOf[engin.Digest(r.Job.Ask.PromptText())] = tier
 		lines[tier].count(r)
 		if r.Outcome == load.Complete {
 			times[tier] = append(times[tier], r.Total)
--- a/trial/exper/trace.go
+++ b/trial/exper/trace.go
@@ -38,7 +38,7 @@
 				Pools json.RawMessage `json:"pools"`
 			}
 			// An entry that is down at the moment leaves a line without pools.
-			_ = fleet.Do(ctx, http.MethodGet, "http://"+e.Admin+"/status", fleet.AdminToken, nil, &s)
+			_ = fleet.CallJSON(ctx, http.MethodGet, "http://"+e.Admin+"/status", fleet.AdminToken, nil, &s)
 			line.Pools = s.Pools
 			if enc.Encode(line) != nil {
 				return
--- a/trial/exper/work.go
+++ b/trial/exper/work.go
@@ -129,7 +129,7 @@
 		}
 		jobs = append(jobs, load.Job{
 			At: at, Class: s.class, Customer: c.name, Bearer: bearer(c.name),
-			Ask: engin.Ask{
+			Ask: engin.CompletionRequest{
 				Model: model, Prompt: prompt(rnd, s, c, p, first+len(jobs)),
 				MaxTokens: s.output, Stream: s.stream,
 			},
--- a/trial/fleet/fleet.go
+++ b/trial/fleet/fleet.go
@@ -113,7 +113,7 @@
 // starts the agents, unless the plan has none.
 func (f *Fleet) startUnits(ctx context.Context) error {
 	for _, ep := range f.plan.Endpoints {
-		if ep.Share != "" {
+		if ep.SharesWith != "" {
 			f.units = append(f.units, &Unit{Endpoint: ep})
 			continue
 		}
@@ -124,11 +124,11 @@
 		f.units = append(f.units, &Unit{Endpoint: ep, Simulator: simulator})
 	}
 	for _, u := range f.units {
-		if shared := f.Unit(u.Share); shared != nil {
+		if shared := f.Unit(u.SharesWith); shared != nil {
 			u.Simulator = shared.Simulator
 		}
 		if u.Simulator == nil {
-			return fmt.Errorf("fleet: endpoint %s shares the process of %s, which is not listed before it: correct the plan", u.Name, u.Share)
+			return fmt.Errorf("fleet: endpoint %s shares the process of %s, which is not listed before it: correct the plan", u.Name, u.SharesWith)
 		}
 		addr, err := u.Simulator.Ready(ctx)
 		if err != nil {
@@ -180,10 +180,10 @@
 // configureAgent chooses the agent's addresses and writes its settings file.
 func (f *Fleet) configureAgent(u *Unit) error {
 	var err error
-	if u.Link, err = procs.Port(); err != nil {
+	if u.Link, err = procs.FreeAddr(); err != nil {
 		return err
 	}
-	if u.Admin, err = procs.Port(); err != nil {
+	if u.Admin, err = procs.FreeAddr(); err != nil {
 		return err
 	}
 	u.DialAddr = u.Link
@@ -244,7 +244,7 @@
 		e := &Entry{Name: fmt.Sprintf("%s-entry-%d", f.plan.Name, i+1), Zone: f.plan.Zones[i%len(f.plan.Zones)]}
 		for _, addr := range []*string{&e.Listen, &e.Link, &e.Admin} {
 			var err error
-			if *addr, err = procs.Port(); err != nil {
+			if *addr, err = procs.FreeAddr(); err != nil {
 				return err
 			}
 		}
--- a/trial/fleet/plan.go
+++ b/trial/fleet/plan.go
@@ -49,7 +49,7 @@
 	// SharesWith is the name of an earlier endpoint whose simulator process this
 	// endpoint uses too, so that many agents need few such processes. Empty means
 	// a process of its own.
-	Share string
+	SharesWith string
 }
 
 // The token of admin APIs and the key of links. They protect only processes on
@@ -78,7 +78,7 @@
 func (ep Endpoint) simulatorArgs(listen, platform string) []string {
 	if ep.Plain != nil {
 		return []string{
-			"service", "--listen", listen, "--name", ep.Plain.Name, "--work", ep.Plain.Work.String(),
+			"service", "--listen", listen, "--name", ep.Plain.Name, "--work", ep.Plain.CallTime.String(),
 			"--slots", strconv.Itoa(max(ep.Plain.Slots, 1)),
 		}
 	}
--- a/trial/fleet/plat.go
+++ b/trial/fleet/plat.go
@@ -21,36 +21,36 @@
 
 // PutInstance adds an instance to the instance list or replaces it there.
 func (p *PlatformClient) PutInstance(ctx context.Context, in plat.Instance) error {
-	return Do(ctx, http.MethodPut, "http://"+p.addr+"/admin/instances/"+in.Name, p.token, in, nil)
+	return CallJSON(ctx, http.MethodPut, "http://"+p.addr+"/admin/instances/"+in.Name, p.token, in, nil)
 }
 
 // PutObject writes an object, whatever its current version is.
 func (p *PlatformClient) PutObject(ctx context.Context, kind, name string, data any) error {
-	return Do(ctx, http.MethodPut, "http://"+p.addr+"/v1/objects/"+kind+"/"+name, p.token, data, nil)
+	return CallJSON(ctx, http.MethodPut, "http://"+p.addr+"/v1/objects/"+kind+"/"+name, p.token, data, nil)
 }
 
 // PutVersion writes an object like PutObject and returns its new version.
 func (p *PlatformClient) PutVersion(ctx context.Context, kind, name string, data any) (int64, error) {
 	var o plat.Object
-	err := Do(ctx, http.MethodPut, "http://"+p.addr+"/v1/objects/"+kind+"/"+name, p.token, data, &o)
+	err := CallJSON(ctx, http.MethodPut, "http://"+p.addr+"/v1/objects/"+kind+"/"+name, p.token, data, &o)
 	return o.Version, err
 }
 
-// Fault replaces the faults that are injected into the platform.
-func (p *PlatformClient) Fault(ctx context.Context, f platf.Fault) error {
-	return Do(ctx, http.MethodPost, "http://"+p.addr+"/admin/fault", p.token, f, nil)
+// SetFault replaces the faults that are injected into the platform.
+func (p *PlatformClient) SetFault(ctx context.Context, f platf.Fault) error {
+	return CallJSON(ctx, http.MethodPost, "http://"+p.addr+"/admin/fault", p.token, f, nil)
 }
 
 // Stats returns the platform's call counts.
 func (p *PlatformClient) Stats(ctx context.Context) (s platf.Stats, err error) {
-	err = Do(ctx, http.MethodGet, "http://"+p.addr+"/admin/stats", p.token, nil, &s)
+	err = CallJSON(ctx, http.MethodGet, "http://"+p.addr+"/admin/stats", p.token, nil, &s)
 	return s, err
 }
 
-// Fault replaces the faults that are injected into the endpoint. fault is an
+// SetFault replaces the faults that are injected into the endpoint. fault is an
 // engin.Fault or a plain.Fault, according to the kind of endpoint.
-func (u *Unit) Fault(ctx context.Context, fault any) error {
-	return Do(ctx, http.MethodPost, "http://"+u.Addr+"/admin/fault", "", fault, nil)
+func (u *Unit) SetFault(ctx context.Context, fault any) error {
+	return CallJSON(ctx, http.MethodPost, "http://"+u.Addr+"/admin/fault", "", fault, nil)
 }
 
 // Records returns the executions that the endpoint recorded. For plain services,
@@ -79,10 +79,10 @@
 // maxAnswerBytes is the size limit of an answer in bytes.
 const maxAnswerBytes = 64 << 20
 
-// Do makes an HTTP call with in as its JSON body, if not nil, and decodes the
+// CallJSON makes an HTTP call with in as its JSON body, if not nil, and decodes the
 // JSON answer into out, if not nil. An empty token sends no Authorization header.
 // A status other than 2xx is an error.
-func Do(ctx context.Context, method, url, token string, in, out any) error {
+func CallJSON(ctx context.Context, method, url, token string, in, out any) error {
 	var body bytes.Buffer
 	if in != nil {
 		if err := json.NewEncoder(&body).Encode(in); err != nil {
--- a/trial/fleet/sites.go
+++ b/trial/fleet/sites.go
@@ -31,8 +31,8 @@
 			EngineEndpoint("roster-2", zones[1], "roster", engineWithSpeed(newerSpeed, true)),
 			EngineEndpoint("roster-3", zones[2], "roster", engineWithSpeed(olderSpeed, false)),
 			EngineEndpoint("roster-4", zones[0], "roster", engineWithSpeed(slowestSpeed, true)),
-			PlainEndpoint("app-1", zones[1], "app", plain.Config{Work: appCallTime, Slots: plain.DefaultSlots}),
-			PlainEndpoint("app-2", zones[2], "app", plain.Config{Work: appCallTime, Slots: plain.DefaultSlots}),
+			PlainEndpoint("app-1", zones[1], "app", plain.Config{CallTime: appCallTime, Slots: plain.DefaultSlots}),
+			PlainEndpoint("app-2", zones[2], "app", plain.Config{CallTime: appCallTime, Slots: plain.DefaultSlots}),
 		},
 	}
 }
@@ -46,8 +46,8 @@
 			EngineEndpoint("drafting-1", zones[0], "drafting", engineWithSpeed(newestSpeed, true)),
 			EngineEndpoint("drafting-2", zones[1], "drafting", engineWithSpeed(newerSpeed, false)),
 			EngineEndpoint("drafting-3", zones[2], "drafting", engineWithSpeed(olderSpeed, true)),
-			PlainEndpoint("docket-1", zones[3], "docket", plain.Config{Work: appCallTime, Slots: plain.DefaultSlots}),
-			PlainEndpoint("docket-2", zones[0], "docket", plain.Config{Work: appCallTime, Slots: plain.DefaultSlots}),
+			PlainEndpoint("docket-1", zones[3], "docket", plain.Config{CallTime: appCallTime, Slots: plain.DefaultSlots}),
+			PlainEndpoint("docket-2", zones[0], "docket", plain.Config{CallTime: appCallTime, Slots: plain.DefaultSlots}),
 		},
 	}
 }
@@ -56,7 +56,7 @@
 const appCallTime = 5 * time.Millisecond
 
 func engineWithSpeed(speed float64, checksFence bool) engin.Config {
-	c := engin.Default()
+	c := engin.DefaultConfig()
 	c.Speed, c.ChecksFence = speed, checksFence
 	return c
 }
--- a/trial/load/job.go
+++ b/trial/load/job.go
@@ -19,7 +19,7 @@
 	Customer string
 	Bearer   string
 	// Ask is the model work; for a plain service Path is set in its place.
-	Ask    engin.Ask
+	Ask    engin.CompletionRequest
 	Method string
 	Path   string
 	Body   string
@@ -110,4 +110,4 @@
 }
 
 // want returns the text that a whole answer must have.
-func (j Job) want() string { return engin.Text(j.Ask.Text(), j.Ask.Want()) }
+func (j Job) want() string { return engin.AnswerText(j.Ask.PromptText(), j.Ask.AnswerTokens()) }
--- a/trial/load/load_test.go
+++ b/trial/load/load_test.go
@@ -16,7 +16,7 @@
 func job(stream bool) Job {
 	return Job{
 		Class: spec.Class{Name: "swap", Deadline: spec.Duration(5 * time.Second)},
-		Ask:   engin.Ask{Model: "roster", Prompt: "who can cover", MaxTokens: 3, Stream: stream},
+		Ask:   engin.CompletionRequest{Model: "roster", Prompt: "who can cover", MaxTokens: 3, Stream: stream},
 	}
 }
 
@@ -51,8 +51,8 @@
 		{"error event", 200, saidUnknown, event("t0 ") + "event: error\ndata: {}\n\n", true, Unknown},
 		{"no outcome", 200, "", own + done, true, Unknown},
 		{"token missing", 200, saidComplete, event("t0 ") + event(engin.DigestPrefix+engin.Digest("who can cover")) + done, true, Wrong},
-		{"whole answer", 200, saidComplete, fmt.Sprintf(`{"choices":[{"text":%q}]}`, engin.Text("who can cover", 3)), false, Complete},
-		{"whole answer of another", 200, saidComplete, fmt.Sprintf(`{"choices":[{"text":%q}]}`, engin.Text("other", 3)), false, Wrong},
+		{"whole answer", 200, saidComplete, fmt.Sprintf(`{"choices":[{"text":%q}]}`, engin.AnswerText("who can cover", 3)), false, Complete},
+		{"whole answer of another", 200, saidComplete, fmt.Sprintf(`{"choices":[{"text":%q}]}`, engin.AnswerText("other", 3)), false, Wrong},
 		{"refused", 503, saidNotRun, `{"error":{"outcome":"not-run","retry_after_ms":1500}}`, true, Refused},
 		{"refusal that does not say", 503, "", `busy`, true, Unknown},
 		{"unknown", 502, saidUnknown, `{}`, true, Unknown},
--- a/trial/plain/plain.go
+++ b/trial/plain/plain.go
@@ -20,7 +20,7 @@
 type Config struct {
 	Name string
 	// CallTime is the time that a call takes.
-	Work time.Duration
+	CallTime time.Duration
 	// Slots is the maximum number of concurrent calls. Further calls wait.
 	Slots int
 }
@@ -111,7 +111,7 @@
 	s.waiting.Add(-1)
 	// The call runs to its end even if the caller closes the connection, like a
 	// service that doesn't check its connection while it works.
-	time.Sleep(s.cfg.Work + f.Delay.Std())
+	time.Sleep(s.cfg.CallTime + f.Delay.Std())
 	<-s.slots
 	s.waitUnfrozen()
 	s.finishRecord(rec)
--- a/trial/platf/platf.go
+++ b/trial/platf/platf.go
@@ -19,11 +19,11 @@
 	Token string
 	// MaxEvents is the number of events kept for watches; older ones are
 	// compacted.
-	Retain int
+	MaxEvents int
 	// WeightReadTime is the time that it takes to read one set of weights.
-	WeightTime time.Duration
+	WeightReadTime time.Duration
 	// MaxWeightReads is the maximum number of concurrent reads of weights.
-	WeightRate int
+	MaxWeightReads int
 }
 
 // Fault is the set of faults that are injected now. The zero value means none.
@@ -47,9 +47,9 @@
 
 // Defaults of a Config.
 const (
-	DefaultRetain     = 4096
-	DefaultWeightTime = 500 * time.Millisecond
-	DefaultWeightRate = 2
+	DefaultMaxEvents      = 4096
+	DefaultWeightReadTime = 500 * time.Millisecond
+	DefaultMaxWeightReads = 2
 )
 
 // Platform is the simulated platform. Its methods may be called from any
@@ -98,14 +98,14 @@
 // New returns a platform without objects or instances. Zero or negative values
 // in cfg are replaced by the defaults.
 func New(cfg Config) *Platform {
-	if cfg.Retain <= 0 {
-		cfg.Retain = DefaultRetain
+	if cfg.MaxEvents <= 0 {
+		cfg.MaxEvents = DefaultMaxEvents
 	}
-	if cfg.WeightTime <= 0 {
-		cfg.WeightTime = DefaultWeightTime
+	if cfg.WeightReadTime <= 0 {
+		cfg.WeightReadTime = DefaultWeightReadTime
 	}
-	if cfg.WeightRate <= 0 {
-		cfg.WeightRate = DefaultWeightRate
+	if cfg.MaxWeightReads <= 0 {
+		cfg.MaxWeightReads = DefaultMaxWeightReads
 	}
 	return &Platform{
 		cfg: cfg, now: time.Now, objects: make(objectTable), base: make(objectTable),
--- a/trial/platf/platf_test.go
+++ b/trial/platf/platf_test.go
@@ -37,7 +37,7 @@
 }
 
 func TestObjects(t *testing.T) {
-	p := New(Config{Retain: 4})
+	p := New(Config{MaxEvents: 4})
 	srv := httptest.NewServer(p.Handler())
 	defer srv.Close()
 	u := srv.URL + "/v1/objects/class/swap"
@@ -114,7 +114,7 @@
 }
 
 func TestInstances(t *testing.T) {
-	p := New(Config{WeightRate: 1, WeightTime: time.Millisecond})
+	p := New(Config{MaxWeightReads: 1, WeightReadTime: time.Millisecond})
 	srv := httptest.NewServer(p.Handler())
 	defer srv.Close()
 	call(t, "PUT", srv.URL+"/admin/instances/e1", "", `{"role":"endpoint"}`, nil)
--- a/trial/platf/poll.go
+++ b/trial/platf/poll.go
@@ -86,7 +86,7 @@
 func (p *Platform) weights(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	p.stats.Weights++
-	full := p.weightReads >= p.cfg.WeightRate
+	full := p.weightReads >= p.cfg.MaxWeightReads
 	if !full {
 		p.weightReads++
 	}
@@ -101,7 +101,7 @@
 		p.weightReads--
 		p.mu.Unlock()
 	}()
-	if serve.Sleep(r.Context(), p.cfg.WeightTime) {
+	if serve.Sleep(r.Context(), p.cfg.WeightReadTime) {
 		serve.WriteJSON(w, http.StatusOK, struct{}{})
 	}
 }
--- a/trial/platf/store.go
+++ b/trial/platf/store.go
@@ -51,7 +51,7 @@
 func (p *Platform) record(ev plat.Event) {
 	p.objects.apply(ev)
 	p.log = append(p.log, loggedEvent{at: p.now(), event: ev})
-	for len(p.log) > p.cfg.Retain {
+	for len(p.log) > p.cfg.MaxEvents {
 		p.base.apply(p.log[0].event)
 		p.compactedVersion = p.log[0].event.Object.Version
 		p.log = p.log[1:]
--- a/trial/procs/port.go
+++ b/trial/procs/port.go
@@ -27,9 +27,9 @@
 
 func init() { lastTriedOffset.Store(rand.Uint32N(lastPort - firstPort)) }
 
-// Port returns a loopback address, as host:port, on which nothing listens now.
+// FreeAddr returns a loopback address, as host:port, on which nothing listens now.
 // It does not return an address again until it has tried the whole range.
-func Port() (string, error) {
+func FreeAddr() (string, error) {
 	for range lastPort - firstPort {
 		port := firstPort + int(lastTriedOffset.Add(1)%(lastPort-firstPort))
 		addr := net.JoinHostPort("127.0.0.1", strconv.Itoa(port))
--- a/trial/procs/procs.go
+++ b/trial/procs/procs.go
@@ -21,7 +21,7 @@
 // Config holds the directories and the environment of the processes of a Set.
 type Config struct {
 	// BinDir is the directory of the built programs.
-	Bin string
+	BinDir string
 	// Dir is the directory for settings files and logs.
 	Dir string
 	// Env holds variables, as NAME=VALUE, that are added to the environment of
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cmd := exec.Command(filepath.Join(s.cfg.Bin, program), args...)
+	cmd := exec.Command(filepath.Join(s.cfg.BinDir, program), args...)
 	cmd.Env = append(os.Environ(), s.cfg.Env...)
 	cmd.Stderr = file
 	// In a process group of its own the process doesn't get the terminal's
--- a/trial/procs/procs_test.go
+++ b/trial/procs/procs_test.go
@@ -25,7 +25,7 @@
 
 func newSet(t *testing.T, binDir string) *Set {
 	t.Helper()
-	s, err := New(Config{Bin: binDir, Dir: t.TempDir()})
+	s, err := New(Config{BinDir: binDir, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 func TestPortsDiffer(t *testing.T) {
 	seen := make(map[string]bool)
 	for range 50 {
-		addr, err := Port()
+		addr, err := FreeAddr()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/trial/proof/config_test.go
+++ b/trial/proof/config_test.go
@@ -116,7 +116,7 @@
 		{Replay: 50, StaleReads: spec.Duration(time.Minute)},
 		{Down: true},
 	} {
-		r.must(p.Fault(r.ctx, f))
+		r.must(p.SetFault(r.ctx, f))
 		if !f.Down && f.StaleReads == 0 {
 			r.putCustomerKey(i + 2)
 			r.awaitKeyInForce(i + 2)
@@ -132,7 +132,7 @@
 			}
 		}
 		r.checkKeyStaysAccepted(newest)
-		r.must(p.Fault(r.ctx, platf.Fault{}))
+		r.must(p.SetFault(r.ctx, platf.Fault{}))
 		r.putCustomerKey(i + 2)
 		r.awaitKeyInForce(i + 2)
 	}
@@ -148,7 +148,7 @@
 	r.awaitKeyInForce(0)
 	r.putCustomerKey(1)
 	r.awaitKeyInForce(1)
-	r.must(r.fleet.Platform().Fault(r.ctx, platf.Fault{Down: true}))
+	r.must(r.fleet.Platform().SetFault(r.ctx, platf.Fault{Down: true}))
 	e := r.fleet.Entries()[1]
 	r.must(e.Proc.Kill())
 	ctx, stop := context.WithTimeout(r.ctx, time.Minute)
@@ -230,7 +230,7 @@
 	if succeeded == 0 {
 		t.Error("no apply succeeded")
 	}
-	r.must(r.fleet.Platform().Fault(r.ctx, platf.Fault{LoseReplies: 1}))
+	r.must(r.fleet.Platform().SetFault(r.ctx, platf.Fault{LoseReplies: 1}))
 	if out, code := apply(writeClass("lost", "9s")); code != 0 {
 		t.Errorf("apply failed although its write took effect: %d %s", code, out)
 	}
--- a/trial/proof/judge_test.go
+++ b/trial/proof/judge_test.go
@@ -18,7 +18,7 @@
 func modelJob(tier int, name string, tokens int, stream bool) load.Job {
 	return load.Job{
 		Class: classes[tier], Customer: customer, Bearer: bearer,
-		Ask: engin.Ask{Model: model, Prompt: name + " " + strings.Repeat("field ", 20), MaxTokens: tokens, Stream: stream},
+		Ask: engin.CompletionRequest{Model: model, Prompt: name + " " + strings.Repeat("field ", 20), MaxTokens: tokens, Stream: stream},
 	}
 }
 
@@ -62,7 +62,7 @@
 // job.
 func jobDigest(j load.Job) string {
 	if j.Path == "" {
-		return engin.Digest(j.Ask.Text())
+		return engin.Digest(j.Ask.PromptText())
 	}
 	sum := sha256.Sum256([]byte(j.Body))
 	return hex.EncodeToString(sum[:])
--- a/trial/proof/keys_test.go
+++ b/trial/proof/keys_test.go
@@ -46,7 +46,7 @@
 	r.t.Helper()
 	for _, u := range r.fleet.Units() {
 		if u.Plain != nil {
-			r.must(u.Fault(r.ctx, plain.Fault{Delay: spec.Duration(d)}))
+			r.must(u.SetFault(r.ctx, plain.Fault{Delay: spec.Duration(d)}))
 		}
 	}
 }
@@ -63,7 +63,7 @@
 			r.awaitKeyedCalls()
 			r.delayServices(1500 * time.Millisecond)
 			if platformDown {
-				r.must(r.fleet.Platform().Fault(r.ctx, platf.Fault{Down: true}))
+				r.must(r.fleet.Platform().SetFault(r.ctx, platf.Fault{Down: true}))
 			}
 			j := serviceJob("submission", newKey(t))
 			var b requestBatch
@@ -216,7 +216,7 @@
 	t.Parallel()
 	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine()}, services: 2, callTime: 10 * time.Millisecond, entries: 2})
 	r.awaitKeyedCalls()
-	r.must(r.fleet.Platform().Fault(r.ctx, platf.Fault{Down: true}))
+	r.must(r.fleet.Platform().SetFault(r.ctx, platf.Fault{Down: true}))
 	var results []load.Result
 	n := 0
 	r.await("the lease has run out", func() bool {
@@ -235,7 +235,7 @@
 	if outcomes := r.checkResults(b.wait()); outcomes[load.Complete] != 8 {
 		t.Errorf("requests without a key: outcomes %v", outcomes)
 	}
-	r.must(r.fleet.Platform().Fault(r.ctx, platf.Fault{}))
+	r.must(r.fleet.Platform().SetFault(r.ctx, platf.Fault{}))
 	r.awaitKeyedCalls()
 	r.checkResults(results)
 }
--- a/trial/proof/leave_test.go
+++ b/trial/proof/leave_test.go
@@ -101,7 +101,7 @@
 func TestUnresponsiveAgentGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine(), fastEngine()}, entries: 2})
-	r.must(r.fleet.Platform().Fault(r.ctx, platf.Fault{Lag: 60e9}))
+	r.must(r.fleet.Platform().SetFault(r.ctx, platf.Fault{Lag: 60e9}))
 	u := r.fleet.Unit("engine-1")
 	r.must(u.Agent.Pause())
 	var b requestBatch
--- a/trial/proof/once_test.go
+++ b/trial/proof/once_test.go
@@ -80,7 +80,7 @@
 			r.send(&b, i%2, modelJob(i%spec.Tiers, fmt.Sprintf("%s-%d", name, i), 12, i%3 != 0))
 		}
 		results := b.wait()
-		p.Set(proxy.Fault{})
+		p.SetFault(proxy.Fault{})
 		r.awaitRecovery(name)
 		t.Log(name, r.checkResults(results))
 	}
@@ -238,7 +238,7 @@
 func TestTruncatedAnswers(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine()}, services: 1, entries: 1})
-	r.must(r.fleet.Unit("engine-1").Fault(r.ctx, engin.Fault{TruncateNext: 4}))
+	r.must(r.fleet.Unit("engine-1").SetFault(r.ctx, engin.Fault{TruncateNext: 4}))
 	var b requestBatch
 	for i := range 4 {
 		r.send(&b, 0, modelJob(1, fmt.Sprintf("cut-%d", i), 20, i%2 == 0))
--- a/trial/proof/rig_test.go
+++ b/trial/proof/rig_test.go
@@ -105,7 +105,7 @@
 
 // fastEngine returns the configuration of a fast engine with few slots.
 func fastEngine() engin.Config {
-	c := engin.Default()
+	c := engin.DefaultConfig()
 	c.Slots, c.PrefillTPS, c.DecodeTPS = 4, 40000, 200
 	c.LoadLag = 200 * time.Millisecond
 	return c
@@ -116,7 +116,7 @@
 func newRig(t *testing.T, s rigConfig) *rig {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
-	set, err := procs.New(procs.Config{Bin: binDir, Dir: t.TempDir(), Env: []string{"GORACE=halt_on_error=1"}})
+	set, err := procs.New(procs.Config{BinDir: binDir, Dir: t.TempDir(), Env: []string{"GORACE=halt_on_error=1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,7 +138,7 @@
 		plan.Endpoints = append(plan.Endpoints, fleet.EngineEndpoint(fmt.Sprintf("engine-%d", i+1), zone, model, c))
 	}
 	for i := range s.services {
-		plan.Endpoints = append(plan.Endpoints, fleet.PlainEndpoint(fmt.Sprintf("service-%d", i+1), zone, service, plain.Config{Work: s.callTime, Slots: 4}))
+		plan.Endpoints = append(plan.Endpoints, fleet.PlainEndpoint(fmt.Sprintf("service-%d", i+1), zone, service, plain.Config{CallTime: s.callTime, Slots: 4}))
 	}
 	if r.fleet, err = fleet.Start(ctx, set, plan); err != nil {
 		t.Fatal(err)
@@ -166,7 +166,7 @@
 
 // startProxy starts a proxy in front of an agent's link and returns its address.
 func (r *rig) startProxy(name, link string) (string, error) {
-	p, err := proxy.New(proxy.Config{Listen: "127.0.0.1:0", Upstream: link, Frames: true})
+	p, err := proxy.New(proxy.Config{Listen: "127.0.0.1:0", Upstream: link, WholeFrames: true})
 	if err != nil {
 		return "", err
 	}
--- a/trial/prox.go
+++ b/trial/prox.go
@@ -29,7 +29,7 @@
 		if !ok {
 			return fmt.Errorf("route %q: write LISTEN=UPSTREAM", r)
 		}
-		p, err := proxy.New(proxy.Config{Listen: listen, Upstream: upstream, Frames: frames})
+		p, err := proxy.New(proxy.Config{Listen: listen, Upstream: upstream, WholeFrames: frames})
 		if err != nil {
 			return err
 		}
--- a/trial/proxy/admin.go
+++ b/trial/proxy/admin.go
@@ -12,7 +12,7 @@
 func Admin(proxies []*Proxy) http.Handler {
 	m := http.NewServeMux()
 	for _, p := range proxies {
-		m.HandleFunc("POST /fault/"+p.Addr(), serve.SetHandler(p.Set))
+		m.HandleFunc("POST /fault/"+p.Addr(), serve.SetHandler(p.SetFault))
 		m.HandleFunc("POST /trick/"+p.Addr(), serve.SetHandler(p.AddFrameFault))
 	}
 	return m
--- a/trial/proxy/proxy.go
+++ b/trial/proxy/proxy.go
@@ -71,7 +71,7 @@
 	Listen, Upstream string
 	// WholeFrames makes the proxy forward the data frame by frame, which
 	// FrameFault and AwaitFrames need.
-	Frames bool
+	WholeFrames bool
 }
 
 // Proxy is a TCP proxy with one listener. Its methods may be called from any
@@ -109,7 +109,7 @@
 func (p *Proxy) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	defer context.AfterFunc(ctx, func() { p.ln.Close(); p.Set(Fault{Cut: true}) })()
+	defer context.AfterFunc(ctx, func() { p.ln.Close(); p.SetFault(Fault{Cut: true}) })()
 	for {
 		c, err := p.ln.Accept()
 		switch {
@@ -122,8 +122,8 @@
 	}
 }
 
-// Set replaces the current fault.
-func (p *Proxy) Set(f Fault) {
+// SetFault replaces the current fault.
+func (p *Proxy) SetFault(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if f.Cut {
--- a/trial/proxy/proxy_test.go
+++ b/trial/proxy/proxy_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := New(Config{Listen: "127.0.0.1:0", Upstream: upstream.Addr().String(), Frames: frames})
+	p, err := New(Config{Listen: "127.0.0.1:0", Upstream: upstream.Addr().String(), WholeFrames: frames})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 	if _, err := io.ReadFull(server, make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	p.Set(Fault{Cut: true})
+	p.SetFault(Fault{Cut: true})
 	if n, err := io.Copy(io.Discard, server); n != 0 {
 		t.Errorf("%d bytes arrived after the cut, %v", n, err)
 	}
@@ -81,7 +81,7 @@
 	if n, _ := second.Read(make([]byte, 1)); n != 0 {
 		t.Error("a new connection carried data during the cut")
 	}
-	p.Set(Fault{})
+	p.SetFault(Fault{})
 	client, server = dial()
 	if _, err := client.Write([]byte("y")); err != nil {
 		t.Fatal(err)
@@ -95,7 +95,7 @@
 	const delay = 50 * time.Millisecond
 	p, dial := startProxy(t, true)
 	client, server := dial()
-	p.Set(Fault{Delay: spec.Duration(delay), Direction: Up})
+	p.SetFault(Fault{Delay: spec.Duration(delay), Direction: Up})
 	sentAt := time.Now()
 	for range 20 {
 		send(t, client, &wire.Deny{ID: ident.Make(1, 3)})
@@ -114,7 +114,7 @@
 func TestFreezeOneDirection(t *testing.T) {
 	p, dial := startProxy(t, false)
 	client, server := dial()
-	p.Set(Fault{Freeze: true, Direction: Up})
+	p.SetFault(Fault{Freeze: true, Direction: Up})
 	if _, err := client.Write([]byte("held")); err != nil {
 		t.Fatal(err)
 	}
@@ -131,7 +131,7 @@
 		t.Fatalf("the frozen direction: %d bytes, %v", n, err)
 	}
 	server.SetReadDeadline(time.Time{})
-	p.Set(Fault{})
+	p.SetFault(Fault{})
 	if _, err := io.ReadFull(server, buf); err != nil || string(buf) != "held" {
 		t.Fatalf("after the freeze: %q, %v", buf, err)
 	}
--- a/trial/proxy/pump.go
+++ b/trial/proxy/pump.go
@@ -65,7 +65,7 @@
 // readSegment reads the next segment and sets the time at which it is due.
 func (f forwarder) readSegment() (seg segment, err error) {
 	arrivedTogether, size := f.from.Buffered() > 0, 1
-	if f.cfg.Frames {
+	if f.cfg.WholeFrames {
 		size = frameHeaderLen
 	}
 	header, err := f.from.Peek(size)
@@ -73,7 +73,7 @@
 		return seg, err
 	}
 	seg.data = make([]byte, f.from.Buffered())
-	if f.cfg.Frames {
+	if f.cfg.WholeFrames {
 		// A frame that is too long is truncated. Its receiver refuses it
 		// because of the length in its header.
 		n := min(binary.BigEndian.Uint32(header), wire.MaxFrame)
@@ -102,7 +102,7 @@
 	case Duplicate:
 		return f.writeWhenDue(ctx, seg) && f.writeWhenDue(ctx, seg)
 	case FreezeBefore:
-		f.Set(Fault{Freeze: true})
+		f.SetFault(Fault{Freeze: true})
 	}
 	return f.writeWhenDue(ctx, seg) && fault.Action != CutAfter
 }
--- a/trial/site.go
+++ b/trial/site.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return procs.New(procs.Config{Bin: bin, Dir: dir})
+	return procs.New(procs.Config{BinDir: bin, Dir: dir})
 }
 
 // startSites starts both deployments with the objects of examples/.
--- a/trial/smoke.go
+++ b/trial/smoke.go
@@ -86,7 +86,7 @@
 		words, want = longWords, longWant
 	}
 	prompt := fmt.Sprintf("%s %s %d ", customer, class.Name, n) + strings.Repeat("field ", words)
-	ask := engin.Ask{Model: s.model(), Prompt: prompt, MaxTokens: want, Stream: stream}
+	ask := engin.CompletionRequest{Model: s.model(), Prompt: prompt, MaxTokens: want, Stream: stream}
 	if chat {
 		ask.Prompt, ask.Messages = "", []engin.Message{{Role: "user", Content: prompt}}
 	}
--- a/trial/stand.go
+++ b/trial/stand.go
@@ -15,12 +15,12 @@
 
 func platformCommand() command {
 	sub := newSub("platform", "object API, instance list and weight store")
-	listen, cfg := anyPort, platf.Config{WeightTime: platf.DefaultWeightTime, WeightRate: platf.DefaultWeightRate, Retain: platf.DefaultRetain}
+	listen, cfg := anyPort, platf.Config{WeightReadTime: platf.DefaultWeightReadTime, MaxWeightReads: platf.DefaultMaxWeightReads, MaxEvents: platf.DefaultMaxEvents}
 	sub.String(&listen, "l", "listen", "address to listen on")
 	sub.String(&cfg.Token, "t", "token", "token that callers must present")
-	sub.Duration(&cfg.WeightTime, "w", "weight-time", "time that one set of weights takes")
-	sub.Int(&cfg.WeightRate, "r", "weight-rate", "sets of weights that may be read at once")
-	sub.Int(&cfg.Retain, "k", "retain", "events that a watch can go back")
+	sub.Duration(&cfg.WeightReadTime, "w", "weight-time", "time that one set of weights takes")
+	sub.Int(&cfg.MaxWeightReads, "r", "weight-rate", "sets of weights that may be read at once")
+	sub.Int(&cfg.MaxEvents, "k", "retain", "events that a watch can go back")
 	return command{sub: sub, run: func(ctx context.Context) error {
 		return serve.Run(ctx, "platform", listen, platf.New(cfg).Handler(), os.Stdout)
 	}}
@@ -28,10 +28,10 @@
 
 func serviceCommand() command {
 	sub := newSub("service", "plain service")
-	listen, cfg := anyPort, plain.Config{Name: "service", Slots: plain.DefaultSlots, Work: 2 * time.Millisecond}
+	listen, cfg := anyPort, plain.Config{Name: "service", Slots: plain.DefaultSlots, CallTime: 2 * time.Millisecond}
 	sub.String(&listen, "l", "listen", "address to listen on")
 	sub.String(&cfg.Name, "n", "name", "name in the answers")
-	sub.Duration(&cfg.Work, "w", "work", "time that one call takes")
+	sub.Duration(&cfg.CallTime, "w", "work", "time that one call takes")
 	sub.Int(&cfg.Slots, "s", "slots", "calls that run at once")
 	return command{sub: sub, run: func(ctx context.Context) error {
 		return serve.Run(ctx, cfg.Name, listen, plain.New(cfg).Handler(), os.Stdout)
@@ -40,7 +40,7 @@
 
 func engineCommand() command {
 	sub := newSub("engine", "model engine")
-	listen, cfg := anyPort, engin.Default()
+	listen, cfg := anyPort, engin.DefaultConfig()
 	sub.String(&listen, "l", "listen", "address to listen on")
 	sub.String(&cfg.Name, "n", "name", "name of the engine")
 	sub.String(&cfg.Model, "m", "model", "model served at the start")
