--- a/trial/basel/basel_test.go
+++ b/trial/basel/basel_test.go
@@ -47,7 +47,7 @@
 	front := httptest.NewServer(d)
 	defer front.Close()
 	c := load.NewCaller([]string{front.Listener.Addr().String()})
-	c.Trust = true
+	c.AssumeComplete = true
 	for _, stream := range []bool{true, false} {
 		r := c.Send(ctx, 0, load.Job{
 			Class: spec.Class{Deadline: spec.Duration(30 * time.Second)},
--- a/trial/capac/path.go
+++ b/trial/capac/path.go
@@ -88,7 +88,7 @@
 		engines = append(engines, u.Addr)
 	}
 	direct := load.NewCaller(engines)
-	direct.Trust = true
+	direct.AssumeComplete = true
 	var a, b []load.Result
 	for i := range pathPairs {
 		a = append(a, direct.Send(ctx, i, pathJob(2*i, pathWant)))
@@ -100,7 +100,7 @@
 func pace(path string, results []load.Result) Added {
 	var first, between []time.Duration
 	for _, r := range results {
-		first, between = append(first, r.First), append(between, r.Between)
+		first, between = append(first, r.First), append(between, r.TokenInterval)
 	}
 	return Added{
 		Path: path, Requests: len(results), FirstP50: part(first, 50), FirstP99: part(first, 99),
@@ -125,7 +125,7 @@
 		return err
 	}
 	start := time.Now()
-	results := caller(f).RunWide(ctx, jobs, relayWidth)
+	results := caller(f).RunConcurrently(ctx, jobs, relayWidth)
 	took := time.Since(start)
 	entries2, agents2, err := read(ctx, f)
 	if err != nil {
--- a/trial/capac/run.go
+++ b/trial/capac/run.go
@@ -258,7 +258,7 @@
 	for at := time.Duration(0); at < span; {
 		at += time.Duration(rnd.ExpFloat64() / rate * float64(time.Second))
 		jobs = append(jobs, load.Job{
-			At: at, Class: spec.Class{Name: ownClass, Deadline: spec.Duration(10 * time.Second)},
+			SendAt: at, Class: spec.Class{Name: ownClass, Deadline: spec.Duration(10 * time.Second)},
 			Bearer: bearer(0),
 			Ask: engin.Ask{
 				Model: model, MaxTokens: answerWant, Stream: true,
--- a/trial/exper/exper_test.go
+++ b/trial/exper/exper_test.go
@@ -19,10 +19,10 @@
 		}
 		prompts := make(map[string]bool)
 		for i, j := range jobs {
-			if j.Ask.Prompt != again[i].Ask.Prompt || j.At != again[i].At {
+			if j.Ask.Prompt != again[i].Ask.Prompt || j.SendAt != again[i].SendAt {
 				t.Fatalf("%s: job %d differs between two runs", sc.Name, i)
 			}
-			if i > 0 && j.At < jobs[i-1].At {
+			if i > 0 && j.SendAt < jobs[i-1].SendAt {
 				t.Fatalf("%s: job %d is out of order", sc.Name, i)
 			}
 			if prompts[j.Ask.Prompt] {
@@ -39,7 +39,7 @@
 	o := Outcome{
 		Results: []load.Result{
 			{Job: top, Outcome: load.Complete, Total: time.Second},
-			{Job: top, Outcome: load.Refused, Sent: time.Second, Total: time.Millisecond},
+			{Job: top, Outcome: load.Refused, SentAt: time.Second, Total: time.Millisecond},
 			{Job: top, Outcome: load.GaveUp},
 			{Job: low, Outcome: load.Complete, First: 500 * time.Millisecond, Total: 2 * time.Second, Tokens: 2},
 			{Job: low, Outcome: load.Wrong},
@@ -71,7 +71,7 @@
 		others := func(phases []phase) (at []time.Duration) {
 			for _, j := range generate(sc.seed, sc.shapes, phases, sc.prefix) {
 				if j.Customer != hotCustomer {
-					at = append(at, j.At)
+					at = append(at, j.SendAt)
 				}
 			}
 			return at
--- a/trial/exper/plot.go
+++ b/trial/exper/plot.go
@@ -67,12 +67,12 @@
 		good[i].X, offered[i].X = float64(i), float64(i)
 	}
 	for _, r := range o.Results {
-		i := int(r.Job.At.Seconds())
+		i := int(r.Job.SendAt.Seconds())
 		if r.Job.Class.Tier != tier || i >= seconds {
 			continue
 		}
 		offered[i].Y++
-		if r.Within() {
+		if r.MetTargets() {
 			good[i].Y++
 		}
 	}
--- a/trial/exper/run.go
+++ b/trial/exper/run.go
@@ -77,7 +77,7 @@
 		return out, err
 	}
 	caller := load.NewCaller(r.targets())
-	caller.Trust = policy != Lycheepond
+	caller.AssumeComplete = policy != Lycheepond
 	if err := r.warm(caller, jobs); err != nil {
 		return out, err
 	}
@@ -172,7 +172,7 @@
 		first[i].Ask.Prompt, first[i].Ask.MaxTokens = fmt.Sprintf(warmPrompt, i), warmTokens
 	}
 	done := 0
-	for _, res := range c.RunWide(r.ctx, first, warmWidth) {
+	for _, res := range c.RunConcurrently(r.ctx, first, warmWidth) {
 		if res.Outcome == load.Complete {
 			done++
 		} else {
--- a/trial/exper/sum.go
+++ b/trial/exper/sum.go
@@ -34,7 +34,7 @@
 // counted returns the results of requests that arrived after the lead.
 func (o Outcome) counted() []load.Result {
 	for i, r := range o.Results {
-		if r.Job.At >= o.lead {
+		if r.Job.SendAt >= o.lead {
 			return o.Results[i:]
 		}
 	}
@@ -74,7 +74,7 @@
 	l.Offered++
 	switch r.Outcome {
 	case load.Complete:
-		if r.Within() {
+		if r.MetTargets() {
 			l.WithinTarget++
 		} else {
 			l.Late++
@@ -144,7 +144,7 @@
 func (c *CustomerNote) count(r load.Result) {
 	c.Offered++
 	c.OfferedBy[r.Job.Class.Tier]++
-	if r.Within() {
+	if r.MetTargets() {
 		c.Within++
 		c.WithinBy[r.Job.Class.Tier]++
 	}
@@ -203,7 +203,7 @@
 	}
 	var done float64
 	for _, r := range o.Results {
-		if at := r.Sent + r.Total; r.Within() && at >= o.lead && at < span {
+		if at := r.SentAt + r.Total; r.MetTargets() && at >= o.lead && at < span {
 			done += work[r.Job.Class.Name]
 		}
 	}
@@ -213,7 +213,7 @@
 func inversions(results []load.Result) int {
 	n := 0
 	for _, r := range results {
-		if r.Outcome == load.Refused && servedBelow(results, r.Job.Class.Tier, r.Sent+r.Total) {
+		if r.Outcome == load.Refused && servedBelow(results, r.Job.Class.Tier, r.SentAt+r.Total) {
 			n++
 		}
 	}
@@ -223,7 +223,7 @@
 // servedBelow reports whether a stream of a tier below tier ran at time at.
 func servedBelow(results []load.Result, tier uint8, at time.Duration) bool {
 	for _, s := range results {
-		if s.Job.Class.Tier > tier && s.Job.Ask.Stream && s.Tokens > 0 && s.Sent+s.First <= at && at < s.Sent+s.Total {
+		if s.Job.Class.Tier > tier && s.Job.Ask.Stream && s.Tokens > 0 && s.SentAt+s.First <= at && at < s.SentAt+s.Total {
 			return true
 		}
 	}
--- a/trial/exper/work.go
+++ b/trial/exper/work.go
@@ -113,7 +113,7 @@
 			}
 		}
 	}
-	slices.SortStableFunc(jobs, func(a, b load.Job) int { return int(a.At - b.At) })
+	slices.SortStableFunc(jobs, func(a, b load.Job) int { return int(a.SendAt - b.SendAt) })
 	return jobs
 }
 
@@ -128,7 +128,7 @@
 			break
 		}
 		jobs = append(jobs, load.Job{
-			At: at, Class: s.class, Customer: c.name, Bearer: bearer(c.name),
+			SendAt: at, Class: s.class, Customer: c.name, Bearer: bearer(c.name),
 			Ask: engin.Ask{
 				Model: model, Prompt: prompt(rnd, s, c, p, first+len(jobs)),
 				MaxTokens: s.output, Stream: s.stream,
--- a/trial/load/job.go
+++ b/trial/load/job.go
@@ -1,5 +1,5 @@
-// Package load sends requests as callers do, each at its own time whatever
-// became of the others, and judges what comes back.
+// Package load generates open-loop load: it sends each request at its scheduled
+// time, regardless of how earlier requests fare, and checks the answers.
 package load
 
 import (
@@ -11,64 +11,72 @@
 	"lycheepond/trial/engin"
 )
 
-// Job is one request to send.
+// Job is one request to send and when to send it.
 type Job struct {
-	// At is when to send it, counted from the start of the run.
-	At       time.Duration
+	// SendAt is when to send the request, counted from the start of the run.
+	SendAt   time.Duration
 	Class    spec.Class
 	Customer string
 	Bearer   string
-	// Ask is the model work; for a plain service Path is set in its place.
-	Ask    engin.Ask
+	// ModelRequest is a request to a model. It is ignored if Path is set.
+	Ask engin.Ask
+	// Method, Path and Body make up a request to a plain service. It is sent if
+	// Path is set.
 	Method string
 	Path   string
 	Body   string
-	// IdempotencyKey and NonIdempotent go into headers when set.
+	// IdempotencyKey and NonIdempotent are sent as headers if they are set.
 	IdempotencyKey string
 	NonIdempotent  bool
 }
 
-// Outcome is what became of a request, as its caller sees it.
+// Outcome is how a request ended from its caller's point of view.
 type Outcome string
 
-// The outcomes.
+// The outcomes of a request.
 const (
-	// Complete: the whole answer came and it is the request's own.
+	// Complete means that the whole answer arrived and belongs to the request.
 	Complete Outcome = "complete"
-	// Refused: the caller was told that the request was not run.
+	// Refused means that the answer says that the request was not run.
 	Refused Outcome = "refused"
-	// Unknown: the caller was told so, or the answer visibly broke off.
+	// Unknown means that the request may have run: the answer says so, says
+	// nothing about it, or broke off before its end.
 	Unknown Outcome = "unknown"
-	// GaveUp: the caller's deadline passed without a final answer.
+	// GaveUp means that the caller's deadline passed before the answer ended.
 	GaveUp Outcome = "gave-up"
-	// Wrong: the answer looks whole and is not the request's own.
+	// Wrong means that the answer claims to be complete, but its content isn't
+	// the one that the request must get.
 	Wrong Outcome = "wrong"
-	// Failed: the caller was told of a mistake of its own.
+	// Failed means that the request was rejected as a mistake of the caller.
 	Failed Outcome = "failed"
 )
 
-// Result is what a caller saw.
+// Result is what a caller observed of one request.
 type Result struct {
 	Job     Job
 	Outcome Outcome
-	Status  int
-	// ID is the request's ID as the answer tells it.
+	// Status is the HTTP status, 0 if no answer arrived.
+	Status int
+	// ID is the request ID from the answer's header.
 	ID string
-	// Sent is when the request was sent, counted from the start of the run.
-	Sent time.Duration
-	// First is the time to the first token, or the first byte of a whole
-	// answer; Total to the last.
+	// SentAt is when the request was sent, counted from the start of the run.
+	SentAt time.Duration
+	// TimeToFirstToken runs from sending the request to the first token of a
+	// stream, or to the end of an answer that is not streamed. TotalTime runs to
+	// the end of the answer.
 	First, Total time.Duration
-	// Between is the mean time between two tokens of a stream.
-	Between    time.Duration
+	// TokenInterval is the mean time between two tokens of a stream.
+	TokenInterval time.Duration
+	// RetryAfter is the wait that a refusal asks for.
 	RetryAfter time.Duration
-	// Tokens counts what arrived.
+	// Tokens is the number of tokens that arrived.
 	Tokens int
 	Usage  Usage
+	// Detail is the error, or the body of an error answer, if there is one.
 	Detail string
 }
 
-// Usage is the engine's own account of an answer.
+// Usage holds the token counts that the engine reports with an answer.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
@@ -77,18 +85,23 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// Within reports whether the answer met every target of its class.
-func (r Result) Within() bool {
+// MetTargets reports whether the answer is complete and met every latency
+// target of its class.
+func (r Result) MetTargets() bool {
 	if r.Outcome != Complete {
 		return false
 	}
 	t := r.Job.Class.Target
-	return met(t.FirstToken, r.First) && met(t.BetweenTokens, r.Between) && met(t.Complete, r.Total)
+	return meets(t.FirstToken, r.First) && meets(t.BetweenTokens, r.TokenInterval) && meets(t.Complete, r.Total)
 }
 
-func met(target spec.Duration, got time.Duration) bool { return target == 0 || got <= target.Std() }
+// meets reports whether elapsed is within target. A zero target is always met.
+func meets(target spec.Duration, elapsed time.Duration) bool {
+	return target == 0 || elapsed <= target.Std()
+}
 
-// deadline returns how long the caller waits.
+// deadline returns how long the caller waits for the end of the answer: the
+// deadline of the class, or the default.
 func (j Job) deadline() time.Duration {
 	if d := j.Class.Deadline.Std(); d > 0 {
 		return d
@@ -109,5 +122,5 @@
 	return http.MethodPost, path, body, err
 }
 
-// want returns the text that a whole answer must have.
-func (j Job) want() string { return engin.Text(j.Ask.Text(), j.Ask.Want()) }
+// expectedText returns the text that a complete answer must have.
+func (j Job) expectedText() string { return engin.Text(j.Ask.Text(), j.Ask.Want()) }
--- a/trial/load/load_test.go
+++ b/trial/load/load_test.go
@@ -13,29 +13,28 @@
 	"lycheepond/trial/engin"
 )
 
-func job(stream bool) Job {
+func newJob(stream bool) Job {
 	return Job{
 		Class: spec.Class{Name: "swap", Deadline: spec.Duration(5 * time.Second)},
 		Ask:   engin.Ask{Model: "roster", Prompt: "who can cover", MaxTokens: 3, Stream: stream},
 	}
 }
 
-func event(text string) string {
+func tokenEvent(text string) string {
 	return fmt.Sprintf("data: {\"choices\":[{\"text\":%q}]}\n\n", text)
 }
 
-func tokens(prompt string) string {
-	return event("t0 ") + event("t1 ") + event(engin.DigestPrefix+engin.Digest(prompt))
+func tokenEvents(prompt string) string {
+	return tokenEvent("t0 ") + tokenEvent("t1 ") + tokenEvent(engin.DigestPrefix+engin.Digest(prompt))
 }
 
-const done = "data: [DONE]\n\n"
+const endEvent = "data: [DONE]\n\n"
 
-// What a caller is told and what it received must agree: an answer that claims
-// to be complete and isn't the request's own counts as wrong, whatever else it
-// looks like. If the judge took such an answer for complete, the experiments
-// would hide the worst of failures.
-func TestJudge(t *testing.T) {
-	own := tokens("who can cover")
+// Checks the outcome that each kind of answer gets. An answer that claims to be
+// complete but belongs to another request, or lacks a part, must count as wrong.
+// If it counted as complete, the experiments would hide the worst kind of failure.
+func TestOutcomeOfAnswer(t *testing.T) {
+	own := tokenEvents("who can cover")
 	tests := []struct {
 		name    string
 		status  int
@@ -44,19 +43,19 @@
 		stream  bool
 		want    Outcome
 	}{
-		{"whole stream", 200, saidComplete, own + done, true, Complete},
-		{"someone else's", 200, saidComplete, tokens("other") + done, true, Wrong},
-		{"truncated, claims complete", 200, saidComplete, event("t0 "), true, Wrong},
-		{"truncated, says unknown", 200, saidUnknown, event("t0 "), true, Unknown},
-		{"error event", 200, saidUnknown, event("t0 ") + "event: error\ndata: {}\n\n", true, Unknown},
-		{"no outcome", 200, "", own + done, true, Unknown},
-		{"token missing", 200, saidComplete, event("t0 ") + event(engin.DigestPrefix+engin.Digest("who can cover")) + done, true, Wrong},
-		{"whole answer", 200, saidComplete, fmt.Sprintf(`{"choices":[{"text":%q}]}`, engin.Text("who can cover", 3)), false, Complete},
-		{"whole answer of another", 200, saidComplete, fmt.Sprintf(`{"choices":[{"text":%q}]}`, engin.Text("other", 3)), false, Wrong},
-		{"refused", 503, saidNotRun, `{"error":{"outcome":"not-run","retry_after_ms":1500}}`, true, Refused},
-		{"refusal that does not say", 503, "", `busy`, true, Unknown},
-		{"unknown", 502, saidUnknown, `{}`, true, Unknown},
-		{"caller's mistake", 404, saidNotRun, `{}`, true, Failed},
+		{"complete stream", 200, outcomeComplete, own + endEvent, true, Complete},
+		{"stream of another request", 200, outcomeComplete, tokenEvents("other") + endEvent, true, Wrong},
+		{"truncated stream, claims complete", 200, outcomeComplete, tokenEvent("t0 "), true, Wrong},
+		{"truncated stream, says unknown", 200, outcomeUnknown, tokenEvent("t0 "), true, Unknown},
+		{"error event", 200, outcomeUnknown, tokenEvent("t0 ") + "event: error\ndata: {}\n\n", true, Unknown},
+		{"stream without outcome", 200, "", own + endEvent, true, Unknown},
+		{"stream with a missing token", 200, outcomeComplete, tokenEvent("t0 ") + tokenEvent(engin.DigestPrefix+engin.Digest("who can cover")) + endEvent, true, Wrong},
+		{"complete answer", 200, outcomeComplete, fmt.Sprintf(`{"choices":[{"text":%q}]}`, engin.Text("who can cover", 3)), false, Complete},
+		{"answer to another request", 200, outcomeComplete, fmt.Sprintf(`{"choices":[{"text":%q}]}`, engin.Text("other", 3)), false, Wrong},
+		{"refused", 503, outcomeNotRun, `{"error":{"outcome":"not-run","retry_after_ms":1500}}`, true, Refused},
+		{"error without outcome", 503, "", `busy`, true, Unknown},
+		{"unknown", 502, outcomeUnknown, `{}`, true, Unknown},
+		{"caller's mistake", 404, outcomeNotRun, `{}`, true, Failed},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -72,7 +71,7 @@
 				w.Header().Set(headerOutcome, test.outcome)
 			}))
 			defer srv.Close()
-			r := NewCaller([]string{srv.Listener.Addr().String()}).Send(context.Background(), 0, job(test.stream))
+			r := NewCaller([]string{srv.Listener.Addr().String()}).Send(context.Background(), 0, newJob(test.stream))
 			if r.Outcome != test.want {
 				t.Errorf("got %s (%s), want %s", r.Outcome, r.Detail, test.want)
 			}
@@ -83,9 +82,10 @@
 	}
 }
 
-// A balancer passes over an entry that is down. A request that reached an
-// entry is never sent a second time.
-func TestNextTarget(t *testing.T) {
+// Checks that a request goes on to the next entry if one accepts no connection,
+// and that a request which reached an entry is not sent again when the connection
+// breaks: it may have run.
+func TestFailoverOnlyBeforeSending(t *testing.T) {
 	var calls atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		calls.Add(1)
@@ -95,19 +95,20 @@
 	down := httptest.NewServer(nil)
 	down.Close()
 	c := NewCaller([]string{down.Listener.Addr().String(), srv.Listener.Addr().String()})
-	if r := c.Send(context.Background(), 0, job(true)); r.Outcome != Unknown || calls.Load() != 1 {
-		t.Errorf("%s after %d calls, want unknown after one", r.Outcome, calls.Load())
+	if r := c.Send(context.Background(), 0, newJob(true)); r.Outcome != Unknown || calls.Load() != 1 {
+		t.Errorf("%s after %d calls, want unknown after 1", r.Outcome, calls.Load())
 	}
 }
 
-func TestWithin(t *testing.T) {
+// Checks that an answer must meet each of the targets that its class has.
+func TestMetTargets(t *testing.T) {
 	r := Result{Outcome: Complete, First: 50 * time.Millisecond, Total: time.Second}
 	r.Job.Class.Target = spec.Target{FirstToken: spec.Duration(100 * time.Millisecond)}
-	if !r.Within() {
-		t.Error("met its target")
+	if !r.MetTargets() {
+		t.Error("an answer within its target counts as late")
 	}
 	r.Job.Class.Target.Complete = spec.Duration(900 * time.Millisecond)
-	if r.Within() {
-		t.Error("missed a target")
+	if r.MetTargets() {
+		t.Error("an answer later than a target counts as within it")
 	}
 }
--- a/trial/load/run.go
+++ b/trial/load/run.go
@@ -8,34 +8,35 @@
 	"lycheepond/trial/serve"
 )
 
-// Run sends every job at its time and returns the results in the order of the
-// jobs. Jobs must be sorted by At. Jobs whose time had not come when ctx ended
-// have the zero Outcome.
+// Run sends every job at its SendAt and returns the results in the order of the
+// jobs, which must be sorted by SendAt. A job that was not yet due when ctx ended
+// has the zero Outcome.
 func (c *Caller) Run(ctx context.Context, jobs []Job) []Result {
 	results := make([]Result, len(jobs))
 	start := time.Now()
 	var wait sync.WaitGroup
 	for i, j := range jobs {
 		results[i].Job = j
-		if !serve.Sleep(ctx, j.At-time.Since(start)) {
+		if !serve.Sleep(ctx, j.SendAt-time.Since(start)) {
 			break
 		}
 		wait.Go(func() {
 			sent := time.Since(start)
 			results[i] = c.Send(ctx, i, j)
-			results[i].Sent = sent
+			results[i].SentAt = sent
 		})
 	}
 	wait.Wait()
 	return results
 }
 
-// RunWide sends jobs as fast as width callers can, each waiting for its answer.
-func (c *Caller) RunWide(ctx context.Context, jobs []Job, width int) []Result {
+// RunConcurrently sends the jobs with concurrency callers, regardless of their
+// SendAt. Each caller sends its next job as soon as it has the answer to the last.
+func (c *Caller) RunConcurrently(ctx context.Context, jobs []Job, concurrency int) []Result {
 	results := make([]Result, len(jobs))
 	next := make(chan int)
 	var wait sync.WaitGroup
-	for range width {
+	for range concurrency {
 		wait.Go(func() {
 			for i := range next {
 				results[i] = c.Send(ctx, i, jobs[i])
--- a/trial/load/send.go
+++ b/trial/load/send.go
@@ -16,7 +16,7 @@
 	"lycheepond/trial/plain"
 )
 
-// The headers between callers and entries.
+// The headers that callers and entries exchange.
 const (
 	headerClass         = "Lychee-Class"
 	headerID            = "Lychee-Request-Id"
@@ -28,81 +28,87 @@
 
 // The values of the outcome header.
 const (
-	saidComplete = "complete"
-	saidNotRun   = "not-run"
-	saidUnknown  = "unknown"
+	outcomeComplete = "complete"
+	outcomeNotRun   = "not-run"
+	outcomeUnknown  = "unknown"
 )
 
-// Caller sends requests to entries, the next one each time, and passes over an
-// entry that refuses the connection as a balancer does.
+// Caller sends requests to several addresses in round-robin order. Like a load
+// balancer, it goes on to the next address if one accepts no connection. It is
+// safe for concurrent use once its fields are set.
 type Caller struct {
-	// Trust takes an answer without an outcome header for what its body is, for
-	// the baselines, which know no such header.
-	Trust bool
+	// AssumeComplete treats an answer without an outcome header as one that
+	// claims to be complete. The baselines and the engines don't set the header.
+	AssumeComplete bool
 
-	client  *http.Client
-	targets []string
+	client *http.Client
+	addrs  []string
 }
 
-const maxConns = 4096
+// maxIdleConns bounds the idle connections, in total and to each address.
+const maxIdleConns = 4096
 
-// NewCaller returns a caller of the given addresses.
-func NewCaller(targets []string) *Caller {
+// NewCaller returns a caller that sends to the given addresses, as host:port.
+func NewCaller(addrs []string) *Caller {
 	t := &http.Transport{
-		MaxIdleConns: maxConns, MaxIdleConnsPerHost: maxConns, IdleConnTimeout: time.Minute,
+		MaxIdleConns: maxIdleConns, MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: time.Minute,
 		DisableCompression: true,
 	}
-	return &Caller{client: &http.Client{Transport: t}, targets: targets}
+	return &Caller{client: &http.Client{Transport: t}, addrs: addrs}
 }
 
-// slack is how much longer than its deadline a caller listens, so that an
-// answer that is sent at the deadline still reaches it.
-const slack = 300 * time.Millisecond
+// deadlineGrace is how long a caller waits beyond its deadline, so that an answer
+// sent right at the deadline still reaches it.
+const deadlineGrace = 300 * time.Millisecond
 
-// Send sends one job, first to target n modulo their number, and waits for its
-// end.
+// Send sends one job and waits for the end of its answer. It tries the address
+// with index n first, modulo the number of addresses.
 func (c *Caller) Send(ctx context.Context, n int, j Job) Result {
-	ctx, stop := context.WithTimeout(ctx, j.deadline()+slack)
+	ctx, stop := context.WithTimeout(ctx, j.deadline()+deadlineGrace)
 	defer stop()
 	r := Result{Job: j}
 	start := time.Now()
-	resp, err := c.do(ctx, n, j)
+	resp, err := c.sendWithFailover(ctx, n, j)
 	if err != nil {
 		r.Total = time.Since(start)
-		r.Outcome, r.Detail = lost(ctx), err.Error()
+		r.Outcome, r.Detail = interruptedOutcome(ctx), err.Error()
 		return r
 	}
 	defer resp.Body.Close()
 	r.Status, r.ID = resp.StatusCode, resp.Header.Get(headerID)
-	c.read(ctx, &r, resp, start)
+	c.readAnswer(ctx, &r, resp, start)
 	r.Total = time.Since(start)
 	return r
 }
 
-// lost is the outcome of a call whose answer broke off.
-func lost(ctx context.Context) Outcome {
+// interruptedOutcome returns the outcome of a request whose answer broke off or
+// never arrived: GaveUp if the deadline of ctx passed, else Unknown.
+func interruptedOutcome(ctx context.Context) Outcome {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return GaveUp
 	}
 	return Unknown
 }
 
-func (c *Caller) do(ctx context.Context, n int, j Job) (*http.Response, error) {
+// sendWithFailover sends the request to the addresses in turn, starting at index
+// n, until one accepts the connection. A request that reached an address is not
+// sent to another one.
+func (c *Caller) sendWithFailover(ctx context.Context, n int, j Job) (*http.Response, error) {
 	method, path, body, err := j.request()
 	if err != nil {
 		return nil, err
 	}
-	for i := range c.targets {
-		url := "http://" + c.targets[(n+i)%len(c.targets)] + path
+	for i := range c.addrs {
+		url := "http://" + c.addrs[(n+i)%len(c.addrs)] + path
 		var req *http.Request
 		req, err = http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 		if err != nil {
 			return nil, err
 		}
-		// The transport must not send a request again by itself when a kept
-		// connection breaks: whether it ran is for the caller to find out.
+		// Without GetBody the transport doesn't resend the request when a reused
+		// connection breaks. The caller must learn that the request may have run.
 		req.GetBody = nil
-		j.header(req.Header)
+		j.setHeaders(req.Header)
 		var resp *http.Response
 		if resp, err = c.client.Do(req); err == nil {
 			return resp, nil
@@ -115,7 +121,8 @@
 	return nil, err
 }
 
-func (j Job) header(h http.Header) {
+// setHeaders sets the headers of the job's request.
+func (j Job) setHeaders(h http.Header) {
 	h.Set("Authorization", "Bearer "+j.Bearer)
 	h.Set("Content-Type", "application/json")
 	if j.Class.Name != "" {
@@ -130,53 +137,56 @@
 	}
 }
 
-func (c *Caller) read(ctx context.Context, r *Result, resp *http.Response, start time.Time) {
+// readAnswer reads the answer to its end and sets the outcome of r from it.
+func (c *Caller) readAnswer(ctx context.Context, r *Result, resp *http.Response, start time.Time) {
 	if resp.StatusCode != http.StatusOK {
-		refusal(r, resp)
+		readRefusal(r, resp)
 		return
 	}
 	if r.Job.Path == "" && r.Job.Ask.Stream {
-		c.stream(ctx, r, resp, start)
+		c.readStream(ctx, r, resp, start)
 		return
 	}
 	b, err := io.ReadAll(resp.Body)
 	r.First = time.Since(start)
 	if err != nil {
-		r.Outcome, r.Detail = lost(ctx), err.Error()
+		r.Outcome, r.Detail = interruptedOutcome(ctx), err.Error()
 		return
 	}
-	said := c.said(resp.Header.Get(headerOutcome))
+	claimed := c.claimedOutcome(resp.Header.Get(headerOutcome))
 	if r.Job.Path != "" {
-		r.conclude(said, echoes(r.Job, b))
+		r.setOutcome(claimed, isEchoOf(r.Job, b))
 		return
 	}
-	r.conclude(said, r.whole(b))
+	r.setOutcome(claimed, r.parseWholeAnswer(b))
 }
 
-// said returns the outcome that an answer claims.
-func (c *Caller) said(header string) string {
-	if header == "" && c.Trust {
-		return saidComplete
+// claimedOutcome returns the outcome that an answer claims, given the value of
+// its outcome header.
+func (c *Caller) claimedOutcome(header string) string {
+	if header == "" && c.AssumeComplete {
+		return outcomeComplete
 	}
 	return header
 }
 
-// conclude sets the outcome from what the answer claims and whether it is
-// right.
-func (r *Result) conclude(said string, right bool) {
+// setOutcome sets the outcome from the claimed one and from whether the content
+// of the answer is correct.
+func (r *Result) setOutcome(claimed string, isCorrect bool) {
 	switch {
-	case said == saidComplete && right:
+	case claimed == outcomeComplete && isCorrect:
 		r.Outcome = Complete
-	case said == saidComplete:
+	case claimed == outcomeComplete:
 		r.Outcome = Wrong
-	case said == saidNotRun:
+	case claimed == outcomeNotRun:
 		r.Outcome = Refused
 	default:
-		r.Outcome, r.Detail = Unknown, "the answer says "+strconv.Quote(said)
+		r.Outcome, r.Detail = Unknown, "the answer says "+strconv.Quote(claimed)
 	}
 }
 
-func echoes(j Job, body []byte) bool {
+// isEchoOf reports whether body is the answer of a plain service to j.
+func isEchoOf(j Job, body []byte) bool {
 	var e plain.Echo
 	if json.Unmarshal(body, &e) != nil {
 		return false
@@ -185,7 +195,8 @@
 	return e.Digest == hex.EncodeToString(sum[:]) && e.Method == j.Method
 }
 
-type refused struct {
+// errorBody is the body of an answer whose status isn't 200.
+type errorBody struct {
 	Error struct {
 		Type         string `json:"type"`
 		Message      string `json:"message"`
@@ -194,23 +205,25 @@
 	} `json:"error"`
 }
 
-func refusal(r *Result, resp *http.Response) {
+// readRefusal reads an answer whose status isn't 200 and sets the outcome of r.
+func readRefusal(r *Result, resp *http.Response) {
 	b, err := io.ReadAll(resp.Body)
 	if err != nil {
 		r.Outcome, r.Detail = Unknown, err.Error()
 		return
 	}
-	var body refused
+	var body errorBody
 	r.Detail = string(bytes.TrimSpace(b))
 	if json.Unmarshal(b, &body) == nil {
 		r.RetryAfter = time.Duration(body.Error.RetryAfterMS) * time.Millisecond
 	}
-	said := resp.Header.Get(headerOutcome)
+	claimed := resp.Header.Get(headerOutcome)
 	switch {
-	case said == saidUnknown:
+	case claimed == outcomeUnknown:
 		r.Outcome = Unknown
-	case said != saidNotRun:
-		// Neither complete nor a truthful refusal: the caller can't tell.
+	case claimed != outcomeNotRun:
+		// An error answer that doesn't say "not-run" leaves open whether the
+		// request ran.
 		r.Outcome = Unknown
 	case resp.StatusCode >= 500 || resp.StatusCode == http.StatusTooManyRequests:
 		r.Outcome = Refused
--- a/trial/load/stream.go
+++ b/trial/load/stream.go
@@ -10,6 +10,7 @@
 	"time"
 )
 
+// chunk is one event of a stream or a whole answer.
 type chunk struct {
 	Choices []struct {
 		Text    string   `json:"text"`
@@ -19,6 +20,7 @@
 	Usage *Usage `json:"usage"`
 }
 
+// content is the text of a chat answer or of a part of it.
 type content struct {
 	Content string `json:"content"`
 }
@@ -38,87 +40,94 @@
 	return ch.Text
 }
 
-// whole reads a whole answer and reports whether it is the request's own.
-func (r *Result) whole(body []byte) bool {
+// parseWholeAnswer takes the token counts from an answer that was not streamed
+// and reports whether its text is the expected one.
+func (r *Result) parseWholeAnswer(body []byte) bool {
 	var c chunk
 	if json.Unmarshal(body, &c) != nil {
 		return false
 	}
-	r.take(c)
+	r.recordUsage(c)
 	r.Tokens = r.Usage.CompletionTokens
-	return c.text() == r.Job.want()
+	return c.text() == r.Job.expectedText()
 }
 
-func (r *Result) take(c chunk) {
+// recordUsage keeps the token counts of a chunk that has some.
+func (r *Result) recordUsage(c chunk) {
 	if c.Usage != nil {
 		r.Usage = *c.Usage
 	}
 }
 
 var (
-	dataMark  = []byte("data: ")
-	doneMark  = []byte("[DONE]")
-	errorMark = []byte("event: error")
+	dataPrefix  = []byte("data: ")
+	endMarker   = []byte("[DONE]")
+	errorPrefix = []byte("event: error")
 )
 
 const (
-	lineSize = 4 << 10
-	maxLine  = 1 << 20
+	// initialLineBytes is the size of a new line buffer, which grows up to
+	// maxLineBytes.
+	initialLineBytes = 4 << 10
+	maxLineBytes     = 1 << 20
 )
 
-// stream reads server-sent events to the end.
-func (c *Caller) stream(ctx context.Context, r *Result, resp *http.Response, start time.Time) {
+// readStream reads the server-sent events of an answer to their end and sets the
+// times, token counts and outcome of r.
+func (c *Caller) readStream(ctx context.Context, r *Result, resp *http.Response, start time.Time) {
 	var text strings.Builder
-	var last time.Duration
-	done, broke := false, false
+	var lastTokenTime time.Duration
+	sawEnd, hasError := false, false
 	sc := bufio.NewScanner(resp.Body)
-	sc.Buffer(make([]byte, lineSize), maxLine)
+	sc.Buffer(make([]byte, initialLineBytes), maxLineBytes)
 	for sc.Scan() {
 		line := sc.Bytes()
-		broke = broke || bytes.HasPrefix(line, errorMark)
-		data, ok := bytes.CutPrefix(line, dataMark)
-		if !ok || broke {
-			if broke {
+		hasError = hasError || bytes.HasPrefix(line, errorPrefix)
+		data, ok := bytes.CutPrefix(line, dataPrefix)
+		if !ok || hasError {
+			if hasError {
 				r.Detail = string(data)
 			}
 			continue
 		}
-		if bytes.Equal(data, doneMark) {
-			done = true
+		if bytes.Equal(data, endMarker) {
+			sawEnd = true
 			continue
 		}
 		var ch chunk
 		if json.Unmarshal(data, &ch) != nil {
 			continue
 		}
-		r.take(ch)
+		r.recordUsage(ch)
 		if t := ch.text(); t != "" {
 			text.WriteString(t)
-			last = time.Since(start)
+			lastTokenTime = time.Since(start)
 			if r.Tokens == 0 {
-				r.First = last
+				r.First = lastTokenTime
 			}
 			r.Tokens++
 		}
 	}
 	if r.Tokens > 1 {
-		r.Between = (last - r.First) / time.Duration(r.Tokens-1)
+		r.TokenInterval = (lastTokenTime - r.First) / time.Duration(r.Tokens-1)
 	}
-	r.settle(ctx, sc.Err(), done && !broke, text.String(), c.said(resp.Trailer.Get(headerOutcome)))
+	r.setStreamOutcome(ctx, sc.Err(), sawEnd && !hasError, text.String(), c.claimedOutcome(resp.Trailer.Get(headerOutcome)))
 }
 
-// settle sets the outcome of a stream.
-func (r *Result) settle(ctx context.Context, err error, done bool, text, said string) {
-	if err != nil || !done {
-		r.Outcome = lost(ctx)
+// setStreamOutcome sets the outcome of a stream that ended with err. isDone tells
+// whether its end marker arrived without an error event.
+func (r *Result) setStreamOutcome(ctx context.Context, err error, isDone bool, text, claimed string) {
+	if err != nil || !isDone {
+		r.Outcome = interruptedOutcome(ctx)
 		if err != nil {
 			r.Detail = err.Error()
 		}
-		// A stream that says complete and was cut is damaged, not broken.
-		if err == nil && said == saidComplete {
+		// A stream that lacks its end and still claims to be complete is wrong:
+		// the caller can't notice that it was cut.
+		if err == nil && claimed == outcomeComplete {
 			r.Outcome = Wrong
 		}
 		return
 	}
-	r.conclude(said, text == r.Job.want())
+	r.setOutcome(claimed, text == r.Job.expectedText())
 }
--- a/trial/smokerun.go
+++ b/trial/smokerun.go
@@ -17,7 +17,7 @@
 	}
 	results := make(chan []load.Result, len(sites))
 	for _, s := range sites {
-		go func() { results <- load.NewCaller(s.targets()).RunWide(ctx, s.smokeJobs(), smokeWidth) }()
+		go func() { results <- load.NewCaller(s.targets()).RunConcurrently(ctx, s.smokeJobs(), smokeWidth) }()
 	}
 	rest := 0
 	for range sites {
