--- a/trial/exper/exper_test.go
+++ b/trial/exper/exper_test.go
@@ -10,11 +10,14 @@
 	"lycheepond/trial/load"
 )
 
-func TestGenerate(t *testing.T) {
+// Checks that a workload is the same each time, sorted by time, and without equal
+// prompts. If it differed between runs, policies would be compared on other work.
+// Equal prompts would be cached and belong to several tiers.
+func TestJobsAreReproducible(t *testing.T) {
 	for _, sc := range Scenarios() {
 		phases := sc.phases(Capacity(sc.shapes))
-		jobs, again := generate(sc.seed, sc.shapes, phases, sc.prefix), generate(sc.seed, sc.shapes, phases, sc.prefix)
-		if len(jobs) < warmup || len(jobs) != len(again) {
+		jobs, again := generateJobs(sc.seed, sc.shapes, phases, sc.prefixes), generateJobs(sc.seed, sc.shapes, phases, sc.prefixes)
+		if len(jobs) < warmupRequests || len(jobs) != len(again) {
 			t.Fatalf("%s: %d and %d jobs", sc.Name, len(jobs), len(again))
 		}
 		prompts := make(map[string]bool)
@@ -26,17 +29,19 @@
 				t.Fatalf("%s: job %d is out of order", sc.Name, i)
 			}
 			if prompts[j.Ask.Prompt] {
-				t.Fatalf("%s: job %d has the prompt of another", sc.Name, i)
+				t.Fatalf("%s: job %d has the same prompt as an earlier job", sc.Name, i)
 			}
 			prompts[j.Ask.Prompt] = true
 		}
 	}
 }
 
-func TestLines(t *testing.T) {
+// Checks how results and engine records are counted by tier, and that a refusal
+// while an answer of a lower tier is being streamed counts as an inversion.
+func TestTierSummaries(t *testing.T) {
 	top := load.Job{Class: spec.Class{Tier: 0}, Ask: engin.Ask{Prompt: "a"}}
 	low := load.Job{Class: spec.Class{Tier: 3}, Ask: engin.Ask{Prompt: "b", Stream: true}}
-	o := Outcome{
+	run := RunResult{
 		Results: []load.Result{
 			{Job: top, Outcome: load.Complete, Total: time.Second},
 			{Job: top, Outcome: load.Refused, SentAt: time.Second, Total: time.Millisecond},
@@ -46,30 +51,30 @@
 		},
 		Records: []engin.Record{{PromptDigest: engin.Digest("b"), PromptTokens: 7, WastedPrefillTokens: 3}},
 	}
-	lines := o.Lines()
-	want := Line{Tier: 0, Offered: 3, WithinTarget: 1, Late: 1, Refused: 1, P50MS: 1000, P99MS: 1000}
-	if lines[0] != want {
-		t.Errorf("tier 0: %+v, want %+v", lines[0], want)
+	summaries := run.TierSummaries()
+	want := TierSummary{Tier: 0, Offered: 3, WithinTarget: 1, Late: 1, Refused: 1, P50MS: 1000, P99MS: 1000}
+	if summaries[0] != want {
+		t.Errorf("tier 0: %+v, want %+v", summaries[0], want)
 	}
-	want = Line{Tier: 3, Offered: 2, WithinTarget: 1, Wrong: 1, PromptTokens: 7, WastedPrefillTokens: 3, P50MS: 2000, P99MS: 2000}
-	if lines[3] != want {
-		t.Errorf("tier 3: %+v, want %+v", lines[3], want)
+	want = TierSummary{Tier: 3, Offered: 2, WithinTarget: 1, Wrong: 1, PromptTokens: 7, WastedPrefillTokens: 3, P50MS: 2000, P99MS: 2000}
+	if summaries[3] != want {
+		t.Errorf("tier 3: %+v, want %+v", summaries[3], want)
 	}
-	if n := inversions(o.Results); n != 1 {
+	if n := countInversions(run.Results); n != 1 {
 		t.Errorf("%d inversions, want 1", n)
 	}
 }
 
-// The hot customer's surplus is judged by what it takes from the others. If
-// their own requests differed between the two runs, the comparison would show
-// chance.
-func TestCalmIsTheSameForOthers(t *testing.T) {
+// Checks that the other customers send the same requests with and without the extra
+// load of the hot customer. The two runs show what that load costs the others. If
+// the others' requests differed, the comparison would show mere chance.
+func TestCalmRunKeepsOtherCustomersRequests(t *testing.T) {
 	for _, sc := range Scenarios() {
-		if !sc.HasCalm() {
+		if !sc.HasCalmRun() {
 			continue
 		}
 		others := func(phases []phase) (at []time.Duration) {
-			for _, j := range generate(sc.seed, sc.shapes, phases, sc.prefix) {
+			for _, j := range generateJobs(sc.seed, sc.shapes, phases, sc.prefixes) {
 				if j.Customer != hotCustomer {
 					at = append(at, j.SendAt)
 				}
@@ -77,9 +82,9 @@
 			return at
 		}
 		capacity := Capacity(sc.shapes)
-		a, b := others(sc.phases(capacity)), others(sc.calm(capacity))
+		a, b := others(sc.phases(capacity)), others(sc.calmPhases(capacity))
 		if !slices.Equal(a, b) {
-			t.Errorf("%s: others send %d requests with the surplus and %d without, or at other times", sc.Name, len(a), len(b))
+			t.Errorf("%s: other customers send %d requests with the extra load and %d without it, or at other times", sc.Name, len(a), len(b))
 		}
 	}
 }
--- a/trial/exper/plot.go
+++ b/trial/exper/plot.go
@@ -13,37 +13,39 @@
 	"lycheepond/core/spec"
 )
 
-// Size of a plot.
+// The size of a plot.
 const (
 	plotWidth  = 7 * vg.Inch
 	plotHeight = 4 * vg.Inch
 )
 
-// Plot writes the goodput of each tier over time into dir as
-// SCENARIO-POLICY.png: answers within target and, dashed, requests offered, by
-// the second in which they were sent.
-func (o Outcome) Plot(dir string) error {
+// Plot draws the goodput of each tier over time into the file
+// SCENARIO-POLICY.png in dir. It shows the answers within target and, dashed, the
+// offered requests, both by the second in which the request was scheduled.
+func (run RunResult) Plot(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
 	p := plot.New()
-	p.Title.Text = o.Scenario + ", " + o.Policy
+	p.Title.Text = run.Scenario + ", " + run.Policy
 	p.X.Label.Text = "second"
 	p.Y.Label.Text = "requests a second"
 	p.Y.Min = 0
 	p.Legend.Top = true
 	for tier := range spec.Tiers {
-		good, offered := o.series(uint8(tier))
-		if err := addLine(p, fmt.Sprintf("tier %d", tier), tier, good, false); err != nil {
+		goodput, offered := run.tierSeries(uint8(tier))
+		if err := addLine(p, fmt.Sprintf("tier %d", tier), tier, goodput, false); err != nil {
 			return err
 		}
 		if err := addLine(p, "", tier, offered, true); err != nil {
 			return err
 		}
 	}
-	return p.Save(plotWidth, plotHeight, filepath.Join(dir, o.Scenario+"-"+o.Policy+".png"))
+	return p.Save(plotWidth, plotHeight, filepath.Join(dir, run.Scenario+"-"+run.Policy+".png"))
 }
 
+// addLine adds a curve in the color of tier. A curve without a name isn't in the
+// legend.
 func addLine(p *plot.Plot, name string, tier int, points plotter.XYs, dashed bool) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
@@ -60,21 +62,23 @@
 	return nil
 }
 
-func (o Outcome) series(tier uint8) (good, offered plotter.XYs) {
-	seconds := int(span.Seconds())
-	good, offered = make(plotter.XYs, seconds), make(plotter.XYs, seconds)
+// tierSeries returns how many requests of a tier were answered within target and
+// how many were offered, for each second of the run.
+func (run RunResult) tierSeries(tier uint8) (goodput, offered plotter.XYs) {
+	seconds := int(arrivalSpan.Seconds())
+	goodput, offered = make(plotter.XYs, seconds), make(plotter.XYs, seconds)
 	for i := range seconds {
-		good[i].X, offered[i].X = float64(i), float64(i)
+		goodput[i].X, offered[i].X = float64(i), float64(i)
 	}
-	for _, r := range o.Results {
+	for _, r := range run.Results {
 		i := int(r.Job.SendAt.Seconds())
 		if r.Job.Class.Tier != tier || i >= seconds {
 			continue
 		}
 		offered[i].Y++
 		if r.MetTargets() {
-			good[i].Y++
+			goodput[i].Y++
 		}
 	}
-	return good, offered
+	return goodput, offered
 }
--- a/trial/exper/run.go
+++ b/trial/exper/run.go
@@ -16,7 +16,8 @@
 	"lycheepond/trial/serve"
 )
 
-// Lycheepond is the policy under test; the others are those of package basel.
+// Lycheepond is the policy under test. The other policies are those of package
+// basel.
 const Lycheepond = "lycheepond"
 
 // Policies returns the policies in the order in which they run.
@@ -28,121 +29,131 @@
 	policy string
 	set    *procs.Set
 	fleet  *fleet.Fleet
-	// fronts are the baseline's dispatchers; empty under lycheepond.
-	fronts []*front
-	log    io.Writer
+	// dispatchers are those of a baseline. There are none under Lycheepond.
+	dispatchers []*dispatcher
+	log         io.Writer
 }
 
-// front is one dispatcher of a baseline.
-type front struct {
-	proc   *procs.Proc
-	listen string
-	starts int
+// dispatcher is one dispatcher process of a baseline.
+type dispatcher struct {
+	proc       *procs.Proc
+	listenAddr string
+	// startCount is how often it was started.
+	startCount int
 }
 
-// Outcome is what one run gave.
-type Outcome struct {
+// RunResult holds the results of one run.
+type RunResult struct {
 	Scenario, Policy string
-	Results          []load.Result
-	Records          []engin.Record
-	// Capacity is requests a second at the engines' best.
-	Capacity float64
-	shapes   []shape
-	// lead is how much of the beginning does not count.
-	lead time.Duration
+	// Results are those of all requests, in the order of SendAt.
+	Results []load.Result
+	// Records are the engines' records of what they ran.
+	Records []engin.Record
+	// CapacityRPS is the highest rate that the engines can serve, in requests per
+	// second.
+	CapacityRPS float64
+	shapes      []shape
+	// rampUp is the time at the start of the run whose requests don't count.
+	rampUp time.Duration
 }
 
-// Options are the choices of one run.
+// Options configures one run.
 type Options struct {
 	Policy string
-	// Calm leaves the surplus of the scenario's hot customer out.
+	// Calm leaves out the extra load of the scenario's hot customer.
 	Calm bool
-	// Log takes notes for those who read along.
+	// Log receives a line for each warm-up request that failed.
 	Log io.Writer
-	// Trace takes the entries' status over time; nil for none.
+	// Trace receives the entries' status over time. It may be nil.
 	Trace io.Writer
 }
 
-// Run runs a scenario with the processes of set.
-func Run(ctx context.Context, set *procs.Set, sc Scenario, opt Options) (Outcome, error) {
+// Run starts a deployment with the processes of set, runs the scenario against it
+// and returns the results. The caller ends the processes.
+func Run(ctx context.Context, set *procs.Set, sc Scenario, opt Options) (RunResult, error) {
 	capacity, policy := Capacity(sc.shapes), opt.Policy
 	phases := sc.phases(capacity)
 	if opt.Calm {
-		phases = sc.calm(capacity)
+		phases = sc.calmPhases(capacity)
 	}
-	jobs := generate(sc.seed, sc.shapes, phases, sc.prefix)
-	out := Outcome{Scenario: sc.Name, Policy: policy, Capacity: capacity, shapes: sc.shapes, lead: sc.lead}
+	jobs := generateJobs(sc.seed, sc.shapes, phases, sc.prefixes)
+	result := RunResult{Scenario: sc.Name, Policy: policy, CapacityRPS: capacity, shapes: sc.shapes, rampUp: sc.rampUp}
 	r := &runner{ctx: ctx, policy: policy, set: set, log: opt.Log}
-	if err := r.start(sc); err != nil {
-		return out, err
+	if err := r.startDeployment(sc); err != nil {
+		return result, err
 	}
-	caller := load.NewCaller(r.targets())
+	caller := load.NewCaller(r.requestAddrs())
 	caller.AssumeComplete = policy != Lycheepond
-	if err := r.warm(caller, jobs); err != nil {
-		return out, err
+	if err := r.warmUp(caller, jobs); err != nil {
+		return result, err
 	}
-	err := r.drive(caller, jobs, sc.events, opt.Trace, &out)
+	err := r.sendJobs(caller, jobs, sc.events, opt.Trace, &result)
 	for _, u := range r.fleet.Units() {
 		records, rerr := u.Records(ctx)
 		err = errors.Join(err, rerr)
-		out.Records = append(out.Records, records...)
+		result.Records = append(result.Records, records...)
 	}
-	return out, err
+	return result, err
 }
 
-// drive sends the jobs while the events happen.
-func (r *runner) drive(c *load.Caller, jobs []load.Job, events []event, trace io.Writer, out *Outcome) error {
+// sendJobs sends the jobs and triggers the events at the same time, and puts the
+// results into result. It writes the entries' status to trace unless that is nil.
+func (r *runner) sendJobs(c *load.Caller, jobs []load.Job, events []event, trace io.Writer, result *RunResult) error {
 	ctx, stop := context.WithCancel(r.ctx)
-	traced, played := make(chan struct{}), make(chan error, 1)
+	traceDone, eventsDone := make(chan struct{}), make(chan error, 1)
 	go func() {
-		defer close(traced)
+		defer close(traceDone)
 		if trace != nil {
-			r.trace(ctx, trace)
+			r.writeTrace(ctx, trace)
 		}
 	}()
-	go func() { played <- r.play(events) }()
-	out.Results = c.Run(r.ctx, jobs)
+	go func() { eventsDone <- r.triggerEvents(events) }()
+	result.Results = c.Run(r.ctx, jobs)
 	stop()
-	<-traced
-	return <-played
+	<-traceDone
+	return <-eventsDone
 }
 
-func (r *runner) start(sc Scenario) (err error) {
-	r.fleet, err = fleet.Start(r.ctx, r.set, plan(r.policy != Lycheepond, sc.shapes))
+// startDeployment starts the engines and, in front of them, agents and entries or
+// the dispatchers of a baseline.
+func (r *runner) startDeployment(sc Scenario) (err error) {
+	r.fleet, err = fleet.Start(r.ctx, r.set, deploymentPlan(r.policy != Lycheepond, sc.shapes))
 	if err != nil || r.policy == Lycheepond {
 		return err
 	}
 	for range 2 {
-		f := new(front)
-		if f.listen, err = procs.Port(); err != nil {
+		d := new(dispatcher)
+		if d.listenAddr, err = procs.Port(); err != nil {
 			return err
 		}
-		r.fronts = append(r.fronts, f)
-		if err := r.launch(f); err != nil {
+		r.dispatchers = append(r.dispatchers, d)
+		if err := r.startDispatcher(d); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// launch starts a dispatcher, also in place of one that was killed.
-func (r *runner) launch(f *front) (err error) {
-	args := []string{"baseline", "--policy", r.policy, "--listen", f.listen}
+// startDispatcher starts a dispatcher for the first time, or again after it was
+// killed, and waits until it is ready.
+func (r *runner) startDispatcher(d *dispatcher) (err error) {
+	args := []string{"baseline", "--policy", r.policy, "--listen", d.listenAddr}
 	for _, u := range r.fleet.Units() {
 		args = append(args, "--engine", u.Addr)
 	}
-	f.starts++
-	f.proc, err = r.set.Start(fmt.Sprintf("baseline-%s-%d", f.listen, f.starts), "trial", args...)
+	d.startCount++
+	d.proc, err = r.set.Start(fmt.Sprintf("baseline-%s-%d", d.listenAddr, d.startCount), "trial", args...)
 	if err != nil {
 		return err
 	}
-	_, err = f.proc.Ready(r.ctx)
+	_, err = d.proc.Ready(r.ctx)
 	return err
 }
 
-func (r *runner) targets() (out []string) {
-	for _, f := range r.fronts {
-		out = append(out, f.listen)
+// requestAddrs returns the addresses to which callers send requests.
+func (r *runner) requestAddrs() (out []string) {
+	for _, d := range r.dispatchers {
+		out = append(out, d.listenAddr)
 	}
 	if len(out) > 0 {
 		return out
@@ -153,62 +164,63 @@
 	return out
 }
 
-// warmup is how many requests make the connections before the run. They count
-// in no figure.
+// Requests before the run open the connections. They count in no figure.
 const (
-	warmup     = 40
-	warmWidth  = 4
-	warmPrompt = "warm up %d"
-	warmTokens = 4
+	warmupRequests     = 40
+	warmupConcurrency  = 4
+	warmupPrompt       = "warm up %d"
+	warmupOutputTokens = 4
 )
 
-func (r *runner) warm(c *load.Caller, jobs []load.Job) error {
-	if len(jobs) < warmup {
+// warmUp sends the warm-up requests. It fails if none of them is answered.
+func (r *runner) warmUp(c *load.Caller, jobs []load.Job) error {
+	if len(jobs) < warmupRequests {
 		return errors.New("exper: the workload is too small")
 	}
-	first := make([]load.Job, warmup)
+	first := make([]load.Job, warmupRequests)
 	for i := range first {
 		first[i] = jobs[i]
-		first[i].Ask.Prompt, first[i].Ask.MaxTokens = fmt.Sprintf(warmPrompt, i), warmTokens
+		first[i].Ask.Prompt, first[i].Ask.MaxTokens = fmt.Sprintf(warmupPrompt, i), warmupOutputTokens
 	}
-	done := 0
-	for _, res := range c.RunConcurrently(r.ctx, first, warmWidth) {
+	completed := 0
+	for _, res := range c.RunConcurrently(r.ctx, first, warmupConcurrency) {
 		if res.Outcome == load.Complete {
-			done++
+			completed++
 		} else {
 			fmt.Fprintf(r.log, "warm up: %s %d %s\n", res.Outcome, res.Status, res.Detail)
 		}
 	}
-	if done == 0 {
+	if completed == 0 {
 		return errors.New("exper: no request of the warm-up was answered: read the logs in " + r.set.Dir())
 	}
 	return nil
 }
 
-// play lets the events of a scenario happen.
-func (r *runner) play(events []event) error {
+// triggerEvents triggers each event at its time and returns their errors.
+func (r *runner) triggerEvents(events []event) error {
 	start := time.Now()
 	var errs []error
 	for _, ev := range events {
 		if !serve.Sleep(r.ctx, ev.at-time.Since(start)) {
 			break
 		}
-		errs = append(errs, ev.do(r))
+		errs = append(errs, ev.trigger(r))
 	}
 	return errors.Join(errs...)
 }
 
-// slowDown makes the fastest engine slow and says nothing.
-func slowDown(r *runner) error {
-	return r.fleet.Units()[0].Fault(r.ctx, engin.Fault{Speed: slowedTo})
+// slowFastestEngine slows the fastest engine down. The engine doesn't report it.
+func slowFastestEngine(r *runner) error {
+	return r.fleet.Units()[0].Fault(r.ctx, engin.Fault{Speed: slowedSpeed})
 }
 
-func platformDown(r *runner) error {
+// takePlatformDown makes the platform unreachable.
+func takePlatformDown(r *runner) error {
 	return r.fleet.Platform().Fault(r.ctx, platf.Fault{Down: true})
 }
 
-// killAgent kills an agent without warning and starts it again. The baselines
-// have no agents, so nothing happens to them.
+// killAgent returns an event that kills agent i without warning and starts it
+// again. It does nothing to the baselines, which have no agents.
 func killAgent(i int) func(*runner) error {
 	return func(r *runner) error {
 		if r.policy != Lycheepond {
@@ -219,25 +231,27 @@
 	}
 }
 
-// stopGrace is how long a planned stop may take in an experiment.
-const stopGrace = 10 * time.Second
+// maxStopTime is how long a planned stop may take in an experiment.
+const maxStopTime = 10 * time.Second
 
-// stopAgent replaces an agent by a planned stop.
+// stopAgent returns an event that stops agent i as planned and starts it again. It
+// does nothing to the baselines.
 func stopAgent(i int) func(*runner) error {
 	return func(r *runner) error {
 		if r.policy != Lycheepond {
 			return nil
 		}
 		u := r.fleet.Units()[i]
-		return errors.Join(u.Agent.Stop(stopGrace), r.fleet.RestartAgent(r.ctx, u))
+		return errors.Join(u.Agent.Stop(maxStopTime), r.fleet.RestartAgent(r.ctx, u))
 	}
 }
 
-// killEntry kills an entry, or a dispatcher, and starts it again.
+// killEntry returns an event that kills entry i, or dispatcher i of a baseline,
+// and starts it again.
 func killEntry(i int) func(*runner) error {
 	return func(r *runner) error {
 		if r.policy != Lycheepond {
-			return errors.Join(r.fronts[i].proc.Kill(), r.launch(r.fronts[i]))
+			return errors.Join(r.dispatchers[i].proc.Kill(), r.startDispatcher(r.dispatchers[i]))
 		}
 		e := r.fleet.Entries()[i]
 		return errors.Join(e.Proc.Kill(), r.fleet.RestartEntry(r.ctx, e))
--- a/trial/exper/scene.go
+++ b/trial/exper/scene.go
@@ -7,120 +7,135 @@
 	"lycheepond/trial/fleet"
 )
 
-// Scenario is one experiment.
+// Scenario is one experiment: a workload and the events during it.
 type Scenario struct {
-	Name   string
-	seed   uint64
-	shapes []shape
-	prefix prefixes
-	// phases are given the rate that the engines can serve at their best.
+	Name string
+	// seed makes the requests the same in each run.
+	seed     uint64
+	shapes   []shape
+	prefixes sharedPrefixes
+	// phases returns the request rates over time, given the highest rate that the
+	// engines can serve, in requests per second.
 	phases func(capacity float64) []phase
 	events []event
-	// lead is how long requests arrive before they count.
-	lead time.Duration
-	// calm is phases without the surplus of the hot customer, for a run to
-	// compare with; nil for none.
-	calm func(capacity float64) []phase
+	// rampUp is how long requests arrive before they count.
+	rampUp time.Duration
+	// calmPhases returns the phases without the extra load of the hot customer,
+	// for a second run to compare with. It is nil if there is no such run.
+	calmPhases func(capacity float64) []phase
 }
 
-// HasCalm reports whether the scenario is also run without its surplus.
-func (s Scenario) HasCalm() bool { return s.calm != nil }
+// HasCalmRun reports whether the scenario also has a run without the extra load
+// of its hot customer.
+func (s Scenario) HasCalmRun() bool { return s.calmPhases != nil }
 
-// event is something that happens to the deployment during a run.
+// event is a fault or a planned stop that is triggered during a run.
 type event struct {
-	at time.Duration
-	do func(r *runner) error
+	// at is when the event is triggered, counted from the start of the run.
+	at      time.Duration
+	trigger func(r *runner) error
 }
 
-// span is how long requests arrive.
-const span = 8 * time.Second
+// arrivalSpan is how long requests arrive.
+const arrivalSpan = 8 * time.Second
 
-// Parts of capacity.
+// The parameters of the scenarios.
 const (
-	steadyLoad   = 0.7
-	burstLoad    = 0.5
-	hotLoad      = 0.6
-	slowLoad     = 0.55
-	longLoad     = 0.5
-	overLoad     = 2.0
-	churnLoad    = 0.6
-	burstFactor  = 4
-	hotFactor    = 10
-	slowedTo     = 0.125
-	hotCustomer  = "ocean-state"
-	lowerTier    = 2
-	eventAt      = 3 * time.Second
-	hotAt        = 2 * time.Second
-	burstEnd     = 6 * time.Second
-	churnSpacing = 1500 * time.Millisecond
-	// overLead is how long an overload builds up before it counts.
-	overLead = 2 * time.Second
+	// The offered load as a fraction of the capacity.
+	steadyLoad    = 0.7
+	burstLoad     = 0.5
+	hotLoad       = 0.6
+	slowLoad      = 0.55
+	longShortLoad = 0.5
+	overloadLoad  = 2.0
+	churnLoad     = 0.6
+	// The factors by which a burst and a hot customer raise their rate.
+	burstFactor = 4
+	hotFactor   = 10
+	// slowedSpeed is the speed of the slowed engine as a fraction of its usual one.
+	slowedSpeed = 0.125
+	hotCustomer = "ocean-state"
+	// highestBurstTier is the highest of the tiers that take part in a burst.
+	highestBurstTier = 2
+	// Times from the start of the run.
+	eventAt  = 3 * time.Second
+	hotStart = 2 * time.Second
+	burstEnd = 6 * time.Second
+	// churnInterval is the time between two faults of the churn.
+	churnInterval = 1500 * time.Millisecond
+	// overloadRampUp is how long an overload builds up before requests count.
+	overloadRampUp = 2 * time.Second
 )
 
-// even is a constant rate, split by the shares of classes and customers.
-func even(part float64) func(float64) []phase {
+// constantLoad returns phases with a constant rate that offers a fraction of the
+// capacity, split by the shares of classes and customers.
+func constantLoad(loadFraction float64) func(float64) []phase {
 	return func(capacity float64) []phase {
-		return []phase{{0, span, func(s shape, c customer) float64 { return part * capacity * s.share * c.share }}}
+		return []phase{{0, arrivalSpan, func(s shape, c customer) float64 { return loadFraction * capacity * s.share * c.share }}}
 	}
 }
 
-// raised is a constant rate that grows by factor for some, from..to.
-func raised(part, factor float64, from, to time.Duration, who func(shape, customer) bool) func(float64) []phase {
+// raisedLoad returns phases like those of constantLoad in which, between from and
+// to, the rate is multiplied by factor where isRaised reports true.
+func raisedLoad(loadFraction, factor float64, from, to time.Duration, isRaised func(shape, customer) bool) func(float64) []phase {
 	return func(capacity float64) []phase {
-		base := even(part)(capacity)[0].rate
-		more := func(s shape, c customer) float64 {
-			if who(s, c) {
-				return factor * base(s, c)
+		baseRate := constantLoad(loadFraction)(capacity)[0].rate
+		raisedRate := func(s shape, c customer) float64 {
+			if isRaised(s, c) {
+				return factor * baseRate(s, c)
 			}
-			return base(s, c)
+			return baseRate(s, c)
 		}
-		return []phase{{0, from, base}, {from, to, more}, {to, span, base}}
+		return []phase{{0, from, baseRate}, {from, to, raisedRate}, {to, arrivalSpan, baseRate}}
 	}
 }
 
-func isHot(_ shape, c customer) bool { return c.name == hotCustomer }
+func isHotCustomer(_ shape, c customer) bool { return c.name == hotCustomer }
 
-// Scenarios returns every experiment in the order in which they run.
+// Scenarios returns all experiments in the order in which they run.
 func Scenarios() []Scenario {
 	return []Scenario{
-		{Name: "steady", seed: 1, shapes: mixed, prefix: plain, phases: even(steadyLoad)},
-		{Name: "burst", seed: 2, shapes: mixed, prefix: plain, phases: raised(burstLoad, burstFactor, eventAt, burstEnd,
-			func(s shape, _ customer) bool { return s.class.Tier >= lowerTier })},
+		{Name: "steady", seed: 1, shapes: mixedShapes, prefixes: shortPrefixes, phases: constantLoad(steadyLoad)},
+		{Name: "burst", seed: 2, shapes: mixedShapes, prefixes: shortPrefixes, phases: raisedLoad(burstLoad, burstFactor, eventAt, burstEnd,
+			func(s shape, _ customer) bool { return s.class.Tier >= highestBurstTier })},
 		{
-			Name: "hotcustomer", seed: 3, shapes: mixed, prefix: plain,
-			phases: raised(hotLoad, hotFactor, hotAt, span, isHot), calm: raised(hotLoad, 1, hotAt, span, isHot),
+			Name: "hotcustomer", seed: 3, shapes: mixedShapes, prefixes: shortPrefixes,
+			phases: raisedLoad(hotLoad, hotFactor, hotStart, arrivalSpan, isHotCustomer), calmPhases: raisedLoad(hotLoad, 1, hotStart, arrivalSpan, isHotCustomer),
 		},
-		{Name: "hotprefix", seed: 4, shapes: mixed, prefix: hot, phases: even(steadyLoad)},
-		{Name: "slowendpoint", seed: 5, shapes: mixed, prefix: plain, phases: even(slowLoad), events: []event{{eventAt, slowDown}}},
-		{Name: "longshort", seed: 6, shapes: longShort, prefix: plain, phases: even(longLoad)},
-		{Name: "overload", seed: 7, shapes: mixed, prefix: plain, lead: overLead, phases: even(overLoad)},
-		{Name: "churn", seed: 8, shapes: mixed, prefix: plain, phases: even(churnLoad), events: []event{
-			{churnSpacing, killAgent(0)},
-			{2 * churnSpacing, killEntry(0)},
-			{3 * churnSpacing, stopAgent(1)},
-			{4 * churnSpacing, killEntry(1)},
-			{4 * churnSpacing, killAgent(2)},
+		{Name: "hotprefix", seed: 4, shapes: mixedShapes, prefixes: longPrefixes, phases: constantLoad(steadyLoad)},
+		{Name: "slowendpoint", seed: 5, shapes: mixedShapes, prefixes: shortPrefixes, phases: constantLoad(slowLoad), events: []event{{eventAt, slowFastestEngine}}},
+		{Name: "longshort", seed: 6, shapes: longShortShapes, prefixes: shortPrefixes, phases: constantLoad(longShortLoad)},
+		{Name: "overload", seed: 7, shapes: mixedShapes, prefixes: shortPrefixes, rampUp: overloadRampUp, phases: constantLoad(overloadLoad)},
+		{Name: "churn", seed: 8, shapes: mixedShapes, prefixes: shortPrefixes, phases: constantLoad(churnLoad), events: []event{
+			{churnInterval, killAgent(0)},
+			{2 * churnInterval, killEntry(0)},
+			{3 * churnInterval, stopAgent(1)},
+			{4 * churnInterval, killEntry(1)},
+			{4 * churnInterval, killAgent(2)},
 		}},
-		{Name: "outage", seed: 9, shapes: mixed, prefix: plain, phases: even(steadyLoad), events: []event{{0, platformDown}}},
+		{Name: "outage", seed: 9, shapes: mixedShapes, prefixes: shortPrefixes, phases: constantLoad(steadyLoad), events: []event{{0, takePlatformDown}}},
 	}
 }
 
-// speeds are the engines of unlike generation.
-var speeds = []float64{1.6, 1.2, 1.0, 0.8, 0.7}
+// engineSpeeds are the speeds of the engines, which stand for several hardware
+// generations.
+var engineSpeeds = []float64{1.6, 1.2, 1.0, 0.8, 0.7}
 
-// engine returns the measured engines at speed 1.
-func engine() engin.Config {
+// engineConfig returns the configuration of an engine with speed 1.
+func engineConfig() engin.Config {
 	c := engin.Default()
 	c.DecodeTPS, c.PrefillTPS, c.BatchSlope = 100, 10000, 0.05
 	c.Slots, c.KVBlocks, c.BlockTokens = 16, 1024, 16
 	return c
 }
 
-func plan(baseline bool, shapes []shape) fleet.Plan {
+// deploymentPlan returns the plan of the deployment, for a baseline only the
+// engines.
+func deploymentPlan(isBaseline bool, shapes []shape) fleet.Plan {
 	zones := []string{"z1", "z2", "z3"}
-	p := fleet.Plan{Name: "measure", Zones: zones, Entries: 2, Objects: objects(shapes), NoAgents: baseline}
-	for i, speed := range speeds {
-		cfg := engine()
+	p := fleet.Plan{Name: "measure", Zones: zones, Entries: 2, Objects: platformObjects(shapes), NoAgents: isBaseline}
+	for i, speed := range engineSpeeds {
+		cfg := engineConfig()
 		cfg.Speed = speed
 		name := "engine-" + string(rune('1'+i))
 		p.Endpoints = append(p.Endpoints, fleet.EngineEndpoint(name, zones[i%len(zones)], model, cfg))
@@ -128,28 +143,29 @@
 	return p
 }
 
-// Capacity returns how many requests of a mix the engines serve in a second
-// with full batches and the shared beginnings cached. It follows from the
-// stand-in's own formula of a step's time.
+// Capacity returns how many requests per second of a mix the engines can serve
+// with full batches and with the shared prefixes cached. It is calculated from the
+// formula that the stand-in engine uses for the time of a step.
 func Capacity(shapes []shape) float64 {
-	var each float64
+	var secondsPerRequest float64
 	for _, s := range shapes {
-		each += s.share * s.work()
+		secondsPerRequest += s.share * s.engineSeconds()
 	}
-	return totalSpeed() / each
+	return totalSpeed() / secondsPerRequest
 }
 
+// totalSpeed returns the sum of the engines' speeds.
 func totalSpeed() (sum float64) {
-	for _, speed := range speeds {
+	for _, speed := range engineSpeeds {
 		sum += speed
 	}
 	return sum
 }
 
-// work returns how many seconds of an engine of speed 1 a request takes in a
-// full batch.
-func (s shape) work() float64 {
-	cfg := engine()
-	step := (1 + cfg.BatchSlope*float64(cfg.Slots-1)) / cfg.DecodeTPS / float64(cfg.Slots)
-	return float64(s.prompt)/cfg.PrefillTPS + float64(s.output)*step
+// engineSeconds returns how many seconds of an engine with speed 1 a request takes
+// up in a full batch.
+func (s shape) engineSeconds() float64 {
+	cfg := engineConfig()
+	secondsPerToken := (1 + cfg.BatchSlope*float64(cfg.Slots-1)) / cfg.DecodeTPS / float64(cfg.Slots)
+	return float64(s.promptTokens)/cfg.PrefillTPS + float64(s.outputTokens)*secondsPerToken
 }
--- a/trial/exper/sum.go
+++ b/trial/exper/sum.go
@@ -11,86 +11,92 @@
 	"lycheepond/trial/load"
 )
 
-// Line is the figures of one tier.
-type Line struct {
+// TierSummary holds the figures of one tier in one run.
+type TierSummary struct {
 	Scenario     string `json:"scenario"`
 	Policy       string `json:"policy"`
 	Tier         int    `json:"tier"`
 	Offered      int    `json:"offered"`
 	WithinTarget int    `json:"within_target"`
-	// Late counts whole answers outside the target and callers that gave up.
-	Late    int `json:"late"`
+	// Late counts complete answers outside the target and requests whose caller
+	// gave up.
+	Late int `json:"late"`
+	// Refused also counts requests that failed as a mistake of the caller.
 	Refused int `json:"refused"`
 	Unknown int `json:"unknown"`
 	Wrong   int `json:"wrong"`
-	// PromptTokens is the prompt work that reached engines.
+	// PromptTokens is the number of prompt tokens of all attempts that reached an
+	// engine.
 	PromptTokens        int `json:"prompt_tokens"`
 	WastedPrefillTokens int `json:"wasted_prefill_tokens"`
-	// P50MS and P99MS are of the time to the last byte of whole answers.
+	// P50MS and P99MS are percentiles of the time to the last byte of complete
+	// answers, in milliseconds.
 	P50MS float64 `json:"p50_ms"`
 	P99MS float64 `json:"p99_ms"`
 }
 
-// counted returns the results of requests that arrived after the lead.
-func (o Outcome) counted() []load.Result {
-	for i, r := range o.Results {
-		if r.Job.SendAt >= o.lead {
-			return o.Results[i:]
+// countedResults returns the results of requests that were due after the ramp-up.
+func (run RunResult) countedResults() []load.Result {
+	for i, r := range run.Results {
+		if r.Job.SendAt >= run.rampUp {
+			return run.Results[i:]
 		}
 	}
 	return nil
 }
 
-// Lines returns the figures of each tier.
-func (o Outcome) Lines() []Line {
-	lines := make([]Line, spec.Tiers)
+// TierSummaries returns the figures of each tier, indexed by tier.
+func (run RunResult) TierSummaries() []TierSummary {
+	summaries := make([]TierSummary, spec.Tiers)
 	times := make([][]time.Duration, spec.Tiers)
 	tierOf := make(map[string]uint8)
-	for i := range lines {
-		lines[i] = Line{Scenario: o.Scenario, Policy: o.Policy, Tier: i}
+	for i := range summaries {
+		summaries[i] = TierSummary{Scenario: run.Scenario, Policy: run.Policy, Tier: i}
 	}
-	for _, r := range o.counted() {
+	for _, r := range run.countedResults() {
 		tier := r.Job.Class.Tier
 		tierOf[engin.Digest(r.Job.Ask.Text())] = tier
-		lines[tier].count(r)
+		summaries[tier].addResult(r)
 		if r.Outcome == load.Complete {
 			times[tier] = append(times[tier], r.Total)
 		}
 	}
-	for _, rec := range o.Records {
+	for _, rec := range run.Records {
 		if tier, ok := tierOf[rec.PromptDigest]; ok {
-			lines[tier].PromptTokens += rec.PromptTokens
-			lines[tier].WastedPrefillTokens += rec.WastedPrefillTokens
+			summaries[tier].PromptTokens += rec.PromptTokens
+			summaries[tier].WastedPrefillTokens += rec.WastedPrefillTokens
 		}
 	}
-	for i := range lines {
-		lines[i].P50MS = percentile(times[i], 0.50)
-		lines[i].P99MS = percentile(times[i], 0.99)
+	for i := range summaries {
+		summaries[i].P50MS = percentile(times[i], 0.50)
+		summaries[i].P99MS = percentile(times[i], 0.99)
 	}
-	return lines
+	return summaries
 }
 
-func (l *Line) count(r load.Result) {
-	l.Offered++
+// addResult counts a result.
+func (s *TierSummary) addResult(r load.Result) {
+	s.Offered++
 	switch r.Outcome {
 	case load.Complete:
 		if r.MetTargets() {
-			l.WithinTarget++
+			s.WithinTarget++
 		} else {
-			l.Late++
+			s.Late++
 		}
 	case load.GaveUp:
-		l.Late++
+		s.Late++
 	case load.Refused, load.Failed:
-		l.Refused++
+		s.Refused++
 	case load.Wrong:
-		l.Wrong++
+		s.Wrong++
 	default:
-		l.Unknown++
+		s.Unknown++
 	}
 }
 
-// percentile returns the q-th part of times in milliseconds, zero of none.
+// percentile returns the quantile q, from 0 to 1, of times in milliseconds, rounded
+// to a tenth. It returns 0 if there are no times, and sorts them.
 func percentile(times []time.Duration, q float64) float64 {
 	if len(times) == 0 {
 		return 0
@@ -101,127 +107,138 @@
 	return float64(d.Round(100*time.Microsecond)) / float64(time.Millisecond)
 }
 
-// Note is figures beside the lines, for those who read along.
-type Note struct {
+// RunSummary holds figures of a whole run, in addition to those of its tiers.
+type RunSummary struct {
 	Scenario string `json:"scenario"`
 	Policy   string `json:"policy"`
-	Calm     bool   `json:"calm,omitempty"`
-	// CapacityRPS is what the engines serve at their best, GoodputRPS what was
-	// answered within target, in requests a second.
+	// Calm is set for a run without the extra load of the hot customer.
+	Calm bool `json:"calm,omitempty"`
+	// CapacityRPS is the highest rate that the engines can serve and GoodputRPS
+	// the rate of answers within target, both in requests per second.
 	CapacityRPS float64 `json:"capacity_rps"`
 	GoodputRPS  float64 `json:"goodput_rps"`
 	// WorkShare is the work of the answers within target that ended while
-	// requests arrived, as a part of what the engines can do in that time at
-	// their best.
+	// requests still arrived, as a fraction of the work that the engines can do in
+	// that time.
 	WorkShare float64 `json:"work_share"`
-	// RefusalP99MS is from sending to the refusal.
+	// RefusalP99MS is the 99th percentile of the time from sending a request to
+	// its refusal, in milliseconds.
 	RefusalP99MS float64 `json:"refusal_p99_ms"`
-	// Inversions counts refusals of a request while an answer of a lower tier
-	// was being streamed to a caller.
+	// Inversions counts refusals that arrived while an answer of a lower tier was
+	// being streamed to a caller.
 	Inversions int `json:"inversions"`
-	// Unknown is what callers heard whose answers broke off, and how often.
-	Unknown []Reason `json:"unknown,omitempty"`
-	// Customers is answers within target by customer.
-	Customers []CustomerNote `json:"customers"`
+	// Unknown counts the requests with an unknown outcome or a mistake of the
+	// caller by their detail.
+	Unknown []UnknownReason `json:"unknown,omitempty"`
+	// Customers holds the counts of each customer.
+	Customers []CustomerSummary `json:"customers"`
 }
 
-// Reason is a reason that callers heard.
-type Reason struct {
+// UnknownReason is the detail of some results and the number of these results.
+type UnknownReason struct {
 	Detail string `json:"detail"`
 	Count  int    `json:"count"`
 }
 
-// CustomerNote is one customer's part of a Note.
-type CustomerNote struct {
-	Name    string `json:"name"`
-	Offered int    `json:"offered"`
-	Within  int    `json:"within_target"`
-	// OfferedBy and WithinBy are the same by tier.
-	OfferedBy [spec.Tiers]int `json:"offered_by_tier"`
-	WithinBy  [spec.Tiers]int `json:"within_by_tier"`
+// CustomerSummary counts the requests of one customer.
+type CustomerSummary struct {
+	Name         string `json:"name"`
+	Offered      int    `json:"offered"`
+	WithinTarget int    `json:"within_target"`
+	// OfferedByTier and WithinTargetByTier hold the same counts for each tier.
+	OfferedByTier      [spec.Tiers]int `json:"offered_by_tier"`
+	WithinTargetByTier [spec.Tiers]int `json:"within_by_tier"`
 }
 
-func (c *CustomerNote) count(r load.Result) {
+// addResult counts a result.
+func (c *CustomerSummary) addResult(r load.Result) {
 	c.Offered++
-	c.OfferedBy[r.Job.Class.Tier]++
+	c.OfferedByTier[r.Job.Class.Tier]++
 	if r.MetTargets() {
-		c.Within++
-		c.WithinBy[r.Job.Class.Tier]++
+		c.WithinTarget++
+		c.WithinTargetByTier[r.Job.Class.Tier]++
 	}
 }
 
-// Note returns the figures beside the lines.
-func (o Outcome) Note(calm bool) Note {
-	n := Note{Scenario: o.Scenario, Policy: o.Policy, Calm: calm, CapacityRPS: math.Round(o.Capacity*10) / 10}
+// Summary returns the figures of the whole run. The flag calm tells whether it was
+// a run without the extra load of the hot customer.
+func (run RunResult) Summary(calm bool) RunSummary {
+	summary := RunSummary{Scenario: run.Scenario, Policy: run.Policy, Calm: calm, CapacityRPS: math.Round(run.CapacityRPS*10) / 10}
 	var refusals []time.Duration
 	within := 0
-	for _, c := range everyone {
-		cn := CustomerNote{Name: c.name}
-		for _, r := range o.counted() {
+	for _, c := range customers {
+		customer := CustomerSummary{Name: c.name}
+		for _, r := range run.countedResults() {
 			if r.Job.Customer != c.name {
 				continue
 			}
-			cn.count(r)
+			customer.addResult(r)
 			if r.Outcome == load.Refused {
 				refusals = append(refusals, r.Total)
 			}
 		}
-		within += cn.Within
-		n.Customers = append(n.Customers, cn)
+		within += customer.WithinTarget
+		summary.Customers = append(summary.Customers, customer)
 	}
-	n.GoodputRPS = math.Round(float64(within)/(span-o.lead).Seconds()*10) / 10
-	n.WorkShare = math.Round(o.workShare()*1000) / 1000
-	n.RefusalP99MS = percentile(refusals, 0.99)
-	n.Inversions = inversions(o.Results)
-	n.Unknown = reasons(o.counted())
-	return n
+	summary.GoodputRPS = math.Round(float64(within)/(arrivalSpan-run.rampUp).Seconds()*10) / 10
+	summary.WorkShare = math.Round(run.workShare()*1000) / 1000
+	summary.RefusalP99MS = percentile(refusals, 0.99)
+	summary.Inversions = countInversions(run.Results)
+	summary.Unknown = countUnknownReasons(run.countedResults())
+	return summary
 }
 
-// ownID is what differs between two answers that tell the same reason.
-var ownID = regexp.MustCompile(`"request_id":"[0-9a-f]*"|127\.0\.0\.1:[0-9]+`)
+// requestSpecificText matches the parts in which two answers with the same reason
+// differ.
+var requestSpecificText = regexp.MustCompile(`"request_id":"[0-9a-f]*"|127\.0\.0\.1:[0-9]+`)
 
-func reasons(results []load.Result) (out []Reason) {
+// countUnknownReasons counts the results that are Unknown or Failed by their detail.
+func countUnknownReasons(results []load.Result) (out []UnknownReason) {
 	for _, r := range results {
 		if r.Outcome != load.Unknown && r.Outcome != load.Failed {
 			continue
 		}
-		detail := ownID.ReplaceAllString(r.Detail, "")
-		i := slices.IndexFunc(out, func(x Reason) bool { return x.Detail == detail })
+		detail := requestSpecificText.ReplaceAllString(r.Detail, "")
+		i := slices.IndexFunc(out, func(x UnknownReason) bool { return x.Detail == detail })
 		if i < 0 {
 			i = len(out)
-			out = append(out, Reason{Detail: detail})
+			out = append(out, UnknownReason{Detail: detail})
 		}
 		out[i].Count++
 	}
 	return out
 }
 
-func (o Outcome) workShare() float64 {
+// workShare returns the figure RunSummary.WorkShare.
+func (run RunResult) workShare() float64 {
 	work := make(map[string]float64)
-	for _, s := range o.shapes {
-		work[s.class.Name] = s.work()
+	for _, s := range run.shapes {
+		work[s.class.Name] = s.engineSeconds()
 	}
 	var done float64
-	for _, r := range o.Results {
-		if at := r.SentAt + r.Total; r.MetTargets() && at >= o.lead && at < span {
+	for _, r := range run.Results {
+		if at := r.SentAt + r.Total; r.MetTargets() && at >= run.rampUp && at < arrivalSpan {
 			done += work[r.Job.Class.Name]
 		}
 	}
-	return done / (totalSpeed() * (span - o.lead).Seconds())
+	return done / (totalSpeed() * (arrivalSpan - run.rampUp).Seconds())
 }
 
-func inversions(results []load.Result) int {
+// countInversions returns how many requests were refused while an answer of a lower
+// tier was being streamed.
+func countInversions(results []load.Result) int {
 	n := 0
 	for _, r := range results {
-		if r.Outcome == load.Refused && servedBelow(results, r.Job.Class.Tier, r.SentAt+r.Total) {
+		if r.Outcome == load.Refused && isLowerTierStreaming(results, r.Job.Class.Tier, r.SentAt+r.Total) {
 			n++
 		}
 	}
 	return n
 }
 
-// servedBelow reports whether a stream of a tier below tier ran at time at.
-func servedBelow(results []load.Result, tier uint8, at time.Duration) bool {
+// isLowerTierStreaming reports whether an answer of a tier lower than tier was being
+// streamed at the time at, counted from the start of the run.
+func isLowerTierStreaming(results []load.Result, tier uint8, at time.Duration) bool {
 	for _, s := range results {
 		if s.Job.Class.Tier > tier && s.Job.Ask.Stream && s.Tokens > 0 && s.SentAt+s.First <= at && at < s.SentAt+s.Total {
 			return true
--- a/trial/exper/trace.go
+++ b/trial/exper/trace.go
@@ -10,21 +10,22 @@
 	"lycheepond/trial/fleet"
 )
 
-// traceEvery is the pause between two lines of a trace.
-const traceEvery = 250 * time.Millisecond
+// traceInterval is the time between two samples of a trace.
+const traceInterval = 250 * time.Millisecond
 
-// traceLine is what one entry knew at one time.
+// traceLine is the state of one entry's pools at one time.
 type traceLine struct {
+	// MS is the time since the start of the trace in milliseconds.
 	MS    int64           `json:"ms"`
 	Entry string          `json:"entry"`
 	Pools json.RawMessage `json:"pools"`
 }
 
-// trace writes the status of every entry's pools to w until ctx ends, so that
-// a figure that is not reached can be explained.
-func (r *runner) trace(ctx context.Context, w io.Writer) {
+// writeTrace writes the status of every entry's pools to w until ctx ends. It helps
+// to explain a figure that misses its goal.
+func (r *runner) writeTrace(ctx context.Context, w io.Writer) {
 	start, enc := time.Now(), json.NewEncoder(w)
-	t := time.NewTicker(traceEvery)
+	t := time.NewTicker(traceInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -37,7 +38,7 @@
 			var s struct {
 				Pools json.RawMessage `json:"pools"`
 			}
-			// An entry that is down at the moment leaves a line without pools.
+			// The error of an entry that is down is ignored: its line has no pools.
 			_ = fleet.Do(ctx, http.MethodGet, "http://"+e.Admin+"/status", fleet.AdminToken, nil, &s)
 			line.Pools = s.Pools
 			if enc.Encode(line) != nil {
--- a/trial/measure.go
+++ b/trial/measure.go
@@ -58,7 +58,7 @@
 			if err := measureOne(ctx, cfg, sc, p, false); err != nil {
 				return err
 			}
-			if p == exper.Lycheepond && sc.HasCalm() {
+			if p == exper.Lycheepond && sc.HasCalmRun() {
 				if err := measureOne(ctx, cfg, sc, p, true); err != nil {
 					return err
 				}
@@ -103,11 +103,11 @@
 	if err = errors.Join(err, set.Close(stopWait)); err != nil {
 		return err
 	}
-	if err := json.NewEncoder(os.Stderr).Encode(out.Note(calm)); err != nil || calm {
+	if err := json.NewEncoder(os.Stderr).Encode(out.Summary(calm)); err != nil || calm {
 		return err
 	}
 	enc := json.NewEncoder(os.Stdout)
-	for _, line := range out.Lines() {
+	for _, line := range out.TierSummaries() {
 		if err := enc.Encode(line); err != nil {
 			return err
 		}
