--- a/trial/exper/exper_test.go
+++ b/trial/exper/exper_test.go
@@ -10,9 +10,10 @@
 	"lycheepond/trial/load"
 )
 
-// Checks that a workload is the same each time, sorted by time, and without equal
-// prompts. If it differed between runs, policies would be compared on other work.
-// Equal prompts would be cached and belong to several tiers.
+// Checks that a workload is the same each time, is sorted by time and has no two
+// equal prompts. If it differed between runs, the policies would be compared on
+// different requests. Engine records are assigned to a tier by their prompt, so
+// records of equal prompts would count for the wrong tier.
 func TestJobsAreReproducible(t *testing.T) {
 	for _, sc := range Scenarios() {
 		phases := sc.phases(Capacity(sc.shapes))
--- a/trial/ideal.go
+++ b/trial/ideal.go
@@ -38,9 +38,9 @@
 	ideal.Plan(all)
 	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tab, "tier\tfifth by output\tasked\tserved\tideal")
-	for _, r := range ideal.Sum(all) {
-		n := float64(max(r.Asked, 1))
-		fmt.Fprintf(tab, "%s\t%d\t%d\t%.2f\t%.2f\n", r.Tier, r.Fifth+1, r.Asked, float64(r.Served)/n, float64(r.Planned)/n)
+	for _, r := range ideal.Summarize(all) {
+		n := float64(max(r.Requests, 1))
+		fmt.Fprintf(tab, "%s\t%d\t%d\t%.2f\t%.2f\n", r.Tier, r.Fifth+1, r.Requests, float64(r.Served)/n, float64(r.Planned)/n)
 	}
 	return tab.Flush()
 }
--- a/trial/ideal/ideal.go
+++ b/trial/ideal/ideal.go
@@ -1,10 +1,11 @@
-// Package ideal works out from the logs of a day what a scheduler could have served that
-// knew all requests beforehand, with the slots that the day's endpoints had.
+// Package ideal computes, from the logs of a day, which requests a scheduler that knew all
+// of them in advance could have served with the slots that the endpoints had.
 //
-// It plans tier by tier, the highest first, and within a tier the request with the least
-// work first, each as early as its slots allow and not later than its target. So no
-// request is refused beside a lower tier, and few schedules serve more requests. It is no
-// strict bound: it packs greedily, and takes work for known that is estimated.
+// It plans the highest tier first and, within a tier, the request with the shortest slot
+// time first. Each request starts as early as a slot is free and not later than its target.
+// So no request is refused while one of a lower tier is served in its place, and few
+// schedules serve more requests. The result is not a strict upper bound: the packing is
+// greedy, and the slot times of requests that were not served are estimates.
 package ideal
 
 import (
@@ -19,54 +20,63 @@
 )
 
 const (
-	// bin is the resolution of the plan.
-	bin = 100 * time.Millisecond
-	// again is the longest time between two tries of one caller.
-	again = 3 * time.Second
-	// around is the time around a moment in which the most slots that were taken count as
-	// those that there were.
-	around = 3 * time.Second
-	// perPrompt is how many prompt tokens take as long as one of output, and fixed how many
-	// tokens of output the start of a request takes as long as.
-	perPrompt = 200
-	fixed     = 5
-	// maxLine bounds one line of a log.
-	maxLine = 1 << 20
+	// binTime is the time resolution of the plan.
+	binTime = 100 * time.Millisecond
+	// maxRetryGap is the longest time from an arrival of a refused request to its retry.
+	maxRetryGap = 3 * time.Second
+	// slotWindow is the time before and after a bin in which the highest number of used
+	// slots counts as the number of slots that exist in the bin.
+	slotWindow = 3 * time.Second
+	// promptTokensPerOutputToken is the number of prompt tokens that take as long as one
+	// output token.
+	promptTokensPerOutputToken = 200
+	// startCostTokens is the number of output tokens that take as long as the start of a
+	// request.
+	startCostTokens = 5
+	// maxLineBytes bounds one line of a log.
+	maxLineBytes = 1 << 20
 )
 
-// Request is one request of a caller, with its further tries.
+// Request is one request of a caller, together with the retries after its refusals. Its
+// times count from the first arrival of the day.
 type Request struct {
 	Tier string
-	// Arrived is when its first try came, Target the time within which its first event is
-	// wanted.
-	Arrived, Target time.Duration
-	// Output is its expected output in tokens, Work how long it holds a slot.
-	Output int
-	Work   time.Duration
-	// Served is set if it was answered, from Began on.
-	Served bool
-	Began  time.Duration
-	// Planned is set if the ideal plan serves it.
-	Planned bool
+	// ArrivedAt is when it arrived for the first time, and Target the time from then within
+	// which its first event is due.
+	ArrivedAt, Target time.Duration
+	// OutputTokens is the expected number of output tokens.
+	OutputTokens int
+	// SlotTime is how long it holds a slot. It is estimated if the request was not served.
+	SlotTime time.Duration
+	// IsServed is set if it was answered. It then held a slot from StartedAt on.
+	IsServed  bool
+	StartedAt time.Duration
+	// IsPlanned is set if the plan serves it.
+	IsPlanned bool
 
-	tokens float64
-	last   time.Duration
+	// costTokens is its estimated cost, as the output tokens that take as long.
+	costTokens float64
+	// lastArrivedAt is when its latest retry arrived.
+	lastArrivedAt time.Duration
 }
 
-// line is what is read of a log line.
-type line struct {
-	Time        time.Time `json:"time"`
-	Event       string    `json:"event"`
-	Tier        string    `json:"tier"`
-	Fingerprint string    `json:"fingerprint"`
-	Why         string    `json:"why"`
-	Input       *int      `json:"input"`
-	Output      int       `json:"output"`
-	Took        duration  `json:"took"`
-	Stood       duration  `json:"stood"`
-	Target      duration  `json:"target"`
+// logLine holds the fields of a log line that are used here.
+type logLine struct {
+	Time         time.Time `json:"time"`
+	Event        string    `json:"event"`
+	Tier         string    `json:"tier"`
+	Fingerprint  string    `json:"fingerprint"`
+	Reason       string    `json:"why"`
+	InputTokens  *int      `json:"input"`
+	OutputTokens int       `json:"output"`
+	// Took is the time from the request's arrival to its end.
+	Took duration `json:"took"`
+	// QueueTime is the part of Took that the request waited in the queue.
+	QueueTime duration `json:"stood"`
+	Target    duration `json:"target"`
 }
 
+// duration is a time.Duration that is a string such as "30ms" in JSON.
 type duration time.Duration
 
 func (d *duration) UnmarshalJSON(b []byte) error {
@@ -75,20 +85,21 @@
 	return err
 }
 
-// Read returns the requests of engines in the logs of all entries. What comes before a
-// line's first brace is passed over.
+// Read returns the requests to engines from the logs of all entries, in the order of their
+// arrival. Of each line it decodes the text from the first brace on, and it skips lines that
+// aren't JSON.
 func Read(logs ...io.Reader) ([]*Request, error) {
-	var lines []line
+	var lines []logLine
 	for _, r := range logs {
 		s := bufio.NewScanner(r)
-		s.Buffer(nil, maxLine)
+		s.Buffer(nil, maxLineBytes)
 		for s.Scan() {
 			i := bytes.IndexByte(s.Bytes(), '{')
-			var l line
-			if i < 0 || json.Unmarshal(s.Bytes()[i:], &l) != nil || l.Input == nil {
+			var l logLine
+			if i < 0 || json.Unmarshal(s.Bytes()[i:], &l) != nil || l.InputTokens == nil {
 				continue
 			}
-			if l.Event == "request_done" || l.Event == "request_refused" && l.Why == "full" {
+			if l.Event == "request_done" || l.Event == "request_refused" && l.Reason == "full" {
 				lines = append(lines, l)
 			}
 		}
@@ -96,120 +107,127 @@
 			return nil, err
 		}
 	}
-	return requests(lines), nil
+	return mergeRetries(lines), nil
 }
 
-func (l *line) arrived() time.Time { return l.Time.Add(-time.Duration(l.Took)) }
+// arrivedAt returns when the request arrived.
+func (l *logLine) arrivedAt() time.Time { return l.Time.Add(-time.Duration(l.Took)) }
 
-// requests joins the tries of each caller, which ask for the same.
-func requests(lines []line) []*Request {
-	slices.SortFunc(lines, func(a, b line) int { return a.arrived().Compare(b.arrived()) })
+// mergeRetries returns the requests that lines belong to. A line with the fingerprint of a
+// refused request that arrived at most maxRetryGap earlier is a retry of that request.
+func mergeRetries(lines []logLine) []*Request {
+	slices.SortFunc(lines, func(a, b logLine) int { return a.arrivedAt().Compare(b.arrivedAt()) })
 	var all []*Request
-	waiting := make(map[string]*Request)
-	var held time.Duration
-	tokens := 0.0
+	refused := make(map[string]*Request)
+	var totalSlotTime time.Duration
+	totalTokens := 0.0
 	for _, l := range lines {
-		at := l.arrived().Sub(lines[0].arrived())
-		r := waiting[l.Fingerprint]
-		if r == nil || at-r.last > again {
+		at := l.arrivedAt().Sub(lines[0].arrivedAt())
+		r := refused[l.Fingerprint]
+		if r == nil || at-r.lastArrivedAt > maxRetryGap {
 			r = &Request{
-				Tier: l.Tier, Arrived: at, Target: time.Duration(l.Target), Output: l.Output,
-				tokens: float64(l.Output) + float64(*l.Input)/perPrompt + fixed,
+				Tier: l.Tier, ArrivedAt: at, Target: time.Duration(l.Target), OutputTokens: l.OutputTokens,
+				costTokens: float64(l.OutputTokens) + float64(*l.InputTokens)/promptTokensPerOutputToken + startCostTokens,
 			}
 			all = append(all, r)
 		}
-		r.last = at
-		waiting[l.Fingerprint] = r
+		r.lastArrivedAt = at
+		refused[l.Fingerprint] = r
 		if l.Event != "request_done" {
 			continue
 		}
-		delete(waiting, l.Fingerprint)
-		r.Served, r.Began = true, at+time.Duration(l.Stood)
-		r.Work = max(time.Duration(l.Took-l.Stood), time.Millisecond)
-		held += r.Work
-		tokens += r.tokens
+		delete(refused, l.Fingerprint)
+		r.IsServed, r.StartedAt = true, at+time.Duration(l.QueueTime)
+		r.SlotTime = max(time.Duration(l.Took-l.QueueTime), time.Millisecond)
+		totalSlotTime += r.SlotTime
+		totalTokens += r.costTokens
 	}
 	for _, r := range all {
-		if !r.Served && tokens > 0 {
-			r.Work = time.Duration(r.tokens / tokens * float64(held))
+		if !r.IsServed && totalTokens > 0 {
+			r.SlotTime = time.Duration(r.costTokens / totalTokens * float64(totalSlotTime))
 		}
 	}
 	return all
 }
 
-// Plan plans the requests.
+// Plan sets IsPlanned of each request that the ideal scheduler serves.
 func Plan(all []*Request) {
-	left := slots(all)
+	freeSlots := slotsPerBin(all)
 	order := slices.Clone(all)
-	slices.SortFunc(order, func(a, b *Request) int { return cmp.Or(cmp.Compare(a.Tier, b.Tier), cmp.Compare(a.Work, b.Work)) })
+	slices.SortFunc(order, func(a, b *Request) int {
+		return cmp.Or(cmp.Compare(a.Tier, b.Tier), cmp.Compare(a.SlotTime, b.SlotTime))
+	})
 	for _, r := range order {
-		for from := r.Arrived; from <= r.Arrived+r.Target && !r.Planned; from += bin {
-			r.Planned = take(left, from, r.Work)
+		for start := r.ArrivedAt; start <= r.ArrivedAt+r.Target && !r.IsPlanned; start += binTime {
+			r.IsPlanned = reserveSlot(freeSlots, start, r.SlotTime)
 		}
 	}
 }
 
-// slots returns how many slots there were in each bin.
-func slots(all []*Request) []int {
+// slotsPerBin returns how many slots the endpoints had in each bin.
+func slotsPerBin(all []*Request) []int {
 	end := time.Duration(0)
 	for _, r := range all {
-		end = max(end, r.Arrived+r.Target, r.Began+r.Work)
+		end = max(end, r.ArrivedAt+r.Target, r.StartedAt+r.SlotTime)
 	}
-	taken := make([]int, end/bin+1)
+	usedSlots := make([]int, end/binTime+1)
 	for _, r := range all {
-		if r.Served {
-			for i := r.Began / bin; i <= (r.Began+r.Work)/bin; i++ {
-				taken[i]++
+		if r.IsServed {
+			for i := r.StartedAt / binTime; i <= (r.StartedAt+r.SlotTime)/binTime; i++ {
+				usedSlots[i]++
 			}
 		}
 	}
-	out := make([]int, len(taken))
-	for i := range taken {
-		out[i] = slices.Max(taken[max(i-int(around/bin), 0):min(i+int(around/bin)+1, len(taken))])
+	available := make([]int, len(usedSlots))
+	for i := range usedSlots {
+		available[i] = slices.Max(usedSlots[max(i-int(slotWindow/binTime), 0):min(i+int(slotWindow/binTime)+1, len(usedSlots))])
 	}
-	return out
+	return available
 }
 
-// take takes a slot from a time on, and reports whether there was one all the while. What
-// ends after the day ends with it.
-func take(left []int, from, work time.Duration) bool {
-	first, last := int(from/bin), min(int((from+work)/bin), len(left)-1)
+// reserveSlot takes a slot from the time from on for slotTime, if one is free in each bin,
+// and reports whether it did. A reservation that outlasts the day ends with the last bin.
+func reserveSlot(freeSlots []int, from, slotTime time.Duration) bool {
+	first, last := int(from/binTime), min(int((from+slotTime)/binTime), len(freeSlots)-1)
 	for i := first; i <= last; i++ {
-		if left[i] == 0 {
+		if freeSlots[i] == 0 {
 			return false
 		}
 	}
 	for i := first; i <= last; i++ {
-		left[i]--
+		freeSlots[i]--
 	}
 	return true
 }
 
-// Row sums up a fifth of a tier's requests, by their output.
+// Row holds the counts for one fifth of a tier's requests. The requests are split into
+// fifths by their output tokens.
 type Row struct {
 	Tier string
-	// Fifth is 0 for the shortest ones.
-	Fifth                  int
-	Asked, Served, Planned int
+	// Fifth is 0 for the requests with the fewest output tokens and 4 for those with the most.
+	Fifth int
+	// Requests counts all requests, Served those that were served and Planned those that the
+	// plan serves.
+	Requests, Served, Planned int
 }
 
-// Sum sums the requests up by tier and fifth.
-func Sum(all []*Request) []Row {
+// Summarize returns a row for each tier and fifth, sorted by both.
+func Summarize(all []*Request) []Row {
 	tiers := make(map[string][]*Request)
 	for _, r := range all {
 		tiers[r.Tier] = append(tiers[r.Tier], r)
 	}
 	var out []Row
 	for tier, rs := range tiers {
-		slices.SortFunc(rs, func(a, b *Request) int { return cmp.Compare(a.Output, b.Output) })
+		slices.SortFunc(rs, func(a, b *Request) int { return cmp.Compare(a.OutputTokens, b.OutputTokens) })
 		rows := make([]Row, 5)
 		for i, r := range rs {
 			f := &rows[5*i/len(rs)]
-			f.Asked++
-			if r.Served {
+			f.Requests++
+			if r.IsServed {
 				f.Served++
 			}
-			if r.Planned {
+			if r.IsPlanned {
 				f.Planned++
 			}
 		}
