--- a/trial/basel/basel.go
+++ b/trial/basel/basel.go
@@ -1,6 +1,7 @@
-// Package basel is the baseline that lycheepond is measured against: a
-// dispatcher that pushes each request to an engine as it arrives, in turn or by
-// the engines' lagging load reports. It knows no tiers and refuses nothing.
+// Package basel provides the baseline that lycheepond is compared with: a
+// dispatcher that sends each request to an engine as soon as it arrives. It picks
+// the engine in round-robin order or by the engines' load reports, which lag
+// behind their load. It has no tiers and refuses no request.
 package basel
 
 import (
@@ -18,7 +19,7 @@
 	"lycheepond/trial/engin"
 )
 
-// The policies.
+// The policies for picking an engine.
 const (
 	RoundRobin = "roundrobin"
 	LeastLoad  = "leastload"
@@ -26,28 +27,34 @@
 
 // Config describes a dispatcher.
 type Config struct {
+	// Policy is RoundRobin or LeastLoad.
 	Policy string
-	// Engines are the addresses to push to.
+	// Engines are the addresses of the engines, as host:port.
 	Engines []string
 }
 
-// pollEvery is how often the load reports are read.
-const pollEvery = 100 * time.Millisecond
+// pollInterval is the time between two reads of an engine's load report.
+const pollInterval = 100 * time.Millisecond
 
-// Dispatcher is the baseline.
+// Dispatcher is an HTTP handler that forwards requests to engines. It is safe for
+// concurrent use.
 type Dispatcher struct {
 	cfg    Config
 	client *http.Client
-	turn   atomic.Uint64
-	ids    atomic.Uint64
-	start  int64
+	// turn is the number of picks and ids the number of request IDs so far.
+	turn atomic.Uint64
+	ids  atomic.Uint64
+	// startNanos is the Unix time of the start in nanoseconds. As a part of request
+	// IDs it keeps those of different dispatchers apart.
+	startNanos int64
 
 	mu sync.Mutex
-	// loads are the newest reports, in the order of cfg.Engines.
+	// loads are the running and waiting requests of each engine by its latest
+	// report, in the order of cfg.Engines.
 	loads []int
 }
 
-// New returns a dispatcher.
+// New returns a dispatcher. It fails if the policy is unknown or there is no engine.
 func New(cfg Config) (*Dispatcher, error) {
 	if cfg.Policy != RoundRobin && cfg.Policy != LeastLoad {
 		return nil, fmt.Errorf("basel: unknown policy %q: use %s or %s", cfg.Policy, RoundRobin, LeastLoad)
@@ -55,16 +62,17 @@
 	if len(cfg.Engines) == 0 {
 		return nil, errors.New("basel: no engine: name at least one")
 	}
-	t := &http.Transport{MaxIdleConns: maxConns, MaxIdleConnsPerHost: maxConns, DisableCompression: true}
+	t := &http.Transport{MaxIdleConns: maxIdleConns, MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true}
 	return &Dispatcher{
 		cfg: cfg, client: &http.Client{Transport: t}, loads: make([]int, len(cfg.Engines)),
-		start: time.Now().UnixNano(),
+		startNanos: time.Now().UnixNano(),
 	}, nil
 }
 
-const maxConns = 4096
+// maxIdleConns bounds the idle connections, in total and to each engine.
+const maxIdleConns = 4096
 
-// Run reads the load reports until ctx ends.
+// Run reads the load reports until ctx ends, if the policy needs them.
 func (d *Dispatcher) Run(ctx context.Context) error {
 	if d.cfg.Policy != LeastLoad {
 		<-ctx.Done()
@@ -72,14 +80,16 @@
 	}
 	var wait sync.WaitGroup
 	for i := range d.cfg.Engines {
-		wait.Go(func() { d.poll(ctx, i) })
+		wait.Go(func() { d.pollLoad(ctx, i) })
 	}
 	wait.Wait()
 	return nil
 }
 
-func (d *Dispatcher) poll(ctx context.Context, i int) {
-	t := time.NewTicker(pollEvery)
+// pollLoad reads the load reports of engine i until ctx ends. A failed read leaves
+// the last load in place.
+func (d *Dispatcher) pollLoad(ctx context.Context, i int) {
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -87,7 +97,7 @@
 			return
 		case <-t.C:
 		}
-		if l, err := d.load(ctx, d.cfg.Engines[i]); err == nil {
+		if l, err := d.readLoad(ctx, d.cfg.Engines[i]); err == nil {
 			d.mu.Lock()
 			d.loads[i] = l.Running + l.Waiting
 			d.mu.Unlock()
@@ -95,7 +105,8 @@
 	}
 }
 
-func (d *Dispatcher) load(ctx context.Context, addr string) (l engin.Load, err error) {
+// readLoad reads the load report of the engine at addr.
+func (d *Dispatcher) readLoad(ctx context.Context, addr string) (l engin.Load, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/load", nil)
 	if err != nil {
 		return l, err
@@ -108,9 +119,10 @@
 	return l, json.NewDecoder(resp.Body).Decode(&l)
 }
 
-// pick chooses an engine: in turn, or the one with the least reported load,
-// the first in turn among equals.
-func (d *Dispatcher) pick() string {
+// pickEngine returns the address of the next engine in round-robin order or, for
+// LeastLoad, of the engine with the least reported load. Among equal loads the next
+// one in round-robin order wins.
+func (d *Dispatcher) pickEngine() string {
 	n := len(d.cfg.Engines)
 	best := int(d.turn.Add(1) % uint64(n))
 	if d.cfg.Policy == RoundRobin {
@@ -127,13 +139,14 @@
 	return d.cfg.Engines[best]
 }
 
-// ServeHTTP pushes a request and copies the answer.
+// ServeHTTP forwards a request to an engine and copies the answer. It answers
+// /readyz itself.
 func (d *Dispatcher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/readyz" {
 		return
 	}
-	id := strconv.FormatInt(d.start, 36) + "-" + strconv.FormatUint(d.ids.Add(1), 36)
-	addr := d.pick()
+	id := strconv.FormatInt(d.startNanos, 36) + "-" + strconv.FormatUint(d.ids.Add(1), 36)
+	addr := d.pickEngine()
 	req, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+addr+r.URL.Path, r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -144,7 +157,7 @@
 	req.Header.Set("X-Request-Id", id)
 	resp, err := d.client.Do(req)
 	if err != nil {
-		d.cancel(r.Context(), addr, id)
+		d.cancelRequest(r.Context(), addr, id)
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
 	}
@@ -152,13 +165,14 @@
 	w.Header().Set("Content-Type", resp.Header.Get("Content-Type"))
 	w.WriteHeader(resp.StatusCode)
 	if !copyFlushing(w, resp.Body) {
-		d.cancel(r.Context(), addr, id)
+		d.cancelRequest(r.Context(), addr, id)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// cancel stops a request whose caller hung up, as a careful dispatcher does.
-func (d *Dispatcher) cancel(ctx context.Context, addr, id string) {
+// cancelRequest cancels a request at its engine after its caller hung up or its
+// answer broke off, so that it doesn't go on using the engine.
+func (d *Dispatcher) cancelRequest(ctx context.Context, addr, id string) {
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/v1/requests/"+id+"/cancel", nil)
@@ -170,10 +184,13 @@
 	}
 }
 
-const copySize = 16 << 10
+// copyBufferBytes is the size of the buffer for copying an answer.
+const copyBufferBytes = 16 << 10
 
+// copyFlushing copies body to w, flushes after each read and reports whether the
+// whole body was copied.
 func copyFlushing(w http.ResponseWriter, body io.Reader) bool {
-	flush, buf := http.NewResponseController(w), make([]byte, copySize)
+	flush, buf := http.NewResponseController(w), make([]byte, copyBufferBytes)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
--- a/trial/basel/basel_test.go
+++ b/trial/basel/basel_test.go
@@ -11,28 +11,32 @@
 	"lycheepond/trial/load"
 )
 
-func TestPick(t *testing.T) {
+// Checks that LeastLoad always picks the engine with the least load and that
+// RoundRobin picks all engines equally often.
+func TestPickEngine(t *testing.T) {
 	d, err := New(Config{Policy: LeastLoad, Engines: []string{"a", "b", "c"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.loads = []int{2, 1, 2}
 	for range 3 {
-		if got := d.pick(); got != "b" {
+		if got := d.pickEngine(); got != "b" {
 			t.Errorf("got %s, want the least loaded", got)
 		}
 	}
 	d.cfg.Policy = RoundRobin
 	seen := make(map[string]int)
 	for range 6 {
-		seen[d.pick()]++
+		seen[d.pickEngine()]++
 	}
 	if seen["a"] != 2 || seen["b"] != 2 || seen["c"] != 2 {
-		t.Errorf("in turn: %v", seen)
+		t.Errorf("picks in round-robin order: %v, want 2 of each", seen)
 	}
 }
 
-func TestPush(t *testing.T) {
+// Checks that the dispatcher forwards a request and copies its answer unchanged,
+// streamed or not.
+func TestForward(t *testing.T) {
 	e := engin.New(engin.Default())
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
