--- a/trial/capac/capac_test.go
+++ b/trial/capac/capac_test.go
@@ -6,50 +6,55 @@
 	"testing"
 )
 
+// Checks that the fit finds the base and the slope of points on a straight line.
 func TestSlopes(t *testing.T) {
 	var points []Point
 	for _, n := range []int{10, 50, 200} {
-		points = append(points, Point{Measure: ByAgents, Size: n, Load: Idle, Role: RoleEntry, RSSMB: 20 + 0.05*float64(n)})
+		points = append(points, Point{Measure: ByAgents, Size: n, Load: IdleLoad, Role: RoleEntry, RSSMB: 20 + 0.05*float64(n)})
 	}
 	for _, s := range Slopes(points) {
-		if s.Figure == "rss_mb" && (math.Abs(s.Base-20) > 0.01 || math.Abs(s.Per-0.05) > 1e-6 || s.Points != 3) {
+		if s.Figure == "rss_mb" && (math.Abs(s.Base-20) > 0.01 || math.Abs(s.PerUnit-0.05) > 1e-6 || s.Points != 3) {
 			t.Errorf("got %+v, want base 20 and 0.05 an agent", s)
 		}
 	}
 }
 
-func TestSpent(t *testing.T) {
-	u, err := spent(os.Getpid())
-	if err != nil || u.rss == 0 {
+// Checks that the stat file in /proc of a running process can be parsed.
+func TestReadProcUsage(t *testing.T) {
+	u, err := readProcUsage(os.Getpid())
+	if err != nil || u.rssBytes == 0 {
 		t.Errorf("%+v, %v", u, err)
 	}
 }
 
-func TestParseSockets(t *testing.T) {
+// Checks that the connections of one local address are summed up, that the headers of
+// their segments are added to their bytes, and that a line without statistics is skipped.
+func TestParseSocketStats(t *testing.T) {
 	const out = `0 0 127.0.0.1:70 127.0.0.1:81 bbr wscale:10,10 bytes_sent:100 bytes_acked:100 bytes_received:40 segs_out:3 segs_in:2 data_segs_out:1 send 7bps
 0 0 127.0.0.1:70 127.0.0.1:82 bbr bytes_sent:1 segs_out:1
 0 0 127.0.0.1:82
 `
-	got := parseSockets(out)
-	if want := (socket{links: 2, wire: 141 + 6*segmentHeader}); len(got) != 1 || got["127.0.0.1:70"] != want {
+	got := parseSocketStats(out)
+	if want := (socketStats{connections: 2, wireBytes: 141 + 6*segmentHeaderBytes}); len(got) != 1 || got["127.0.0.1:70"] != want {
 		t.Errorf("got %+v, want %+v alone", got, want)
 	}
 }
 
-func TestSizes(t *testing.T) {
-	var reach Reach
-	err := Sizes(func(v any) error {
+// Checks that no object or message is empty and that each agent has enough links.
+func TestMeasureSizes(t *testing.T) {
+	var links LinkCounts
+	err := MeasureSizes(func(v any) error {
 		switch v := v.(type) {
-		case Bytes:
+		case EncodedSize:
 			if v.Bytes == 0 {
-				t.Errorf("%s is empty", v.Of)
+				t.Errorf("%s is empty", v.Subject)
 			}
-		case Reach:
-			reach = v
+		case LinkCounts:
+			links = v
 		}
 		return nil
 	})
-	if err != nil || reach.Least == 0 || reach.PerAgent < 4 {
-		t.Errorf("%+v, %v", reach, err)
+	if err != nil || links.MinLinks == 0 || links.LinksPerAgent < 4 {
+		t.Errorf("%+v, %v", links, err)
 	}
 }
--- a/trial/capac/path.go
+++ b/trial/capac/path.go
@@ -15,119 +15,132 @@
 	"lycheepond/trial/procs"
 )
 
-// Added is the pace of streams by one way to the engine.
-type Added struct {
-	// Path is direct or entry.
-	Path     string  `json:"path"`
-	Requests int     `json:"requests"`
-	FirstP50 float64 `json:"first_p50_ms"`
-	FirstP99 float64 `json:"first_p99_ms"`
-	// Between is of the mean time between two tokens of a stream.
-	BetweenP50 float64 `json:"between_p50_ms"`
-	BetweenP99 float64 `json:"between_p99_ms"`
+// StreamLatency holds the latency of streams over one path to the engines. All times
+// are in milliseconds.
+type StreamLatency struct {
+	// Path is direct, from the caller to the engine, or entry, through an entry and
+	// an agent.
+	Path            string  `json:"path"`
+	Requests        int     `json:"requests"`
+	FirstTokenP50MS float64 `json:"first_p50_ms"`
+	FirstTokenP99MS float64 `json:"first_p99_ms"`
+	// TokenIntervalP50MS and TokenIntervalP99 are percentiles of the mean time between
+	// two tokens of a stream.
+	TokenIntervalP50MS float64 `json:"between_p50_ms"`
+	TokenIntervalP99MS float64 `json:"between_p99_ms"`
 }
 
-// Relay is how many streamed tokens a process passes on for each second of
-// processor time.
-type Relay struct {
-	Role             string  `json:"relay"`
-	Tokens           int     `json:"tokens"`
-	TokensPerSecond  float64 `json:"tokens_s"`
-	TokensPerCoreSec float64 `json:"tokens_core_s"`
+// RelayThroughput holds how many streamed tokens the processes of a role pass on.
+type RelayThroughput struct {
+	Role   string `json:"relay"`
+	Tokens int    `json:"tokens"`
+	// TokensPerSecond is per second of the run and TokensPerCoreSecond per second of
+	// processor time, which is summed over all processes of the role.
+	TokensPerSecond     float64 `json:"tokens_s"`
+	TokensPerCoreSecond float64 `json:"tokens_core_s"`
 }
 
-// Sizes of the measurement of the path.
+// The parameters of MeasurePath.
 const (
-	pathPairs    = 60
-	pathWant     = 24
-	relayJobs    = 1200
-	relayWidth   = 300
-	relayWant    = 200
-	relayEngines = 6
+	// pathPairs is the number of streams over each path.
+	pathPairs         = 60
+	pathOutputTokens  = 24
+	relayRequests     = 1200
+	relayConcurrency  = 300
+	relayOutputTokens = 200
+	relayEngines      = 6
 )
 
-// Path measures what the way through entry and agent adds to a stream against
-// calling the engine directly, one request at a time and in turn, and how many
-// tokens entry and agent relay.
-func Path(ctx context.Context, set *procs.Set, show func(any) error) error {
+// MeasurePath measures the latency that an entry and an agent add to a stream, and
+// how many tokens they relay. For the latency it sends one request at a time, in turn
+// directly to an engine and through an entry. It calls report with two StreamLatency
+// values and two RelayThroughput values.
+func MeasurePath(ctx context.Context, set *procs.Set, report func(any) error) error {
 	f, err := fleet.Start(ctx, set, relayPlan())
 	if err != nil {
 		return err
 	}
-	if err := await(ctx, f, relayEngines); err != nil {
+	if err := waitForLinks(ctx, f, relayEngines); err != nil {
 		return err
 	}
-	if err := added(ctx, f, show); err != nil {
+	if err := measureLatency(ctx, f, report); err != nil {
 		return err
 	}
-	return relay(ctx, f, show)
+	return measureRelay(ctx, f, report)
 }
 
+// relayPlan returns a plan with one entry and with engines that don't slow down as more
+// of their slots are in use.
 func relayPlan() fleet.Plan {
-	p := plan(relayEngines, 1, 1)
+	p := deploymentPlan(relayEngines, 1, 1)
 	for _, ep := range p.Endpoints {
 		ep.Engine.Slots, ep.Engine.DecodeTPS, ep.Engine.BatchSlope = 128, 100, 0
 	}
 	return p
 }
 
-func pathJob(n, want int) load.Job {
+// streamJob returns job number n, a stream with the given number of output tokens.
+func streamJob(n, outputTokens int) load.Job {
 	return load.Job{
-		Class: spec.Class{Name: freeClass, Deadline: spec.Duration(time.Minute)}, Bearer: bearer(0),
+		Class: spec.Class{Name: batchClassName, Deadline: spec.Duration(time.Minute)}, Bearer: bearer(0),
 		Ask: engin.Ask{
-			Model: model, MaxTokens: want, Stream: true,
+			Model: model, MaxTokens: outputTokens, Stream: true,
 			Prompt: fmt.Sprintf("stream %d ", n) + strings.Repeat("note ", promptWords),
 		},
 	}
 }
 
-func added(ctx context.Context, f *fleet.Fleet, show func(any) error) error {
-	through := caller(f)
+// measureLatency sends streams to the engines directly and through the entry.
+func measureLatency(ctx context.Context, f *fleet.Fleet, report func(any) error) error {
+	entryCaller := newEntryCaller(f)
 	var engines []string
 	for _, u := range f.Units() {
 		engines = append(engines, u.Addr)
 	}
-	direct := load.NewCaller(engines)
-	direct.AssumeComplete = true
-	var a, b []load.Result
+	engineCaller := load.NewCaller(engines)
+	engineCaller.AssumeComplete = true
+	var directResults, entryResults []load.Result
 	for i := range pathPairs {
-		a = append(a, direct.Send(ctx, i, pathJob(2*i, pathWant)))
-		b = append(b, through.Send(ctx, i, pathJob(2*i+1, pathWant)))
+		directResults = append(directResults, engineCaller.Send(ctx, i, streamJob(2*i, pathOutputTokens)))
+		entryResults = append(entryResults, entryCaller.Send(ctx, i, streamJob(2*i+1, pathOutputTokens)))
 	}
-	return errors.Join(check(a), check(b), show(pace("direct", a)), show(pace("entry", b)))
+	return errors.Join(checkResults(directResults), checkResults(entryResults), report(newStreamLatency("direct", directResults)), report(newStreamLatency("entry", entryResults)))
 }
 
-func pace(path string, results []load.Result) Added {
-	var first, between []time.Duration
+// newStreamLatency summarizes the results of one path.
+func newStreamLatency(path string, results []load.Result) StreamLatency {
+	var firstTokenTimes, tokenIntervals []time.Duration
 	for _, r := range results {
-		first, between = append(first, r.First), append(between, r.TokenInterval)
+		firstTokenTimes, tokenIntervals = append(firstTokenTimes, r.First), append(tokenIntervals, r.TokenInterval)
 	}
-	return Added{
-		Path: path, Requests: len(results), FirstP50: part(first, 50), FirstP99: part(first, 99),
-		BetweenP50: part(between, 50), BetweenP99: part(between, 99),
+	return StreamLatency{
+		Path: path, Requests: len(results), FirstTokenP50MS: percentile(firstTokenTimes, 50), FirstTokenP99MS: percentile(firstTokenTimes, 99),
+		TokenIntervalP50MS: percentile(tokenIntervals, 50), TokenIntervalP99MS: percentile(tokenIntervals, 99),
 	}
 }
 
-// part returns the percentile of durations in milliseconds.
-func part(d []time.Duration, percent int) float64 {
+// percentile returns the given percentile of d in milliseconds. It sorts d.
+func percentile(d []time.Duration, percent int) float64 {
 	slices.Sort(d)
 	i := (len(d)*percent+99)/100 - 1
 	return round(float64(d[max(i, 0)].Microseconds()) / 1000)
 }
 
-func relay(ctx context.Context, f *fleet.Fleet, show func(any) error) error {
-	jobs := make([]load.Job, relayJobs)
+// measureRelay sends many streams at once and reads how much processor time entry and
+// agents spend meanwhile.
+func measureRelay(ctx context.Context, f *fleet.Fleet, report func(any) error) error {
+	jobs := make([]load.Job, relayRequests)
 	for i := range jobs {
-		jobs[i] = pathJob(i, relayWant)
+		jobs[i] = streamJob(i, relayOutputTokens)
 	}
-	entries, agents, err := read(ctx, f)
+	entriesBefore, agentsBefore, err := readUsages(ctx, f)
 	if err != nil {
 		return err
 	}
 	start := time.Now()
-	results := caller(f).RunConcurrently(ctx, jobs, relayWidth)
-	took := time.Since(start)
-	entries2, agents2, err := read(ctx, f)
+	results := newEntryCaller(f).RunConcurrently(ctx, jobs, relayConcurrency)
+	elapsed := time.Since(start)
+	entriesAfter, agentsAfter, err := readUsages(ctx, f)
 	if err != nil {
 		return err
 	}
@@ -136,20 +149,22 @@
 		tokens += r.Tokens
 	}
 	return errors.Join(
-		check(results),
-		show(relayed(RoleEntry, tokens, took, entries, entries2)),
-		show(relayed(RoleAgent, tokens, took, agents, agents2)),
+		checkResults(results),
+		report(newRelayThroughput(RoleEntry, tokens, elapsed, entriesBefore, entriesAfter)),
+		report(newRelayThroughput(RoleAgent, tokens, elapsed, agentsBefore, agentsAfter)),
 	)
 }
 
-func relayed(role string, tokens int, took time.Duration, from, to reading) Relay {
-	var cpu time.Duration
-	for name, u := range to {
-		cpu += u.cpu - from[name].cpu
+// newRelayThroughput returns the throughput of a role that relayed tokens within
+// elapsed, given the usage of its processes before and after.
+func newRelayThroughput(role string, tokens int, elapsed time.Duration, before, after usageByName) RelayThroughput {
+	var cpuTime time.Duration
+	for name, u := range after {
+		cpuTime += u.cpuTime - before[name].cpuTime
 	}
-	r := Relay{Role: role, Tokens: tokens, TokensPerSecond: round(float64(tokens) / took.Seconds())}
-	if cpu > 0 {
-		r.TokensPerCoreSec = round(float64(tokens) / cpu.Seconds())
+	r := RelayThroughput{Role: role, Tokens: tokens, TokensPerSecond: round(float64(tokens) / elapsed.Seconds())}
+	if cpuTime > 0 {
+		r.TokensPerCoreSecond = round(float64(tokens) / cpuTime.Seconds())
 	}
 	return r
 }
--- a/trial/capac/phase.go
+++ b/trial/capac/phase.go
@@ -13,130 +13,142 @@
 	"lycheepond/trial/serve"
 )
 
-// Calls is what a deployment asked of the platform in one phase.
-type Calls struct {
+// PlatformCalls counts the calls of a deployment to the platform in one phase.
+type PlatformCalls struct {
 	// Phase is start, calm or after-outage.
 	Phase string `json:"calls"`
-	// Measure says what Size counts.
-	Measure string  `json:"measure"`
-	Size    int     `json:"size"`
+	// Measure tells what Size counts: agents, customers or entries.
+	Measure string `json:"measure"`
+	Size    int    `json:"size"`
+	// Seconds is the length of the phase.
 	Seconds float64 `json:"seconds"`
 	platf.Stats
 }
 
-// Spread is how long a change of a class took to be in force. Agents keep no
-// classes: what they need comes with each offer.
-type Spread struct {
+// ConfigPropagation holds how long a change of a class took to be in force. It covers
+// entries only: agents keep no classes, since each offer holds what they need.
+type ConfigPropagation struct {
+	// Measure tells what Size counts: agents, customers or entries.
 	Measure string `json:"config_by"`
 	Size    int    `json:"size"`
-	// EntriesMS is until every entry had it.
+	// EntriesMS is the time from the change until it was in force at every entry, in
+	// milliseconds.
 	EntriesMS float64 `json:"entries_ms"`
 }
 
-// The phases of Calls.
+// The phases of PlatformCalls.
 const (
-	phaseStart = "start"
-	phaseCalm  = "calm"
-	phaseAfter = "after-outage"
+	phaseStart       = "start"
+	phaseCalm        = "calm"
+	phaseAfterOutage = "after-outage"
 )
 
 const (
-	// calmAfter is how long a start is left to settle before the calm is
-	// counted, and calmSpan how long it is: two confirmations of the tables.
-	calmAfter = 6 * time.Second
-	calmSpan  = 16 * time.Second
-	// outage is how long the platform is away, and afterSpan how long the
-	// calls after it are counted.
-	outage     = 5 * time.Second
-	afterSpan  = 5 * time.Second
-	spreadLook = 5 * time.Millisecond
-	// spreadLimit bounds the wait for a change.
-	spreadLimit = 15 * time.Second
+	// calmDelay is the wait after the start until calls of the calm phase are counted.
+	calmDelay = 6 * time.Second
+	// calmTime is the length of the calm phase. It covers two confirmations of the
+	// tables.
+	calmTime = 16 * time.Second
+	// outageTime is how long the platform is down, and afterOutageTime how long calls
+	// are counted after that.
+	outageTime      = 5 * time.Second
+	afterOutageTime = 5 * time.Second
+	// propagationPollInterval is the time between two checks whether a change is in
+	// force.
+	propagationPollInterval = 5 * time.Millisecond
+	// maxPropagationTime bounds the wait for a change to be in force.
+	maxPropagationTime = 15 * time.Second
 )
 
-// Phases measures calls at the platform and the spread of a change at the size
-// of p. Show is called with a Calls or a Spread.
-func Phases(ctx context.Context, f *fleet.Fleet, p Point, started time.Duration, show func(any) error) error {
+// MeasurePhases measures the calls to the platform at the start, in the calm and after
+// an outage, and the propagation of a change, all at the size of p. The start of the
+// deployment took startDuration. MeasurePhases calls report with PlatformCalls and
+// ConfigPropagation values.
+func MeasurePhases(ctx context.Context, f *fleet.Fleet, p Point, startDuration time.Duration, report func(any) error) error {
 	stats, err := f.Platform().Stats(ctx)
 	if err != nil {
 		return err
 	}
-	// The writes at the start are this tool's own: it writes the objects.
-	if err := show(Calls{Phase: phaseStart, Measure: p.Measure, Size: p.Size, Seconds: seconds(started), Stats: stats}); err != nil {
+	// The writes at the start are those of this program, which writes the objects.
+	if err := report(PlatformCalls{Phase: phaseStart, Measure: p.Measure, Size: p.Size, Seconds: seconds(startDuration), Stats: stats}); err != nil {
 		return err
 	}
-	if !serve.Sleep(ctx, calmAfter) {
+	if !serve.Sleep(ctx, calmDelay) {
 		return context.Cause(ctx)
 	}
-	if err := count(ctx, f, phaseCalm, p, calmSpan, show); err != nil {
+	if err := countCalls(ctx, f, phaseCalm, p, calmTime, report); err != nil {
 		return err
 	}
-	s, err := spread(ctx, f, p)
+	s, err := measurePropagation(ctx, f, p)
 	if err != nil {
 		return err
 	}
-	if err := show(s); err != nil {
+	if err := report(s); err != nil {
 		return err
 	}
 	if err := f.Platform().Fault(ctx, platf.Fault{Down: true}); err != nil {
 		return err
 	}
-	if !serve.Sleep(ctx, outage) {
+	if !serve.Sleep(ctx, outageTime) {
 		return context.Cause(ctx)
 	}
 	if err := f.Platform().Fault(ctx, platf.Fault{}); err != nil {
 		return err
 	}
-	return count(ctx, f, phaseAfter, p, afterSpan, show)
+	return countCalls(ctx, f, phaseAfterOutage, p, afterOutageTime, report)
 }
 
-func count(ctx context.Context, f *fleet.Fleet, phase string, p Point, span time.Duration, show func(any) error) error {
-	from, err := f.Platform().Stats(ctx)
+// countCalls reports the calls to the platform during the time d.
+func countCalls(ctx context.Context, f *fleet.Fleet, phase string, p Point, d time.Duration, report func(any) error) error {
+	before, err := f.Platform().Stats(ctx)
 	if err != nil {
 		return err
 	}
-	if !serve.Sleep(ctx, span) {
+	if !serve.Sleep(ctx, d) {
 		return context.Cause(ctx)
 	}
-	to, err := f.Platform().Stats(ctx)
+	after, err := f.Platform().Stats(ctx)
 	if err != nil {
 		return err
 	}
-	return show(Calls{Phase: phase, Measure: p.Measure, Size: p.Size, Seconds: seconds(span), Stats: to.Since(from)})
+	return report(PlatformCalls{Phase: phase, Measure: p.Measure, Size: p.Size, Seconds: seconds(d), Stats: after.Since(before)})
 }
 
+// seconds returns d in seconds, rounded to hundredths.
 func seconds(d time.Duration) float64 { return round(d.Seconds()) }
 
-// spread changes a class and waits until the change is in force everywhere.
-func spread(ctx context.Context, f *fleet.Fleet, p Point) (Spread, error) {
-	s := Spread{Measure: p.Measure, Size: p.Size}
-	class := ownClassObject()
+// measurePropagation changes a class and waits until the change is in force at every
+// entry.
+func measurePropagation(ctx context.Context, f *fleet.Fleet, p Point) (ConfigPropagation, error) {
+	s := ConfigPropagation{Measure: p.Measure, Size: p.Size}
+	class := newTagClass()
 	class.Deadline = spec.Duration(11 * time.Second)
 	start := time.Now()
 	version, err := f.Platform().PutVersion(ctx, spec.KindClass, class.Name, class)
 	if err != nil {
 		return s, err
 	}
-	ctx, stop := context.WithTimeout(ctx, spreadLimit)
+	ctx, stop := context.WithTimeout(ctx, maxPropagationTime)
 	defer stop()
 	for {
-		done, err := inForce(ctx, f, version)
+		done, err := isInForce(ctx, f, version)
 		if err != nil {
-			return s, errors.Join(err, fmt.Errorf("capac: a change is not in force after %v", spreadLimit))
+			return s, errors.Join(err, fmt.Errorf("capac: a change is not in force after %v", maxPropagationTime))
 		}
 		if done {
 			s.EntriesMS = math.Round(float64(time.Since(start).Microseconds())/100) / 10
 			return s, nil
 		}
-		serve.Sleep(ctx, spreadLook)
+		serve.Sleep(ctx, propagationPollInterval)
 	}
 }
 
-// inForce reports whether every entry has at least version.
-func inForce(ctx context.Context, f *fleet.Fleet, version int64) (bool, error) {
+// isInForce reports whether every entry has at least the given configuration version
+// in force.
+func isInForce(ctx context.Context, f *fleet.Fleet, version int64) (bool, error) {
 	for _, e := range f.Entries() {
-		s, err := entryStatus(ctx, e)
-		if err != nil || s.Config < version {
+		s, err := readEntryStatus(ctx, e)
+		if err != nil || s.ConfigVersion < version {
 			return false, err
 		}
 	}
--- a/trial/capac/point.go
+++ b/trial/capac/point.go
@@ -8,7 +8,7 @@
 	"lycheepond/trial/serve"
 )
 
-// The roles, measures and loads of points.
+// The values of Point.Role, Point.Measure and Point.Load.
 const (
 	RoleEntry = "entry"
 	RoleAgent = "agent"
@@ -17,65 +17,70 @@
 	ByCustomers = "customers"
 	ByEntries   = "entries"
 
-	Idle = "idle"
-	Half = "half"
-	Full = "full"
+	IdleLoad = "idle"
+	HalfLoad = "half"
+	FullLoad = "full"
 )
 
-// Point is the mean of the processes of a role at one size.
+// Point holds the mean usage of the processes of one role at one size.
 type Point struct {
-	// Measure says what Size counts.
+	// Measure tells what Size counts: agents, customers or entries.
 	Measure string `json:"measure"`
 	Size    int    `json:"size"`
-	Load    string `json:"load"`
-	Role    string `json:"role"`
-	// CPUPercent is of one core.
+	// Load is idle, half or full.
+	Load string `json:"load"`
+	// Role is entry or agent.
+	Role string `json:"role"`
+	// CPUPercent is the processor time as a percentage of one core.
 	CPUPercent float64 `json:"cpu_core_pct"`
-	RSSMB      float64 `json:"rss_mb"`
-	// ControlBytes and DataBytes are a second, both ways.
-	ControlBytes float64 `json:"control_bytes_s"`
-	DataBytes    float64 `json:"data_bytes_s"`
-	// Links is how many links an agent has, and LinkWireBytes the bytes of one
-	// of them a second, both ways, with the headers of TCP and IP. They are
-	// zero for entries and where ss is missing.
-	Links         float64 `json:"links,omitempty"`
-	LinkWireBytes float64 `json:"link_wire_bytes_s,omitempty"`
-	// PlatformCalls is calls a second of the whole deployment.
-	PlatformCalls float64 `json:"platform_calls_s"`
-	// RequestsPerSecond is what callers sent.
+	// RSSMB is the resident memory in units of 1 << 20 bytes.
+	RSSMB float64 `json:"rss_mb"`
+	// ControlBytesPerSecond and DataBytesPerSecond count both directions.
+	ControlBytesPerSecond float64 `json:"control_bytes_s"`
+	DataBytesPerSecond    float64 `json:"data_bytes_s"`
+	// Links is the number of links of an agent. LinkWireBytesPerSecond is the traffic
+	// of one of them in both directions, with TCP and IP headers. Both are zero for
+	// entries and where the ss program is missing.
+	Links                  float64 `json:"links,omitempty"`
+	LinkWireBytesPerSecond float64 `json:"link_wire_bytes_s,omitempty"`
+	// PlatformCallsPerSecond counts the calls of the whole deployment.
+	PlatformCallsPerSecond float64 `json:"platform_calls_s"`
+	// RequestsPerSecond is the rate at which callers send.
 	RequestsPerSecond float64 `json:"requests_s"`
 }
 
-// reading is the usage of every process of a role.
-type reading map[string]usage
+// usageByName holds the usage of each process of a role by its name.
+type usageByName map[string]usage
 
-func read(ctx context.Context, f *fleet.Fleet) (entries, agents reading, err error) {
-	entries, agents = make(reading), make(reading)
+// readUsages reads the usage of all entries and agents.
+func readUsages(ctx context.Context, f *fleet.Fleet) (entries, agents usageByName, err error) {
+	entries, agents = make(usageByName), make(usageByName)
 	for _, e := range f.Entries() {
-		if entries[e.Name], err = entryUsage(ctx, e); err != nil {
+		if entries[e.Name], err = readEntryUsage(ctx, e); err != nil {
 			return nil, nil, err
 		}
 	}
-	ports := sockets(ctx)
+	socketsByAddr := readSocketStats(ctx)
 	for _, u := range f.Units() {
-		a, err := agentUsage(ctx, u)
+		a, err := readAgentUsage(ctx, u)
 		if err != nil {
 			return nil, nil, err
 		}
-		a.socket = ports[u.Link]
+		a.sockets = socketsByAddr[u.Link]
 		agents[u.Name] = a
 	}
 	return entries, agents, nil
 }
 
-// sample measures for d and returns one point for each role. What the sampling
-// itself costs the processes, one status and one metrics call each, is in it.
-func sample(ctx context.Context, f *fleet.Fleet, d time.Duration, p Point) ([]Point, error) {
-	calls, err := f.Platform().Stats(ctx)
+// samplePoints measures for the time d and returns one point for each role. The points
+// include what the sampling itself costs: one status call to each entry and one metrics
+// call to each agent.
+func samplePoints(ctx context.Context, f *fleet.Fleet, d time.Duration, p Point) ([]Point, error) {
+	callsBefore, err := f.Platform().Stats(ctx)
 	if err != nil {
 		return nil, err
 	}
-	entries, agents, err := read(ctx, f)
+	entriesBefore, agentsBefore, err := readUsages(ctx, f)
 	if err != nil {
 		return nil, err
 	}
@@ -83,42 +88,43 @@
 	if !serve.Sleep(ctx, d) {
 		return nil, context.Cause(ctx)
 	}
-	took := time.Since(start)
-	entries2, agents2, err := read(ctx, f)
+	elapsed := time.Since(start)
+	entriesAfter, agentsAfter, err := readUsages(ctx, f)
 	if err != nil {
 		return nil, err
 	}
-	calls2, err := f.Platform().Stats(ctx)
+	callsAfter, err := f.Platform().Stats(ctx)
 	if err != nil {
 		return nil, err
 	}
-	p.PlatformCalls = round(float64(calls2.Total()-calls.Total()) / took.Seconds())
+	p.PlatformCallsPerSecond = round(float64(callsAfter.Total()-callsBefore.Total()) / elapsed.Seconds())
 	e, a := p, p
 	e.Role, a.Role = RoleEntry, RoleAgent
-	e.fill(entries, entries2, took)
-	a.fill(agents, agents2, took)
+	e.setMeans(entriesBefore, entriesAfter, elapsed)
+	a.setMeans(agentsBefore, agentsAfter, elapsed)
 	return []Point{e, a}, nil
 }
 
-const mega = 1 << 20
+const bytesPerMB = 1 << 20
 
-func (p *Point) fill(from, to reading, took time.Duration) {
-	n := float64(len(to))
-	for name, u := range to {
-		p.CPUPercent += 100 * (u.cpu - from[name].cpu).Seconds() / took.Seconds() / n
-		p.RSSMB += float64(u.rss) / mega / n
-		p.ControlBytes += float64(u.control-from[name].control) / took.Seconds() / n
-		p.DataBytes += float64(u.data-from[name].data) / took.Seconds() / n
+// setMeans sets the figures of p from the usages before and after the time elapsed.
+func (p *Point) setMeans(before, after usageByName, elapsed time.Duration) {
+	n := float64(len(after))
+	for name, u := range after {
+		p.CPUPercent += 100 * (u.cpuTime - before[name].cpuTime).Seconds() / elapsed.Seconds() / n
+		p.RSSMB += float64(u.rssBytes) / bytesPerMB / n
+		p.ControlBytesPerSecond += float64(u.controlBytes-before[name].controlBytes) / elapsed.Seconds() / n
+		p.DataBytesPerSecond += float64(u.dataBytes-before[name].dataBytes) / elapsed.Seconds() / n
 	}
-	var wire float64
-	for name, u := range to {
-		p.Links += float64(u.socket.links) / n
-		wire += float64(u.socket.wire-from[name].socket.wire) / took.Seconds() / n
+	var wireBytesPerSecond float64
+	for name, u := range after {
+		p.Links += float64(u.sockets.connections) / n
+		wireBytesPerSecond += float64(u.sockets.wireBytes-before[name].sockets.wireBytes) / elapsed.Seconds() / n
 	}
 	if p.Links > 0 {
-		p.LinkWireBytes = round(wire / p.Links)
+		p.LinkWireBytesPerSecond = round(wireBytesPerSecond / p.Links)
 	}
 	p.Links = round(p.Links)
 	p.CPUPercent, p.RSSMB = round(p.CPUPercent), round(p.RSSMB)
-	p.ControlBytes, p.DataBytes = round(p.ControlBytes), round(p.DataBytes)
+	p.ControlBytesPerSecond, p.DataBytesPerSecond = round(p.ControlBytesPerSecond), round(p.DataBytesPerSecond)
 }
--- a/trial/capac/proc.go
+++ b/trial/capac/proc.go
@@ -1,6 +1,7 @@
-// Package capac measures what the system's own processes spend as a fleet
-// grows: processor time, memory and bytes between processes, from /proc and
-// from what the processes report, and the slopes of these figures.
+// Package capac measures how the resource usage of entries and agents grows with the
+// size of a fleet: processor time, memory and traffic between processes. It reads
+// them from /proc and from the status and metrics of the processes, and fits a slope
+// to each.
 package capac
 
 import (
@@ -17,43 +18,44 @@
 	"lycheepond/trial/fleet"
 )
 
-// ticksPerSecond is the unit of processor time in /proc on Linux.
+// ticksPerSecond is the number of clock ticks per second in which /proc on Linux
+// counts processor time.
 const ticksPerSecond = 100
 
-// usage is what one process has spent so far.
+// usage is the resource usage of one process since its start.
 type usage struct {
-	cpu time.Duration
-	// rss is the memory in use now, in bytes.
-	rss int64
-	// control and data are the bytes on its links, both ways.
-	control, data uint64
-	// socket is the links of an agent as the kernel counts them.
-	socket socket
+	cpuTime time.Duration
+	// rssBytes is the resident memory at present.
+	rssBytes int64
+	// controlBytes and dataBytes are the bytes on its links in both directions.
+	controlBytes, dataBytes uint64
+	// sockets is what the kernel counts on the links of an agent.
+	sockets socketStats
 }
 
-var errStat = errors.New("capac: /proc/PID/stat is not as expected: run on Linux")
+var errProcStat = errors.New("capac: /proc/PID/stat is not as expected: run on Linux")
 
-// Fields of /proc/PID/stat behind the program's name, counted from zero.
+// Indices of the fields of /proc/PID/stat, counted from 0 after the program's name.
 const (
 	fieldUser   = 11
 	fieldSystem = 12
 	fieldRSS    = 21
 )
 
-// spent reads processor time and memory of a process.
-func spent(pid int) (u usage, err error) {
+// readProcUsage reads the processor time and the memory of a process from /proc.
+func readProcUsage(pid int) (u usage, err error) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return u, err
 	}
-	// The name is in parentheses and may hold anything, spaces included.
-	at := bytes.LastIndexByte(b, ')')
-	if at < 0 {
-		return u, errStat
+	// The program's name is in parentheses and may contain any characters.
+	nameEnd := bytes.LastIndexByte(b, ')')
+	if nameEnd < 0 {
+		return u, errProcStat
 	}
-	f := strings.Fields(string(b[at+1:]))
+	f := strings.Fields(string(b[nameEnd+1:]))
 	if len(f) <= fieldRSS {
-		return u, errStat
+		return u, errProcStat
 	}
 	user, err1 := strconv.ParseInt(f[fieldUser], 10, 64)
 	system, err2 := strconv.ParseInt(f[fieldSystem], 10, 64)
@@ -61,52 +63,55 @@
 	if err := errors.Join(err1, err2, err3); err != nil {
 		return u, err
 	}
-	u.cpu = time.Duration(user+system) * time.Second / ticksPerSecond
-	u.rss = pages * int64(os.Getpagesize())
+	u.cpuTime = time.Duration(user+system) * time.Second / ticksPerSecond
+	u.rssBytes = pages * int64(os.Getpagesize())
 	return u, nil
 }
 
-// linkBytes is the traffic in an entry's status.
-type linkBytes struct {
+// entryStatus holds the fields of an entry's status that are used here.
+type entryStatus struct {
 	Traffic struct{ ControlIn, ControlOut, DataIn, DataOut uint64 } `json:"link_bytes"`
-	// Config is the configuration version in force.
-	Config int64 `json:"config_version"`
-	Pools  []struct {
+	// ConfigVersion is the configuration version in force.
+	ConfigVersion int64 `json:"config_version"`
+	Pools         []struct {
 		Agents []struct {
 			Linked bool `json:"linked"`
 		} `json:"agents"`
 	} `json:"pools"`
 }
 
-// gauges is the part of an agent's metrics that counts here.
-type gauges struct {
+// agentMetrics holds the part of an agent's metrics that is used here.
+type agentMetrics struct {
 	Gauges map[string]uint64 `json:"gauges"`
 }
 
-func entryUsage(ctx context.Context, e *fleet.Entry) (usage, error) {
-	u, err := spent(e.Proc.PID())
+// readEntryUsage reads the usage of an entry from /proc and from its status.
+func readEntryUsage(ctx context.Context, e *fleet.Entry) (usage, error) {
+	u, err := readProcUsage(e.Proc.PID())
 	if err != nil {
 		return u, err
 	}
-	s, err := entryStatus(ctx, e)
+	s, err := readEntryStatus(ctx, e)
 	t := s.Traffic
-	u.control, u.data = t.ControlIn+t.ControlOut, t.DataIn+t.DataOut
+	u.controlBytes, u.dataBytes = t.ControlIn+t.ControlOut, t.DataIn+t.DataOut
 	return u, err
 }
 
-func entryStatus(ctx context.Context, e *fleet.Entry) (s linkBytes, err error) {
+// readEntryStatus fetches the status of an entry.
+func readEntryStatus(ctx context.Context, e *fleet.Entry) (s entryStatus, err error) {
 	err = fleet.Do(ctx, http.MethodGet, "http://"+e.Admin+"/status", fleet.AdminToken, nil, &s)
 	return s, err
 }
 
-func agentUsage(ctx context.Context, a *fleet.Unit) (usage, error) {
-	u, err := spent(a.Agent.PID())
+// readAgentUsage reads the usage of an agent from /proc and from its metrics.
+func readAgentUsage(ctx context.Context, a *fleet.Unit) (usage, error) {
+	u, err := readProcUsage(a.Agent.PID())
 	if err != nil {
 		return u, err
 	}
-	var g gauges
+	var g agentMetrics
 	err = fleet.Do(ctx, http.MethodGet, "http://"+a.Admin+"/metrics?format=json", fleet.AdminToken, nil, &g)
-	u.control = g.Gauges["agent_control_in_bytes"] + g.Gauges["agent_control_out_bytes"]
-	u.data = g.Gauges["agent_data_in_bytes"] + g.Gauges["agent_data_out_bytes"]
+	u.controlBytes = g.Gauges["agent_control_in_bytes"] + g.Gauges["agent_control_out_bytes"]
+	u.dataBytes = g.Gauges["agent_data_in_bytes"] + g.Gauges["agent_data_out_bytes"]
 	return u, err
 }
--- a/trial/capac/run.go
+++ b/trial/capac/run.go
@@ -19,56 +19,57 @@
 	"lycheepond/trial/serve"
 )
 
-// Config says what to measure.
+// Config configures the measurements.
 type Config struct {
-	// Agents, Customers and Entries are the sizes.
+	// Agents, Customers and Entries are the numbers of each to measure at.
 	Agents, Customers, Entries []int
-	// Sample is how long each point is measured.
-	Sample time.Duration
-	// Rate is requests a second and agent at full load.
-	Rate float64
-	// IdleHeartbeat goes into the settings; zero leaves the default.
+	// SampleTime is how long each point is measured.
+	SampleTime time.Duration
+	// RatePerAgent is the number of requests per second and agent at full load.
+	RatePerAgent float64
+	// IdleHeartbeat is the setting of this name. Zero leaves its default.
 	IdleHeartbeat time.Duration
-	// Show is called with each Point, Calls and Spread as soon as it is
-	// measured.
-	Show func(any) error
+	// Report is called with each Point, PlatformCalls and ConfigPropagation as soon as
+	// it is measured.
+	Report func(any) error
 }
 
 const (
-	// settle is how long a deployment is left alone before it is measured.
-	settle = 3 * time.Second
-	// entries is how many entries run while something else is counted.
-	entries = 2
-	// engines is how many stand-ins the agents share.
-	engines = 10
-	// fewAgents is how many agents run while customers are counted.
-	fewAgents = 10
-	model     = "roster"
-	ownClass  = "tag"
-	// freeClass has no target, so that a flood of it waits and is not refused.
-	freeClass = "batch"
+	// settleTime is the wait before a deployment is measured.
+	settleTime = 3 * time.Second
+	// baseEntries is the number of entries in measurements by agents or customers.
+	baseEntries = 2
+	// sharedEngines is the number of stand-in engines that the agents share.
+	sharedEngines = 10
+	// baseAgents is the number of agents in measurements by customers or entries.
+	baseAgents   = 10
+	model        = "roster"
+	tagClassName = "tag"
+	// batchClassName has no target, so that many of its requests queue and are not refused.
+	batchClassName = "batch"
 )
 
-// Agents measures one number of agents, idle, at half and at full load.
-func Agents(ctx context.Context, set *procs.Set, cfg Config, n int) ([]Point, error) {
+// MeasureAgents measures a deployment with n agents when idle, at half and at full
+// load.
+func MeasureAgents(ctx context.Context, set *procs.Set, cfg Config, n int) ([]Point, error) {
 	start := time.Now()
-	f, err := fleet.Start(ctx, set, cfg.plan(n, 1, entries))
+	f, err := fleet.Start(ctx, set, cfg.deploymentPlan(n, 1, baseEntries))
 	if err != nil {
 		return nil, err
 	}
-	if err := await(ctx, f, n); err != nil {
+	if err := waitForLinks(ctx, f, n); err != nil {
 		return nil, err
 	}
-	if err := Phases(ctx, f, Point{Measure: ByAgents, Size: n}, time.Since(start), cfg.Show); err != nil {
+	if err := MeasurePhases(ctx, f, Point{Measure: ByAgents, Size: n}, time.Since(start), cfg.Report); err != nil {
 		return nil, err
 	}
 	var out []Point
 	for _, l := range []struct {
-		name string
-		part float64
-	}{{Idle, 0}, {Half, 0.5}, {Full, 1}} {
-		rate := l.part * cfg.Rate * float64(n)
-		points, err := under(ctx, f, cfg, rate, Point{Measure: ByAgents, Size: n, Load: l.name})
+		name     string
+		fraction float64
+	}{{IdleLoad, 0}, {HalfLoad, 0.5}, {FullLoad, 1}} {
+		rate := l.fraction * cfg.RatePerAgent * float64(n)
+		points, err := measureAtRate(ctx, f, cfg, rate, Point{Measure: ByAgents, Size: n, Load: l.name})
 		if err != nil {
 			return out, err
 		}
@@ -77,191 +78,204 @@
 	return out, nil
 }
 
-// Customers measures one number of customers, idle.
-func Customers(ctx context.Context, set *procs.Set, cfg Config, n int) ([]Point, error) {
-	f, err := fleet.Start(ctx, set, cfg.plan(fewAgents, n, entries))
+// MeasureCustomers measures an idle deployment with n customers.
+func MeasureCustomers(ctx context.Context, set *procs.Set, cfg Config, n int) ([]Point, error) {
+	f, err := fleet.Start(ctx, set, cfg.deploymentPlan(baseAgents, n, baseEntries))
 	if err != nil {
 		return nil, err
 	}
-	if err := await(ctx, f, fewAgents); err != nil {
+	if err := waitForLinks(ctx, f, baseAgents); err != nil {
 		return nil, err
 	}
-	return under(ctx, f, cfg, 0, Point{Measure: ByCustomers, Size: n, Load: Idle})
+	return measureAtRate(ctx, f, cfg, 0, Point{Measure: ByCustomers, Size: n, Load: IdleLoad})
 }
 
-// Entries measures one number of entries, idle: what they ask of the platform
-// grows with their number, because each confirms the tables for itself.
-func Entries(ctx context.Context, set *procs.Set, cfg Config, n int) ([]Point, error) {
+// MeasureEntries measures an idle deployment with n entries. The calls to the platform
+// grow with n, because each entry confirms the tables on its own.
+func MeasureEntries(ctx context.Context, set *procs.Set, cfg Config, n int) ([]Point, error) {
 	start := time.Now()
-	f, err := fleet.Start(ctx, set, cfg.plan(fewAgents, 1, n))
+	f, err := fleet.Start(ctx, set, cfg.deploymentPlan(baseAgents, 1, n))
 	if err != nil {
 		return nil, err
 	}
-	if err := await(ctx, f, fewAgents); err != nil {
+	if err := waitForLinks(ctx, f, baseAgents); err != nil {
 		return nil, err
 	}
-	p := Point{Measure: ByEntries, Size: n, Load: Idle}
-	if err := Phases(ctx, f, p, time.Since(start), cfg.Show); err != nil {
+	p := Point{Measure: ByEntries, Size: n, Load: IdleLoad}
+	if err := MeasurePhases(ctx, f, p, time.Since(start), cfg.Report); err != nil {
 		return nil, err
 	}
-	return under(ctx, f, cfg, 0, p)
+	return measureAtRate(ctx, f, cfg, 0, p)
 }
 
-func (c Config) plan(n, customers, entries int) fleet.Plan {
-	p := plan(n, customers, entries)
+// deploymentPlan returns a plan with the configured heartbeat.
+func (c Config) deploymentPlan(agents, customers, entries int) fleet.Plan {
+	p := deploymentPlan(agents, customers, entries)
 	p.IdleHeartbeat = c.IdleHeartbeat
 	return p
 }
 
-// plan is n agents that share a few engines, and a number of customers and of
-// entries.
-func plan(n, customers, entries int) fleet.Plan {
-	p := fleet.Plan{Name: "capacity", Zones: []string{"z1", "z2"}, Entries: entries, Objects: objects(customers)}
-	for i := range n {
+// deploymentPlan returns a plan with the given numbers of agents, customers and entries.
+// The agents share a few engines.
+func deploymentPlan(agents, customers, entries int) fleet.Plan {
+	p := fleet.Plan{Name: "capacity", Zones: []string{"z1", "z2"}, Entries: entries, Objects: platformObjects(customers)}
+	for i := range agents {
 		cfg := engin.Default()
 		cfg.Slots, cfg.DecodeTPS, cfg.KVBlocks = 64, 200, 16384
 		ep := fleet.EngineEndpoint(fmt.Sprintf("engine-%03d", i), p.Zones[i%len(p.Zones)], model, cfg)
-		if i >= engines {
-			ep.Share = fmt.Sprintf("engine-%03d", i%engines)
+		if i >= sharedEngines {
+			ep.Share = fmt.Sprintf("engine-%03d", i%sharedEngines)
 		}
 		p.Endpoints = append(p.Endpoints, ep)
 	}
 	return p
 }
 
+// bearer returns the key of customer i.
 func bearer(i int) string { return fmt.Sprintf("capacity-key-%d", i) }
 
-func ownClassObject() spec.Class {
+// newTagClass returns the class of the requests that measureAtRate sends.
+func newTagClass() spec.Class {
 	return spec.Class{
-		Name: ownClass, Tier: 1, Deadline: spec.Duration(10 * time.Second),
+		Name: tagClassName, Tier: 1, Deadline: spec.Duration(10 * time.Second),
 		Target: spec.Target{Complete: spec.Duration(2 * time.Second)},
 	}
 }
 
-func objects(customers int) []spec.Item {
-	class := ownClassObject()
+// platformObjects returns the classes, the model and the customers of a deployment.
+func platformObjects(customers int) []spec.Item {
+	class := newTagClass()
 	m := spec.Model{Name: model, Endpoints: map[string]string{"model": model}, Version: "v1"}
 	items := []spec.Item{
 		{Kind: spec.KindClass, Name: class.Name, Object: class},
-		{Kind: spec.KindClass, Name: freeClass, Object: spec.Class{Name: freeClass, Tier: 1}},
+		{Kind: spec.KindClass, Name: batchClassName, Object: spec.Class{Name: batchClassName, Tier: 1}},
 		{Kind: spec.KindModel, Name: m.Name, Object: m},
 	}
 	for i := range customers {
-		c := customer(i)
+		c := newCustomer(i)
 		items = append(items, spec.Item{Kind: spec.KindCustomer, Name: c.Name, Object: c})
 	}
 	return items
 }
 
-func customer(i int) spec.Customer {
+// newCustomer returns customer i.
+func newCustomer(i int) spec.Customer {
 	sum := sha256.Sum256([]byte(bearer(i)))
-	return spec.Customer{Name: fmt.Sprintf("customer-%05d", i), Keys: []spec.Key{{SHA256: hex.EncodeToString(sum[:]), Class: ownClass}}}
+	return spec.Customer{Name: fmt.Sprintf("customer-%05d", i), Keys: []spec.Key{{SHA256: hex.EncodeToString(sum[:]), Class: tagClassName}}}
 }
 
+// The bound on the wait for links and the time between two checks.
 const (
-	awaitLimit = 60 * time.Second
-	awaitLook  = 200 * time.Millisecond
+	maxLinkTime      = 60 * time.Second
+	linkPollInterval = 200 * time.Millisecond
 )
 
-// await waits until every agent is linked to some entry.
-func await(ctx context.Context, f *fleet.Fleet, agents int) error {
-	ctx, stop := context.WithTimeout(ctx, awaitLimit)
+// waitForLinks waits until the entries have at least as many links as there are agents.
+func waitForLinks(ctx context.Context, f *fleet.Fleet, agents int) error {
+	ctx, stop := context.WithTimeout(ctx, maxLinkTime)
 	defer stop()
 	for {
-		linked := 0
+		links := 0
 		for _, e := range f.Entries() {
-			s, err := entryStatus(ctx, e)
+			s, err := readEntryStatus(ctx, e)
 			if err != nil {
 				return err
 			}
 			for _, p := range s.Pools {
 				for _, a := range p.Agents {
 					if a.Linked {
-						linked++
+						links++
 					}
 				}
 			}
 		}
-		if linked >= agents {
+		if links >= agents {
 			return nil
 		}
-		if !serve.Sleep(ctx, awaitLook) {
-			return fmt.Errorf("capac: %d of %d agents are linked: read the logs", linked, agents)
+		if !serve.Sleep(ctx, linkPollInterval) {
+			return fmt.Errorf("capac: %d of %d agents are linked: read the logs", links, agents)
 		}
 	}
 }
 
-// under measures while callers send at a rate.
-func under(ctx context.Context, f *fleet.Fleet, cfg Config, rate float64, p Point) ([]Point, error) {
+// measureAtRate measures while callers send rate requests per second. It fills in the
+// figures of p, reports and returns one point for each role.
+func measureAtRate(ctx context.Context, f *fleet.Fleet, cfg Config, rate float64, p Point) ([]Point, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var wait sync.WaitGroup
-	var sent []load.Result
+	var results []load.Result
 	if rate > 0 {
-		jobs := arrivals(rate, settle+cfg.Sample+time.Second)
-		wait.Go(func() { sent = caller(f).Run(ctx, jobs) })
+		jobs := poissonJobs(rate, settleTime+cfg.SampleTime+time.Second)
+		wait.Go(func() { results = newEntryCaller(f).Run(ctx, jobs) })
 	}
-	if !serve.Sleep(ctx, settle) {
+	if !serve.Sleep(ctx, settleTime) {
 		return nil, context.Cause(ctx)
 	}
 	p.RequestsPerSecond = rate
-	points, err := sample(ctx, f, cfg.Sample, p)
+	points, err := samplePoints(ctx, f, cfg.SampleTime, p)
 	if err != nil {
 		return nil, err
 	}
 	wait.Wait()
-	if err := check(sent); err != nil {
+	if err := checkResults(results); err != nil {
 		return nil, err
 	}
 	var errs []error
 	for _, p := range points {
-		errs = append(errs, cfg.Show(p))
+		errs = append(errs, cfg.Report(p))
 	}
 	return points, errors.Join(errs...)
 }
 
-func caller(f *fleet.Fleet) *load.Caller {
-	var targets []string
+// newEntryCaller returns a caller that sends to all entries in turn.
+func newEntryCaller(f *fleet.Fleet) *load.Caller {
+	var addrs []string
 	for _, e := range f.Entries() {
-		targets = append(targets, e.Listen)
+		addrs = append(addrs, e.Listen)
 	}
-	return load.NewCaller(targets)
+	return load.NewCaller(addrs)
 }
 
-// goodPart is how much of the load must be answered for a point to stand.
-const goodPart = 0.95
+// minCompleteShare is the share of requests that must be answered for a measurement to
+// be valid.
+const minCompleteShare = 0.95
 
-func check(results []load.Result) error {
-	good := 0
+// checkResults returns an error if any answer is wrong or too few are complete.
+func checkResults(results []load.Result) error {
+	complete := 0
 	for _, r := range results {
 		if r.Outcome == load.Complete {
-			good++
+			complete++
 		}
 		if r.Outcome == load.Wrong {
 			return errors.New("capac: an answer is wrong")
 		}
 	}
-	if float64(good) < goodPart*float64(len(results)) {
-		return fmt.Errorf("capac: %d of %d requests were answered: lower the rate", good, len(results))
+	if float64(complete) < minCompleteShare*float64(len(results)) {
+		return fmt.Errorf("capac: %d of %d requests were answered: lower the rate", complete, len(results))
 	}
 	return nil
 }
 
+// The size of a request in words and of its answer in tokens.
 const (
-	promptWords = 40
-	answerWant  = 32
+	promptWords  = 40
+	outputTokens = 32
 )
 
-func arrivals(rate float64, span time.Duration) []load.Job {
+// poissonJobs returns jobs with Poisson arrivals at rate requests per second during the
+// time span. They are the same each time.
+func poissonJobs(rate float64, span time.Duration) []load.Job {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	var jobs []load.Job
 	for at := time.Duration(0); at < span; {
 		at += time.Duration(rnd.ExpFloat64() / rate * float64(time.Second))
 		jobs = append(jobs, load.Job{
-			SendAt: at, Class: spec.Class{Name: ownClass, Deadline: spec.Duration(10 * time.Second)},
+			SendAt: at, Class: spec.Class{Name: tagClassName, Deadline: spec.Duration(10 * time.Second)},
 			Bearer: bearer(0),
 			Ask: engin.Ask{
-				Model: model, MaxTokens: answerWant, Stream: true,
+				Model: model, MaxTokens: outputTokens, Stream: true,
 				Prompt: fmt.Sprintf("job %d ", len(jobs)) + strings.Repeat("note ", promptWords),
 			},
 		})
--- a/trial/capac/sizes.go
+++ b/trial/capac/sizes.go
@@ -13,7 +13,7 @@
 	"lycheepond/core/wire"
 )
 
-// The target of docs/CAPACITY.md.
+// The size of the target deployment in docs/CAPACITY.md.
 const (
 	targetZones   = 28
 	targetEntries = 420
@@ -21,62 +21,70 @@
 	targetModels  = 4
 )
 
-// Bytes is the size of one object or message.
-type Bytes struct {
-	Of    string `json:"size_of"`
-	Bytes int    `json:"bytes"`
-	// DecodeMS is how long an object takes to decode; zero for messages.
+// EncodedSize holds the size of one object or message.
+type EncodedSize struct {
+	// Subject names the object or the message.
+	Subject string `json:"size_of"`
+	Bytes   int    `json:"bytes"`
+	// DecodeMS is the mean time to decode an object, in milliseconds. It is zero for
+	// messages.
 	DecodeMS float64 `json:"decode_ms,omitempty"`
 }
 
-// decodes is how often an object is decoded to find the mean.
-const decodes = 10
+// decodeRuns is how often an object is decoded for the mean time.
+const decodeRuns = 10
 
-// object shows the size of one object.
-func object[T any](of string, v T, show func(any) error) error {
+// reportObject reports the size and the decoding time of one object.
+func reportObject[T any](subject string, v T, report func(any) error) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
 	start := time.Now()
-	for range decodes {
+	for range decodeRuns {
 		if err := json.Unmarshal(data, new(T)); err != nil {
 			return err
 		}
 	}
-	took := time.Since(start) / decodes
-	return show(Bytes{Of: of, Bytes: len(data), DecodeMS: round(float64(took.Nanoseconds()) / 1e6)})
+	meanTime := time.Since(start) / decodeRuns
+	return report(EncodedSize{Subject: subject, Bytes: len(data), DecodeMS: round(float64(meanTime.Nanoseconds()) / 1e6)})
 }
 
-// Reach is how many links the entries keep at the target's size.
-type Reach struct {
-	Entries int     `json:"links_of_entries"`
-	Least   int     `json:"least"`
-	Mean    float64 `json:"mean"`
-	Most    int     `json:"most"`
-	// ChooseMS is how long one entry takes to choose among all agents.
+// LinkCounts holds how many links entries and agents keep at the size of the target
+// deployment.
+type LinkCounts struct {
+	// Entries is the number of entries.
+	Entries int `json:"links_of_entries"`
+	// MinLinks, Mean and Max are the numbers of links of an entry.
+	MinLinks  int     `json:"least"`
+	MeanLinks float64 `json:"mean"`
+	MaxLinks  int     `json:"most"`
+	// ChooseMS is the mean time that an entry takes to choose its links among all
+	// agents, in milliseconds.
 	ChooseMS float64 `json:"choose_ms"`
-	// PerAgent is the mean number of links of an agent.
-	PerAgent float64 `json:"links_an_agent"`
+	// LinksPerAgent is the mean number of links of an agent.
+	LinksPerAgent float64 `json:"links_an_agent"`
 }
 
-// Sizes shows what objects, messages and the choice of links come to at the
-// target's size. It starts no process.
-func Sizes(show func(any) error) error {
+// MeasureSizes measures the sizes of objects and messages and the choice of links for the
+// target deployment. It starts no process, and calls report with EncodedSize values and
+// one LinkCounts.
+func MeasureSizes(report func(any) error) error {
 	errs := []error{
-		object("instances, all", roster(), show),
-		object("homes/MODEL, one pool", table(), show),
-		object("assign/MODEL, one model", assignment(), show),
-		object("customer", customer(0), show),
+		reportObject("instances, all", newRoster(), report),
+		reportObject("homes/MODEL, one pool", homesTable(), report),
+		reportObject("assign/MODEL, one model", newAssignment(), report),
+		reportObject("customer", newCustomer(0), report),
 	}
-	for _, m := range messages() {
+	for _, m := range exampleMessages() {
 		frame, err := wire.Append(nil, m)
-		errs = append(errs, err, show(Bytes{Of: "frame " + m.Kind().String(), Bytes: len(frame)}))
+		errs = append(errs, err, report(EncodedSize{Subject: "frame " + m.Kind().String(), Bytes: len(frame)}))
 	}
-	return errors.Join(append(errs, show(reach()))...)
+	return errors.Join(append(errs, report(countLinks()))...)
 }
 
-func nodes(kind string, n int) []subset.Node {
+// newNodes returns n nodes with numbered names, spread over all zones.
+func newNodes(kind string, n int) []subset.Node {
 	out := make([]subset.Node, n)
 	for i := range out {
 		out[i] = subset.Node{Name: fmt.Sprintf("%s-%05d", kind, i), Zone: fmt.Sprintf("zone-%02d", i%targetZones)}
@@ -84,12 +92,13 @@
 	return out
 }
 
-func roster() plat.Roster {
+// newRoster returns the instances of the target deployment.
+func newRoster() plat.Roster {
 	r := plat.Roster{Version: 1}
-	for i, e := range nodes("entry", targetEntries) {
+	for i, e := range newNodes("entry", targetEntries) {
 		r.Instances = append(r.Instances, plat.Instance{Name: e.Name, Role: plat.RoleEntry, Zone: e.Zone, Link: address(i), Admin: address(i), State: plat.StateLive})
 	}
-	for i, a := range nodes("endpoint", targetAgents) {
+	for i, a := range newNodes("endpoint", targetAgents) {
 		r.Instances = append(r.Instances, plat.Instance{
 			Name: a.Name, Role: plat.RoleEndpoint, Zone: a.Zone, Labels: map[string]string{"model": model}, Link: address(i), Admin: address(i), State: plat.StateLive,
 		})
@@ -97,12 +106,14 @@
 	return r
 }
 
+// address returns a made-up address of instance i.
 func address(i int) string { return fmt.Sprintf("10.%d.%d.%d:7400", 16+i/65536, i/256%256, i%256) }
 
-// table is the table of a pool after each slot changed its owner once.
-func table() spec.Homes {
+// homesTable returns the table of the homes of one pool. Each slot in it changed its
+// owner once.
+func homesTable() spec.Homes {
 	t := spec.Homes{Epoch: 100000, Lease: spec.Duration(homes.DefaultLease), Touched: time.Now().UnixMilli()}
-	for i, a := range nodes("endpoint", targetAgents/targetModels) {
+	for i, a := range newNodes("endpoint", targetAgents/targetModels) {
 		t.Owners = append(t.Owners, spec.HomeOwner{Name: a.Name, Incarnation: 1<<63 + uint64(i)})
 	}
 	for i := range homes.Slots {
@@ -111,17 +122,19 @@
 	return t
 }
 
-func assignment() spec.Assign {
+// newAssignment returns the assignment of one model to its endpoints.
+func newAssignment() spec.Assign {
 	a := spec.Assign{Epoch: 100000, Endpoints: make(map[string]spec.Assignment)}
-	for _, e := range nodes("endpoint", targetAgents/targetModels) {
+	for _, e := range newNodes("endpoint", targetAgents/targetModels) {
 		a.Endpoints[e.Name] = spec.Assignment{Version: "v2026-12-02", Role: "decode"}
 	}
 	return a
 }
 
-func messages() []wire.Message {
+// exampleMessages returns messages with typical contents.
+func exampleMessages() []wire.Message {
 	load := wire.Load{InFlight: 40, Bound: 64, Queued: 20, QueuedCost: 4000, Running: 15, Waiting: 15, Level: 3}
-	data, err := json.Marshal(table())
+	data, err := json.Marshal(homesTable())
 	if err != nil {
 		data = nil
 	}
@@ -132,7 +145,7 @@
 		&wire.LeaseAsk{Seq: 100000, Pool: model},
 		&wire.LeaseAck{Seq: 100000, Pool: model, Epoch: 100000, AgeMS: 4000, Fresh: true},
 		&wire.Offer{
-			Pool: model, Customer: "customer-00001", Class: ownClass, Tier: 1, Model: model, PromptTokens: 1200, OutputTokens: 450, CostMS: 9000,
+			Pool: model, Customer: "customer-00001", Class: tagClassName, Tier: 1, Model: model, PromptTokens: 1200, OutputTokens: 450, CostMS: 9000,
 			FirstMS: 1500, BetweenMS: 49, DeadlineMS: 30000, Cancellable: true,
 		},
 		&wire.Withdraw{}, &wire.Deny{},
@@ -140,30 +153,29 @@
 	}
 }
 
-// reach chooses links for one entry of each zone; the others of a zone differ
-// in nothing but their names.
-func reach() Reach {
-	entries, agents := nodes("entry", targetEntries), nodes("endpoint", targetAgents)
-	r := Reach{Entries: targetEntries, Least: targetAgents}
+// countLinks chooses the links of all entries of the target deployment and counts them.
+func countLinks() LinkCounts {
+	entries, agents := newNodes("entry", targetEntries), newNodes("endpoint", targetAgents)
+	r := LinkCounts{Entries: targetEntries, MinLinks: targetAgents}
 	total := 0
-	var took time.Duration
+	var chooseTime time.Duration
 	for _, e := range entries {
 		start, links := time.Now(), 0
 		for m := range targetModels {
-			links += len(subset.Agents(e, entries, pool(agents, m), subset.Config{}))
+			links += len(subset.Agents(e, entries, poolAgents(agents, m), subset.Config{}))
 		}
-		took += time.Since(start)
+		chooseTime += time.Since(start)
 		total += links
-		r.Least, r.Most = min(r.Least, links), max(r.Most, links)
+		r.MinLinks, r.MaxLinks = min(r.MinLinks, links), max(r.MaxLinks, links)
 	}
-	r.Mean = round(float64(total) / targetEntries)
-	r.PerAgent = round(float64(total) / targetAgents)
-	r.ChooseMS = round(float64(took.Microseconds()) / 1000 / targetEntries)
+	r.MeanLinks = round(float64(total) / targetEntries)
+	r.LinksPerAgent = round(float64(total) / targetAgents)
+	r.ChooseMS = round(float64(chooseTime.Microseconds()) / 1000 / targetEntries)
 	return r
 }
 
-// pool returns the agents of the m-th model, spread over all zones.
-func pool(agents []subset.Node, m int) []subset.Node {
+// poolAgents returns the agents of model number m, which are spread over all zones.
+func poolAgents(agents []subset.Node, m int) []subset.Node {
 	var out []subset.Node
 	for i, a := range agents {
 		if i/targetZones%targetModels == m {
--- a/trial/capac/slope.go
+++ b/trial/capac/slope.go
@@ -5,74 +5,79 @@
 	"slices"
 )
 
-// Slope is how a figure of a role grows with the size: base + per * size, by
-// least squares.
+// Slope is the linear growth of a figure of a role with the size, fitted by least
+// squares: the figure is about Base + PerUnit * size.
 type Slope struct {
-	Measure string  `json:"slope"`
-	Load    string  `json:"load"`
-	Role    string  `json:"role"`
+	// Measure tells what the size counts: agents, customers or entries.
+	Measure string `json:"slope"`
+	Load    string `json:"load"`
+	Role    string `json:"role"`
+	// Figure is the JSON key of the figure in a Point.
 	Figure  string  `json:"figure"`
 	Base    float64 `json:"base"`
-	Per     float64 `json:"per"`
-	// Points is how many sizes it rests on.
+	PerUnit float64 `json:"per"`
+	// Points is the number of points that the fit is based on.
 	Points int `json:"points"`
 }
 
+// figures are the figures of a Point that get a slope.
 var figures = []struct {
-	name string
-	of   func(Point) float64
+	name  string
+	value func(Point) float64
 }{
 	{"cpu_core_pct", func(p Point) float64 { return p.CPUPercent }},
 	{"rss_mb", func(p Point) float64 { return p.RSSMB }},
-	{"control_bytes_s", func(p Point) float64 { return p.ControlBytes }},
-	{"link_wire_bytes_s", func(p Point) float64 { return p.LinkWireBytes }},
-	{"platform_calls_s", func(p Point) float64 { return p.PlatformCalls }},
+	{"control_bytes_s", func(p Point) float64 { return p.ControlBytesPerSecond }},
+	{"link_wire_bytes_s", func(p Point) float64 { return p.LinkWireBytesPerSecond }},
+	{"platform_calls_s", func(p Point) float64 { return p.PlatformCallsPerSecond }},
 }
 
-// Slopes returns the slope of each figure for each measure, load and role.
+// Slopes returns the slope of each figure for each measure, load and role, in the order
+// of the points.
 func Slopes(points []Point) []Slope {
 	type group struct{ measure, load, role string }
 	var order []group
-	of := make(map[group][]Point)
+	pointsOf := make(map[group][]Point)
 	for _, p := range points {
 		g := group{p.Measure, p.Load, p.Role}
 		if !slices.Contains(order, g) {
 			order = append(order, g)
 		}
-		of[g] = append(of[g], p)
+		pointsOf[g] = append(pointsOf[g], p)
 	}
 	var out []Slope
 	for _, g := range order {
 		for _, f := range figures {
-			base, per := fit(of[g], f.of)
+			base, per := fitLine(pointsOf[g], f.value)
 			out = append(out, Slope{
 				Measure: g.measure, Load: g.load, Role: g.role, Figure: f.name,
-				Base: round(base), Per: per, Points: len(of[g]),
+				Base: round(base), PerUnit: per, Points: len(pointsOf[g]),
 			})
 		}
 	}
 	return out
 }
 
-// fit returns the straight line through the points by least squares. One size
-// has no slope.
-func fit(points []Point, of func(Point) float64) (base, per float64) {
+// fitLine fits a straight line to the points by least squares. The slope is 0 if all points
+// have the same size.
+func fitLine(points []Point, value func(Point) float64) (base, slope float64) {
 	var sx, sy, sxx, sxy float64
 	n := float64(len(points))
 	for _, p := range points {
-		x, y := float64(p.Size), of(p)
+		x, y := float64(p.Size), value(p)
 		sx, sy, sxx, sxy = sx+x, sy+y, sxx+x*x, sxy+x*y
 	}
 	if d := n*sxx - sx*sx; d != 0 {
-		per = (n*sxy - sx*sy) / d
+		slope = (n*sxy - sx*sy) / d
 	}
-	return (sy - per*sx) / n, significant(per)
+	return (sy - slope*sx) / n, roundSignificant(slope)
 }
 
+// round rounds x to hundredths.
 func round(x float64) float64 { return math.Round(x*100) / 100 }
 
-// significant keeps four digits, since slopes may be very small.
-func significant(x float64) float64 {
+// roundSignificant rounds x to four significant digits, since slopes may be very small.
+func roundSignificant(x float64) float64 {
 	if x == 0 {
 		return 0
 	}
--- a/trial/capac/socket.go
+++ b/trial/capac/socket.go
@@ -7,53 +7,55 @@
 	"strings"
 )
 
-// segmentHeader is the size of an IPv4 header and a TCP header with time
-// stamps, in bytes.
-const segmentHeader = 20 + 32
+// segmentHeaderBytes is the size of an IPv4 header and of a TCP header with the
+// timestamps option.
+const segmentHeaderBytes = 20 + 32
 
-// socket is the connections accepted at one address.
-type socket struct {
-	links int
-	// wire is the bytes both ways with the headers of all segments, also of
-	// those that only acknowledge.
-	wire uint64
+// socketStats counts the connections that were accepted at one address and their traffic.
+type socketStats struct {
+	connections int
+	// wireBytes counts both directions, with the headers of all segments, including
+	// pure acknowledgments.
+	wireBytes uint64
 }
 
-// Columns of a line of ss.
+// Columns of a line that ss prints.
 const (
 	columnLocal = 2
 	columnInfo  = 4
 )
 
-// sockets asks ss for the connections by local address. Without ss there are
-// none.
-func sockets(ctx context.Context) map[string]socket {
+// readSocketStats runs the ss program and returns the statistics of the established
+// connections by their local address. It returns nil if ss fails or is missing.
+func readSocketStats(ctx context.Context) map[string]socketStats {
 	out, err := exec.CommandContext(ctx, "ss", "-tinHO", "state", "established").Output()
 	if err != nil {
 		return nil
 	}
-	return parseSockets(string(out))
+	return parseSocketStats(string(out))
 }
 
-func parseSockets(out string) map[string]socket {
-	all := make(map[string]socket)
+// parseSocketStats sums up the output of ss by local address.
+func parseSocketStats(out string) map[string]socketStats {
+	all := make(map[string]socketStats)
 	for line := range strings.Lines(out) {
 		f := strings.Fields(line)
 		if len(f) <= columnInfo {
 			continue
 		}
 		s := all[f[columnLocal]]
-		s.links++
+		s.connections++
 		for _, info := range f[columnInfo:] {
-			s.wire += wireBytes(info)
+			s.wireBytes += columnWireBytes(info)
 		}
 		all[f[columnLocal]] = s
 	}
 	return all
 }
 
-// wireBytes returns what one column of ss counts on the wire.
-func wireBytes(info string) uint64 {
+// columnWireBytes returns how many bytes on the wire one column of ss stands for. It
+// returns 0 for a column that counts neither bytes nor segments.
+func columnWireBytes(info string) uint64 {
 	name, value, _ := strings.Cut(info, ":")
 	n, err := strconv.ParseUint(value, 10, 64)
 	if err != nil {
@@ -63,7 +65,7 @@
 	case "bytes_sent", "bytes_received":
 		return n
 	case "segs_out", "segs_in":
-		return n * segmentHeader
+		return n * segmentHeaderBytes
 	}
 	return 0
 }
--- a/trial/capacity.go
+++ b/trial/capacity.go
@@ -20,13 +20,13 @@
 
 func capacityCommand() command {
 	sub := newSub("capacity", "print what entries and agents spend as agents and customers grow, and the slopes")
-	cfg := capac.Config{Sample: capacitySample, Rate: capacityRate}
+	cfg := capac.Config{SampleTime: capacitySample, RatePerAgent: capacityRate}
 	sub.IntSlice(&cfg.Agents, "a", "agents", "numbers of agents, repeated; 10, 25, 50 by default")
 	sub.IntSlice(&cfg.Customers, "c", "customers", "numbers of customers, repeated; 1000, 5000, 21000 by default")
 	sub.IntSlice(&cfg.Entries, "e", "entries", "numbers of entries, repeated; 2, 4, 8, 16 by default")
-	sub.Duration(&cfg.Sample, "d", "sample", "how long each point is measured")
+	sub.Duration(&cfg.SampleTime, "d", "sample", "how long each point is measured")
 	sub.Duration(&cfg.IdleHeartbeat, "i", "idle-heartbeat", "the setting of this name")
-	sub.Float64(&cfg.Rate, "r", "rate", "requests a second and agent at full load")
+	sub.Float64(&cfg.RatePerAgent, "r", "rate", "requests a second and agent at full load")
 	return command{sub: sub, run: func(ctx context.Context) error { return capacity(ctx, cfg) }}
 }
 
@@ -35,7 +35,7 @@
 	return command{sub: sub, run: func(ctx context.Context) error {
 		enc := json.NewEncoder(os.Stdout)
 		_, err := withSet(func(set *procs.Set) ([]capac.Point, error) {
-			return nil, capac.Path(ctx, set, func(v any) error { return enc.Encode(v) })
+			return nil, capac.MeasurePath(ctx, set, func(v any) error { return enc.Encode(v) })
 		})
 		return err
 	}}
@@ -46,8 +46,8 @@
 		cfg.Agents, cfg.Customers, cfg.Entries = []int{10, 25, 50}, []int{1000, 5000, 21000}, []int{2, 4, 8, 16}
 	}
 	enc := json.NewEncoder(os.Stdout)
-	cfg.Show = func(v any) error { return enc.Encode(v) }
-	if err := capac.Sizes(cfg.Show); err != nil {
+	cfg.Report = func(v any) error { return enc.Encode(v) }
+	if err := capac.MeasureSizes(cfg.Report); err != nil {
 		return err
 	}
 	var points []capac.Point
@@ -56,9 +56,9 @@
 		sizes []int
 		at    func(context.Context, *procs.Set, capac.Config, int) ([]capac.Point, error)
 	}{
-		{capac.ByEntries, cfg.Entries, capac.Entries},
-		{capac.ByCustomers, cfg.Customers, capac.Customers},
-		{capac.ByAgents, cfg.Agents, capac.Agents},
+		{capac.ByEntries, cfg.Entries, capac.MeasureEntries},
+		{capac.ByCustomers, cfg.Customers, capac.MeasureCustomers},
+		{capac.ByAgents, cfg.Agents, capac.MeasureAgents},
 	} {
 		for _, n := range m.sizes {
 			found, err := withSet(func(set *procs.Set) ([]capac.Point, error) { return m.at(ctx, set, cfg, n) })
