--- a/trial/capac/path.go
+++ b/trial/capac/path.go
@@ -24,7 +24,7 @@
 	Requests        int     `json:"requests"`
 	FirstTokenP50MS float64 `json:"first_p50_ms"`
 	FirstTokenP99MS float64 `json:"first_p99_ms"`
-	// TokenIntervalP50MS and TokenIntervalP99 are percentiles of the mean time between
+	// TokenIntervalP50MS and TokenIntervalP99MS are percentiles of the mean time between
 	// two tokens of a stream.
 	TokenIntervalP50MS float64 `json:"between_p50_ms"`
 	TokenIntervalP99MS float64 `json:"between_p99_ms"`
--- a/trial/capac/run.go
+++ b/trial/capac/run.go
@@ -243,17 +243,17 @@
 
 // checkResults returns an error if any answer is wrong or too few are complete.
 func checkResults(results []load.Result) error {
-	complete := 0
+	completeCount := 0
 	for _, r := range results {
 		if r.Outcome == load.Complete {
-			complete++
+			completeCount++
 		}
 		if r.Outcome == load.Wrong {
 			return errors.New("capac: an answer is wrong")
 		}
 	}
-	if float64(complete) < minCompleteShare*float64(len(results)) {
-		return fmt.Errorf("capac: %d of %d requests were answered: lower the rate", complete, len(results))
+	if float64(completeCount) < minCompleteShare*float64(len(results)) {
+		return fmt.Errorf("capac: %d of %d requests were answered: lower the rate", completeCount, len(results))
 	}
 	return nil
 }
--- a/trial/capac/sizes.go
+++ b/trial/capac/sizes.go
@@ -55,7 +55,7 @@
 type LinkCounts struct {
 	// Entries is the number of entries.
 	Entries int `json:"links_of_entries"`
-	// MinLinks, Mean and Max are the numbers of links of an entry.
+	// MinLinks, MeanLinks and MaxLinks are the numbers of links of an entry.
 	MinLinks  int     `json:"least"`
 	MeanLinks float64 `json:"mean"`
 	MaxLinks  int     `json:"most"`
--- a/trial/exper/run.go
+++ b/trial/exper/run.go
@@ -182,15 +182,15 @@
 		first[i] = jobs[i]
 		first[i].Ask.Prompt, first[i].Ask.MaxTokens = fmt.Sprintf(warmupPrompt, i), warmupOutputTokens
 	}
-	completed := 0
+	completeCount := 0
 	for _, res := range c.RunConcurrently(r.ctx, first, warmupConcurrency) {
 		if res.Outcome == load.Complete {
-			completed++
+			completeCount++
 		} else {
 			fmt.Fprintf(r.log, "warm up: %s %d %s\n", res.Outcome, res.Status, res.Detail)
 		}
 	}
-	if completed == 0 {
+	if completeCount == 0 {
 		return errors.New("exper: no request of the warm-up was answered: read the logs in " + r.set.Dir())
 	}
 	return nil
--- a/trial/exper/sum.go
+++ b/trial/exper/sum.go
@@ -165,7 +165,7 @@
 func (run RunResult) Summary(calm bool) RunSummary {
 	summary := RunSummary{Scenario: run.Scenario, Policy: run.Policy, Calm: calm, CapacityRPS: math.Round(run.CapacityRPS*10) / 10}
 	var refusals []time.Duration
-	within := 0
+	withinTarget := 0
 	for _, c := range customers {
 		customer := CustomerSummary{Name: c.name}
 		for _, r := range run.countedResults() {
@@ -177,10 +177,10 @@
 				refusals = append(refusals, r.Total)
 			}
 		}
-		within += customer.WithinTarget
+		withinTarget += customer.WithinTarget
 		summary.Customers = append(summary.Customers, customer)
 	}
-	summary.GoodputRPS = math.Round(float64(within)/(arrivalSpan-run.rampUp).Seconds()*10) / 10
+	summary.GoodputRPS = math.Round(float64(withinTarget)/(arrivalSpan-run.rampUp).Seconds()*10) / 10
 	summary.WorkShare = math.Round(run.workShare()*1000) / 1000
 	summary.RefusalP99MS = percentile(refusals, 0.99)
 	summary.Inversions = countInversions(run.Results)
@@ -215,13 +215,13 @@
 	for _, s := range run.shapes {
 		work[s.class.Name] = s.engineSeconds()
 	}
-	var done float64
+	var completedWork float64
 	for _, r := range run.Results {
 		if at := r.SentAt + r.Total; r.MetTargets() && at >= run.rampUp && at < arrivalSpan {
-			done += work[r.Job.Class.Name]
+			completedWork += work[r.Job.Class.Name]
 		}
 	}
-	return done / (totalSpeed() * (arrivalSpan - run.rampUp).Seconds())
+	return completedWork / (totalSpeed() * (arrivalSpan - run.rampUp).Seconds())
 }
 
 // countInversions returns how many requests were refused while an answer of a lower
--- a/trial/ideal.go
+++ b/trial/ideal.go
@@ -12,12 +12,14 @@
 )
 
 func idealCommand() command {
-	sub := newSub("ideal", "work out from the logs of a day what a scheduler could have served that knew all requests beforehand")
+	sub := newSubcommand("ideal", "compute from the logs of a day which requests a scheduler that knew all of them in advance could have served")
 	var paths []string
 	sub.StringSlice(&paths, "l", "log", "log of an entry, may be repeated")
 	return command{sub: sub, run: func(context.Context) error { return runIdeal(os.Stdout, paths) }}
 }
 
+// runIdeal reads the logs and writes a table of the shares of requests that were served
+// and that the ideal plan serves.
 func runIdeal(w io.Writer, paths []string) error {
 	if len(paths) == 0 {
 		return errors.New("no log: name the logs of all entries with -l")
--- a/trial/ideal/ideal.go
+++ b/trial/ideal/ideal.go
@@ -117,43 +117,43 @@
 // refused request that arrived at most maxRetryGap earlier is a retry of that request.
 func mergeRetries(lines []logLine) []*Request {
 	slices.SortFunc(lines, func(a, b logLine) int { return a.arrivedAt().Compare(b.arrivedAt()) })
-	var all []*Request
-	refused := make(map[string]*Request)
+	var requests []*Request
+	refusedRequests := make(map[string]*Request)
 	var totalSlotTime time.Duration
 	totalTokens := 0.0
 	for _, l := range lines {
 		at := l.arrivedAt().Sub(lines[0].arrivedAt())
-		r := refused[l.Fingerprint]
+		r := refusedRequests[l.Fingerprint]
 		if r == nil || at-r.lastArrivedAt > maxRetryGap {
 			r = &Request{
 				Tier: l.Tier, ArrivedAt: at, Target: time.Duration(l.Target), OutputTokens: l.OutputTokens,
 				costTokens: float64(l.OutputTokens) + float64(*l.InputTokens)/promptTokensPerOutputToken + startCostTokens,
 			}
-			all = append(all, r)
+			requests = append(requests, r)
 		}
 		r.lastArrivedAt = at
-		refused[l.Fingerprint] = r
+		refusedRequests[l.Fingerprint] = r
 		if l.Event != "request_done" {
 			continue
 		}
-		delete(refused, l.Fingerprint)
+		delete(refusedRequests, l.Fingerprint)
 		r.IsServed, r.StartedAt = true, at+time.Duration(l.QueueTime)
 		r.SlotTime = max(time.Duration(l.Took-l.QueueTime), time.Millisecond)
 		totalSlotTime += r.SlotTime
 		totalTokens += r.costTokens
 	}
-	for _, r := range all {
+	for _, r := range requests {
 		if !r.IsServed && totalTokens > 0 {
 			r.SlotTime = time.Duration(r.costTokens / totalTokens * float64(totalSlotTime))
 		}
 	}
-	return all
+	return requests
 }
 
 // Plan sets IsPlanned of each request that the ideal scheduler serves.
-func Plan(all []*Request) {
-	freeSlots := slotsPerBin(all)
-	order := slices.Clone(all)
+func Plan(requests []*Request) {
+	freeSlots := slotsPerBin(requests)
+	order := slices.Clone(requests)
 	slices.SortFunc(order, func(a, b *Request) int {
 		return cmp.Or(cmp.Compare(a.Tier, b.Tier), cmp.Compare(a.SlotTime, b.SlotTime))
 	})
@@ -165,13 +165,13 @@
 }
 
 // slotsPerBin returns how many slots the endpoints had in each bin.
-func slotsPerBin(all []*Request) []int {
+func slotsPerBin(requests []*Request) []int {
 	end := time.Duration(0)
-	for _, r := range all {
+	for _, r := range requests {
 		end = max(end, r.ArrivedAt+r.Target, r.StartedAt+r.SlotTime)
 	}
 	usedSlots := make([]int, end/binTime+1)
-	for _, r := range all {
+	for _, r := range requests {
 		if r.IsServed {
 			for i := r.StartedAt / binTime; i <= (r.StartedAt+r.SlotTime)/binTime; i++ {
 				usedSlots[i]++
@@ -212,9 +212,9 @@
 }
 
 // Summarize returns a row for each tier and fifth, sorted by both.
-func Summarize(all []*Request) []Row {
+func Summarize(requests []*Request) []Row {
 	tiers := make(map[string][]*Request)
-	for _, r := range all {
+	for _, r := range requests {
 		tiers[r.Tier] = append(tiers[r.Tier], r)
 	}
 	var out []Row
--- a/trial/main.go
+++ b/trial/main.go
@@ -1,5 +1,5 @@
-// Command trial holds the stand-ins, the fault-injecting proxy and the
-// experiments with which lycheepond is tested and measured.
+// Command trial runs the stand-ins, the fault-injecting proxy and the experiments
+// that lycheepond is tested and measured with.
 package main
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// command is one subcommand: its flags and what it does.
+// command is a subcommand: its flags and the function that runs it.
 type command struct {
 	sub *flaggy.Subcommand
 	run func(ctx context.Context) error
@@ -27,6 +27,7 @@
 	}
 }
 
+// run parses the command line and runs the named subcommand.
 func run(ctx context.Context) error {
 	flaggy.SetName("trial")
 	flaggy.SetDescription("stand-ins, fault-injecting proxy and experiments for lycheepond; tests only")
@@ -45,7 +46,7 @@
 	return fmt.Errorf("name a subcommand")
 }
 
-func newSub(name, description string) *flaggy.Subcommand {
+func newSubcommand(name, description string) *flaggy.Subcommand {
 	sub := flaggy.NewSubcommand(name)
 	sub.Description = description
 	return sub
--- a/trial/measure.go
+++ b/trial/measure.go
@@ -15,7 +15,7 @@
 )
 
 func baselineCommand() command {
-	sub := newSub("baseline", "dispatcher that pushes by turn or by the lagging load report")
+	sub := newSubcommand("baseline", "dispatcher that forwards requests in round-robin order or by the lagging load reports")
 	listen, cfg := anyPort, basel.Config{Policy: basel.RoundRobin}
 	sub.String(&listen, "l", "listen", "address to listen on")
 	sub.String(&cfg.Policy, "p", "policy", basel.RoundRobin+" or "+basel.LeastLoad)
@@ -32,29 +32,31 @@
 }
 
 func measureCommand() command {
-	sub := newSub("measure", "run the experiments and print one JSON line for each scenario, policy and tier")
-	cfg := measureConfig{dir: "measure"}
+	sub := newSubcommand("measure", "run the experiments and print one JSON line for each scenario, policy and tier")
+	cfg := measureConfig{plotDir: "measure"}
 	sub.String(&cfg.scenario, "s", "scenario", "one scenario; all by default")
 	sub.String(&cfg.policy, "p", "policy", "one policy; all by default")
-	sub.String(&cfg.dir, "d", "dir", "directory of the plots")
-	sub.Bool(&cfg.trace, "t", "trace", "write the entries' status over time beside the plots")
+	sub.String(&cfg.plotDir, "d", "dir", "directory of the plots")
+	sub.Bool(&cfg.writesTrace, "t", "trace", "write the entries' status over time beside the plots")
 	return command{sub: sub, run: func(ctx context.Context) error { return measure(ctx, cfg) }}
 }
 
-// measureConfig is the flags of trial measure.
+// measureConfig holds the flags of trial measure.
 type measureConfig struct {
-	scenario, policy, dir string
-	trace                 bool
+	// An empty scenario or policy stands for all of them.
+	scenario, policy, plotDir string
+	writesTrace               bool
 }
 
+// measure runs the experiments that cfg selects, one after another.
 func measure(ctx context.Context, cfg measureConfig) error {
-	ran := 0
+	runs := 0
 	for _, sc := range exper.Scenarios() {
 		for _, p := range exper.Policies() {
 			if (cfg.scenario != "" && sc.Name != cfg.scenario) || (cfg.policy != "" && p != cfg.policy) {
 				continue
 			}
-			ran++
+			runs++
 			if err := measureOne(ctx, cfg, sc, p, false); err != nil {
 				return err
 			}
@@ -65,7 +67,7 @@
 			}
 		}
 	}
-	if ran > 0 {
+	if runs > 0 {
 		return nil
 	}
 	var names []string
@@ -76,10 +78,11 @@
 		cfg.scenario, cfg.policy, strings.Join(names, ", "), strings.Join(exper.Policies(), ", "))
 }
 
-// measureOne runs one scenario under one policy. The calm run of a scenario,
-// to compare with, leaves a note on standard error and no line.
+// measureOne runs one scenario under one policy. It writes the summary of the run to
+// standard error and those of the tiers to standard output, and plots them. A calm run
+// only serves as a comparison: it writes the summary to standard error and nothing else.
 func measureOne(ctx context.Context, cfg measureConfig, sc exper.Scenario, policy string, calm bool) (err error) {
-	set, err := newSet("measure")
+	set, err := newProcessSet("measure")
 	if err != nil {
 		return err
 	}
@@ -91,31 +94,32 @@
 		os.RemoveAll(set.Dir())
 	}()
 	opt := exper.Options{Policy: policy, Calm: calm, Log: os.Stderr}
-	if cfg.trace && policy == exper.Lycheepond && !calm {
-		f, err := traceFile(cfg.dir, sc.Name)
+	if cfg.writesTrace && policy == exper.Lycheepond && !calm {
+		f, err := createTraceFile(cfg.plotDir, sc.Name)
 		if err != nil {
 			return err
 		}
 		defer f.Close()
 		opt.Trace = f
 	}
-	out, err := exper.Run(ctx, set, sc, opt)
-	if err = errors.Join(err, set.Close(stopWait)); err != nil {
+	result, err := exper.Run(ctx, set, sc, opt)
+	if err = errors.Join(err, set.Close(maxStopTime)); err != nil {
 		return err
 	}
-	if err := json.NewEncoder(os.Stderr).Encode(out.Summary(calm)); err != nil || calm {
+	if err := json.NewEncoder(os.Stderr).Encode(result.Summary(calm)); err != nil || calm {
 		return err
 	}
 	enc := json.NewEncoder(os.Stdout)
-	for _, line := range out.TierSummaries() {
-		if err := enc.Encode(line); err != nil {
+	for _, summary := range result.TierSummaries() {
+		if err := enc.Encode(summary); err != nil {
 			return err
 		}
 	}
-	return out.Plot(cfg.dir)
+	return result.Plot(cfg.plotDir)
 }
 
-func traceFile(dir, scenario string) (*os.File, error) {
+// createTraceFile creates the file for the trace of a scenario in dir.
+func createTraceFile(dir, scenario string) (*os.File, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
--- a/trial/prox.go
+++ b/trial/prox.go
@@ -11,17 +11,18 @@
 )
 
 func proxyCommand() command {
-	sub := newSub("proxy", "TCP proxy that injects faults")
+	sub := newSubcommand("proxy", "TCP proxy that injects faults")
 	admin, frames := anyPort, false
 	var routes []string
 	sub.StringSlice(&routes, "r", "route", "LISTEN=UPSTREAM, may be repeated")
 	sub.String(&admin, "a", "admin", "address of the HTTP API that sets faults")
-	sub.Bool(&frames, "f", "frames", "pass whole lycheepond frames, so that single ones can be tampered with")
+	sub.Bool(&frames, "f", "frames", "pass on whole lycheepond frames, so that faults can affect single frames")
 	return command{sub: sub, run: func(ctx context.Context) error {
 		return runProxies(ctx, admin, routes, frames)
 	}}
 }
 
+// runProxies runs a proxy for each route and serves the API that sets their faults.
 func runProxies(ctx context.Context, admin string, routes []string, frames bool) error {
 	var proxies []*proxy.Proxy
 	for _, r := range routes {
--- a/trial/site.go
+++ b/trial/site.go
@@ -13,25 +13,27 @@
 	"lycheepond/trial/procs"
 )
 
-// site is one of the two example deployments, running.
+// site is one of the two example deployments while it runs.
 type site struct {
 	plan  fleet.Plan
 	fleet *fleet.Fleet
+	// items are the objects of the deployment.
 	items []spec.Item
 }
 
-// stopWait is how long processes may take to stop.
-const stopWait = 10 * time.Second
+// maxStopTime is how long processes may take to stop.
+const maxStopTime = 10 * time.Second
 
-// here returns the directory of the built programs: where this one is.
-func here() (string, error) {
+// binDir returns the directory of the built programs, which is that of this program.
+func binDir() (string, error) {
 	exe, err := os.Executable()
 	return filepath.Dir(exe), err
 }
 
-// newSet makes a set whose settings and logs are in a directory of their own.
-func newSet(name string) (*procs.Set, error) {
-	bin, err := here()
+// newProcessSet returns a set of processes whose settings and logs are in a new
+// temporary directory.
+func newProcessSet(name string) (*procs.Set, error) {
+	bin, err := binDir()
 	if err != nil {
 		return nil, err
 	}
@@ -42,7 +44,7 @@
 	return procs.New(procs.Config{Bin: bin, Dir: dir})
 }
 
-// startSites starts both deployments with the objects of examples/.
+// startSites starts both deployments with the objects in the directory examples.
 func startSites(ctx context.Context, set *procs.Set, examples string) ([]*site, error) {
 	var sites []*site
 	for _, plan := range []fleet.Plan{fleet.WhistlepathPlan(), fleet.VLKPlan()} {
@@ -60,15 +62,15 @@
 	return sites, nil
 }
 
-// bearer returns the key of an example customer, as examples/ tells it.
+// bearer returns the key of an example customer. The files in examples/ hold its hash.
 func bearer(customer string) string { return "demo-" + customer }
 
-// allowed reports whether a customer may use a class.
-func allowed(c spec.Customer, class string) bool {
+// mayUseClass reports whether a customer may use a class.
+func mayUseClass(c spec.Customer, class string) bool {
 	return len(c.Classes) == 0 || slices.Contains(c.Classes, class)
 }
 
-// classes and customers return the example's objects.
+// classes returns the classes of the deployment.
 func (s *site) classes() (out []spec.Class) {
 	for _, it := range s.items {
 		if c, ok := it.Object.(spec.Class); ok {
@@ -78,6 +80,7 @@
 	return out
 }
 
+// customers returns the customers of the deployment.
 func (s *site) customers() (out []spec.Customer) {
 	for _, it := range s.items {
 		if c, ok := it.Object.(spec.Customer); ok {
@@ -87,11 +90,12 @@
 	return out
 }
 
-// model and service return the names that callers use.
-func (s *site) model() string   { return s.named(spec.KindModel) }
-func (s *site) service() string { return s.named(spec.KindService) }
+// model and service return the names of the first model and of the first service.
+func (s *site) model() string   { return s.firstName(spec.KindModel) }
+func (s *site) service() string { return s.firstName(spec.KindService) }
 
-func (s *site) named(kind string) string {
+// firstName returns the name of the first object of a kind, or "" if there is none.
+func (s *site) firstName(kind string) string {
 	for _, it := range s.items {
 		if it.Kind == kind {
 			return it.Name
@@ -100,15 +104,16 @@
 	return ""
 }
 
-func (s *site) targets() (out []string) {
+// entryAddrs returns the addresses at which the entries accept requests.
+func (s *site) entryAddrs() (out []string) {
 	for _, e := range s.fleet.Entries() {
 		out = append(out, e.Listen)
 	}
 	return out
 }
 
-// curl returns a command to try.
-func (s *site) curl() string {
+// curlCommand returns a shell command that sends an example request.
+func (s *site) curlCommand() string {
 	return fmt.Sprintf("curl -N http://%s/v1/completions -H 'Authorization: Bearer %s' -H 'Lychee-Class: %s' "+
 		`-d '{"model":"%s","prompt":"What is still open for Saturday?","max_tokens":24,"stream":true}'`,
 		s.fleet.Entries()[0].Listen, bearer(s.customers()[0].Name), s.classes()[0].Name, s.model())
--- a/trial/smoke.go
+++ b/trial/smoke.go
@@ -14,29 +14,32 @@
 	"lycheepond/trial/load"
 )
 
-// Sizes of the smoke run.
+// The parameters of the smoke run. The lengths are those of prompts in words and of
+// answers in tokens, for short and for long requests.
 const (
-	smokeLimit = 38 * time.Second
-	smokeWidth = 12
-	shortWords = 60
-	longWords  = 600
-	shortWant  = 24
-	longWant   = 120
+	smokeTimeout      = 38 * time.Second
+	smokeConcurrency  = 12
+	shortWords        = 60
+	longWords         = 600
+	shortOutputTokens = 24
+	longOutputTokens  = 120
 )
 
 func smokeCommand() command {
-	sub := newSub("smoke", "send work of every class through both entries of both deployments and check each answer")
+	sub := newSubcommand("smoke", "send work of every class through both entries of both deployments and check each answer")
 	examples := examplesDir
 	sub.String(&examples, "e", "examples", "directory of the example objects")
 	return command{sub: sub, run: func(ctx context.Context) error {
-		ctx, stop := context.WithTimeout(ctx, smokeLimit)
+		ctx, stop := context.WithTimeout(ctx, smokeTimeout)
 		defer stop()
 		return smoke(ctx, examples)
 	}}
 }
 
+// smoke starts both deployments, sends the jobs and prints how many answers are complete
+// and wrong. It keeps the settings and logs if there was an error.
 func smoke(ctx context.Context, examples string) (err error) {
-	set, err := newSet("smoke")
+	set, err := newProcessSet("smoke")
 	if err != nil {
 		return err
 	}
@@ -47,28 +50,28 @@
 		}
 		os.RemoveAll(set.Dir())
 	}()
-	complete, wrong, err := smokeAll(ctx, set, examples)
-	if err = errors.Join(err, set.Close(stopWait)); err != nil {
+	completeCount, wrongCount, err := runSmokeJobs(ctx, set, examples)
+	if err = errors.Join(err, set.Close(maxStopTime)); err != nil {
 		return err
 	}
-	fmt.Printf("smoke: %d complete, %d wrong\n", complete, wrong)
-	if wrong > 0 {
+	fmt.Printf("smoke: %d complete, %d wrong\n", completeCount, wrongCount)
+	if wrongCount > 0 {
 		return errors.New("some answers are wrong")
 	}
 	return nil
 }
 
-// smokeJobs is work of every class, streamed and whole, and plain calls, of
-// every customer.
+// smokeJobs returns requests of each customer: to the model in each class that the
+// customer may use, streamed and not streamed, and to the plain service.
 func (s *site) smokeJobs() []load.Job {
 	var jobs []load.Job
 	for i, customer := range s.customers() {
 		for _, class := range s.classes() {
-			if !allowed(customer, class.Name) {
+			if !mayUseClass(customer, class.Name) {
 				continue
 			}
-			// Each job stands twice, so that each entry gets it: the caller
-			// takes the entries in turn.
+			// Each kind of job occurs twice in a row, so that both entries get
+			// one: the caller sends to the entries in turn.
 			for _, stream := range []bool{true, true, false, false} {
 				jobs = append(jobs, s.modelJob(customer.Name, class, stream, len(jobs), i%2 == 0))
 			}
@@ -80,19 +83,22 @@
 	return jobs
 }
 
-func (s *site) modelJob(customer string, class spec.Class, stream bool, n int, chat bool) load.Job {
-	words, want := shortWords, shortWant
+// modelJob returns job number n as a request to the model. It is a long request if the
+// target of the class for a complete answer is more than a minute.
+func (s *site) modelJob(customer string, class spec.Class, stream bool, n int, isChat bool) load.Job {
+	words, outputTokens := shortWords, shortOutputTokens
 	if class.Target.Complete.Std() > time.Minute {
-		words, want = longWords, longWant
+		words, outputTokens = longWords, longOutputTokens
 	}
 	prompt := fmt.Sprintf("%s %s %d ", customer, class.Name, n) + strings.Repeat("field ", words)
-	ask := engin.Ask{Model: s.model(), Prompt: prompt, MaxTokens: want, Stream: stream}
-	if chat {
+	ask := engin.Ask{Model: s.model(), Prompt: prompt, MaxTokens: outputTokens, Stream: stream}
+	if isChat {
 		ask.Prompt, ask.Messages = "", []engin.Message{{Role: "user", Content: prompt}}
 	}
 	return load.Job{Class: class, Customer: customer, Bearer: bearer(customer), Ask: ask}
 }
 
+// plainJob returns job number n as a request to the plain service.
 func (s *site) plainJob(customer, method string, n int) load.Job {
 	j := load.Job{
 		Customer: customer, Bearer: bearer(customer), Method: method,
--- a/trial/smokerun.go
+++ b/trial/smokerun.go
@@ -9,39 +9,42 @@
 	"lycheepond/trial/procs"
 )
 
-// smokeAll runs the jobs of both deployments at once.
-func smokeAll(ctx context.Context, set *procs.Set, examples string) (complete, wrong int, err error) {
+// runSmokeJobs sends the jobs of both deployments at the same time and counts the complete
+// and the wrong answers. It fails if any job has another outcome.
+func runSmokeJobs(ctx context.Context, set *procs.Set, examples string) (completeCount, wrongCount int, err error) {
 	sites, err := startSites(ctx, set, examples)
 	if err != nil {
 		return 0, 0, err
 	}
 	results := make(chan []load.Result, len(sites))
 	for _, s := range sites {
-		go func() { results <- load.NewCaller(s.targets()).RunConcurrently(ctx, s.smokeJobs(), smokeWidth) }()
+		go func() {
+			results <- load.NewCaller(s.entryAddrs()).RunConcurrently(ctx, s.smokeJobs(), smokeConcurrency)
+		}()
 	}
-	rest := 0
+	otherCount := 0
 	for range sites {
 		for _, r := range <-results {
 			switch r.Outcome {
 			case load.Complete:
-				complete++
+				completeCount++
 			case load.Wrong:
-				wrong++
-				report(r)
+				wrongCount++
+				printResult(r)
 			default:
-				rest++
-				report(r)
+				otherCount++
+				printResult(r)
 			}
 		}
 	}
-	if rest > 0 {
-		return complete, wrong, fmt.Errorf("smoke: %d complete, %d wrong, %d neither", complete, wrong, rest)
+	if otherCount > 0 {
+		return completeCount, wrongCount, fmt.Errorf("smoke: %d complete, %d wrong, %d neither", completeCount, wrongCount, otherCount)
 	}
-	return complete, wrong, nil
+	return completeCount, wrongCount, nil
 }
 
-// report writes a result that is not as it should be to standard error.
-func report(r load.Result) {
+// printResult writes the result of a job that failed to standard error.
+func printResult(r load.Result) {
 	fmt.Fprintf(os.Stderr, "%s: status %d, class %s, customer %s, %s%s, request %s: %s\n",
 		r.Outcome, r.Status, r.Job.Class.Name, r.Job.Customer, r.Job.Method, r.Job.Path, r.ID, r.Detail)
 }
--- a/trial/stand.go
+++ b/trial/stand.go
@@ -11,45 +11,46 @@
 	"lycheepond/trial/serve"
 )
 
+// anyPort lets the system choose a free port on loopback.
 const anyPort = "127.0.0.1:0"
 
 func platformCommand() command {
-	sub := newSub("platform", "object API, instance list and weight store")
+	sub := newSubcommand("platform", "object API, instance list and weight store")
 	listen, cfg := anyPort, platf.Config{WeightTime: platf.DefaultWeightTime, WeightRate: platf.DefaultWeightRate, Retain: platf.DefaultRetain}
 	sub.String(&listen, "l", "listen", "address to listen on")
 	sub.String(&cfg.Token, "t", "token", "token that callers must present")
-	sub.Duration(&cfg.WeightTime, "w", "weight-time", "time that one set of weights takes")
-	sub.Int(&cfg.WeightRate, "r", "weight-rate", "sets of weights that may be read at once")
-	sub.Int(&cfg.Retain, "k", "retain", "events that a watch can go back")
+	sub.Duration(&cfg.WeightTime, "w", "weight-time", "time to read one set of weights")
+	sub.Int(&cfg.WeightRate, "r", "weight-rate", "number of sets of weights that can be read at the same time")
+	sub.Int(&cfg.Retain, "k", "retain", "number of past events that a watch can start from")
 	return command{sub: sub, run: func(ctx context.Context) error {
 		return serve.Run(ctx, "platform", listen, platf.New(cfg).Handler(), os.Stdout)
 	}}
 }
 
 func serviceCommand() command {
-	sub := newSub("service", "plain service")
+	sub := newSubcommand("service", "plain service")
 	listen, cfg := anyPort, plain.Config{Name: "service", Slots: plain.DefaultSlots, Work: 2 * time.Millisecond}
 	sub.String(&listen, "l", "listen", "address to listen on")
 	sub.String(&cfg.Name, "n", "name", "name in the answers")
-	sub.Duration(&cfg.Work, "w", "work", "time that one call takes")
-	sub.Int(&cfg.Slots, "s", "slots", "calls that run at once")
+	sub.Duration(&cfg.Work, "w", "work", "duration of a call")
+	sub.Int(&cfg.Slots, "s", "slots", "number of calls that run at the same time")
 	return command{sub: sub, run: func(ctx context.Context) error {
 		return serve.Run(ctx, cfg.Name, listen, plain.New(cfg).Handler(), os.Stdout)
 	}}
 }
 
 func engineCommand() command {
-	sub := newSub("engine", "model engine")
+	sub := newSubcommand("engine", "model engine")
 	listen, cfg := anyPort, engin.Default()
 	sub.String(&listen, "l", "listen", "address to listen on")
 	sub.String(&cfg.Name, "n", "name", "name of the engine")
 	sub.String(&cfg.Model, "m", "model", "model served at the start")
 	sub.String(&cfg.Version, "v", "model-version", "version served at the start")
 	sub.String(&cfg.Platform, "p", "platform", "address of the weight store, empty for none")
-	sub.Int(&cfg.Slots, "s", "slots", "sequences that run at once")
-	sub.Float64(&cfg.PrefillTPS, "", "prefill-tps", "prompt tokens a second")
-	sub.Float64(&cfg.DecodeTPS, "", "decode-tps", "tokens a second of a sequence that runs alone")
-	sub.Float64(&cfg.BatchSlope, "", "batch-slope", "growth of a step's time with each further sequence")
+	sub.Int(&cfg.Slots, "s", "slots", "number of sequences that run at the same time")
+	sub.Float64(&cfg.PrefillTPS, "", "prefill-tps", "prompt tokens per second")
+	sub.Float64(&cfg.DecodeTPS, "", "decode-tps", "output tokens per second of a sequence that runs alone")
+	sub.Float64(&cfg.BatchSlope, "", "batch-slope", "relative growth of a step's time with each further sequence")
 	sub.Int(&cfg.KVBlocks, "", "kv-blocks", "blocks of KV memory")
 	sub.Int(&cfg.BlockTokens, "", "block-tokens", "tokens in a block")
 	sub.Duration(&cfg.LoadLag, "", "load-lag", "age of the load report")
