--- a/trial/exper/exper_test.go
+++ b/trial/exper/exper_test.go
@@ -17,13 +17,13 @@
 func TestJobsAreReproducible(t *testing.T) {
 	for _, sc := range Scenarios() {
 		phases := sc.phases(Capacity(sc.shapes))
-		jobs, again := generateJobs(sc.seed, sc.shapes, phases, sc.prefixes), generateJobs(sc.seed, sc.shapes, phases, sc.prefixes)
-		if len(jobs) < warmupRequests || len(jobs) != len(again) {
-			t.Fatalf("%s: %d and %d jobs", sc.Name, len(jobs), len(again))
+		jobs, jobsAgain := generateJobs(sc.seed, sc.shapes, phases, sc.prefixes), generateJobs(sc.seed, sc.shapes, phases, sc.prefixes)
+		if len(jobs) < warmupRequests || len(jobs) != len(jobsAgain) {
+			t.Fatalf("%s: %d and %d jobs", sc.Name, len(jobs), len(jobsAgain))
 		}
 		prompts := make(map[string]bool)
 		for i, j := range jobs {
-			if j.Ask.Prompt != again[i].Ask.Prompt || j.SendAt != again[i].SendAt {
+			if j.Ask.Prompt != jobsAgain[i].Ask.Prompt || j.SendAt != jobsAgain[i].SendAt {
 				t.Fatalf("%s: job %d differs between two runs", sc.Name, i)
 			}
 			if i > 0 && j.SendAt < jobs[i-1].SendAt {
@@ -40,15 +40,15 @@
 // Checks how results and engine records are counted by tier, and that a refusal
 // while an answer of a lower tier is being streamed counts as an inversion.
 func TestTierSummaries(t *testing.T) {
-	top := load.Job{Class: spec.Class{Tier: 0}, Ask: engin.Ask{Prompt: "a"}}
-	low := load.Job{Class: spec.Class{Tier: 3}, Ask: engin.Ask{Prompt: "b", Stream: true}}
+	topTierJob := load.Job{Class: spec.Class{Tier: 0}, Ask: engin.Ask{Prompt: "a"}}
+	lowTierJob := load.Job{Class: spec.Class{Tier: 3}, Ask: engin.Ask{Prompt: "b", Stream: true}}
 	run := RunResult{
 		Results: []load.Result{
-			{Job: top, Outcome: load.Complete, Total: time.Second},
-			{Job: top, Outcome: load.Refused, SentAt: time.Second, Total: time.Millisecond},
-			{Job: top, Outcome: load.GaveUp},
-			{Job: low, Outcome: load.Complete, First: 500 * time.Millisecond, Total: 2 * time.Second, Tokens: 2},
-			{Job: low, Outcome: load.Wrong},
+			{Job: topTierJob, Outcome: load.Complete, Total: time.Second},
+			{Job: topTierJob, Outcome: load.Refused, SentAt: time.Second, Total: time.Millisecond},
+			{Job: topTierJob, Outcome: load.GaveUp},
+			{Job: lowTierJob, Outcome: load.Complete, First: 500 * time.Millisecond, Total: 2 * time.Second, Tokens: 2},
+			{Job: lowTierJob, Outcome: load.Wrong},
 		},
 		Records: []engin.Record{{PromptDigest: engin.Digest("b"), PromptTokens: 7, WastedPrefillTokens: 3}},
 	}
@@ -74,7 +74,7 @@
 		if !sc.HasCalmRun() {
 			continue
 		}
-		others := func(phases []phase) (at []time.Duration) {
+		otherSendTimes := func(phases []phase) (at []time.Duration) {
 			for _, j := range generateJobs(sc.seed, sc.shapes, phases, sc.prefixes) {
 				if j.Customer != hotCustomer {
 					at = append(at, j.SendAt)
@@ -83,9 +83,9 @@
 			return at
 		}
 		capacity := Capacity(sc.shapes)
-		a, b := others(sc.phases(capacity)), others(sc.calmPhases(capacity))
-		if !slices.Equal(a, b) {
-			t.Errorf("%s: other customers send %d requests with the extra load and %d without it, or at other times", sc.Name, len(a), len(b))
+		withExtraLoad, withoutExtraLoad := otherSendTimes(sc.phases(capacity)), otherSendTimes(sc.calmPhases(capacity))
+		if !slices.Equal(withExtraLoad, withoutExtraLoad) {
+			t.Errorf("%s: other customers send %d requests with the extra load and %d without it, or at other times", sc.Name, len(withExtraLoad), len(withoutExtraLoad))
 		}
 	}
 }
--- a/trial/load/send.go
+++ b/trial/load/send.go
@@ -61,8 +61,8 @@
 // sent right at the deadline still reaches it.
 const deadlineGrace = 300 * time.Millisecond
 
-// Send sends one job and waits for the end of its answer. It tries the address
-// with index n first, modulo the number of addresses.
+// Send sends one job and waits for the end of its answer. It starts at the address
+// with index n modulo the number of addresses.
 func (c *Caller) Send(ctx context.Context, n int, j Job) Result {
 	ctx, stop := context.WithTimeout(ctx, j.deadline()+deadlineGrace)
 	defer stop()
