--- a/trial/ideal.go
+++ b/trial/ideal.go
@@ -12,12 +12,14 @@
 )
 
 func idealCommand() command {
-	sub := newSub("ideal", "work out from the logs of a day what a scheduler could have served that knew all requests beforehand")
+	sub := newSubcommand("ideal", "compute from the logs of a day which requests a scheduler that knew all of them in advance could have served")
 	var paths []string
 	sub.StringSlice(&paths, "l", "log", "log of an entry, may be repeated")
 	return command{sub: sub, run: func(context.Context) error { return runIdeal(os.Stdout, paths) }}
 }
 
+// runIdeal reads the logs and writes a table of the shares of requests that were served
+// and that the ideal plan serves.
 func runIdeal(w io.Writer, paths []string) error {
 	if len(paths) == 0 {
 		return errors.New("no log: name the logs of all entries with -l")
@@ -38,9 +40,9 @@
 	ideal.Plan(all)
 	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tab, "tier\tfifth by output\tasked\tserved\tideal")
-	for _, r := range ideal.Sum(all) {
-		n := float64(max(r.Asked, 1))
-		fmt.Fprintf(tab, "%s\t%d\t%d\t%.2f\t%.2f\n", r.Tier, r.Fifth+1, r.Asked, float64(r.Served)/n, float64(r.Planned)/n)
+	for _, r := range ideal.Summarize(all) {
+		n := float64(max(r.Requests, 1))
+		fmt.Fprintf(tab, "%s\t%d\t%d\t%.2f\t%.2f\n", r.Tier, r.Fifth+1, r.Requests, float64(r.Served)/n, float64(r.Planned)/n)
 	}
 	return tab.Flush()
 }
