--- a/trial/basel/basel_test.go
+++ b/trial/basel/basel_test.go
@@ -54,8 +54,8 @@
 	c.AssumeComplete = true
 	for _, stream := range []bool{true, false} {
 		r := c.Send(ctx, 0, load.Job{
-			Class: spec.Class{Deadline: spec.Duration(30 * time.Second)},
-			Ask:   engin.CompletionRequest{Model: "roster", Prompt: "x", MaxTokens: 8, Stream: stream},
+			Class:        spec.Class{Deadline: spec.Duration(30 * time.Second)},
+			ModelRequest: engin.CompletionRequest{Model: "roster", Prompt: "x", MaxTokens: 8, Stream: stream},
 		})
 		if r.Outcome != load.Complete {
 			t.Errorf("stream %v: %s %s", stream, r.Outcome, r.Detail)
--- a/trial/capac/path.go
+++ b/trial/capac/path.go
@@ -83,7 +83,7 @@
 func streamJob(n, outputTokens int) load.Job {
 	return load.Job{
 		Class: spec.Class{Name: batchClassName, Deadline: spec.Duration(time.Minute)}, Bearer: bearer(0),
-		Ask: engin.CompletionRequest{
+		ModelRequest: engin.CompletionRequest{
 			Model: model, MaxTokens: outputTokens, Stream: true,
 			Prompt: fmt.Sprintf("stream %d ", n) + strings.Repeat("note ", promptWords),
 		},
@@ -111,7 +111,7 @@
 func newStreamLatency(path string, results []load.Result) StreamLatency {
 	var firstTokenTimes, tokenIntervals []time.Duration
 	for _, r := range results {
-		firstTokenTimes, tokenIntervals = append(firstTokenTimes, r.First), append(tokenIntervals, r.TokenInterval)
+		firstTokenTimes, tokenIntervals = append(firstTokenTimes, r.TimeToFirstToken), append(tokenIntervals, r.TokenInterval)
 	}
 	return StreamLatency{
 		Path: path, Requests: len(results), FirstTokenP50MS: percentile(firstTokenTimes, 50), FirstTokenP99MS: percentile(firstTokenTimes, 99),
--- a/trial/capac/run.go
+++ b/trial/capac/run.go
@@ -274,7 +274,7 @@
 		jobs = append(jobs, load.Job{
 			SendAt: at, Class: spec.Class{Name: tagClassName, Deadline: spec.Duration(10 * time.Second)},
 			Bearer: bearer(0),
-			Ask: engin.CompletionRequest{
+			ModelRequest: engin.CompletionRequest{
 				Model: model, MaxTokens: outputTokens, Stream: true,
 				Prompt: fmt.Sprintf("job %d ", len(jobs)) + strings.Repeat("note ", promptWords),
 			},
--- a/trial/exper/exper_test.go
+++ b/trial/exper/exper_test.go
@@ -23,16 +23,16 @@
 		}
 		prompts := make(map[string]bool)
 		for i, j := range jobs {
-			if j.Ask.Prompt != jobsAgain[i].Ask.Prompt || j.SendAt != jobsAgain[i].SendAt {
+			if j.ModelRequest.Prompt != jobsAgain[i].ModelRequest.Prompt || j.SendAt != jobsAgain[i].SendAt {
 				t.Fatalf("%s: job %d differs between two runs", sc.Name, i)
 			}
 			if i > 0 && j.SendAt < jobs[i-1].SendAt {
 				t.Fatalf("%s: job %d is out of order", sc.Name, i)
 			}
-			if prompts[j.Ask.Prompt] {
+			if prompts[j.ModelRequest.Prompt] {
 				t.Fatalf("%s: job %d has the same prompt as an earlier job", sc.Name, i)
 			}
-			prompts[j.Ask.Prompt] = true
+			prompts[j.ModelRequest.Prompt] = true
 		}
 	}
 }
@@ -40,14 +40,14 @@
 // Checks how results and engine records are counted by tier, and that a refusal
 // while an answer of a lower tier is being streamed counts as an inversion.
 func TestTierSummaries(t *testing.T) {
-	topTierJob := load.Job{Class: spec.Class{Tier: 0}, Ask: engin.CompletionRequest{Prompt: "a"}}
-	lowTierJob := load.Job{Class: spec.Class{Tier: 3}, Ask: engin.CompletionRequest{Prompt: "b", Stream: true}}
+	topTierJob := load.Job{Class: spec.Class{Tier: 0}, ModelRequest: engin.CompletionRequest{Prompt: "a"}}
+	lowTierJob := load.Job{Class: spec.Class{Tier: 3}, ModelRequest: engin.CompletionRequest{Prompt: "b", Stream: true}}
 	run := RunResult{
 		Results: []load.Result{
-			{Job: topTierJob, Outcome: load.Complete, Total: time.Second},
-			{Job: topTierJob, Outcome: load.Refused, SentAt: time.Second, Total: time.Millisecond},
+			{Job: topTierJob, Outcome: load.Complete, TotalTime: time.Second},
+			{Job: topTierJob, Outcome: load.Refused, SentAt: time.Second, TotalTime: time.Millisecond},
 			{Job: topTierJob, Outcome: load.GaveUp},
-			{Job: lowTierJob, Outcome: load.Complete, First: 500 * time.Millisecond, Total: 2 * time.Second, Tokens: 2},
+			{Job: lowTierJob, Outcome: load.Complete, TimeToFirstToken: 500 * time.Millisecond, TotalTime: 2 * time.Second, Tokens: 2},
 			{Job: lowTierJob, Outcome: load.Wrong},
 		},
 		Records: []engin.Record{{PromptDigest: engin.Digest("b"), PromptTokens: 7, WastedPrefillTokens: 3}},
--- a/trial/exper/run.go
+++ b/trial/exper/run.go
@@ -180,7 +180,7 @@
 	first := make([]load.Job, warmupRequests)
 	for i := range first {
 		first[i] = jobs[i]
-		first[i].Ask.Prompt, first[i].Ask.MaxTokens = fmt.Sprintf(warmupPrompt, i), warmupOutputTokens
+		first[i].ModelRequest.Prompt, first[i].ModelRequest.MaxTokens = fmt.Sprintf(warmupPrompt, i), warmupOutputTokens
 	}
 	completeCount := 0
 	for _, res := range c.RunConcurrently(r.ctx, first, warmupConcurrency) {
--- a/trial/exper/sum.go
+++ b/trial/exper/sum.go
@@ -55,10 +55,10 @@
 	}
 	for _, r := range run.countedResults() {
 		tier := r.Job.Class.Tier
-		tierOf[engin.Digest(r.Job.Ask.PromptText())] = tier
+		tierOf[engin.Digest(r.Job.ModelRequest.PromptText())] = tier
 		summaries[tier].addResult(r)
 		if r.Outcome == load.Complete {
-			times[tier] = append(times[tier], r.Total)
+			times[tier] = append(times[tier], r.TotalTime)
 		}
 	}
 	for _, rec := range run.Records {
@@ -174,7 +174,7 @@
 			}
 			customer.addResult(r)
 			if r.Outcome == load.Refused {
-				refusals = append(refusals, r.Total)
+				refusals = append(refusals, r.TotalTime)
 			}
 		}
 		withinTarget += customer.WithinTarget
@@ -217,7 +217,7 @@
 	}
 	var completedWork float64
 	for _, r := range run.Results {
-		if at := r.SentAt + r.Total; r.MetTargets() && at >= run.rampUp && at < arrivalSpan {
+		if at := r.SentAt + r.TotalTime; r.MetTargets() && at >= run.rampUp && at < arrivalSpan {
 			completedWork += work[r.Job.Class.Name]
 		}
 	}
@@ -229,7 +229,7 @@
 func countInversions(results []load.Result) int {
 	n := 0
 	for _, r := range results {
-		if r.Outcome == load.Refused && isLowerTierStreaming(results, r.Job.Class.Tier, r.SentAt+r.Total) {
+		if r.Outcome == load.Refused && isLowerTierStreaming(results, r.Job.Class.Tier, r.SentAt+r.TotalTime) {
 			n++
 		}
 	}
@@ -240,7 +240,7 @@
 // streamed at the time at, counted from the start of the run.
 func isLowerTierStreaming(results []load.Result, tier uint8, at time.Duration) bool {
 	for _, s := range results {
-		if s.Job.Class.Tier > tier && s.Job.Ask.Stream && s.Tokens > 0 && s.SentAt+s.First <= at && at < s.SentAt+s.Total {
+		if s.Job.Class.Tier > tier && s.Job.ModelRequest.Stream && s.Tokens > 0 && s.SentAt+s.TimeToFirstToken <= at && at < s.SentAt+s.TotalTime {
 			return true
 		}
 	}
--- a/trial/load/job.go
+++ b/trial/load/job.go
@@ -19,7 +19,7 @@
 	Customer string
 	Bearer   string
 	// ModelRequest is a request to a model. It is ignored if Path is set.
-	Ask engin.CompletionRequest
+	ModelRequest engin.CompletionRequest
 	// Method, Path and Body make up a request to a plain service. It is sent if
 	// Path is set.
 	Method string
@@ -64,7 +64,7 @@
 	// TimeToFirstToken runs from sending the request to the first token of a
 	// stream, or to the end of an answer that is not streamed. TotalTime runs to
 	// the end of the answer.
-	First, Total time.Duration
+	TimeToFirstToken, TotalTime time.Duration
 	// TokenInterval is the mean time between two tokens of a stream.
 	TokenInterval time.Duration
 	// RetryAfter is the wait that a refusal asks for.
@@ -92,7 +92,7 @@
 		return false
 	}
 	t := r.Job.Class.Target
-	return meets(t.FirstToken, r.First) && meets(t.BetweenTokens, r.TokenInterval) && meets(t.Complete, r.Total)
+	return meets(t.FirstToken, r.TimeToFirstToken) && meets(t.BetweenTokens, r.TokenInterval) && meets(t.Complete, r.TotalTime)
 }
 
 // meets reports whether elapsed is within target. A zero target is always met.
@@ -114,13 +114,15 @@
 	if j.Path != "" {
 		return j.Method, j.Path, []byte(j.Body), nil
 	}
-	body, err = json.Marshal(j.Ask)
+	body, err = json.Marshal(j.ModelRequest)
 	path = "/v1/completions"
-	if len(j.Ask.Messages) > 0 {
+	if len(j.ModelRequest.Messages) > 0 {
 		path = "/v1/chat/completions"
 	}
 	return http.MethodPost, path, body, err
 }
 
 // expectedText returns the text that a complete answer must have.
-func (j Job) expectedText() string { return engin.AnswerText(j.Ask.PromptText(), j.Ask.AnswerTokens()) }
+func (j Job) expectedText() string {
+	return engin.AnswerText(j.ModelRequest.PromptText(), j.ModelRequest.AnswerTokens())
+}
--- a/trial/load/load_test.go
+++ b/trial/load/load_test.go
@@ -15,8 +15,8 @@
 
 func newJob(stream bool) Job {
 	return Job{
-		Class: spec.Class{Name: "swap", Deadline: spec.Duration(5 * time.Second)},
-		Ask:   engin.CompletionRequest{Model: "roster", Prompt: "who can cover", MaxTokens: 3, Stream: stream},
+		Class:        spec.Class{Name: "swap", Deadline: spec.Duration(5 * time.Second)},
+		ModelRequest: engin.CompletionRequest{Model: "roster", Prompt: "who can cover", MaxTokens: 3, Stream: stream},
 	}
 }
 
@@ -102,7 +102,7 @@
 
 // Checks that an answer must meet each of the targets that its class has.
 func TestMetTargets(t *testing.T) {
-	r := Result{Outcome: Complete, First: 50 * time.Millisecond, Total: time.Second}
+	r := Result{Outcome: Complete, TimeToFirstToken: 50 * time.Millisecond, TotalTime: time.Second}
 	r.Job.Class.Target = spec.Target{FirstToken: spec.Duration(100 * time.Millisecond)}
 	if !r.MetTargets() {
 		t.Error("an answer within its target counts as late")
--- a/trial/load/send.go
+++ b/trial/load/send.go
@@ -70,14 +70,14 @@
 	start := time.Now()
 	resp, err := c.sendWithFailover(ctx, n, j)
 	if err != nil {
-		r.Total = time.Since(start)
+		r.TotalTime = time.Since(start)
 		r.Outcome, r.Detail = interruptedOutcome(ctx), err.Error()
 		return r
 	}
 	defer resp.Body.Close()
 	r.Status, r.ID = resp.StatusCode, resp.Header.Get(headerID)
 	c.readAnswer(ctx, &r, resp, start)
-	r.Total = time.Since(start)
+	r.TotalTime = time.Since(start)
 	return r
 }
 
@@ -143,12 +143,12 @@
 		readRefusal(r, resp)
 		return
 	}
-	if r.Job.Path == "" && r.Job.Ask.Stream {
+	if r.Job.Path == "" && r.Job.ModelRequest.Stream {
 		c.readStream(ctx, r, resp, start)
 		return
 	}
 	b, err := io.ReadAll(resp.Body)
-	r.First = time.Since(start)
+	r.TimeToFirstToken = time.Since(start)
 	if err != nil {
 		r.Outcome, r.Detail = interruptedOutcome(ctx), err.Error()
 		return
--- a/trial/load/stream.go
+++ b/trial/load/stream.go
@@ -103,13 +103,13 @@
 			text.WriteString(t)
 			lastTokenTime = time.Since(start)
 			if r.Tokens == 0 {
-				r.First = lastTokenTime
+				r.TimeToFirstToken = lastTokenTime
 			}
 			r.Tokens++
 		}
 	}
 	if r.Tokens > 1 {
-		r.TokenInterval = (lastTokenTime - r.First) / time.Duration(r.Tokens-1)
+		r.TokenInterval = (lastTokenTime - r.TimeToFirstToken) / time.Duration(r.Tokens-1)
 	}
 	r.setStreamOutcome(ctx, sc.Err(), sawEnd && !hasError, text.String(), c.claimedOutcome(resp.Trailer.Get(headerOutcome)))
 }
--- a/trial/proof/judge_test.go
+++ b/trial/proof/judge_test.go
@@ -18,7 +18,7 @@
 func modelJob(tier int, name string, tokens int, stream bool) load.Job {
 	return load.Job{
 		Class: classes[tier], Customer: customer, Bearer: bearer,
-		Ask: engin.CompletionRequest{Model: model, Prompt: name + " " + strings.Repeat("field ", 20), MaxTokens: tokens, Stream: stream},
+		ModelRequest: engin.CompletionRequest{Model: model, Prompt: name + " " + strings.Repeat("field ", 20), MaxTokens: tokens, Stream: stream},
 	}
 }
 
@@ -62,7 +62,7 @@
 // job.
 func jobDigest(j load.Job) string {
 	if j.Path == "" {
-		return engin.Digest(j.Ask.PromptText())
+		return engin.Digest(j.ModelRequest.PromptText())
 	}
 	sum := sha256.Sum256([]byte(j.Body))
 	return hex.EncodeToString(sum[:])
@@ -95,7 +95,7 @@
 	for _, res := range results {
 		outcomes[res.Outcome]++
 		n := runs[jobDigest(res.Job)]
-		name := strings.TrimSpace(res.Job.Body + strings.SplitN(res.Job.Ask.Prompt, " ", 2)[0])
+		name := strings.TrimSpace(res.Job.Body + strings.SplitN(res.Job.ModelRequest.Prompt, " ", 2)[0])
 		switch {
 		case n > 1:
 			r.t.Errorf("%s ran %d times (%s, id %s)", name, n, res.Outcome, res.ID)
--- a/trial/proof/tier_test.go
+++ b/trial/proof/tier_test.go
@@ -19,12 +19,12 @@
 		if refused.Outcome != load.Refused {
 			continue
 		}
-		refusedAt := sentAt[refused.Job.Ask.Prompt].Add(refused.Total)
+		refusedAt := sentAt[refused.Job.ModelRequest.Prompt].Add(refused.TotalTime)
 		for _, served := range results {
 			if served.Outcome != load.Complete || served.Job.Class.Tier <= refused.Job.Class.Tier {
 				continue
 			}
-			servedFrom, servedUntil := sentAt[served.Job.Ask.Prompt].Add(served.First), sentAt[served.Job.Ask.Prompt].Add(served.Total)
+			servedFrom, servedUntil := sentAt[served.Job.ModelRequest.Prompt].Add(served.TimeToFirstToken), sentAt[served.Job.ModelRequest.Prompt].Add(served.TotalTime)
 			if refusedAt.After(servedFrom) && refusedAt.Before(servedUntil) {
 				t.Errorf("tier %d was refused while tier %d was served: %s", refused.Job.Class.Tier, served.Job.Class.Tier, refused.Detail)
 				return
@@ -46,7 +46,7 @@
 	sentAt := make(map[string]time.Time)
 	var b requestBatch
 	send := func(entry int, j load.Job) {
-		sentAt[j.Ask.Prompt] = time.Now()
+		sentAt[j.ModelRequest.Prompt] = time.Now()
 		r.send(&b, entry, j)
 	}
 	for i := range 16 {
@@ -84,7 +84,7 @@
 	for i := range 300 {
 		<-tick.C
 		j := modelJob(i%4, fmt.Sprintf("over-%d", i), 30, i%3 == 0)
-		sentAt[j.Ask.Prompt] = time.Now()
+		sentAt[j.ModelRequest.Prompt] = time.Now()
 		r.send(&b, i/4%2, j)
 	}
 	results := b.wait()
--- a/trial/smoke.go
+++ b/trial/smoke.go
@@ -95,7 +95,7 @@
 	if isChat {
 		ask.Prompt, ask.Messages = "", []engin.Message{{Role: "user", Content: prompt}}
 	}
-	return load.Job{Class: class, Customer: customer, Bearer: bearer(customer), Ask: ask}
+	return load.Job{Class: class, Customer: customer, Bearer: bearer(customer), ModelRequest: ask}
 }
 
 // plainJob returns job number n as a request to the plain service.
