--- a/core/queue/flow.go
+++ b/core/queue/flow.go
@@ -2,114 +2,119 @@
 
 import "time"
 
-// node is an item in its place in the queue.
+// node is a queued item together with its position in the queue.
 type node struct {
 	Item
 	flow *flow
-	// key orders the items of one customer. It is the time at which the item
-	// would end if it started at the last moment that keeps its target, so
-	// that work goes before work that is much longer, and an item that waits
-	// is overtaken only by items that arrive within its own length.
-	key time.Duration
-	// seq breaks ties in order of arrival.
+	// sortKey orders the items of one customer. It is the time at which the
+	// item would finish if it started at its StartBy time. Short work therefore
+	// runs before much longer work, and a waiting item can be overtaken only by
+	// items that arrive within its own cost.
+	sortKey time.Duration
+	// seq is the arrival number. It breaks ties between equal sort keys.
 	seq uint64
-	// late tells which of the flow's heaps holds the node.
+	// late reports whether the node is in the late heap of its flow.
 	late bool
-	// at is the index in that heap and atDeadline the index in the queue's
-	// deadlines, -1 without a deadline.
-	at, atDeadline int
-	// passed counts the items that ran before it because it did not fit.
-	passed int
+	// heapIndex is the index in the heap of the flow. deadlineIndex is the
+	// index in Queue.deadlines, or -1 for an item without a deadline.
+	heapIndex, deadlineIndex int
+	// skips counts the items that PopFitting returned before this one because
+	// this one did not fit.
+	skips int
 }
 
 func (n *node) isLate(now time.Duration) bool { return n.Due > 0 && now > n.Due }
 
 func nodeLess(a, b *node) bool {
-	if a.key != b.key {
-		return a.key < b.key
+	if a.sortKey != b.sortKey {
+		return a.sortKey < b.sortKey
 	}
 	return a.seq < b.seq
 }
 
-func placeNode(n *node, i int) { n.at = i }
+func setHeapIndex(n *node, i int) { n.heapIndex = i }
 
-// flow is the waiting work of one customer in one tier.
+// flow holds the waiting items of one customer in one tier.
 type flow struct {
 	customer string
-	// start is the virtual time at which the customer's next item starts: the
-	// cost that the customer has been served, as far as it still matters. It
-	// is never below the tier's virtual time when an item enters an empty flow.
-	start time.Duration
-	// timely holds the items whose target can still be kept, late the others;
-	// an item is moved when it is found late at the head.
-	timely, late heap[*node]
-	// turn counts pops, to give late items their share.
-	turn int
-	// cost is the sum of the estimates of the waiting items.
+	// virtualStart is the virtual time at which the customer's next item
+	// starts: the cost that the customer has been served since it began to
+	// compete. When an item enters an empty flow, virtualStart is raised to at
+	// least the tier's virtual time.
+	virtualStart time.Duration
+	// onTime holds the items that can still meet their target, late those that
+	// can't. An item is moved to late when it reaches the head of onTime and
+	// its target is already missed.
+	onTime, late heap[*node]
+	// pops counts the items taken from the flow. It decides when a late item is
+	// next.
+	pops int
+	// cost is the sum of the estimated costs of the waiting items.
 	cost time.Duration
-	// in is the heap of the tier that holds the flow and at its index there;
-	// atHeavy is its index in heavy, -1 without items.
-	in      standing
-	at      int
-	atHeavy int
+	// state names the tier's heap that holds the flow, and heapIndex is the
+	// index in that heap. backlogIndex is the index in tier.byBacklog, -1 while
+	// the flow has no items.
+	state        flowState
+	heapIndex    int
+	backlogIndex int
 }
 
-// standing tells which of the tier's heaps holds a flow.
-type standing uint8
+// flowState names the heap of the tier that holds a flow.
+type flowState uint8
 
 const (
-	// unplaced: in none yet.
-	unplaced standing = iota
-	// timely: it has items that can still keep their target.
-	timely
-	// tardy: all its items are late.
-	tardy
-	// idle: it has no items.
-	idle
+	// flowUnplaced: the flow is in no heap yet.
+	flowUnplaced flowState = iota
+	// flowOnTime: at least one item can still meet its target.
+	flowOnTime
+	// flowLate: all items are late.
+	flowLate
+	// flowIdle: the flow has no items.
+	flowIdle
 )
 
 func newFlow() *flow {
 	return &flow{
-		timely:  heap[*node]{less: nodeLess, place: placeNode},
-		late:    heap[*node]{less: nodeLess, place: placeNode},
-		atHeavy: -1,
+		onTime:       heap[*node]{less: nodeLess, onMove: setHeapIndex},
+		late:         heap[*node]{less: nodeLess, onMove: setHeapIndex},
+		backlogIndex: -1,
 	}
 }
 
-// standing returns the heap of the tier where the flow belongs.
-func (f *flow) standing() standing {
+// wantedState returns the state that matches the items of the flow.
+func (f *flow) wantedState() flowState {
 	switch {
-	case f.timely.len() > 0:
-		return timely
+	case f.onTime.len() > 0:
+		return flowOnTime
 	case f.late.len() > 0:
-		return tardy
+		return flowLate
 	}
-	return idle
+	return flowIdle
 }
 
-func (f *flow) len() int { return f.timely.len() + f.late.len() }
+func (f *flow) len() int { return f.onTime.len() + f.late.len() }
 
 func (f *flow) push(n *node) {
 	if n.late {
 		f.late.push(n)
 		return
 	}
-	f.timely.push(n)
+	f.onTime.push(n)
 }
 
 func (f *flow) remove(n *node) {
 	if n.late {
-		f.late.remove(n.at)
+		f.late.remove(n.heapIndex)
 		return
 	}
-	f.timely.remove(n.at)
+	f.onTime.remove(n.heapIndex)
 }
 
-// expire moves the items at the head whose target is missed to late and
-// reports whether there were any.
+// expire moves the items at the head of onTime whose target is missed to late.
+// It reports whether it moved any.
 func (f *flow) expire(now time.Duration) (moved bool) {
-	for f.timely.len() > 0 && f.timely.top().isLate(now) {
-		n := f.timely.remove(0)
+	for f.onTime.len() > 0 && f.onTime.top().isLate(now) {
+		n := f.onTime.remove(0)
 		n.late = true
 		f.late.push(n)
 		moved = true
@@ -117,37 +122,39 @@
 	return moved
 }
 
-// head returns the item to run next; the flow must not be empty. One pop in
-// lateShare goes to the late items even while timely ones wait: without it an
-// item that missed its target would wait for as long as the customer keeps
-// sending, and its caller would see a timeout instead of a late answer.
+// head returns the item to run next. The flow must not be empty. One pop in
+// latePopEvery returns a late item even while items that are on time wait.
+// Otherwise an item that missed its target would wait for as long as the
+// customer keeps sending requests, and its caller would see a timeout instead
+// of a late answer.
 func (f *flow) head() *node {
 	switch {
 	case f.late.len() == 0:
-		return f.timely.top()
-	case f.timely.len() == 0, f.turn%lateShare == lateShare-1:
+		return f.onTime.top()
+	case f.onTime.len() == 0, f.pops%latePopEvery == latePopEvery-1:
 		return f.late.top()
 	}
-	return f.timely.top()
+	return f.onTime.top()
 }
 
-// key returns the key of the first item, to break ties between flows.
-func (f *flow) key() time.Duration {
-	if f.timely.len() > 0 {
-		return f.timely.top().key
+// sortKey returns the key of the first item. It breaks ties between flows.
+func (f *flow) sortKey() time.Duration {
+	if f.onTime.len() > 0 {
+		return f.onTime.top().sortKey
 	}
-	return f.late.top().key
+	return f.late.top().sortKey
 }
 
-// victim returns an item to give up: a late one if there is one, and one of
-// the last to run, which is a leaf of its heap.
-func (f *flow) victim() *node {
+// evictionCandidate returns the item of the flow to evict: a late one if there
+// is one, and one of the last to run. It compares only the last evictionScan
+// elements of the heap; the last element is always a leaf.
+func (f *flow) evictionCandidate() *node {
 	h := &f.late
 	if h.len() == 0 {
-		h = &f.timely
+		h = &f.onTime
 	}
 	worst := h.items[h.len()-1]
-	for i := h.len() - 1; i >= max(h.len()-victimScan, 0); i-- {
+	for i := h.len() - 1; i >= max(h.len()-evictionScan, 0); i-- {
 		if nodeLess(worst, h.items[i]) {
 			worst = h.items[i]
 		}
--- a/core/queue/heap.go
+++ b/core/queue/heap.go
@@ -1,14 +1,14 @@
 package queue
 
-// heap is a binary min-heap that tells each element where it stands, so that
-// elements can be taken out of its middle.
+// heap is a binary min-heap that reports the index of each element, so that
+// elements can be removed from its middle.
 type heap[T any] struct {
 	// items satisfies !less(items[i], items[(i-1)/2]) for every i > 0.
 	items []T
 	less  func(a, b T) bool
-	// place is told the index of an element whenever it changes, -1 when the
-	// element is taken out.
-	place func(v T, i int)
+	// onMove is called with the new index of an element whenever the index
+	// changes, and with -1 when the element is removed.
+	onMove func(v T, i int)
 }
 
 func (h *heap[T]) len() int { return len(h.items) }
@@ -17,7 +17,7 @@
 
 func (h *heap[T]) push(v T) {
 	h.items = append(h.items, v)
-	h.place(v, len(h.items)-1)
+	h.onMove(v, len(h.items)-1)
 	h.up(len(h.items) - 1)
 }
 
@@ -25,17 +25,17 @@
 	v := h.items[i]
 	last := len(h.items) - 1
 	h.swap(i, last)
-	var none T
-	h.items[last] = none
+	var zero T
+	h.items[last] = zero
 	h.items = h.items[:last]
 	if i < last {
 		h.fix(i)
 	}
-	h.place(v, -1)
+	h.onMove(v, -1)
 	return v
 }
 
-// fix restores the order after the element at i has changed.
+// fix restores the heap order after the element at index i has changed.
 func (h *heap[T]) fix(i int) {
 	if !h.down(i) {
 		h.up(i)
@@ -75,6 +75,6 @@
 		return
 	}
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.place(h.items[i], i)
-	h.place(h.items[j], j)
+	h.onMove(h.items[i], i)
+	h.onMove(h.items[j], j)
 }
--- a/core/queue/model_test.go
+++ b/core/queue/model_test.go
@@ -10,19 +10,21 @@
 	"lycheepond/core/ident"
 )
 
-// outcome counts the requests of one length and those that started in time.
-type outcome struct{ offered, within int }
+// outcome counts the requests of one length and those that started before their
+// target.
+type outcome struct{ offered, onTime int }
 
-// mixture runs one endpoint with eight places at 70% of its capacity for an
-// hour of modelled time: one request in twenty is a hundred times as long as
-// the others. With fifo requests run in order of arrival, whatever they are.
-func mixture(fifo bool) (short, long outcome) {
+// simulateMixedLengths runs one endpoint with eight slots at 70% of its
+// capacity for an hour of simulated time. One request in twenty is a hundred
+// times as long as the others. If fifo is set, requests run in order of arrival
+// regardless of customer and length.
+func simulateMixedLengths(fifo bool) (short, long outcome) {
 	const (
-		places = 8
-		tick   = 20 * time.Millisecond
-		mean   = 5.95 // seconds, of 19 requests of one second and one of a hundred
+		slots       = 8
+		tick        = 20 * time.Millisecond
+		meanSeconds = 5.95 // of 19 requests of one second and one of a hundred
 	)
-	q, b, rnd := New(Config{}), bound.New(bound.Config{Min: places, Max: places}), rand.New(rand.NewPCG(5, 5))
+	q, b, rnd := New(Config{}), bound.New(bound.Config{Min: slots, Max: slots}), rand.New(rand.NewPCG(5, 5))
 	type run struct {
 		end  time.Duration
 		long bool
@@ -36,7 +38,7 @@
 				i--
 			}
 		}
-		if rnd.Float64() < 0.7*places/mean*tick.Seconds() {
+		if rnd.Float64() < 0.7*slots/meanSeconds*tick.Seconds() {
 			n++
 			it := Item{ID: ident.Make(1, uint64(n)), Tier: 1, Customer: fmt.Sprint(rnd.IntN(5)), Cost: second, Due: now + 2*second}
 			if rnd.IntN(20) == 0 {
@@ -59,10 +61,10 @@
 				}
 			}
 			it, ok := q.Next(now, func(it Item) Fit {
-				switch answer := b.Fit(now, r, bound.Work{Tier: 1, Cost: it.Cost}); {
-				case answer == bound.NoPlace:
+				switch fit := b.Fit(now, r, bound.Work{Tier: 1, Cost: it.Cost}); {
+				case fit == bound.NoPlace:
 					return Stop
-				case answer == bound.LongFull && !fifo:
+				case fit == bound.LongFull && !fifo:
 					return Pass
 				}
 				return Fits
@@ -77,7 +79,7 @@
 			}
 			o.offered++
 			if now <= max(it.Due, it.Deadline) {
-				o.within++
+				o.onTime++
 			}
 		}
 	}
@@ -85,14 +87,15 @@
 }
 
 // One request in twenty is a hundred times as long as the others. In order of
-// arrival long work fills the places sooner or later, and short requests, whose
-// callers wait at a screen, wait for it to end.
+// arrival, long requests would sooner or later occupy all slots, and short
+// requests, which often have a user waiting at a screen, would wait until a
+// long one ends.
 func TestLongAmongShort(t *testing.T) {
-	short, long := mixture(false)
-	fifoShort, fifoLong := mixture(true)
-	part := func(o outcome) float64 { return 100 * float64(o.within) / float64(o.offered) }
-	t.Logf("within target: short %.1f%%, long %.1f%%; in order of arrival %.1f%% and %.1f%%", part(short), part(long), part(fifoShort), part(fifoLong))
-	if part(short) < 99 || part(long) < 90 {
-		t.Error("too few within target")
+	short, long := simulateMixedLengths(false)
+	fifoShort, fifoLong := simulateMixedLengths(true)
+	percentOnTime := func(o outcome) float64 { return 100 * float64(o.onTime) / float64(o.offered) }
+	t.Logf("started within target: short %.1f%%, long %.1f%%; in order of arrival %.1f%% and %.1f%%", percentOnTime(short), percentOnTime(long), percentOnTime(fifoShort), percentOnTime(fifoLong))
+	if percentOnTime(short) < 99 || percentOnTime(long) < 90 {
+		t.Error("too few requests started within target")
 	}
 }
--- a/core/queue/next.go
+++ b/core/queue/next.go
@@ -2,55 +2,59 @@
 
 import "time"
 
-// Fit tells whether an item can run now.
+// Fit says whether an item can run now.
 type Fit uint8
 
 const (
-	// Fits means that the item runs now.
+	// Fits means that the item can run now.
 	Fits Fit = iota
-	// Pass means that the item must wait, and that others may run before it for as long as
-	// it does, as with long work whose places are taken.
+	// Skip means that the item must wait and any number of other items may run
+	// before it. An example is long work while all slots for long work are
+	// taken.
 	Pass
-	// PassFew means that the item must wait, and that only some others may run
-	// before it, as with work that needs more memory than is free. If all could pass, small
-	// work would take each piece of memory that becomes free and large work
-	// would never run.
+	// SkipLimited means that the item must wait and at most maxSkips other
+	// items may run before it. An example is work that needs more memory than
+	// is free: without the limit, small work would take every piece of memory
+	// that becomes free and large work would never run.
 	PassFew
 	// Stop means that nothing can run now.
 	Stop
 )
 
 const (
-	// maxPassed is how many items may run before one that answered PassFew.
-	maxPassed = 16
-	// maxTried bounds how many items of a tier Next looks at.
-	maxTried = 32
+	// maxSkips is the number of items that may run before one that answered
+	// SkipLimited.
+	maxSkips = 16
+	// maxScanned is the number of items of one tier that PopFitting examines.
+	maxScanned = 32
 )
 
-// Next takes the first item, in the order of Pop, that fits. It gives up when
-// an item must not be passed, and goes on to the next tier after looking at
-// maxTried items of one.
+// PopFitting removes and returns the first item, in the order of Pop, for which
+// fit returns Fits. It returns false when fit returns Stop, when an item has
+// been skipped too often to be skipped again, and when no examined item fits.
+// It examines at most maxScanned items of a tier before it goes on to the next
+// tier.
 func (q *Queue) Next(now time.Duration, fit func(Item) Fit) (Item, bool) {
-	q.tried = q.tried[:0]
-	found := q.search(now, fit)
-	for _, n := range q.tried {
+	q.setAside = q.setAside[:0]
+	found := q.findFitting(now, fit)
+	for _, n := range q.setAside {
 		q.tiers[n.Tier].push(n)
 	}
 	if found == nil {
 		return Item{}, false
 	}
-	for _, n := range q.tried {
-		n.passed++
+	for _, n := range q.setAside {
+		n.skips++
 	}
-	return q.take(found, true), true
+	return q.removeNode(found, true), true
 }
 
-// search sets the items that do not fit aside in tried and returns the first
-// that does.
-func (q *Queue) search(now time.Duration, fit func(Item) Fit) *node {
+// findFitting returns the first item that fits, or nil. It detaches the items
+// that do not fit and appends them to q.setAside.
+func (q *Queue) findFitting(now time.Duration, fit func(Item) Fit) *node {
 	for i := range q.tiers {
 		t := &q.tiers[i]
-		for tried := 0; t.count > 0 && tried < maxTried; tried++ {
+		for tried := 0; t.count > 0 && tried < maxScanned; tried++ {
 			n := t.head(now)
 			switch fit(n.Item) {
 			case Fits:
@@ -58,12 +62,12 @@
 			case Stop:
 				return nil
 			case PassFew:
-				if n.passed >= maxPassed {
+				if n.skips >= maxSkips {
 					return nil
 				}
 			}
 			t.detach(n)
-			q.tried = append(q.tried, n)
+			q.setAside = append(q.setAside, n)
 		}
 	}
 	return nil
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -1,27 +1,28 @@
-// Package queue orders the work that waits in front of one endpoint: by tier,
-// inside a tier by fair shares between customers, and inside a customer's work
-// by urgency.
+// Package queue orders the requests that wait for one endpoint: first by tier,
+// within a tier by fair shares between customers, and within a customer's
+// requests by urgency.
 //
-// The load it answers is a burst: more work than the endpoint can run, from
-// several customers, of lengths that differ a hundredfold. In order of arrival
-// the customer with the most requests takes the endpoint, a short lookup waits
-// for a season's draft, and work of a high tier waits for all that came before
-// it.
+// It is designed for bursts in which several customers send more work than the
+// endpoint can run, with request lengths that differ by a factor of a hundred.
+// In order of arrival, the customer with the most requests would take the whole
+// endpoint, a short lookup would wait for a long draft, and work of a high tier
+// would wait for everything that arrived before it.
 //
-// Tiers are strict. Inside a tier the queue is start-time fair: the customer
-// that was served the least estimated cost since it began to compete is next,
-// without weights, and Done replaces the estimate by the actual cost, so that a
-// customer whose work is underestimated pays for it afterwards. A customer's
-// own work is ordered by the time at which it would end if it started as late
-// as its target allows; that puts short work before work a hundred times as
-// long, and lets an item be overtaken only by what arrives within its own
-// length. What is already late stands behind what is not, but has one turn in
-// sixteen, so that it is not starved.
+// Tiers are strict: work of a higher tier always runs first. Within a tier the
+// queue uses start-time fair queueing without weights. The next customer is the
+// one that has been served the least estimated cost since it began to compete.
+// ChargeActual later replaces the estimate by the actual cost, so a customer
+// whose work is underestimated pays for it afterwards. The requests of one
+// customer are ordered by the time at which they would finish if they started
+// as late as their target allows. This puts short work before work that is a
+// hundred times as long, and lets a request be overtaken only by requests that
+// arrive within its own cost. Requests that are already late run after those
+// that are not, except that one pop in sixteen (latePopEvery) returns a late
+// request, so that late requests are not starved.
 //
-// Grounds of the figures: lateShare of 16 leaves more than nine tenths of the
-// endpoint to work that still has a target to keep, the share that overload is
-// to reach; maxPassed and the scan limits bound the cost of Next and are to be
-// measured.
+// With latePopEvery at 16, more than nine tenths of the endpoint is left to
+// work that can still meet its target, which is the goodput required under
+// overload. maxSkips and the scan limits bound the cost of PopFitting.
 package queue
 
 import (
@@ -33,48 +34,52 @@
 )
 
 const (
-	// DefaultMax is the default of Config.Max.
+	// DefaultMax is the default of Config.MaxItems.
 	DefaultMax = 10000
-	// lateShare is the number of pops of a customer of which one goes to late
-	// work.
-	lateShare = 16
-	// minCharge is the least that an item costs its customer.
+	// latePopEvery is the number of pops from a flow of which one returns a
+	// late item.
+	latePopEvery = 16
+	// minCharge is the minimum cost that is charged to a customer for an item.
 	minCharge = time.Millisecond
-	// noTarget is how long after its arrival an item without a target is
-	// ordered as if it had one.
-	noTarget = time.Minute
-	// victimScan is how many of the last items are looked at to find one to
-	// give up.
-	victimScan = 8
-	// unfairShare is how many times the newcomer's waiting cost a customer's
-	// own must be for its work to be displaced inside a tier.
-	unfairShare = 2
+	// defaultTarget replaces the missing target of an item without one, counted
+	// from its arrival. It is used only to order the item.
+	defaultTarget = time.Minute
+	// evictionScan is the number of elements at the end of a heap that are
+	// compared to choose an item to evict.
+	evictionScan = 8
+	// evictionRatio limits evictions within a tier: a customer loses an item
+	// only if its waiting cost is more than this many times that of the
+	// customer whose item arrives.
+	evictionRatio = 2
 )
 
-// ErrFull reports a queue in which nothing can be displaced.
+// ErrFull is returned by Push when the queue is full and no item may be
+// evicted.
 var ErrFull = errors.New("queue: full of work of the same or a higher tier: offer the request to another agent")
 
-// ErrDuplicate reports an ID that is already queued.
+// ErrDuplicate is returned by Push for an ID that is already queued.
 var ErrDuplicate = errors.New("queue: this ID is already queued: withdraw it before offering it again")
 
-// Item is one request that waits.
+// Item is one waiting request.
 type Item struct {
 	ID       ident.ID
 	Tier     uint8
 	Customer string
-	// Cost is the estimated time that the request occupies its place.
+	// Cost is the estimated time for which the request will occupy a slot of
+	// the endpoint.
 	Cost time.Duration
-	// Arrived, Due and Deadline are on the owner's time line. Due is the last
-	// moment at which the request can start and still keep its target, and
-	// Deadline when the caller gives up; zero means never.
+	// Arrived, StartBy and Deadline are times on the owner's clock. StartBy is
+	// the latest start with which the request still meets its target. Deadline
+	// is the time at which the caller gives up. Zero means that there is no
+	// such time; Push replaces a zero Arrived by the current time.
 	Arrived, Due, Deadline time.Duration
 	// Repeatable is set when the request may be cancelled and run again.
 	Repeatable bool
 }
 
-// Config says how a queue behaves.
+// Config configures a Queue.
 type Config struct {
-	// Max is how many items may wait; zero means DefaultMax.
+	// MaxItems is the maximum number of waiting items. Zero means DefaultMax.
 	Max int
 }
 
@@ -82,19 +87,20 @@
 type Queue struct {
 	cfg   Config
 	tiers [spec.Tiers]tier
-	// byID holds every waiting item, and deadlines those with a deadline.
+	// byID holds every waiting item, deadlines only the items with a deadline.
 	byID      map[ident.ID]*node
 	deadlines heap[*node]
-	cost      time.Duration
+	totalCost time.Duration
 	seq       uint64
-	// spare nodes and flows are reused, so that a steady queue allocates
-	// nothing.
-	spareNodes []*node
-	spareFlows []*flow
-	// out is what Expired and DropAbove return.
-	out []Item
-	// tried is what Next has set aside.
-	tried []*node
+	// freeNodes and freeFlows hold unused objects for reuse, so that a queue of
+	// steady length does not allocate.
+	freeNodes []*node
+	freeFlows []*flow
+	// removed is the buffer that RemoveExpired and DropAbove return.
+	removed []Item
+	// setAside holds the items that PopFitting has detached because they did
+	// not fit. It puts them back before it returns.
+	setAside []*node
 }
 
 // New returns an empty queue.
@@ -104,31 +110,34 @@
 	}
 	q := &Queue{cfg: cfg, byID: make(map[ident.ID]*node)}
 	for i := range q.tiers {
-		q.tiers[i] = newTier(&q.spareFlows)
+		q.tiers[i] = newTier(&q.freeFlows)
 	}
 	q.deadlines = heap[*node]{
-		less:  func(a, b *node) bool { return a.Deadline < b.Deadline },
-		place: func(n *node, i int) { n.atDeadline = i },
+		less:   func(a, b *node) bool { return a.Deadline < b.Deadline },
+		onMove: func(n *node, i int) { n.deadlineIndex = i },
 	}
 	return q
 }
 
-// Push adds an item. In a full queue it displaces work of the lowest tier
-// below the item's own, from the customer who has the most waiting there.
-// Without such work it displaces work of its own tier, if another customer has
-// much more waiting: otherwise one customer could fill the queue and every
-// other one would be turned away.
+// Push adds an item. If the queue is full, Push evicts an item of the lowest
+// waiting tier below the item's own, from the customer with the most waiting
+// cost in that tier. If there is no lower tier waiting, it evicts from the
+// customer with the most waiting cost in the item's own tier, provided that
+// this is another customer with more than evictionRatio times the waiting cost
+// of the item's customer. Otherwise one customer could fill the queue and all
+// others would be refused. Push returns ErrFull if nothing may be evicted and
+// ErrDuplicate if the ID is already queued.
 func (q *Queue) Push(now time.Duration, it Item) (evicted Item, didEvict bool, err error) {
 	it.Tier = min(it.Tier, spec.Tiers-1)
 	if _, ok := q.byID[it.ID]; ok {
 		return Item{}, false, ErrDuplicate
 	}
 	if len(q.byID) >= q.cfg.Max {
-		victim := q.victim(&it)
+		victim := q.evictionCandidate(&it)
 		if victim == nil {
 			return Item{}, false, ErrFull
 		}
-		evicted, didEvict = q.take(victim, false), true
+		evicted, didEvict = q.removeNode(victim, false), true
 	}
 	q.add(now, it)
 	return evicted, didEvict, nil
@@ -139,17 +148,17 @@
 		it.Arrived = now
 	}
 	n := q.node()
-	n.Item, n.late, n.passed = it, false, 0
-	n.key = it.Due + it.Cost
+	n.Item, n.late, n.skips = it, false, 0
+	n.sortKey = it.Due + it.Cost
 	if it.Due == 0 {
-		n.key = it.Arrived + noTarget + it.Cost
+		n.sortKey = it.Arrived + defaultTarget + it.Cost
 	}
 	n.late = n.isLate(now)
 	q.seq++
 	n.seq = q.seq
 	q.byID[it.ID] = n
-	q.cost += it.Cost
-	n.atDeadline = -1
+	q.totalCost += it.Cost
+	n.deadlineIndex = -1
 	if it.Deadline > 0 {
 		q.deadlines.push(n)
 	}
@@ -157,49 +166,49 @@
 }
 
 func (q *Queue) node() *node {
-	if last := len(q.spareNodes) - 1; last >= 0 {
-		n := q.spareNodes[last]
-		q.spareNodes = q.spareNodes[:last]
+	if last := len(q.freeNodes) - 1; last >= 0 {
+		n := q.freeNodes[last]
+		q.freeNodes = q.freeNodes[:last]
 		return n
 	}
 	return new(node)
 }
 
-func (q *Queue) victim(it *Item) *node {
+func (q *Queue) evictionCandidate(it *Item) *node {
 	for t := spec.Tiers - 1; t > int(it.Tier); t-- {
 		if q.tiers[t].count > 0 {
-			return q.tiers[t].heavy.top().victim()
+			return q.tiers[t].byBacklog.top().evictionCandidate()
 		}
 	}
-	own := &q.tiers[it.Tier]
-	if own.count == 0 {
+	sameTier := &q.tiers[it.Tier]
+	if sameTier.count == 0 {
 		return nil
 	}
-	heavy := own.heavy.top()
-	mine := it.Cost
-	if f := own.flows[it.Customer]; f != nil {
-		mine += f.cost
+	largest := sameTier.byBacklog.top()
+	customerCost := it.Cost
+	if f := sameTier.flows[it.Customer]; f != nil {
+		customerCost += f.cost
 	}
-	if heavy.customer == it.Customer || heavy.cost <= unfairShare*mine {
+	if largest.customer == it.Customer || largest.cost <= evictionRatio*customerCost {
 		return nil
 	}
-	return heavy.victim()
+	return largest.evictionCandidate()
 }
 
-func (q *Queue) take(n *node, served bool) Item {
+func (q *Queue) removeNode(n *node, served bool) Item {
 	it := n.Item
 	if served {
-		q.tiers[it.Tier].serve(n)
+		q.tiers[it.Tier].dispatch(n)
 	} else {
-		q.tiers[it.Tier].drop(n)
+		q.tiers[it.Tier].discard(n)
 	}
-	if n.atDeadline >= 0 {
-		q.deadlines.remove(n.atDeadline)
+	if n.deadlineIndex >= 0 {
+		q.deadlines.remove(n.deadlineIndex)
 	}
 	delete(q.byID, it.ID)
-	q.cost -= it.Cost
+	q.totalCost -= it.Cost
 	n.Item, n.flow = Item{}, nil
-	q.spareNodes = append(q.spareNodes, n)
+	q.freeNodes = append(q.freeNodes, n)
 	return it
 }
 
@@ -212,16 +221,17 @@
 	return nil
 }
 
-// Pop takes the item that is to run next.
+// Pop removes and returns the item to run next. It returns false if the queue
+// is empty.
 func (q *Queue) Pop(now time.Duration) (Item, bool) {
 	n := q.head(now)
 	if n == nil {
 		return Item{}, false
 	}
-	return q.take(n, true), true
+	return q.removeNode(n, true), true
 }
 
-// Peek returns the item that Pop would take.
+// Peek returns the item that Pop would return, without removing it.
 func (q *Queue) Peek(now time.Duration) (Item, bool) {
 	n := q.head(now)
 	if n == nil {
@@ -230,45 +240,46 @@
 	return n.Item, true
 }
 
-// Remove takes the item with the given ID out.
+// Remove removes the item with the given ID and reports whether it was queued.
 func (q *Queue) Remove(id ident.ID) (Item, bool) {
 	n, ok := q.byID[id]
 	if !ok {
 		return Item{}, false
 	}
-	return q.take(n, false), true
+	return q.removeNode(n, false), true
 }
 
-// Expired takes out the items whose deadline has passed. The slice is valid
-// until the next call of Expired or DropAbove.
+// RemoveExpired removes and returns the items whose deadline has passed. The
+// slice is valid until the next call of RemoveExpired or DropAbove.
 func (q *Queue) Expired(now time.Duration) []Item {
-	q.out = q.out[:0]
+	q.removed = q.removed[:0]
 	for q.deadlines.len() > 0 && q.deadlines.top().Deadline <= now {
-		q.out = append(q.out, q.take(q.deadlines.top(), false))
+		q.removed = append(q.removed, q.removeNode(q.deadlines.top(), false))
 	}
-	return q.out
+	return q.removed
 }
 
-// DropAbove takes out the items of tiers above level, lowest tier first. The
-// slice is valid until the next call of Expired or DropAbove.
+// DropAbove removes and returns the items whose tier number is greater than
+// level, starting with the largest number, which is the lowest tier. The slice
+// is valid until the next call of RemoveExpired or DropAbove.
 func (q *Queue) DropAbove(level uint8) []Item {
-	q.out = q.out[:0]
+	q.removed = q.removed[:0]
 	for i := spec.Tiers - 1; i > int(level); i-- {
 		t := &q.tiers[i]
 		for t.count > 0 {
-			q.out = append(q.out, q.take(t.heavy.top().victim(), false))
+			q.removed = append(q.removed, q.removeNode(t.byBacklog.top().evictionCandidate(), false))
 		}
 	}
-	return q.out
+	return q.removed
 }
 
-// Len returns how many items wait.
+// Len returns the number of waiting items.
 func (q *Queue) Len() int { return len(q.byID) }
 
-// Cost returns the estimated cost of all waiting items.
-func (q *Queue) Cost() time.Duration { return q.cost }
+// Cost returns the sum of the estimated costs of all waiting items.
+func (q *Queue) Cost() time.Duration { return q.totalCost }
 
-// Mask has bit t set while an item of tier t waits.
+// TierMask returns a mask in which bit t is set while an item of tier t waits.
 func (q *Queue) Mask() uint8 {
 	var m uint8
 	for i := range q.tiers {
@@ -279,9 +290,9 @@
 	return m
 }
 
-// Done corrects a customer's share of its tier once the actual cost of one of
-// its requests is known.
+// ChargeActual replaces the estimated cost that was charged to the customer in
+// the tier by the actual cost. The owner calls it when the request has ended.
 func (q *Queue) Done(customer string, tier uint8, estimated, actual time.Duration) {
 	t := &q.tiers[min(tier, spec.Tiers-1)]
-	t.correct(customer, charge(actual)-charge(estimated))
+	t.correctStart(customer, charge(actual)-charge(estimated))
 }
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -44,13 +44,13 @@
 		items []Item
 		want  string
 	}{
-		{"tier before all", 0, []Item{item(1, 3, "a", 1, 1), item(2, 0, "a", second, 0)}, "[2 1]"},
-		{"fair before urgent", 0, []Item{item(1, 1, "a", second, 5*second), item(2, 1, "a", second, 6*second), item(3, 1, "b", second, 60*second)}, "[1 3 2]"},
-		{"urgent first", 0, []Item{item(1, 1, "a", second, 9*second), item(2, 1, "a", second, 2*second)}, "[2 1]"},
+		{"higher tier first", 0, []Item{item(1, 3, "a", 1, 1), item(2, 0, "a", second, 0)}, "[2 1]"},
+		{"fair share before urgency", 0, []Item{item(1, 1, "a", second, 5*second), item(2, 1, "a", second, 6*second), item(3, 1, "b", second, 60*second)}, "[1 3 2]"},
+		{"most urgent first", 0, []Item{item(1, 1, "a", second, 9*second), item(2, 1, "a", second, 2*second)}, "[2 1]"},
 		{"short before long", 0, []Item{item(1, 1, "a", 100*second, 20*second), item(2, 1, "a", second, 100*second)}, "[2 1]"},
-		{"late behind timely", 5 * second, []Item{item(1, 1, "a", second, second), item(2, 1, "a", second, 9*second)}, "[2 1]"},
-		{"late customers behind timely", 5 * second, []Item{item(1, 1, "a", second, second), item(2, 1, "b", second, 9*second)}, "[2 1]"},
-		{"without target in order of arrival", 0, []Item{item(1, 1, "a", second, 0), item(2, 1, "a", second, 0)}, "[1 2]"},
+		{"late items after items on time", 5 * second, []Item{item(1, 1, "a", second, second), item(2, 1, "a", second, 9*second)}, "[2 1]"},
+		{"customers with only late items last", 5 * second, []Item{item(1, 1, "a", second, second), item(2, 1, "b", second, 9*second)}, "[2 1]"},
+		{"order of arrival without targets", 0, []Item{item(1, 1, "a", second, 0), item(2, 1, "a", second, 0)}, "[1 2]"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			q := New(Config{})
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestFullQueueDisplaces(t *testing.T) {
+func TestFullQueueEvicts(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		waiting []Item
@@ -71,26 +71,26 @@
 		err     error
 	}{
 		{"lowest tier first", []Item{item(1, 2, "a", second, 0), item(2, 3, "a", second, 0)}, item(3, 1, "b", second, 0), 2, nil},
-		{"from the customer with most", []Item{item(1, 3, "a", second, 0), item(2, 3, "b", 2*second, 0)}, item(3, 1, "c", second, 0), 2, nil},
-		{"not the same tier", []Item{item(1, 1, "a", second, 0), item(2, 1, "b", second, 0)}, item(3, 1, "c", second, 0), 0, ErrFull},
-		{"but a customer that fills the queue", []Item{item(1, 1, "a", 3*second, 0), item(2, 1, "a", 3*second, 0)}, item(3, 1, "c", second, 0), 2, nil},
+		{"from the customer with the largest backlog", []Item{item(1, 3, "a", second, 0), item(2, 3, "b", 2*second, 0)}, item(3, 1, "c", second, 0), 2, nil},
+		{"nothing to evict in the same tier", []Item{item(1, 1, "a", second, 0), item(2, 1, "b", second, 0)}, item(3, 1, "c", second, 0), 0, ErrFull},
+		{"same tier from a customer that fills the queue", []Item{item(1, 1, "a", 3*second, 0), item(2, 1, "a", 3*second, 0)}, item(3, 1, "c", second, 0), 2, nil},
 		{"never a higher tier", []Item{item(1, 0, "a", second, 0), item(2, 0, "a", second, 0)}, item(3, 1, "c", 1, 0), 0, ErrFull},
-		{"an ID once", []Item{item(1, 0, "a", second, 0)}, item(1, 0, "a", second, 0), 0, ErrDuplicate},
+		{"duplicate ID", []Item{item(1, 0, "a", second, 0)}, item(1, 0, "a", second, 0), 0, ErrDuplicate},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			q := New(Config{Max: 2})
 			fill(t, q, tc.waiting...)
-			out, did, err := q.Push(0, tc.it)
-			if err != tc.err || did != (tc.want != 0) || int(out.ID[ident.Size-1]) != tc.want {
-				t.Fatalf("evicted %v %v, error %v", out.ID, did, err)
+			evicted, did, err := q.Push(0, tc.it)
+			if err != tc.err || did != (tc.want != 0) || int(evicted.ID[ident.Size-1]) != tc.want {
+				t.Fatalf("evicted %v %v, error %v", evicted.ID, did, err)
 			}
 		})
 	}
 }
 
-// A customer's work costs ten times what was estimated. Without the correction
-// it would be served ten times its share until the estimates have caught up,
-// and the other customers would see their requests wait.
+// One customer's work costs ten times its estimate. Without the correction by
+// ChargeActual that customer would get ten times its share until the estimates
+// have caught up, and the other customer's requests would wait.
 func TestActualCostIsCharged(t *testing.T) {
 	q := New(Config{})
 	served := map[string]time.Duration{}
@@ -111,9 +111,10 @@
 	}
 }
 
-// One customer sends a hundred times as much as the other nineteen. They must
-// each get a twentieth of the endpoint for as long as they want it.
-func TestHotCustomerPaysForItself(t *testing.T) {
+// One customer sends a hundred times as much as each of the nineteen others. As
+// long as the others have requests waiting, each of them must get a twentieth
+// of the endpoint.
+func TestHotCustomerGetsFairShare(t *testing.T) {
 	q := New(Config{})
 	for n := range 2000 {
 		fill(t, q, item(n, 1, "hot", second, second))
@@ -128,13 +129,13 @@
 		}
 	}
 	if hot > 21 {
-		t.Fatalf("the hot customer had %d of 400 places", hot)
+		t.Fatalf("the hot customer got %d of 400 pops", hot)
 	}
 }
 
-// The endpoint is late for everyone and new requests that can still make their
-// targets keep coming, from the same customer or from ever new ones. The late
-// ones must still be answered.
+// Some items are already late while new items that can still meet their targets
+// keep arriving, either from the same customer or each from a new customer. The
+// late items must still run.
 func TestLateWorkIsNotStarved(t *testing.T) {
 	for _, newcomers := range []bool{false, true} {
 		q := New(Config{})
@@ -144,8 +145,8 @@
 		}
 		left := 5
 		for n := 100; left > 0; n++ {
-			if n > 100+6*lateShare {
-				t.Fatalf("newcomers %v: %d late items starve", newcomers, left)
+			if n > 100+6*latePopEvery {
+				t.Fatalf("new customers %v: %d late items are starved", newcomers, left)
 			}
 			customer := "a"
 			if newcomers {
@@ -162,19 +163,20 @@
 	}
 }
 
-// Places for long work are taken, or memory is short. Short work passes the
-// long, but not for ever when it is memory that lacks.
-func TestNextPasses(t *testing.T) {
+// A long item can't run because the slots for long work are taken (Skip) or
+// because memory is short (SkipLimited). Short items must run before it, but
+// only maxSkips of them when memory is short.
+func TestSkippedItemsAreOvertaken(t *testing.T) {
 	for _, tc := range []struct {
 		fit  Fit
 		want int
-	}{{Pass, 100}, {PassFew, maxPassed}, {Stop, 0}} {
+	}{{Pass, 100}, {PassFew, maxSkips}, {Stop, 0}} {
 		q := New(Config{})
 		fill(t, q, item(1, 0, "a", 100*second, 0))
 		for n := range 100 {
 			fill(t, q, item(10+n, 1, "b", second, 0))
 		}
-		passed := 0
+		taken := 0
 		for {
 			_, ok := q.Next(0, func(it Item) Fit {
 				if it.Cost > second {
@@ -185,19 +187,19 @@
 			if !ok {
 				break
 			}
-			passed++
+			taken++
 		}
-		if passed != tc.want || q.Len() != 101-passed {
-			t.Fatalf("%d passed with %d, want %d; %d left", passed, tc.fit, tc.want, q.Len())
+		if taken != tc.want || q.Len() != 101-taken {
+			t.Fatalf("%d items taken with fit %d, want %d; %d left", taken, tc.fit, tc.want, q.Len())
 		}
 	}
 }
 
-// More long work of a high tier waits for its places than Next looks at. Short
-// work of a lower tier must still get the places that are left.
-func TestNextReachesLowerTiers(t *testing.T) {
+// More long items of a high tier wait for slots than PopFitting examines in a
+// tier. Short items of a lower tier must still get the remaining slots.
+func TestPopFittingReachesLowerTiers(t *testing.T) {
 	q := New(Config{})
-	for n := range 3 * maxTried {
+	for n := range 3 * maxScanned {
 		fill(t, q, item(n, 1, "a", 100*second, 0))
 	}
 	fill(t, q, item(1000, 2, "b", second, 0))
@@ -207,23 +209,24 @@
 		}
 		return Fits
 	})
-	if !ok || it.Tier != 2 || q.Len() != 3*maxTried {
-		t.Fatalf("took %+v, %d left", it, q.Len())
+	if !ok || it.Tier != 2 || q.Len() != 3*maxScanned {
+		t.Fatalf("got %+v, %d left", it, q.Len())
 	}
 }
 
-// Whatever happens, nothing is lost or doubled, a pop takes the highest tier
-// that waits, and the sums agree with the items.
+// For any sequence of calls, no item is lost or returned twice, Pop returns an
+// item of the highest waiting tier, and Len, Cost and TierMask agree with the
+// items.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Config{Max: 20})
-		in := map[ident.ID]Item{}
-		gone := func(items ...Item) {
+		queued := map[ident.ID]Item{}
+		checkRemoved := func(items ...Item) {
 			for _, it := range items {
-				if _, ok := in[it.ID]; !ok {
-					t.Fatalf("%v came out but is not in", it.ID)
+				if _, ok := queued[it.ID]; !ok {
+					t.Fatalf("%v was removed but is not queued", it.ID)
 				}
-				delete(in, it.ID)
+				delete(queued, it.ID)
 			}
 		}
 		now, n := time.Duration(0), 0
@@ -233,31 +236,31 @@
 				it := item(n, uint8(rapid.IntRange(0, spec.Tiers-1).Draw(t, "tier")), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer"),
 					time.Duration(rapid.IntRange(0, 100).Draw(t, "cost"))*second, time.Duration(rapid.IntRange(0, 50).Draw(t, "due"))*second)
 				it.Deadline = it.Due * 2
-				out, did, err := q.Push(now, it)
+				evicted, did, err := q.Push(now, it)
 				if did {
-					if out.Tier < it.Tier {
-						t.Fatal("work of a higher tier was displaced")
+					if evicted.Tier < it.Tier {
+						t.Fatal("an item of a higher tier was evicted")
 					}
-					gone(out)
+					checkRemoved(evicted)
 				}
 				if err == nil {
 					it.Arrived = now
-					in[it.ID] = it
+					queued[it.ID] = it
 				}
 			},
 			"pop": func(t *rapid.T) {
 				want, _ := q.Peek(now)
 				it, ok := q.Pop(now)
-				if it.ID != want.ID || ok != (len(in) > 0) {
-					t.Fatalf("Pop took %v, Peek said %v", it, want)
+				if it.ID != want.ID || ok != (len(queued) > 0) {
+					t.Fatalf("Pop returned %v, Peek returned %v", it, want)
 				}
-				for _, other := range in {
+				for _, other := range queued {
 					if other.Tier < it.Tier {
-						t.Fatal("a higher tier waits")
+						t.Fatal("an item of a higher tier waits")
 					}
 				}
 				if ok {
-					gone(it)
+					checkRemoved(it)
 				}
 			},
 			"next": func(t *rapid.T) {
@@ -269,23 +272,23 @@
 					return Fits
 				})
 				if ok {
-					gone(it)
+					checkRemoved(it)
 				}
 			},
 			"done": func(t *rapid.T) {
 				q.Done(rapid.SampledFrom([]string{"a", "b", "x"}).Draw(t, "customer"), 1, second, time.Duration(rapid.IntRange(0, 9).Draw(t, "actual"))*second)
 			},
 			"later":  func(*rapid.T) { now += second },
-			"expire": func(*rapid.T) { gone(q.Expired(now)...) },
-			"drop":   func(t *rapid.T) { gone(q.DropAbove(uint8(rapid.IntRange(0, 3).Draw(t, "level")))...) },
+			"expire": func(*rapid.T) { checkRemoved(q.Expired(now)...) },
+			"drop":   func(t *rapid.T) { checkRemoved(q.DropAbove(uint8(rapid.IntRange(0, 3).Draw(t, "level")))...) },
 			"": func(t *rapid.T) {
 				cost, mask := time.Duration(0), uint8(0)
-				for _, it := range in {
+				for _, it := range queued {
 					cost += it.Cost
 					mask |= 1 << it.Tier
 				}
-				if q.Len() != len(in) || q.Cost() != cost || q.Mask() != mask {
-					t.Fatalf("len %d cost %v mask %b, want %d %v %b", q.Len(), q.Cost(), q.Mask(), len(in), cost, mask)
+				if q.Len() != len(queued) || q.Cost() != cost || q.Mask() != mask {
+					t.Fatalf("len %d cost %v mask %b, want %d %v %b", q.Len(), q.Cost(), q.Mask(), len(queued), cost, mask)
 				}
 			},
 		})
@@ -300,17 +303,17 @@
 				names[i] = fmt.Sprint("c", i)
 			}
 			q := New(Config{Max: 20000})
-			make1 := func(n int) Item {
+			newItem := func(n int) Item {
 				return item(n, uint8(n%spec.Tiers), names[n%customers], time.Duration(n%97)*second, time.Duration(n)*time.Millisecond)
 			}
 			for n := range 10000 {
-				q.Push(0, make1(n))
+				q.Push(0, newItem(n))
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for n := range b.N {
 				now := time.Duration(n) * time.Millisecond
-				q.Push(now, make1(10000+n))
+				q.Push(now, newItem(10000+n))
 				q.Pop(now)
 			}
 		})
--- a/core/queue/tier.go
+++ b/core/queue/tier.go
@@ -2,189 +2,197 @@
 
 import "time"
 
-// tier is the waiting work of one tier.
+// tier holds the waiting items of one tier.
 type tier struct {
-	// virtual is where a customer starts that begins to compete: the cost that
-	// an ever competing customer would have been served. It is never below the
-	// least start of a flow with items. Advancing it with the service, and not
-	// only with the starts that were served, bounds how many newcomers go
-	// before a customer that already had its turn.
-	virtual time.Duration
-	flows   map[string]*flow
-	// heaps holds each flow in the heap of its standing: timely and tardy by
-	// start, then key, idle by start. An idle flow's start is ahead of virtual.
-	heaps [idle + 1]heap[*flow]
-	// heavy holds the flows with items by waiting cost, the largest first.
-	heavy heap[*flow]
-	count int
-	spare *[]*flow
+	// virtualTime is the virtual start of a customer that begins to compete:
+	// the cost that a customer with waiting items at all times would have been
+	// served. It is never below the smallest virtualStart of a flow with items.
+	// It advances by the cost served divided by the number of competing
+	// customers, not only to the starts of served flows; this bounds the number
+	// of new customers that go before a customer that has already been served.
+	virtualTime time.Duration
+	flows       map[string]*flow
+	// heaps holds each flow in the heap of its state. The heaps of flowOnTime
+	// and flowLate are ordered by virtualStart, then by sortKey; the heap of
+	// flowIdle by virtualStart alone. The virtualStart of an idle flow is
+	// greater than virtualTime; prune removes the others.
+	heaps [flowIdle + 1]heap[*flow]
+	// byBacklog holds the flows with items, largest waiting cost first.
+	byBacklog heap[*flow]
+	count     int
+	freeFlows *[]*flow
 }
 
-func orderLess(a, b *flow) bool {
-	if a.start != b.start {
-		return a.start < b.start
+func flowLess(a, b *flow) bool {
+	if a.virtualStart != b.virtualStart {
+		return a.virtualStart < b.virtualStart
 	}
-	return a.key() < b.key()
+	return a.sortKey() < b.sortKey()
 }
 
-func startLess(a, b *flow) bool { return a.start < b.start }
+func startLess(a, b *flow) bool { return a.virtualStart < b.virtualStart }
 
-func newTier(spare *[]*flow) tier {
+func newTier(freeFlows *[]*flow) tier {
 	t := tier{
 		flows: make(map[string]*flow),
-		heavy: heap[*flow]{
-			less:  func(a, b *flow) bool { return a.cost > b.cost },
-			place: func(f *flow, i int) { f.atHeavy = i },
+		byBacklog: heap[*flow]{
+			less:   func(a, b *flow) bool { return a.cost > b.cost },
+			onMove: func(f *flow, i int) { f.backlogIndex = i },
 		},
-		spare: spare,
+		freeFlows: freeFlows,
 	}
-	for _, s := range []standing{timely, tardy, idle} {
-		t.heaps[s] = heap[*flow]{less: orderLess, place: func(f *flow, i int) { f.at = i }}
+	for _, s := range []flowState{flowOnTime, flowLate, flowIdle} {
+		t.heaps[s] = heap[*flow]{less: flowLess, onMove: func(f *flow, i int) { f.heapIndex = i }}
 	}
-	t.heaps[idle].less = startLess
+	t.heaps[flowIdle].less = startLess
 	return t
 }
 
-// flow returns the flow of a customer, which may be a new one that arrange has
-// still to place.
+// flow returns the flow of a customer. If it creates the flow, the caller must
+// call reposition to put it into a heap.
 func (t *tier) flow(customer string) *flow {
 	if f, ok := t.flows[customer]; ok {
 		return f
 	}
 	var f *flow
-	if last := len(*t.spare) - 1; last >= 0 {
-		f = (*t.spare)[last]
-		*t.spare = (*t.spare)[:last]
+	if last := len(*t.freeFlows) - 1; last >= 0 {
+		f = (*t.freeFlows)[last]
+		*t.freeFlows = (*t.freeFlows)[:last]
 	} else {
 		f = newFlow()
 	}
-	f.customer, f.start, f.turn, f.cost, f.in = customer, t.virtual, 0, 0, unplaced
+	f.customer, f.virtualStart, f.pops, f.cost, f.state = customer, t.virtualTime, 0, 0, flowUnplaced
 	t.flows[customer] = f
 	return f
 }
 
-// arrange puts a flow where it belongs after its start or items changed.
-func (t *tier) arrange(f *flow) {
-	want := f.standing()
+// reposition moves a flow to the heap of its state after its virtualStart or
+// its items have changed.
+func (t *tier) reposition(f *flow) {
+	want := f.wantedState()
 	switch {
-	case f.in == want:
-		t.heaps[want].fix(f.at)
-	case f.in != unplaced:
-		t.heaps[f.in].remove(f.at)
+	case f.state == want:
+		t.heaps[want].fix(f.heapIndex)
+	case f.state != flowUnplaced:
+		t.heaps[f.state].remove(f.heapIndex)
 		fallthrough
 	default:
 		t.heaps[want].push(f)
-		f.in = want
+		f.state = want
 	}
 	switch {
-	case want == idle && f.atHeavy >= 0:
-		t.heavy.remove(f.atHeavy)
-	case want != idle && f.atHeavy < 0:
-		t.heavy.push(f)
-	case want != idle:
-		t.heavy.fix(f.atHeavy)
+	case want == flowIdle && f.backlogIndex >= 0:
+		t.byBacklog.remove(f.backlogIndex)
+	case want != flowIdle && f.backlogIndex < 0:
+		t.byBacklog.push(f)
+	case want != flowIdle:
+		t.byBacklog.fix(f.backlogIndex)
 	}
 }
 
 func (t *tier) push(n *node) {
 	f := t.flow(n.Customer)
 	if f.len() == 0 {
-		f.start = max(f.start, t.virtual)
+		f.virtualStart = max(f.virtualStart, t.virtualTime)
 	}
 	n.flow = f
 	f.push(n)
 	f.cost += n.Cost
 	t.count++
-	t.arrange(f)
+	t.reposition(f)
 }
 
-// detach takes an item out without anyone paying for it and without the tier
-// forgetting anybody.
+// detach removes an item without charging its customer and without pruning idle
+// flows, so that the item can be put back.
 func (t *tier) detach(n *node) {
 	f := n.flow
 	f.remove(n)
 	f.cost -= n.Cost
 	t.count--
-	t.arrange(f)
+	t.reposition(f)
 }
 
-// drop takes an item out that does not run.
-func (t *tier) drop(n *node) {
+// discard removes an item that will not run.
+func (t *tier) discard(n *node) {
 	t.detach(n)
 	t.prune()
 }
 
-// serve takes an item out that runs, for which its customer pays.
-func (t *tier) serve(n *node) {
+// dispatch removes an item that runs now and charges its cost to its customer.
+func (t *tier) dispatch(n *node) {
 	f := n.flow
-	t.virtual += charge(n.Cost) / time.Duration(t.competing())
-	f.start += charge(n.Cost)
-	f.turn++
+	t.virtualTime += charge(n.Cost) / time.Duration(t.activeCustomers())
+	f.virtualStart += charge(n.Cost)
+	f.pops++
 	t.detach(n)
-	t.virtual = max(t.virtual, t.least())
+	t.virtualTime = max(t.virtualTime, t.minStart())
 	t.prune()
 }
 
-// competing returns how many customers have items waiting.
-func (t *tier) competing() int { return t.heaps[timely].len() + t.heaps[tardy].len() }
+// activeCustomers returns the number of customers with waiting items.
+func (t *tier) activeCustomers() int { return t.heaps[flowOnTime].len() + t.heaps[flowLate].len() }
 
-// least returns the least start of a flow with items, zero if there is none.
-func (t *tier) least() time.Duration {
-	first, late := &t.heaps[timely], &t.heaps[tardy]
+// minStart returns the smallest virtualStart of a flow with items, or zero if
+// there is none.
+func (t *tier) minStart() time.Duration {
+	onTime, late := &t.heaps[flowOnTime], &t.heaps[flowLate]
 	switch {
-	case first.len() > 0 && late.len() > 0:
-		return min(first.top().start, late.top().start)
-	case first.len() > 0:
-		return first.top().start
+	case onTime.len() > 0 && late.len() > 0:
+		return min(onTime.top().virtualStart, late.top().virtualStart)
+	case onTime.len() > 0:
+		return onTime.top().virtualStart
 	case late.len() > 0:
-		return late.top().start
+		return late.top().virtualStart
 	}
 	return 0
 }
 
-// head returns the item to run next; the tier must not be empty. Among
-// customers with equal starts those whose work is all late come last. They are
-// not starved: the virtual time of newcomers passes their start.
+// head returns the item to run next. The tier must not be empty. Among
+// customers with equal virtual starts, those with only late items come last.
+// They are not starved, because the virtual time at which new customers start
+// grows beyond their virtualStart.
 func (t *tier) head(now time.Duration) *node {
-	for t.heaps[timely].len() > 0 {
-		f := t.heaps[timely].top()
+	for t.heaps[flowOnTime].len() > 0 {
+		f := t.heaps[flowOnTime].top()
 		if !f.expire(now) {
 			break
 		}
-		t.arrange(f)
+		t.reposition(f)
 	}
-	first, late := &t.heaps[timely], &t.heaps[tardy]
+	onTime, late := &t.heaps[flowOnTime], &t.heaps[flowLate]
 	switch {
 	case late.len() == 0:
-		return first.top().head()
-	case first.len() == 0:
+		return onTime.top().head()
+	case onTime.len() == 0:
 		return late.top().head()
 	}
-	a, b := first.top(), late.top()
-	if b.start < a.start {
+	a, b := onTime.top(), late.top()
+	if b.virtualStart < a.virtualStart {
 		return b.head()
 	}
 	return a.head()
 }
 
-// prune forgets the flows that have no items and no debt, so that memory is
-// bounded by the customers that compete. When nothing waits nobody competes,
-// and all begin anew.
+// prune removes the flows that have no items and whose virtualStart is not
+// ahead of the virtual time, so that memory is bounded by the number of
+// competing customers. When nothing waits, it removes all flows and resets the
+// virtual time.
 func (t *tier) prune() {
-	h := &t.heaps[idle]
-	for h.len() > 0 && (t.count == 0 || h.top().start <= t.virtual) {
+	h := &t.heaps[flowIdle]
+	for h.len() > 0 && (t.count == 0 || h.top().virtualStart <= t.virtualTime) {
 		f := h.remove(0)
 		delete(t.flows, f.customer)
-		f.customer, f.in = "", unplaced
-		*t.spare = append(*t.spare, f)
+		f.customer, f.state = "", flowUnplaced
+		*t.freeFlows = append(*t.freeFlows, f)
 	}
 	if t.count == 0 {
-		t.virtual = 0
+		t.virtualTime = 0
 	}
 }
 
-// correct moves a customer's start by what an item cost more than estimated.
-func (t *tier) correct(customer string, delta time.Duration) {
+// correctStart moves the virtualStart of a customer by delta, the actual minus
+// the estimated cost of an item.
+func (t *tier) correctStart(customer string, delta time.Duration) {
 	if t.count == 0 || delta == 0 {
 		return
 	}
@@ -192,13 +200,12 @@
 		return
 	}
 	f := t.flow(customer)
-	f.start = max(f.start+delta, t.least())
-	t.arrange(f)
-	t.virtual = max(t.virtual+delta/time.Duration(t.competing()), t.least())
+	f.virtualStart = max(f.virtualStart+delta, t.minStart())
+	t.reposition(f)
+	t.virtualTime = max(t.virtualTime+delta/time.Duration(t.activeCustomers()), t.minStart())
 	t.prune()
 }
 
-// charge is what an item of the given cost moves its customer's start by. The
-// floor keeps work that is estimated at nothing from running for ever before
-// everyone else's.
+// charge returns the cost that is charged for an item. Without the minimum, a
+// customer whose work is estimated at zero would always run before all others.
 func charge(cost time.Duration) time.Duration { return max(cost, minCharge) }
