--- a/core/shed/drain.go
+++ b/core/shed/drain.go
@@ -6,97 +6,106 @@
 )
 
 const (
-	// goodStarts is the number of starts that a rate is measured over.
-	goodStarts = 32
-	// leastWindow and mostWindow bound the time that it is measured over.
-	leastWindow, mostWindow = 2 * time.Second, time.Minute
-	// grace is how long work must have been waiting for the pool to count as
-	// saturated: less is the way to an agent and back.
-	grace = 50 * time.Millisecond
-	// patience is how many times the usual time between two starts may pass
-	// before the rate counts as lower. Of random starts one in 400 comes later.
-	patience = 6
-	// stuckAfter is how long work must have been waiting for free places to be
-	// of no use to it.
+	// windowStarts is the number of starts over which a rate is measured.
+	windowStarts = 32
+	// minWindow and maxWindow bound the time over which a rate is measured.
+	minWindow, maxWindow = 2 * time.Second, time.Minute
+	// saturationDelay is how long work must have been waiting before the pool
+	// counts as saturated. A shorter wait is only the round trip to an agent.
+	saturationDelay = 50 * time.Millisecond
+	// maxGapRatio is the ratio of the time since the last start to the mean
+	// time between starts above which the rate is lowered. If starts are
+	// random, one gap in 400 is longer.
+	maxGapRatio = 6
+	// stuckAfter is how long work must have been waiting before free slots are
+	// considered unusable for it.
 	stuckAfter = 250 * time.Millisecond
-	// stale is how long ago the pool was last saturated for its rate to count
-	// for little, because the endpoints may have been changed since.
-	stale = time.Minute
-	// priorFor is how much time the known places stand for as long as there
-	// are few starts.
-	priorFor = 1.0
-	// leastLeft is the least part of the rate that a tier is taken to get.
-	leastLeft = 0.02
+	// staleAfter is the time since the pool was last saturated after which the
+	// measured rate is discounted, because the endpoints may have changed
+	// since.
+	staleAfter = time.Minute
+	// priorSeconds is the weight of the rate that is assumed from the known
+	// slots while few starts have been measured, in seconds of saturation.
+	priorSeconds = 1.0
+	// minRateShare is the minimum share of the pool's rate that predictions
+	// assume for a tier.
+	minRateShare = 0.02
 )
 
-// drain measures the work that the pool takes from this entry, in estimated
-// seconds a second. It does so only while work waits: at other times the work
-// started says what arrives, not what could run.
-type drain struct {
-	// work was started in starts starts within busy seconds of saturation, all
-	// three decayed.
-	work, starts, busy float64
-	// since is when work began to wait, and last when pass was last called.
-	since, last time.Duration
-	waiting     bool
-	saturated   time.Duration
-	// started is when work was last started.
-	started time.Duration
+// drainRate measures the rate at which the pool starts work of this entry, in
+// seconds of estimated work per second. It measures only while work waits: at
+// other times the work started shows what arrives, not what the pool could run.
+type drainRate struct {
+	// startedWork is the estimated work in seconds and starts the number of
+	// requests started during saturatedSeconds of saturation. All three decay
+	// exponentially.
+	startedWork, starts, saturatedSeconds float64
+	// waitingSince is the time at which work began to wait. lastUpdate is the
+	// time of the last call of advance.
+	waitingSince, lastUpdate time.Duration
+	waiting                  bool
+	// lastSaturated is the last time at which the pool was saturated.
+	lastSaturated time.Duration
+	// lastStart is the time at which work was last started.
+	lastStart time.Duration
 }
 
-// pass lets time pass until now; waiting tells whether work was waiting since
-// the last call.
-func (d *drain) pass(now time.Duration, waiting bool) {
-	last := d.last
-	d.last = now
+// advance updates the measurement to now. waiting says whether work has been
+// waiting since the last call.
+func (d *drainRate) advance(now time.Duration, waiting bool) {
+	last := d.lastUpdate
+	d.lastUpdate = now
 	if !waiting {
 		d.waiting = false
 		return
 	}
 	if !d.waiting {
-		d.waiting, d.since = true, last
+		d.waiting, d.waitingSince = true, last
 	}
-	from := max(last, d.since+grace)
+	from := max(last, d.waitingSince+saturationDelay)
 	if now <= from {
 		return
 	}
-	if from-d.saturated > stale {
-		d.forget()
+	if from-d.lastSaturated > staleAfter {
+		d.discount()
 	}
-	d.saturated = now
+	d.lastSaturated = now
 	dt := (now - from).Seconds()
-	fade := math.Exp(-dt / d.window())
-	d.work, d.starts, d.busy = d.work*fade, d.starts*fade, d.busy*fade+dt
+	decay := math.Exp(-dt / d.window())
+	d.startedWork, d.starts, d.saturatedSeconds = d.startedWork*decay, d.starts*decay, d.saturatedSeconds*decay+dt
 }
 
-// forget keeps a quarter of what was measured.
-func (d *drain) forget() { d.work, d.starts, d.busy = d.work/4, d.starts/4, d.busy/4 }
+// discount reduces the weight of the measurement to a quarter.
+func (d *drainRate) discount() {
+	d.startedWork, d.starts, d.saturatedSeconds = d.startedWork/4, d.starts/4, d.saturatedSeconds/4
+}
 
-// window is the time over which the rate is measured: as long as it takes to
-// start goodStarts requests.
-func (d *drain) window() float64 {
+// window returns the decay time in seconds: the time that it takes to start
+// windowStarts requests, between minWindow and maxWindow.
+func (d *drainRate) window() float64 {
 	if d.starts == 0 {
-		return mostWindow.Seconds()
+		return maxWindow.Seconds()
 	}
-	return min(max(goodStarts*d.busy/d.starts, leastWindow.Seconds()), mostWindow.Seconds())
+	return min(max(windowStarts*d.saturatedSeconds/d.starts, minWindow.Seconds()), maxWindow.Seconds())
 }
 
-// start records that work was started.
-func (d *drain) start(now time.Duration, work float64) {
-	d.started = now
-	if !d.waiting || now-d.since < grace {
+// recordStart records that work, in estimated seconds, was started.
+func (d *drainRate) recordStart(now time.Duration, work float64) {
+	d.lastStart = now
+	if !d.waiting || now-d.waitingSince < saturationDelay {
 		return
 	}
-	d.work += work
+	d.startedWork += work
 	d.starts++
 }
 
-// rate returns the measured rate, with the share of the known places standing
-// in while there are few starts; zero if nothing is known.
-func (d *drain) rate(v View) float64 {
-	work, busy := d.work, d.busy
-	if d.starts < goodStarts/2 && v.Places > 0 {
-		prior := priorFor * (1 - d.starts/(goodStarts/2))
+// rate returns the measured rate. While there are fewer than windowStarts/2
+// starts, it mixes in this entry's share of the slots known from v. It returns
+// zero if nothing is known.
+func (d *drainRate) rate(v View) float64 {
+	work, busy := d.startedWork, d.saturatedSeconds
+	if d.starts < windowStarts/2 && v.Places > 0 {
+		prior := priorSeconds * (1 - d.starts/(windowStarts/2))
 		work += prior * float64(v.Places) / float64(max(v.Peers, 1))
 		busy += prior
 	}
@@ -106,23 +115,25 @@
 	return work / busy
 }
 
-// present is rate, less when nothing was started for longer than that rate
-// lets expect: work that is starved by higher tiers must be found so before the
-// rate has faded.
-func (d *drain) present(now time.Duration) float64 {
+// currentRate returns rate, or less if the time since the last start is longer
+// than that rate makes likely. Work that is starved by higher tiers must be
+// detected before the measured rate has decayed.
+func (d *drainRate) currentRate(now time.Duration) float64 {
 	rate := d.rate(View{})
-	gap := (now - max(d.started, d.since)).Seconds()
+	gap := (now - max(d.lastStart, d.waitingSince)).Seconds()
 	if gap <= 0 || d.starts == 0 {
 		return rate
 	}
-	return min(rate, patience*d.work/d.starts/gap)
+	return min(rate, maxGapRatio*d.startedWork/d.starts/gap)
 }
 
-// sure reports whether the rate rests on more than a few starts or on a long
-// wait.
-func (d *drain) sure() bool {
-	return d.starts >= goodStarts/4 || d.busy >= leastWindow.Seconds()
+// isReliable reports whether the rate is based on enough starts or on a long
+// enough time of saturation.
+func (d *drainRate) isReliable() bool {
+	return d.starts >= windowStarts/4 || d.saturatedSeconds >= minWindow.Seconds()
 }
 
-// stuck reports whether work has been waiting for long.
-func (d *drain) stuck(now time.Duration) bool { return d.waiting && now-d.since > stuckAfter }
+// isStuck reports whether work has been waiting for longer than stuckAfter.
+func (d *drainRate) isStuck(now time.Duration) bool {
+	return d.waiting && now-d.waitingSince > stuckAfter
+}
--- a/core/shed/level.go
+++ b/core/shed/level.go
@@ -3,115 +3,126 @@
 import "time"
 
 const (
-	// mostHold bounds how long the level stays after it had to fall again and
-	// again.
-	mostHold = 16 * time.Second
-	// idleRise is how many times sooner the level rises while places are free
-	// and nothing waits for them.
-	idleRise = 4
-	// relapse is how soon after a rise a fall counts as a consequence of it.
-	relapse = 10 * time.Second
+	// maxHold bounds the hold, which doubles each time that the level falls
+	// again soon after a rise.
+	maxHold = 16 * time.Second
+	// idleHoldDivisor shortens the hold while slots are free and nothing waits
+	// for them.
+	idleHoldDivisor = 4
+	// relapseWindow is the time after a rise within which a fall is considered
+	// a consequence of the rise.
+	relapseWindow = 10 * time.Second
 )
 
-// level is the pool's shed level as this entry sees it.
+// level is the shed level of the pool as seen by this entry: the lowest tier,
+// that is the largest tier number, that is admitted.
 type level struct {
-	// own is the lowest tier that this entry admits, and want the one that it
-	// will fall to when the tiers below have left.
-	own, want uint8
-	// served has bit t set while tier t may be served in the pool.
-	served uint8
-	// hold is how long own stays before it rises, from start to mostHold.
-	hold, start time.Duration
-	// held is when a tier that is admitted was last late, and risen when own
-	// last rose.
-	held, risen time.Duration
-	// idle is set while places are free and nothing waits for them.
-	idle bool
-	// heard is the level of the other entries until until.
-	heard uint8
-	until time.Duration
+	// ownLevel is the level of this entry. targetLevel is the level to which it
+	// falls as soon as no work of the tiers below is served any more.
+	ownLevel, targetLevel uint8
+	// servedTiers has bit t set while work of tier t may be queued or running
+	// in the pool.
+	servedTiers uint8
+	// hold is how long ownLevel stays before it rises. It is between
+	// initialHold and maxHold.
+	hold, initialHold time.Duration
+	// holdFrom is the start of the current hold: the last time at which an
+	// admitted tier was late or the level rose. lastRise is when ownLevel last
+	// rose.
+	holdFrom, lastRise time.Duration
+	// slotsIdle is set while slots are free and nothing waits for them.
+	slotsIdle bool
+	// peerLevel is the level of the other entries. It is valid until peerUntil.
+	peerLevel uint8
+	peerUntil time.Duration
 }
 
 func newLevel(hold time.Duration) level {
-	return level{own: lowest, want: lowest, heard: lowest, served: 1<<(lowest+1) - 1, hold: hold, start: hold, risen: -time.Hour}
+	return level{ownLevel: lowestTier, targetLevel: lowestTier, peerLevel: lowestTier, servedTiers: 1<<(lowestTier+1) - 1, hold: hold, initialHold: hold, lastRise: -time.Hour}
 }
 
-// see takes in which tiers are served in the pool.
-func (l *level) see(tier uint8, v View) {
-	lower := uint8(0xff) << (tier + 1)
+// observeServed updates servedTiers from v, which was made for a request of the
+// given tier.
+func (l *level) observeServed(tier uint8, v View) {
+	lowerTiers := uint8(0xff) << (tier + 1)
 	if v.Served != 0 {
-		l.served = v.Served
+		l.servedTiers = v.Served
 	} else {
-		l.served &^= lower
+		l.servedTiers &^= lowerTiers
 	}
 	if v.LowerServed {
-		l.served |= lower
+		l.servedTiers |= lowerTiers
 	}
-	l.step()
+	l.stepDown()
 }
 
-// fall is called when tier is late: lower tiers must leave.
-func (l *level) fall(now time.Duration, tier uint8) {
-	if tier > l.own {
+// lowerTo records that a tier is late, so that all lower tiers must be shed.
+func (l *level) lowerTo(now time.Duration, tier uint8) {
+	if tier > l.ownLevel {
 		return
 	}
-	l.held = now
-	if tier < l.want {
-		if now-l.risen < relapse {
-			l.hold = min(2*l.hold, mostHold)
+	l.holdFrom = now
+	if tier < l.targetLevel {
+		if now-l.lastRise < relapseWindow {
+			l.hold = min(2*l.hold, maxHold)
 		}
-		l.want = tier
+		l.targetLevel = tier
 	}
-	l.step()
+	l.stepDown()
 }
 
-// step lets own fall towards want. A tier may be refused only when none below
-// it is served, so the next one must have left first.
-func (l *level) step() {
-	for l.own > l.want && l.served>>(l.own+1) == 0 {
-		l.own--
+// stepDown lowers ownLevel towards targetLevel. A tier may be refused only
+// while no lower tier is served, so the level does not fall past a tier below
+// which work is still served.
+func (l *level) stepDown() {
+	for l.ownLevel > l.targetLevel && l.servedTiers>>(l.ownLevel+1) == 0 {
+		l.ownLevel--
 	}
 }
 
-// rise lets one more tier in after a calm hold.
-func (l *level) rise(now time.Duration) {
-	if l.holds(now) > 0 {
+// tryRise admits one more tier once the hold has passed since the last late
+// answer or rise.
+func (l *level) tryRise(now time.Duration) {
+	if l.remainingHold(now) > 0 {
 		return
 	}
-	if l.own == lowest {
-		l.want = lowest
-		if now-l.risen > relapse {
-			l.hold = l.start
+	if l.ownLevel == lowestTier {
+		l.targetLevel = lowestTier
+		if now-l.lastRise > relapseWindow {
+			l.hold = l.initialHold
 		}
 		return
 	}
-	l.own++
-	l.want = max(l.want, l.own)
-	l.held, l.risen = now, now
+	l.ownLevel++
+	l.targetLevel = max(l.targetLevel, l.ownLevel)
+	l.holdFrom, l.lastRise = now, now
 }
 
-// holds returns how long the level stays at least.
-func (l *level) holds(now time.Duration) time.Duration {
-	if l.own == lowest && l.want == lowest {
+// remainingHold returns the minimum time until the level can rise.
+func (l *level) remainingHold(now time.Duration) time.Duration {
+	if l.ownLevel == lowestTier && l.targetLevel == lowestTier {
 		return 0
 	}
 	hold := l.hold
-	if l.idle {
-		hold /= idleRise
+	if l.slotsIdle {
+		hold /= idleHoldDivisor
 	}
-	return max(l.held+hold-now, 0)
+	return max(l.holdFrom+hold-now, 0)
 }
 
-func (l *level) peer(now time.Duration, heard uint8, hold time.Duration) {
-	if now >= l.until || heard <= l.heard {
-		l.heard, l.until = heard, now+hold
+// setPeerLevel records the level of another entry. While an earlier level is
+// still valid, a higher one is ignored.
+func (l *level) setPeerLevel(now time.Duration, peerLevel uint8, validFor time.Duration) {
+	if now >= l.peerUntil || peerLevel <= l.peerLevel {
+		l.peerLevel, l.peerUntil = peerLevel, now+validFor
 	}
 }
 
-// inForce returns the lowest tier that is admitted.
-func (l *level) inForce(now time.Duration) uint8 {
-	if now < l.until {
-		return min(l.own, l.heard)
+// effective returns the lowest tier that is admitted now, the stricter of
+// ownLevel and a valid peerLevel.
+func (l *level) effective(now time.Duration) uint8 {
+	if now < l.peerUntil {
+		return min(l.ownLevel, l.peerLevel)
 	}
-	return l.own
+	return l.ownLevel
 }
--- a/core/shed/model_test.go
+++ b/core/shed/model_test.go
@@ -12,47 +12,48 @@
 
 const tick = 10 * time.Millisecond
 
-// stream is the requests of one customer in one tier.
+// stream describes the requests that one customer sends in one tier.
 type stream struct {
 	tier     uint8
 	customer string
-	// load is the work that it sends in seconds a second; mean the mean length
-	// of a request.
+	// load is the work sent in seconds per second. mean is the mean length of a
+	// request.
 	load   float64
 	mean   time.Duration
 	target time.Duration
-	// guess is what the estimate is of the truth; zero means 1.
-	guess float64
-	// from and to bound when it sends; zero means always.
-	from, to time.Duration
+	// estimateFactor is the ratio of estimated to actual work. Zero means 1.
+	estimateFactor float64
+	// start and end bound the time in which it sends. Zero means always.
+	start, end time.Duration
 }
 
-// count is what the callers of a stream received.
-type count struct {
-	offered, within, late, refused float64
+// workCounts sums up the work of a stream by outcome, in seconds.
+type workCounts struct {
+	offered, onTime, late, refused float64
 }
 
-// model is a pool of places with one queue in front, before which entries
-// admit. It works in steps of a tick.
+// model simulates entries that admit requests to one queue in front of a number
+// of slots. It advances in steps of one tick.
 type model struct {
-	places  int
+	slots   int
 	entries []*Pool
 	queue   *queue.Queue
-	// ends holds when each place becomes free, and tiers what runs there.
-	ends  []time.Duration
-	tiers []uint8
-	jobs  map[ident.ID]job
-	rnd   *rand.Rand
-	now   time.Duration
-	n     uint64
-	// got sums work by customer and tier.
-	got map[string]*count
-	// wrong counts refusals while lower work was served, and retries the
-	// Retry-After of all refusals.
-	wrong   int
-	retries []time.Duration
-	busy    float64
-	tells   bool
+	// busyUntil is when each slot becomes free, and runningTiers is the tier of
+	// the request in it.
+	busyUntil    []time.Duration
+	runningTiers []uint8
+	jobs         map[ident.ID]job
+	rnd          *rand.Rand
+	now          time.Duration
+	lastID       uint64
+	// counts holds the work by tier and customer.
+	counts map[string]*workCounts
+	// unjustRefusals counts refusals while work of a lower tier was served.
+	// retryAfters holds the Retry-After of all refusals.
+	unjustRefusals int
+	retryAfters    []time.Duration
+	busySeconds    float64
+	sharesLevels   bool
 }
 
 type job struct {
@@ -62,10 +63,10 @@
 	due    time.Duration
 }
 
-func newModel(places, entries int) *model {
+func newModel(slots, entries int) *model {
 	m := &model{
-		places: places, queue: queue.New(queue.Config{}), ends: make([]time.Duration, places), tiers: make([]uint8, places),
-		jobs: map[ident.ID]job{}, rnd: rand.New(rand.NewPCG(7, 7)), got: map[string]*count{}, tells: true,
+		slots: slots, queue: queue.New(queue.Config{}), busyUntil: make([]time.Duration, slots), runningTiers: make([]uint8, slots),
+		jobs: map[ident.ID]job{}, rnd: rand.New(rand.NewPCG(7, 7)), counts: map[string]*workCounts{}, sharesLevels: true,
 	}
 	for range entries {
 		m.entries = append(m.entries, New(Config{}))
@@ -74,17 +75,17 @@
 }
 
 func (m *model) served() (mask uint8) {
-	for i, end := range m.ends {
+	for i, end := range m.busyUntil {
 		if end > m.now {
-			mask |= 1 << m.tiers[i]
+			mask |= 1 << m.runningTiers[i]
 		}
 	}
 	return mask | m.queue.Mask()
 }
 
-// free counts the places that nothing waits for.
-func (m *model) free() (n int) {
-	for _, end := range m.ends {
+// freeSlots returns the number of slots for which nothing waits.
+func (m *model) freeSlots() (n int) {
+	for _, end := range m.busyUntil {
 		if end <= m.now {
 			n++
 		}
@@ -92,22 +93,22 @@
 	return max(0, n-m.queue.Len())
 }
 
-func (m *model) key(s *stream) string { return fmt.Sprint(s.tier, "/", s.customer) }
+func (m *model) streamKey(s *stream) string { return fmt.Sprint(s.tier, "/", s.customer) }
 
-func (m *model) at(s *stream) *count {
-	c := m.got[m.key(s)]
+func (m *model) countsOf(s *stream) *workCounts {
+	c := m.counts[m.streamKey(s)]
 	if c == nil {
-		c = new(count)
-		m.got[m.key(s)] = c
+		c = new(workCounts)
+		m.counts[m.streamKey(s)] = c
 	}
 	return c
 }
 
-func (m *model) sum(tier int) (c count) {
-	for key, v := range m.got {
+func (m *model) total(tier int) (c workCounts) {
+	for key, v := range m.counts {
 		if tier < 0 || key[0] == byte('0'+tier) {
 			c.offered += v.offered
-			c.within += v.within
+			c.onTime += v.onTime
 			c.late += v.late
 			c.refused += v.refused
 		}
@@ -119,7 +120,7 @@
 	for end := m.now + d; m.now < end; m.now += tick {
 		for i := range streams {
 			s := &streams[i]
-			if s.to > 0 && (m.now < s.from || m.now >= s.to) {
+			if s.end > 0 && (m.now < s.start || m.now >= s.end) {
 				continue
 			}
 			p := s.load * tick.Seconds() / s.mean.Seconds()
@@ -129,56 +130,57 @@
 				}
 			}
 		}
-		m.levels()
+		m.shareLevels()
 		m.dispatch()
 	}
 }
 
 func (m *model) arrive(s *stream) {
 	work := time.Duration(m.rnd.ExpFloat64() * float64(s.mean))
-	guess := s.mean
-	if s.guess > 0 {
-		guess = time.Duration(float64(guess) * s.guess)
+	estimate := s.mean
+	if s.estimateFactor > 0 {
+		estimate = time.Duration(float64(estimate) * s.estimateFactor)
 	}
 	e := m.entries[m.rnd.IntN(len(m.entries))]
-	c := m.at(s)
+	c := m.countsOf(s)
 	c.offered += work.Seconds()
 	mask := m.served()
 	lower := mask>>(s.tier+1) != 0
-	v := e.Decide(m.now, Ask{Tier: s.tier, Customer: s.customer, Work: guess, Target: s.target},
-		View{LowerServed: lower, Served: mask, Free: m.free(), Places: m.places, Peers: len(m.entries)})
+	v := e.Decide(m.now, Ask{Tier: s.tier, Customer: s.customer, Work: estimate, Target: s.target},
+		View{LowerServed: lower, Served: mask, Free: m.freeSlots(), Places: m.slots, Peers: len(m.entries)})
 	if !v.Admit {
 		m.refuse(c, s, work, v.RetryAfter)
 		return
 	}
-	m.n++
-	id := ident.Make(1, m.n)
+	m.lastID++
+	id := ident.Make(1, m.lastID)
 	j := job{stream: s, entry: e, work: work, due: m.now + s.target}
 	m.jobs[id] = j
-	e.Arrived(m.now, s.tier, s.customer, guess)
-	if _, _, err := m.queue.Push(m.now, queue.Item{ID: id, Tier: s.tier, Customer: s.customer, Cost: guess, Due: j.due}); err != nil {
+	e.Arrived(m.now, s.tier, s.customer, estimate)
+	if _, _, err := m.queue.Push(m.now, queue.Item{ID: id, Tier: s.tier, Customer: s.customer, Cost: estimate, Due: j.due}); err != nil {
 		panic(err)
 	}
 }
 
-func (m *model) refuse(c *count, s *stream, work time.Duration, after time.Duration) {
+func (m *model) refuse(c *workCounts, s *stream, work time.Duration, retryAfter time.Duration) {
 	c.refused += work.Seconds()
-	if after > 0 {
-		m.retries = append(m.retries, after)
+	if retryAfter > 0 {
+		m.retryAfters = append(m.retryAfters, retryAfter)
 	}
 	if m.served()>>(s.tier+1) != 0 {
-		m.wrong++
+		m.unjustRefusals++
 	}
 }
 
-// levels does what agents do with the entries' levels.
-func (m *model) levels() {
+// shareLevels passes the lowest level of all entries to every entry, and
+// removes queued work that the level excludes, as agents do.
+func (m *model) shareLevels() {
 	low := uint8(spec.Tiers - 1)
 	for _, e := range m.entries {
 		low = min(low, e.Level(m.now))
 	}
 	for _, e := range m.entries {
-		if m.tells {
+		if m.sharesLevels {
 			e.Peer(m.now, low, 2*tick)
 		}
 	}
@@ -186,14 +188,14 @@
 		j := m.jobs[it.ID]
 		delete(m.jobs, it.ID)
 		j.entry.Left(m.now, it.Tier, it.Customer, it.Cost)
-		m.at(j.stream).refused += j.work.Seconds()
+		m.countsOf(j.stream).refused += j.work.Seconds()
 	}
 }
 
 func (m *model) dispatch() {
-	for i := range m.ends {
-		if m.ends[i] > m.now {
-			m.busy += tick.Seconds()
+	for i := range m.busyUntil {
+		if m.busyUntil[i] > m.now {
+			m.busySeconds += tick.Seconds()
 			continue
 		}
 		it, ok := m.queue.Pop(m.now)
@@ -203,12 +205,12 @@
 		j := m.jobs[it.ID]
 		delete(m.jobs, it.ID)
 		j.entry.Started(m.now, it.Tier, it.Customer, it.Cost)
-		m.ends[i], m.tiers[i] = m.now+j.work, it.Tier
+		m.busyUntil[i], m.runningTiers[i] = m.now+j.work, it.Tier
 		m.queue.Done(it.Customer, it.Tier, it.Cost, j.work)
-		within := m.now <= j.due
-		j.entry.Ended(m.now, it.Tier, within)
-		if c := m.at(j.stream); within {
-			c.within += j.work.Seconds()
+		onTime := m.now <= j.due
+		j.entry.Ended(m.now, it.Tier, onTime)
+		if c := m.countsOf(j.stream); onTime {
+			c.onTime += j.work.Seconds()
 		} else {
 			c.late += j.work.Seconds()
 		}
--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -1,31 +1,34 @@
-// Package shed decides which work a pool admits.
+// Package shed decides which requests a pool admits.
 //
-// The load it answers is overload: for a minute or an hour more work arrives
-// than the pool can run. Without admission every queue grows until everything
-// that runs has already missed its target, and goodput falls to nothing while
-// all endpoints are busy; the refusals that callers get are timeouts.
+// It is designed for overload, in which for a minute or an hour more work
+// arrives than the pool can run. Without admission control the queues grow
+// until everything that runs has already missed its target: goodput falls to
+// zero while all endpoints are busy, and callers see timeouts instead of
+// refusals.
 //
-// What is bound to be late is refused at once, with the time after which the
-// measured drain rate will have made room. How late it would be follows from
-// the entry's own backlog: what a request waits for is the work of higher
-// tiers, and of its own tier only what the other customers are served while
-// its customer gets its fair share. A customer that sends ten times as much as
-// the others therefore waits for itself, and is refused for its own backlog
-// only. The drain rate is measured in the same estimates as the backlog, so an
-// estimate that is wrong by ten times cancels out.
+// A request that is predicted to be late is refused at once, with the time
+// after which the measured drain rate will have made room. The prediction is
+// based on the entry's own backlog. A request waits for all work of higher
+// tiers; of its own tier it waits for its customer's backlog and for what the
+// other customers are served while its customer gets its fair share. A customer
+// that sends ten times as much as the others therefore waits for its own
+// requests and is refused only because of its own backlog. The drain rate is
+// measured in the same estimates as the backlog, so estimates that are all
+// wrong by a factor of ten cancel out.
 //
-// Tiers are shed from the bottom up. A request that would be late is refused
-// only when nothing of a lower tier is queued or running in the pool; until
-// then it is admitted, and the pool's level falls, step by step, so that lower
-// tiers leave. The level falls at once and rises slowly, a tier at a time, and
-// more slowly when it just had to fall again: lower tiers that flicker would
-// take places that higher ones need a moment later. It rises sooner while
-// places are free and nothing waits, since endpoints would idle.
+// Tiers are shed from the lowest up. A request that would be late is refused
+// only when no work of a lower tier is queued or running in the pool. Until
+// then it is admitted, and the shed level of the pool falls one tier at a time
+// so that lower tiers are drained. The level falls at once and rises slowly,
+// one tier at a time, and more slowly if it had to fall again shortly after a
+// rise: lower tiers that are admitted and shed in quick alternation would take
+// slots that higher tiers need a moment later. It rises sooner while slots are
+// free and nothing waits, because endpoints would otherwise be idle.
 //
-// Grounds of the figures: the margin of 0.7 leaves room for waits that differ
-// from the prediction, and is corrected by what callers then get; 32 starts
-// make a drain rate good to about a fifth; docs/design/decisions.md has what was
-// measured.
+// The initial margin of 0.7 allows for waits that differ from the prediction;
+// it is then corrected by whether requests met their targets. A drain rate
+// measured over 32 starts is accurate to about a fifth. Measurements are in
+// docs/design/decisions.md.
 package shed
 
 import (
@@ -34,36 +37,36 @@
 	"lycheepond/core/spec"
 )
 
-// Why tells why a request was refused.
-type Why uint8
+// Reason says why a request was refused.
+type Reason uint8
 
-// The reasons of a verdict.
+// The reasons of a Decision.
 const (
-	// Admitted means that the request is admitted.
-	Admitted Why = iota
-	// Level means that the pool serves only higher tiers at present.
-	Level
-	// Late means that the request would miss its target in its customer's fair
-	// share.
-	Late
+	// Admitted means that the request was admitted.
+	Admitted Reason = iota
+	// TierShed means that the pool currently serves only higher tiers.
+	TierShed
+	// PredictedLate means that the request would miss its target even with its
+	// customer's fair share.
+	PredictedLate
 )
 
-// String returns the reason as logs spell it.
-func (w Why) String() string {
+// String returns the reason as it appears in logs and refusals.
+func (w Reason) String() string {
 	switch w {
 	case Admitted:
 		return "admitted"
-	case Level:
+	case TierShed:
 		return "shed-level"
-	case Late:
+	case PredictedLate:
 		return "bound-to-be-late"
 	}
 	return "unknown"
 }
 
-// Config says how a pool sheds.
+// Config configures a Pool.
 type Config struct {
-	// Hold is how long the level stays before it rises; zero means
+	// Hold is how long the shed level stays before it rises. Zero means
 	// DefaultHold.
 	Hold time.Duration
 }
@@ -71,75 +74,84 @@
 // DefaultHold is the default of Config.Hold.
 const DefaultHold = 2 * time.Second
 
-// Ask is a request that wants admission.
+// Request is a request that asks for admission.
 type Ask struct {
 	Tier     uint8
 	Customer string
-	// Work is the estimated time that it occupies its place.
+	// Work is the estimated time for which it will occupy a slot.
 	Work time.Duration
-	// Target is the time from now within which it must start to keep its
-	// target; zero means that nothing is promised.
+	// MaxWait is the time from now within which it must start to meet its
+	// target. Zero means that it has no target.
 	Target time.Duration
 }
 
-// View is what the entry knows of the whole pool.
+// View is what the entry knows about the whole pool.
 type View struct {
 	// LowerServed is set while work of a lower tier than the request's is
-	// queued or running anywhere in the pool, and while that is unknown.
+	// queued or running anywhere in the pool, or while that is unknown.
 	LowerServed bool
-	// Served has bit t set while work of tier t is queued or running anywhere
-	// in the pool, and while that is unknown. Zero leaves it to LowerServed.
+	// ServedTiers has bit t set while work of tier t is queued or running
+	// anywhere in the pool, or while that is unknown. If it is zero, only
+	// LowerServed counts.
 	Served uint8
-	// Free is the number of places in reach that are free and for which
-	// nothing is queued, as far as is known.
+	// FreeSlots is the number of reachable slots that are known to be free and
+	// for which nothing is queued.
 	Free int
-	// Places is the sum of the in-flight bounds of the agents in reach, and
-	// Peers how many entries share them, this one included; zero is unknown.
+	// Slots is the sum of the in-flight bounds of the reachable agents. Entries
+	// is the number of entries that share them, including this one. Zero means
+	// unknown.
 	Places, Peers int
 }
 
-// lower reports whether work of a lower tier than tier may be served.
-func (v *View) lower(tier uint8) bool { return v.LowerServed || v.Served>>(tier+1) != 0 }
+// servesBelow reports whether work of a tier lower than the given one may be
+// queued or running.
+func (v *View) servesBelow(tier uint8) bool { return v.LowerServed || v.Served>>(tier+1) != 0 }
 
-// Verdict is the decision on a request.
-type Verdict struct {
+// Decision is the result of Decide.
+type Decision struct {
 	Admit bool
-	// RetryAfter is when the caller may try again; it is set on a refusal.
+	// RetryAfter is the time after which the caller may retry. It is set only
+	// on a refusal.
 	RetryAfter time.Duration
-	Why        Why
-	// Wait is the predicted wait.
+	Why        Reason
+	// Wait is the predicted wait of an admitted request. On a refusal it is the
+	// predicted wait less the longest wait that is allowed.
 	Wait time.Duration
 }
 
-const lowest = spec.Tiers - 1
+// lowestTier is the largest tier number.
+const lowestTier = spec.Tiers - 1
 
 const (
-	// noTarget is the wait that is allowed to work without a target.
-	noTarget = time.Minute
-	// doubt is how many times its own measured rate a tier is taken to get at
-	// most. The rate of one tier is noisy, and matters only where it is far
-	// below what the others leave.
-	doubt = 1.5
-	// leastWait is a wait that is never taken for late: predictions are no
-	// better than that, and a target shorter than the work itself would
-	// otherwise shed every lower tier for nothing.
-	leastWait = 100 * time.Millisecond
-	// leastRetry and mostRetry bound Retry-After. Half of mostRetry bounds the
-	// wait that it rests on, and the other half the spread.
-	leastRetry = 100 * time.Millisecond
-	mostRetry  = 30 * time.Second
+	// defaultMaxWait is the MaxWait of requests without a target.
+	defaultMaxWait = time.Minute
+	// tierRateTolerance is the factor by which a tier's own measured rate is
+	// raised before it limits a prediction. The rate of a single tier is noisy
+	// and matters only where it is far below what the higher tiers leave.
+	tierRateTolerance = 1.5
+	// minWaitLimit is the smallest limit on the predicted wait. Predictions are
+	// not more accurate than this, and a target shorter than the work itself
+	// would otherwise shed every lower tier without any benefit.
+	minWaitLimit = 100 * time.Millisecond
+	// minRetryAfter and maxRetryAfter bound Retry-After. One half of
+	// maxRetryAfter bounds the predicted wait that it includes, the other half
+	// the time over which retries are spread.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 30 * time.Second
 )
 
-// Pool decides for one pool at one entry. One goroutine owns it.
+// Pool makes the admission decisions of one entry for one pool. One goroutine
+// owns it.
 type Pool struct {
 	tiers [spec.Tiers]tier
-	drain drain
+	drain drainRate
 	level level
-	// waiting is the number of admitted requests that were not granted yet.
+	// waiting is the number of admitted requests that have not been granted
+	// yet.
 	waiting int
 }
 
-// New returns a pool that admits everything until it has seen work wait.
+// New returns a Pool. It admits all requests until it has seen work wait.
 func New(cfg Config) *Pool {
 	if cfg.Hold <= 0 {
 		cfg.Hold = DefaultHold
@@ -151,84 +163,87 @@
 	return p
 }
 
-// pass lets the measured rates pass the time until now.
-func (p *Pool) pass(now time.Duration) {
-	p.drain.pass(now, p.waiting > 0)
+// advance updates the measured rates to now.
+func (p *Pool) advance(now time.Duration) {
+	p.drain.advance(now, p.waiting > 0)
 	for i := range p.tiers {
-		p.tiers[i].drain.pass(now, len(p.tiers[i].accounts) > 0)
+		p.tiers[i].drain.advance(now, len(p.tiers[i].backlogs) > 0)
 	}
 }
 
-func clamp(t uint8) uint8 { return min(t, lowest) }
+func clampTier(t uint8) uint8 { return min(t, lowestTier) }
 
-// Arrived records that admitted work waits.
+// RecordArrival records an admitted request that now waits. work is its
+// estimated time in a slot.
 func (p *Pool) Arrived(now time.Duration, tier uint8, customer string, work time.Duration) {
-	p.pass(now)
+	p.advance(now)
 	p.waiting++
-	p.tiers[clamp(tier)].add(now, customer, work.Seconds())
+	p.tiers[clampTier(tier)].add(now, customer, work.Seconds())
 }
 
-// Started records that waiting work was granted.
+// RecordStart records that a waiting request was granted.
 func (p *Pool) Started(now time.Duration, tier uint8, customer string, work time.Duration) {
-	p.pass(now)
-	if t := &p.tiers[clamp(tier)]; t.remove(customer, work.Seconds()) {
+	p.advance(now)
+	if t := &p.tiers[clampTier(tier)]; t.remove(customer, work.Seconds()) {
 		p.waiting--
-		p.drain.start(now, work.Seconds())
-		t.drain.start(now, work.Seconds())
+		p.drain.recordStart(now, work.Seconds())
+		t.drain.recordStart(now, work.Seconds())
 	}
 }
 
-// Left records that waiting work was withdrawn or refused after all.
+// RecordWithdrawal records that a waiting request was withdrawn, or refused
+// after its admission.
 func (p *Pool) Left(now time.Duration, tier uint8, customer string, work time.Duration) {
-	p.pass(now)
-	if p.tiers[clamp(tier)].remove(customer, work.Seconds()) {
+	p.advance(now)
+	if p.tiers[clampTier(tier)].remove(customer, work.Seconds()) {
 		p.waiting--
 	}
 }
 
-// Ended records whether admitted work kept its target, to correct the margin
-// of the predictions.
-func (p *Pool) Ended(_ time.Duration, tier uint8, within bool) {
-	p.tiers[clamp(tier)].ended(within)
+// RecordEnd records whether an admitted request met its target. This corrects
+// the margin of later predictions.
+func (p *Pool) Ended(_ time.Duration, tier uint8, onTime bool) {
+	p.tiers[clampTier(tier)].adjustMargin(onTime)
 }
 
-// Decide says whether a request is admitted. It changes nothing in the
-// backlog; Arrived does.
-func (p *Pool) Decide(now time.Duration, a Ask, v View) Verdict {
-	a.Tier = clamp(a.Tier)
-	p.pass(now)
-	p.level.see(a.Tier, v)
-	p.level.idle = p.waiting == 0 && v.Free > 0
-	wait, limit := p.wait(now, a, v), p.limit(a)
-	late := wait > limit && !p.hasPlace(now, a.Tier, v)
+// Decide decides whether a request is admitted. It does not add the request to
+// the backlog; RecordArrival does.
+func (p *Pool) Decide(now time.Duration, req Ask, v View) Decision {
+	req.Tier = clampTier(req.Tier)
+	p.advance(now)
+	p.level.observeServed(req.Tier, v)
+	p.level.slotsIdle = p.waiting == 0 && v.Free > 0
+	wait, limit := p.predictWait(now, req, v), p.waitLimit(req)
+	late := wait > limit && !p.hasFreeSlot(now, req.Tier, v)
 	if late {
-		p.level.fall(now, a.Tier)
+		p.level.lowerTo(now, req.Tier)
 	}
-	excluded := a.Tier > p.level.inForce(now)
-	if v.lower(a.Tier) || (!late && !excluded) {
-		return Verdict{Admit: true, Wait: wait}
+	excluded := req.Tier > p.level.effective(now)
+	if v.servesBelow(req.Tier) || (!late && !excluded) {
+		return Decision{Admit: true, Wait: wait}
 	}
-	return p.refusal(now, a, v, wait-limit, excluded)
+	return p.refuse(now, req, v, wait-limit, excluded)
 }
 
-// hasPlace reports whether a place is free for work of a tier. Places that are
-// free while work of the tier has been waiting for some time are of no use to
-// it: what it lacks is memory, or a place for long work.
-func (p *Pool) hasPlace(now time.Duration, tier uint8, v View) bool {
-	return p.waiting < v.Free && !p.tiers[tier].drain.stuck(now)
+// hasFreeSlot reports whether a slot is free for work of a tier. Free slots
+// don't count if work of the tier has been waiting for longer than stuckAfter:
+// that work lacks memory or a slot for long work instead.
+func (p *Pool) hasFreeSlot(now time.Duration, tier uint8, v View) bool {
+	return p.waiting < v.Free && !p.tiers[tier].drain.isStuck(now)
 }
 
-// limit is the longest wait that a request may be admitted to.
-func (p *Pool) limit(a Ask) time.Duration {
-	target := a.Target
+// waitLimit returns the longest predicted wait with which a request is
+// admitted.
+func (p *Pool) waitLimit(req Ask) time.Duration {
+	target := req.Target
 	if target == 0 {
-		target = noTarget
+		target = defaultMaxWait
 	}
-	return max(time.Duration(float64(target)*p.tiers[a.Tier].margin), leastWait)
+	return max(time.Duration(float64(target)*p.tiers[req.Tier].margin), minWaitLimit)
 }
 
-// wait predicts how long a request would wait for its start.
-func (p *Pool) wait(now time.Duration, a Ask, v View) time.Duration {
+// predictWait predicts how long a request would wait for its start.
+func (p *Pool) predictWait(now time.Duration, req Ask, v View) time.Duration {
 	if p.waiting == 0 {
 		return 0
 	}
@@ -236,52 +251,56 @@
 	if rate == 0 {
 		return 0
 	}
-	work, left := 0.0, rate
-	for t := range p.tiers[:a.Tier] {
-		work += p.tiers[t].work
-		left -= p.tiers[t].arriving(now)
+	higherWork, rateLeft := 0.0, rate
+	for t := range p.tiers[:req.Tier] {
+		higherWork += p.tiers[t].work
+		rateLeft -= p.tiers[t].currentArrivalRate(now)
 	}
-	t := &p.tiers[a.Tier]
-	ahead := t.ahead(a.Customer, a.Work.Seconds())
-	wait := (work + ahead) / max(left, rate*leastLeft)
-	if t.drain.sure() {
-		// The tier may get less than what the others leave, as long work does
-		// that memory holds back while short work of other tiers passes it.
-		wait = max(wait, ahead/max(doubt*t.drain.present(now), rate*leastLeft))
+	t := &p.tiers[req.Tier]
+	workAhead := t.workAhead(req.Customer, req.Work.Seconds())
+	wait := (higherWork + workAhead) / max(rateLeft, rate*minRateShare)
+	if t.drain.isReliable() {
+		// The tier may get less than the higher tiers leave to it. An example
+		// is long work that waits for memory while short work of other tiers
+		// overtakes it.
+		wait = max(wait, workAhead/max(tierRateTolerance*t.drain.currentRate(now), rate*minRateShare))
 	}
 	return seconds(wait)
 }
 
-// refusal makes the verdict on a request that is refused. Those refused before
-// it will come back too; it is told to come behind them, or all of them would
-// return at the same moment. When more was refused than the pool can run within
-// the spread, the times begin anew and are still spread evenly.
-func (p *Pool) refusal(now time.Duration, a Ask, v View, over time.Duration, excluded bool) Verdict {
-	why, after := Late, max(over, 0)
+// refuse returns the decision for a request that is refused. Requests refused
+// earlier will be retried as well, so this one is told to retry after them;
+// otherwise all of them would return at the same moment. When the refused work
+// is more than the pool can run within maxRetryAfter/2, the retry times wrap
+// around and are still spread evenly.
+func (p *Pool) refuse(now time.Duration, req Ask, v View, excess time.Duration, excluded bool) Decision {
+	reason, after := PredictedLate, max(excess, 0)
 	if excluded {
-		why, after = Level, max(over, p.level.holds(now))
+		reason, after = TierShed, max(excess, p.level.remainingHold(now))
 	}
-	after = min(after, mostRetry/2)
+	after = min(after, maxRetryAfter/2)
 	if rate := p.drain.rate(v); rate > 0 {
-		turn := seconds(p.tiers[a.Tier].turnAway(now, a.Work.Seconds(), rate) / rate)
-		after += turn % (mostRetry / 2)
+		spread := seconds(p.tiers[req.Tier].addRefused(now, req.Work.Seconds(), rate) / rate)
+		after += spread % (maxRetryAfter / 2)
 	}
-	return Verdict{RetryAfter: max(after, leastRetry), Why: why, Wait: over}
+	return Decision{RetryAfter: max(after, minRetryAfter), Why: reason, Wait: excess}
 }
 
-// Level returns the lowest tier, the largest number, that this entry still
-// admits. It is what the entry tells the agents.
+// Level returns the lowest tier, that is the largest tier number, that this
+// entry still admits. The entry sends it to the agents. Level also raises the
+// level when its hold has passed, so the owner must call it regularly.
 func (p *Pool) Level(now time.Duration) uint8 {
-	p.level.idle = p.level.idle && p.waiting == 0
-	p.level.rise(now)
-	return p.level.own
+	p.level.slotsIdle = p.level.slotsIdle && p.waiting == 0
+	p.level.tryRise(now)
+	return p.level.ownLevel
 }
 
-// Peer takes in the level that another entry of the pool has in force for the
-// next hold. It limits what is admitted here but not what Level returns:
-// otherwise two entries would keep each other's level down for ever.
-func (p *Pool) Peer(now time.Duration, level uint8, hold time.Duration) {
-	p.level.peer(now, clamp(level), hold)
+// SetPeerLevel records the level that another entry of the pool has in force.
+// It is valid for validFor. It limits which requests are admitted here but does
+// not change what Level returns: otherwise two entries would keep each other's
+// level down for ever.
+func (p *Pool) Peer(now time.Duration, level uint8, validFor time.Duration) {
+	p.level.setPeerLevel(now, clampTier(level), validFor)
 }
 
 func seconds(s float64) time.Duration {
--- a/core/shed/tier.go
+++ b/core/shed/tier.go
@@ -6,26 +6,30 @@
 )
 
 const (
-	// startMargin is the part of a target that the predicted wait may take at
-	// the start; leastMargin and mostMargin bound it.
-	startMargin, leastMargin, mostMargin = 0.7, 0.3, 0.9
-	// marginUp and marginDown are its steps for an answer within target and
-	// for a late one: it stands still when 3 in 100 are late.
-	marginUp, marginDown = 0.0003, 0.01
-	// arrivingFor is how long arrivals count as the present rate.
-	arrivingFor = 4 * time.Second
-	// leastAge is the least time that a rate is taken over, and idleRate the
-	// rate below which it is measured anew.
-	leastAge = 500 * time.Millisecond
-	idleRate = 1e-6
-	// buckets is the number of sizes of backlog told apart, each twice the one
-	// before, and leastBacklog the first in seconds.
-	buckets      = 40
-	leastBacklog = 0.001
+	// initialMargin is the first value of tier.margin, the part of a target
+	// that the predicted wait may use; minMargin and maxMargin bound it.
+	initialMargin, minMargin, maxMargin = 0.7, 0.3, 0.9
+	// marginStepUp is added to the margin for each request that met its target,
+	// marginStepDown is subtracted for each late one. The margin is in balance
+	// when 3 in 100 are late.
+	marginStepUp, marginStepDown = 0.0003, 0.01
+	// arrivalWindow is the decay time of the arrival rate.
+	arrivalWindow = 4 * time.Second
+	// minRateAge is the minimum time over which the arrival rate is computed. A
+	// rate below negligibleRate, in seconds per second, is measured from the
+	// start again.
+	minRateAge     = 500 * time.Millisecond
+	negligibleRate = 1e-6
+	// bucketCount is the number of buckets by size of backlog. Each bucket
+	// covers twice the size of the one before; the first ends at
+	// minBucketSeconds.
+	bucketCount      = 40
+	minBucketSeconds = 0.001
 )
 
-// account is what a customer has waiting in a tier.
-type account struct {
+// backlog is the waiting work of one customer in a tier: its sum in estimated
+// seconds, the number of requests, and its bucket in tier.buckets.
+type backlog struct {
 	work   float64
 	count  int
 	bucket int
@@ -33,155 +37,161 @@
 
 // tier is the backlog of one tier at this entry.
 type tier struct {
-	// accounts holds the customers that have work waiting, so its size is
-	// bounded by the backlog.
-	accounts map[string]*account
-	spare    []*account
-	// work is the sum of all accounts in seconds.
+	// backlogs holds the customers with waiting work, so its size is bounded by
+	// the number of waiting requests.
+	backlogs     map[string]*backlog
+	freeBacklogs []*backlog
+	// work is the sum of all backlogs in seconds.
 	work float64
-	// sizes sums the accounts up by the size of their backlog.
-	sizes [buckets]struct {
+	// buckets sums up the customers' backlogs by their size.
+	buckets [bucketCount]struct {
 		count int
 		work  float64
 	}
-	// margin is the part of a target that the predicted wait may take.
+	// margin is the part of a target that the predicted wait may use.
 	margin float64
-	// drain measures what of this tier is started while it waits.
-	drain drain
-	// rate is the admitted work that arrives, in seconds a second, decayed
-	// since seen; it began to be measured at begun.
-	rate        float64
-	seen, begun time.Duration
-	// away is the refused work that will come back, less what could have run
-	// since awayAt.
-	away   float64
-	awayAt time.Duration
+	// drain measures the rate at which work of this tier starts while some of
+	// it waits.
+	drain drainRate
+	// arrivalRate is the rate of admitted work in seconds per second as of
+	// lastArrival, from which it decays. Its measurement began at rateSince.
+	arrivalRate            float64
+	lastArrival, rateSince time.Duration
+	// refusedWork is the refused work that is expected to return, in seconds,
+	// less the work that the pool could have run since it was added up. It is
+	// as of refusedAt.
+	refusedWork float64
+	refusedAt   time.Duration
 }
 
 func newTier() tier {
-	return tier{accounts: make(map[string]*account), margin: startMargin}
+	return tier{backlogs: make(map[string]*backlog), margin: initialMargin}
 }
 
 func bucketOf(work float64) int {
-	if work <= leastBacklog {
+	if work <= minBucketSeconds {
 		return 0
 	}
-	_, exp := math.Frexp(work / leastBacklog)
-	return min(exp, buckets-1)
+	_, exp := math.Frexp(work / minBucketSeconds)
+	return min(exp, bucketCount-1)
 }
 
 func (t *tier) add(now time.Duration, customer string, work float64) {
-	a := t.accounts[customer]
-	if a == nil {
-		a = t.account()
-		t.accounts[customer] = a
+	b := t.backlogs[customer]
+	if b == nil {
+		b = t.newBacklog()
+		t.backlogs[customer] = b
 	}
-	t.move(a, work, 1)
-	if t.rate < idleRate {
-		t.rate, t.begun = 0, now
+	t.updateBacklog(b, work, 1)
+	if t.arrivalRate < negligibleRate {
+		t.arrivalRate, t.rateSince = 0, now
 	}
-	t.rate = t.decayed(now) + work/arrivingFor.Seconds()
-	t.seen = now
+	t.arrivalRate = t.decayedRate(now) + work/arrivalWindow.Seconds()
+	t.lastArrival = now
 }
 
-func (t *tier) account() *account {
-	last := len(t.spare) - 1
+func (t *tier) newBacklog() *backlog {
+	last := len(t.freeBacklogs) - 1
 	if last < 0 {
-		return new(account)
+		return new(backlog)
 	}
-	a := t.spare[last]
-	t.spare = t.spare[:last]
-	*a = account{}
-	return a
+	b := t.freeBacklogs[last]
+	t.freeBacklogs = t.freeBacklogs[:last]
+	*b = backlog{}
+	return b
 }
 
-// move changes an account and its place in sizes.
-func (t *tier) move(a *account, work float64, count int) {
-	if a.count > 0 {
-		t.sizes[a.bucket].count--
-		t.sizes[a.bucket].work -= a.work
+// updateBacklog adds work, in seconds, and a number of requests to a backlog
+// and moves it to its bucket. Both may be negative.
+func (t *tier) updateBacklog(b *backlog, work float64, count int) {
+	if b.count > 0 {
+		t.buckets[b.bucket].count--
+		t.buckets[b.bucket].work -= b.work
 	}
-	a.count += count
-	a.work = max(a.work+work, 0)
+	b.count += count
+	b.work = max(b.work+work, 0)
 	t.work = max(t.work+work, 0)
-	if a.count <= 0 {
+	if b.count <= 0 {
 		return
 	}
-	a.bucket = bucketOf(a.work)
-	t.sizes[a.bucket].count++
-	t.sizes[a.bucket].work += a.work
+	b.bucket = bucketOf(b.work)
+	t.buckets[b.bucket].count++
+	t.buckets[b.bucket].work += b.work
 }
 
-// remove takes work out and reports whether the customer had any.
+// remove removes a waiting request and reports whether the customer had any.
 func (t *tier) remove(customer string, work float64) bool {
-	a := t.accounts[customer]
-	if a == nil {
+	b := t.backlogs[customer]
+	if b == nil {
 		return false
 	}
-	t.move(a, -work, -1)
-	if a.count > 0 {
+	t.updateBacklog(b, -work, -1)
+	if b.count > 0 {
 		return true
 	}
-	// What is left is the rounding of many sums.
-	t.work = max(t.work-a.work, 0)
-	delete(t.accounts, customer)
-	t.spare = append(t.spare, a)
-	if len(t.accounts) == 0 {
+	// The rest of the backlog is the rounding error of many additions.
+	t.work = max(t.work-b.work, 0)
+	delete(t.backlogs, customer)
+	t.freeBacklogs = append(t.freeBacklogs, b)
+	if len(t.backlogs) == 0 {
 		t.work = 0
-		clear(t.sizes[:])
+		clear(t.buckets[:])
 	}
 	return true
 }
 
-// ahead returns the work of the tier that runs before a further request of the
-// customer: all that the customer has waiting, and of every other one at most
-// as much as this one will have been served by then.
-func (t *tier) ahead(customer string, work float64) float64 {
+// workAhead returns the work of the tier, in seconds, that runs before another
+// request of the customer: all waiting work of the customer, and of every other
+// customer at most as much as this one will have been served by then.
+func (t *tier) workAhead(customer string, work float64) float64 {
 	own := 0.0
-	if a := t.accounts[customer]; a != nil {
-		own = a.work
+	if b := t.backlogs[customer]; b != nil {
+		own = b.work
 	}
 	share := own + work
 	sum := 0.0
-	for i := range t.sizes {
-		s := &t.sizes[i]
-		if s.count > 0 {
-			sum += min(s.work, float64(s.count)*share)
+	for i := range t.buckets {
+		bucket := &t.buckets[i]
+		if bucket.count > 0 {
+			sum += min(bucket.work, float64(bucket.count)*share)
 		}
 	}
-	// sum counted the customer itself too, with all it has waiting.
+	// The customer itself is included with its whole backlog.
 	return sum
 }
 
-func (t *tier) decayed(now time.Duration) float64 {
-	return t.rate * math.Exp(-(now-t.seen).Seconds()/arrivingFor.Seconds())
+// decayedRate returns arrivalRate decayed to now.
+func (t *tier) decayedRate(now time.Duration) float64 {
+	return t.arrivalRate * math.Exp(-(now-t.lastArrival).Seconds()/arrivalWindow.Seconds())
 }
 
-// arriving returns the work that is admitted in seconds a second. Soon after
-// the tier's work began to arrive the decayed sum holds only a part of it, and
-// lower tiers would be admitted to room that the tier is about to take.
-func (t *tier) arriving(now time.Duration) float64 {
-	if t.rate == 0 {
+// currentArrivalRate returns the rate of admitted work in seconds per second.
+// It corrects for the short time since the first arrival: the decayed sum alone
+// would contain only a part of the rate, and lower tiers would be admitted into
+// capacity that this tier is about to use.
+func (t *tier) currentArrivalRate(now time.Duration) float64 {
+	if t.arrivalRate == 0 {
 		return 0
 	}
-	age := max(now-t.begun, leastAge)
-	return t.decayed(now) / (1 - math.Exp(-age.Seconds()/arrivingFor.Seconds()))
+	age := max(now-t.rateSince, minRateAge)
+	return t.decayedRate(now) / (1 - math.Exp(-age.Seconds()/arrivalWindow.Seconds()))
 }
 
-// turnAway adds refused work and returns what was refused before it and has
-// not had its turn.
-func (t *tier) turnAway(now time.Duration, work, rate float64) float64 {
-	t.away = max(t.away-(now-t.awayAt).Seconds()*rate, 0)
-	t.awayAt = now
-	before := t.away
-	t.away += work
-	return before
+// addRefused adds refused work and returns the work that was refused before it
+// and is still expected to return.
+func (t *tier) addRefused(now time.Duration, work, rate float64) float64 {
+	t.refusedWork = max(t.refusedWork-(now-t.refusedAt).Seconds()*rate, 0)
+	t.refusedAt = now
+	pending := t.refusedWork
+	t.refusedWork += work
+	return pending
 }
 
-func (t *tier) ended(within bool) {
-	if within {
-		t.margin = min(t.margin+marginUp, mostMargin)
+// adjustMargin corrects the margin after a request ended.
+func (t *tier) adjustMargin(onTime bool) {
+	if onTime {
+		t.margin = min(t.margin+marginStepUp, maxMargin)
 		return
 	}
-	t.margin = max(t.margin-marginDown, leastMargin)
+	t.margin = max(t.margin-marginStepDown, minMargin)
 }
