--- a/core/place/cache.go
+++ b/core/place/cache.go
@@ -9,51 +9,56 @@
 const (
 	// DefaultMaxPrefixes is the default of Config.MaxPrefixes.
 	DefaultMaxPrefixes = 16384
-	// maxHolders is how many agents are remembered for a prefix.
+	// maxHolders is the number of agents that are remembered for a prefix.
 	maxHolders = 8
-	// holdsFor is how long an agent is taken to keep a prefix that it was not
-	// sent again.
-	holdsFor = 10 * time.Minute
-	// trustWeight is the weight of an answer in the trust in an agent's cache,
-	// and leastTrust what is left for it to be tried again.
-	trustWeight, leastTrust = 1.0 / 8, 0.1
+	// prefixTTL is how long an agent is assumed to keep a prefix after it was
+	// last sent a prompt that begins with it.
+	prefixTTL = 10 * time.Minute
+	// hitRateWeight is the weight of one answer in an agent's hit rate.
+	// minHitRate is the lower bound of a hit rate; it is above zero so that the
+	// agent is tried again.
+	hitRateWeight, minHitRate = 1.0 / 8, 0.1
 )
 
-// holder is an agent that has a prefix. An agent that was forgotten gets a new
-// life, and what was known of the old one is void.
+// holder is an agent that is assumed to have a prefix in its cache. ForgetAgent
+// increments the agent's generation, which invalidates all holders of older
+// generations.
 type holder struct {
-	agent, life int32
-	at          time.Duration
+	agent, generation int32
+	sentAt            time.Duration
 }
 
-// holders are the agents that have one prefix.
+// holders are the agents that are assumed to have one prefix.
 type holders struct {
-	n      int
+	count  int
 	agents [maxHolders]holder
 }
 
-// known is an agent that was sent something.
-type known struct {
-	name string
-	life int32
-	// index is where it was last found in the caller's slice.
-	index int
-	// trust is the part of what it was believed to have that it had.
-	trust float64
+// knownAgent is an agent that was sent at least one request.
+type knownAgent struct {
+	name       string
+	generation int32
+	// lastIndex is the index at which the agent was last found in the caller's
+	// slice.
+	lastIndex int
+	// hitRate is the decayed mean of the fraction of the tokens assumed to be
+	// cached that really were.
+	hitRate float64
 }
 
-// cache is what this entry's own grants tell of the prefix caches.
+// cache is an estimate of the prefix caches of the agents. It is derived only
+// from the requests that this entry granted.
 type cache struct {
 	prefixes *recent.Table[uint64, holders]
-	agents   []known
+	agents   []knownAgent
 	byName   map[string]int32
-	// names holds the hash of the name of the agent at each index of the
-	// caller's slice, as it was last seen.
-	names []named
+	// hashedNames holds the name of the agent last seen at each index of the
+	// caller's slice, with its hash.
+	hashedNames []hashedName
 }
 
-// named is an agent's name and its hash.
-type named struct {
+// hashedName is an agent's name and its hash.
+type hashedName struct {
 	name string
 	hash uint64
 }
@@ -65,27 +70,27 @@
 	return cache{prefixes: recent.New[uint64, holders](limit), byName: make(map[string]int32)}
 }
 
-func (c *cache) agent(name string) int32 {
+func (c *cache) agentID(name string) int32 {
 	if i, ok := c.byName[name]; ok {
 		return i
 	}
 	i := int32(len(c.agents))
-	c.agents = append(c.agents, known{name: name, trust: 1})
+	c.agents = append(c.agents, knownAgent{name: name, hitRate: 1})
 	c.byName[name] = i
 	return i
 }
 
-// longest returns the holders of the longest prefix that some agent has, and
-// its length in tokens.
-func (c *cache) longest(now time.Duration, prefix []uint64) (*holders, int) {
+// longestKnown returns the holders of the longest prefix that some agent is
+// assumed to have, and the number of tokens that they share with the prompt.
+func (c *cache) longestKnown(now time.Duration, prefix []uint64) (*holders, int) {
 	for i := len(prefix) - 1; i >= 0; i-- {
 		h := c.prefixes.Find(prefix[i])
 		if h == nil {
 			continue
 		}
 		c.expire(now, h)
-		if h.n > 0 {
-			return h, shared(i, len(prefix))
+		if h.count > 0 {
+			return h, sharedTokens(i, len(prefix))
 		}
 	}
 	return nil, 0
@@ -93,64 +98,65 @@
 
 func (c *cache) expire(now time.Duration, h *holders) {
 	n := 0
-	for _, a := range h.agents[:h.n] {
-		if now-a.at <= holdsFor && c.agents[a.agent].life == a.life {
+	for _, a := range h.agents[:h.count] {
+		if now-a.sentAt <= prefixTTL && c.agents[a.agent].generation == a.generation {
 			h.agents[n] = a
 			n++
 		}
 	}
-	h.n = n
+	h.count = n
 }
 
-// locate returns the index of a holder in agents, -1 if it is not there.
-func (c *cache) locate(h holder, agents []Agent) int {
+// indexOf returns the index of a holder in agents, or -1 if it is not there.
+func (c *cache) indexOf(h holder, agents []Agent) int {
 	k := &c.agents[h.agent]
-	if k.index < len(agents) && agents[k.index].Name == k.name {
-		return k.index
+	if k.lastIndex < len(agents) && agents[k.lastIndex].Name == k.name {
+		return k.lastIndex
 	}
 	for i := range agents {
 		if agents[i].Name == k.name {
-			k.index = i
+			k.lastIndex = i
 			return i
 		}
 	}
 	return -1
 }
 
-// homes returns the indexes of the two agents that rank highest for a prefix
-// by rendezvous hashing, -1 for none. Entries do not tell each other where they
-// sent a prefix; this way they send it to the same agents all the same.
-func (c *cache) homes(prefix uint64, agents []Agent) (first, second int) {
+// preferredAgents returns the indexes of the two usable agents that rank
+// highest for a prefix by rendezvous hashing, or -1 if there are fewer. Entries
+// do not tell each other where they sent a prefix. With the hash they still
+// choose the same agents.
+func (c *cache) preferredAgents(prefix uint64, agents []Agent) (first, second int) {
 	first, second = -1, -1
-	var best, next uint64
+	var firstRank, secondRank uint64
 	for i := range agents {
 		if !agents[i].usable() {
 			continue
 		}
 		switch rank := mix(prefix ^ c.nameHash(i, agents[i].Name)); {
-		case first < 0 || rank > best:
-			second, next = first, best
-			first, best = i, rank
-		case second < 0 || rank > next:
-			second, next = i, rank
+		case first < 0 || rank > firstRank:
+			second, secondRank = first, firstRank
+			first, firstRank = i, rank
+		case second < 0 || rank > secondRank:
+			second, secondRank = i, rank
 		}
 	}
 	return first, second
 }
 
 func (c *cache) nameHash(i int, name string) uint64 {
-	for len(c.names) <= i {
-		c.names = append(c.names, named{})
+	for len(c.hashedNames) <= i {
+		c.hashedNames = append(c.hashedNames, hashedName{})
 	}
-	if n := &c.names[i]; n.name == name {
+	if n := &c.hashedNames[i]; n.name == name {
 		return n.hash
 	}
 	h := uint64(fnvOffset)
 	for k := range len(name) {
 		h = (h ^ uint64(name[k])) * fnvPrime
 	}
-	c.names[i] = named{name, mix(h)}
-	return c.names[i].hash
+	c.hashedNames[i] = hashedName{name, mix(h)}
+	return c.hashedNames[i].hash
 }
 
 // mix spreads the bits of a hash.
@@ -160,78 +166,83 @@
 	return z ^ (z >> 31)
 }
 
-// put records that an agent has every prefix of prefix and returns the length
-// in tokens of the longest that it was believed to have before.
-func (c *cache) put(now time.Duration, name string, prefix []uint64) (believed int) {
-	agent := c.agent(name)
-	mark := holder{agent: agent, life: c.agents[agent].life, at: now}
+// record notes that an agent has every prefix in prefix. It returns the length
+// in tokens of the longest prefix that the agent was already assumed to have.
+func (c *cache) record(now time.Duration, name string, prefix []uint64) (believedTokens int) {
+	agent := c.agentID(name)
+	sent := holder{agent: agent, generation: c.agents[agent].generation, sentAt: now}
 	for i, hash := range prefix {
 		h := c.prefixes.Get(hash)
 		c.expire(now, h)
-		at := h.slot(agent)
-		if at < h.n && h.agents[at].agent == agent {
-			believed = length(i)
+		pos := h.position(agent)
+		if pos < h.count && h.agents[pos].agent == agent {
+			believedTokens = prefixTokens(i)
 		}
-		h.n = max(h.n, at+1)
-		h.agents[at] = mark
+		h.count = max(h.count, pos+1)
+		h.agents[pos] = sent
 	}
-	return believed
+	return believedTokens
 }
 
-// slot returns the place for an agent among the holders: its own, a free one,
-// or that of the one that was sent the prefix the longest time ago.
-func (h *holders) slot(agent int32) int {
+// position returns the index to use for an agent: its present one, a free one,
+// or that of the holder whose last use of the prefix is the longest ago.
+func (h *holders) position(agent int32) int {
 	oldest := 0
-	for i := range h.agents[:h.n] {
+	for i := range h.agents[:h.count] {
 		if h.agents[i].agent == agent {
 			return i
 		}
-		if h.agents[i].at < h.agents[oldest].at {
+		if h.agents[i].sentAt < h.agents[oldest].sentAt {
 			oldest = i
 		}
 	}
-	if h.n < maxHolders {
-		return h.n
+	if h.count < maxHolders {
+		return h.count
 	}
 	return oldest
 }
 
-// length returns the tokens of the i-th prefix of a fingerprint.
-func length(i int) int { return (firstBlock << i) / bytesPerToken }
+// prefixTokens returns the estimated number of tokens of the i-th prefix of a
+// fingerprint.
+func prefixTokens(i int) int { return (minPrefixBytes << i) / bytesPerToken }
 
-// shared returns the tokens that a prompt with n prefixes is taken to have in
-// common with another whose longest common prefix is the i-th: halfway to the
-// next one, unless it is the last.
-func shared(i, n int) int {
+// sharedTokens returns the number of tokens that a prompt with n prefixes is
+// assumed to share with another one if the i-th is their longest common prefix:
+// one and a half times the tokens of that prefix, which is halfway to the next
+// one, or only its tokens if it is the last.
+func sharedTokens(i, n int) int {
 	if i == n-1 {
-		return length(i)
+		return prefixTokens(i)
 	}
-	return length(i) * 3 / 2
+	return prefixTokens(i) * 3 / 2
 }
 
-// Sent records that a prompt with this prefix was granted to the agent, which
-// has it in its cache from then on. It returns how many of the prompt's tokens
-// the agent was believed to have before, for Cached.
-func (p *Placer) Sent(now time.Duration, agent string, prefix []uint64) (believed int) {
-	return p.cache.put(now, agent, prefix)
+// RecordSent records that a prompt with this prefix was granted to the agent,
+// which is assumed to have it in its cache from then on. It returns the number
+// of the prompt's tokens that the agent was already assumed to have cached. The
+// caller passes that number to RecordCached when the request has ended.
+func (p *Placer) Sent(now time.Duration, agent string, prefix []uint64) (believedTokens int) {
+	return p.cache.record(now, agent, prefix)
 }
 
-// Cached takes in how many tokens of a prompt were cached, of which the agent
-// was believed to have believed. An agent whose engine evicts sooner than is
-// believed is trusted less, and so are savings there.
-func (p *Placer) Cached(agent string, believed, cached int) {
+// RecordCached records how many tokens of a prompt were really cached at the
+// agent, and how many RecordSent had returned. An agent whose engine evicts
+// prefixes sooner than assumed gets a lower hit rate, which reduces the saving
+// that is expected there.
+func (p *Placer) Cached(agent string, believedTokens, cachedTokens int) {
 	i, ok := p.cache.byName[agent]
-	if !ok || believed <= 0 {
+	if !ok || believedTokens <= 0 {
 		return
 	}
 	k := &p.cache.agents[i]
-	hit := min(float64(cached)/float64(believed), 1)
-	k.trust = max(k.trust+(hit-k.trust)*trustWeight, leastTrust)
+	hitRate := min(float64(cachedTokens)/float64(believedTokens), 1)
+	k.hitRate = max(k.hitRate+(hitRate-k.hitRate)*hitRateWeight, minHitRate)
 }
 
-// Forget drops what is known of an agent, as after its restart.
+// ForgetAgent discards what is known about the agent's cache. It is used when
+// the agent has restarted.
 func (p *Placer) Forget(agent string) {
 	if i, ok := p.cache.byName[agent]; ok {
-		p.cache.agents[i].life++
+		p.cache.agents[i].generation++
 	}
 }
--- a/core/place/model_test.go
+++ b/core/place/model_test.go
@@ -9,175 +9,180 @@
 	"lycheepond/core/recent"
 )
 
-// fleetModel is agents with a few places each, a queue in order of arrival and
-// a cache of some prefixes, whose loads are known late.
+// fleetModel simulates agents with a few slots each. Every agent runs requests
+// in order of arrival and caches a few prefixes. The loads that the placer sees
+// are updated with a delay.
 type fleetModel struct {
-	agents []Agent
-	ends   [][]time.Duration
-	caches []*recent.Table[uint64, bool]
-	// speed is how fast each agent is.
+	agents    []Agent
+	busyUntil [][]time.Duration
+	caches    []*recent.Table[uint64, bool]
+	// speed is the relative speed of each agent.
 	speed []float64
-	// computed counts prompt tokens that were computed.
-	computed int
-	// at, if set, is called as time passes, and took holds how long every
-	// request took.
-	at   func(now time.Duration)
-	took []time.Duration
+	// computedTokens counts the prompt tokens that were not cached.
+	computedTokens int
+	// onTick, if set, is called before each request. latencies holds the time
+	// from arrival to end of each request.
+	onTick    func(now time.Duration)
+	latencies []time.Duration
 }
 
 const (
 	promptTokens = 4096
-	decode       = time.Second
+	decodeTime   = time.Second
 	loadLag      = 500 * time.Millisecond
 )
 
-func newFleetModel(n, places int) *fleetModel {
-	m := &fleetModel{agents: fleet(n, "z1"), ends: make([][]time.Duration, n), speed: make([]float64, n)}
+func newFleetModel(n, slots int) *fleetModel {
+	m := &fleetModel{agents: makeAgents(n, "z1"), busyUntil: make([][]time.Duration, n), speed: make([]float64, n)}
 	for i := range m.agents {
-		m.agents[i].Bound = places
-		m.ends[i] = make([]time.Duration, places)
+		m.agents[i].Bound = slots
+		m.busyUntil[i] = make([]time.Duration, slots)
 		m.caches = append(m.caches, recent.New[uint64, bool](4))
 		m.speed[i] = 1
 	}
 	return m
 }
 
-// free returns when agent i has a place, and which.
-func (m *fleetModel) free(now time.Duration, i int) (at time.Duration, place int) {
-	for k, end := range m.ends[i] {
-		if end < m.ends[i][place] {
-			place = k
+// earliestSlot returns which slot of agent i is free first, and when.
+func (m *fleetModel) earliestSlot(now time.Duration, i int) (freeAt time.Duration, slot int) {
+	for k, end := range m.busyUntil[i] {
+		if end < m.busyUntil[i][slot] {
+			slot = k
 		}
 	}
-	return max(now, m.ends[i][place]), place
+	return max(now, m.busyUntil[i][slot]), slot
 }
 
-// take runs a request with a prefix that arrived at now at agent i.
-func (m *fleetModel) take(now time.Duration, i int, prefix uint64) {
-	start, place := m.free(now, i)
-	work := decode
+// runRequest runs a request with the given prefix, which arrived at now, at
+// agent i.
+func (m *fleetModel) runRequest(now time.Duration, i int, prefix uint64) {
+	start, slot := m.earliestSlot(now, i)
+	work := decodeTime
 	if m.caches[i].Find(prefix) == nil {
-		work += promptTokens * DefaultPrefill
-		m.computed += promptTokens
+		work += promptTokens * DefaultPrefillPerToken
+		m.computedTokens += promptTokens
 		*m.caches[i].Get(prefix) = true
-		// The others of the batch wait while the prompt is computed.
-		for k := range m.ends[i] {
-			if k != place && m.ends[i][k] > start {
-				m.ends[i][k] += promptTokens * DefaultPrefill
+		// The other requests of the batch wait while the prompt is computed.
+		for k := range m.busyUntil[i] {
+			if k != slot && m.busyUntil[i][k] > start {
+				m.busyUntil[i][k] += promptTokens * DefaultPrefillPerToken
 			}
 		}
 	}
-	m.ends[i][place] = start + time.Duration(float64(work)/m.speed[i])
-	m.took = append(m.took, m.ends[i][place]-now)
+	m.busyUntil[i][slot] = start + time.Duration(float64(work)/m.speed[i])
+	m.latencies = append(m.latencies, m.busyUntil[i][slot]-now)
 }
 
-// claim returns the agent that gets a request offered to i: i, or another that
-// it is offered to when i does not claim it in time and that has room sooner.
-func (m *fleetModel) claim(now time.Duration, p *Placer, req Request, i int, rnd uint64) int {
-	start, _ := m.free(now, i)
+// claimingAgent returns the agent that claims a request offered to agent i: i
+// itself, or the agent to which the offer is extended if i does not claim it in
+// time and the other has a free slot sooner.
+func (m *fleetModel) claimingAgent(now time.Duration, p *Placer, req Request, i int, rnd uint64) int {
+	start, _ := m.earliestSlot(now, i)
 	w := Waiting{Tier: req.Tier, Offered: now, Agents: 1, PromptTokens: req.PromptTokens, Prefix: req.Prefix}
-	if w.patient(start, p.worth(now, &w)) {
+	if w.keepWaiting(start, p.prefixSaving(now, &w)) {
 		return i
 	}
 	other := p.Pick(now, Request{Tier: req.Tier, PromptTokens: req.PromptTokens, Work: req.Work}, m.agents, 1, rnd, nil)[0]
-	if later, _ := m.free(now, other); later < start {
+	if later, _ := m.earliestSlot(now, other); later < start {
 		return other
 	}
 	return i
 }
 
-// load reports the load of every agent as the entries see it.
-func (m *fleetModel) load(now time.Duration) {
+// refreshLoads updates the load of every agent as the entries see it.
+func (m *fleetModel) refreshLoads(now time.Duration) {
 	for i := range m.agents {
 		a := &m.agents[i]
 		a.InFlight, a.Queued, a.QueuedCost = 0, 0, 0
-		for _, end := range m.ends[i] {
+		for _, end := range m.busyUntil[i] {
 			if end > now {
 				a.InFlight++
-				a.QueuedCost += max(end-now-decode, 0)
+				a.QueuedCost += max(end-now-decodeTime, 0)
 			}
 		}
 		if a.QueuedCost > 0 {
-			a.Queued = int(a.QueuedCost/decode) + 1
+			a.Queued = int(a.QueuedCost/decodeTime) + 1
 		}
 	}
 }
 
-// run sends requests at the given part of the capacity without prefill for a
-// minute; half of them share one prefix and the others forty.
-func (m *fleetModel) run(p *Placer, part float64, withPrefix bool) (p99 time.Duration) {
+// run sends requests for a minute, at a rate that uses loadFraction of the
+// capacity without prefill. Half of the requests share one prefix, the others
+// forty.
+func (m *fleetModel) run(p *Placer, loadFraction float64, withPrefix bool) (p99 time.Duration) {
 	rnd := rand.New(rand.NewPCG(3, 3))
-	places := float64(len(m.agents) * m.agents[0].Bound)
-	gap := time.Duration(float64(decode) / places / part)
+	slots := float64(len(m.agents) * m.agents[0].Bound)
+	gap := time.Duration(float64(decodeTime) / slots / loadFraction)
 	reported := -loadLag
 	var out []int
 	for now := time.Duration(0); now < time.Minute; now += time.Duration(rnd.ExpFloat64() * float64(gap)) {
 		if now-reported >= loadLag {
-			m.load(now)
+			m.refreshLoads(now)
 			reported = now
 		}
-		if m.at != nil {
-			m.at(now)
+		if m.onTick != nil {
+			m.onTick(now)
 		}
 		prefix := uint64(1)
 		if rnd.IntN(2) == 0 {
 			prefix = 2 + rnd.Uint64N(40)
 		}
-		req := Request{Tier: 1, PromptTokens: promptTokens, Work: decode}
+		req := Request{Tier: 1, PromptTokens: promptTokens, Work: decodeTime}
 		for level := uint64(0); withPrefix && level < 7; level++ {
 			req.Prefix = append(req.Prefix, prefix<<8|level)
 		}
 		out = p.Pick(now, req, m.agents, 1, rnd.Uint64(), out[:0])
-		i := m.claim(now, p, req, out[0], rnd.Uint64())
+		i := m.claimingAgent(now, p, req, out[0], rnd.Uint64())
 		m.agents[i].Queued++
 		p.Sent(now, m.agents[i].Name, req.Prefix)
-		m.take(now, i, prefix)
+		m.runRequest(now, i, prefix)
 	}
-	sorted := slices.Sorted(slices.Values(m.took))
+	sorted := slices.Sorted(slices.Values(m.latencies))
 	return sorted[len(sorted)*99/100]
 }
 
-// Half of all requests begin with the same long prompt. Placed by load alone
-// it is computed everywhere again and again; placed by prefix alone, one
-// endpoint gets half of the load and its callers wait.
+// Half of all requests begin with the same long prompt. If requests are placed
+// only by load, the prompt is computed again and again at every endpoint. If
+// they are placed only by prefix, one endpoint gets half of the load and its
+// callers wait.
 func TestHotPrefix(t *testing.T) {
-	by, blind := newFleetModel(20, 4), newFleetModel(20, 4)
-	byTook := by.run(New(Config{Zone: "z1"}), 0.7, true)
-	blindTook := blind.run(New(Config{Zone: "z1"}), 0.7, false)
-	t.Logf("computed %d tokens for each request, p99 %v to the end; without prefixes %d and %v", by.computed/len(by.took), byTook, blind.computed/len(blind.took), blindTook)
-	if by.computed > blind.computed/2 {
-		t.Errorf("%d prompt tokens computed, without prefixes %d", by.computed, blind.computed)
+	byPrefix, byLoad := newFleetModel(20, 4), newFleetModel(20, 4)
+	byPrefixP99 := byPrefix.run(New(Config{Zone: "z1"}), 0.7, true)
+	byLoadP99 := byLoad.run(New(Config{Zone: "z1"}), 0.7, false)
+	t.Logf("%d prompt tokens computed per request, p99 latency %v; without prefixes %d and %v", byPrefix.computedTokens/len(byPrefix.latencies), byPrefixP99, byLoad.computedTokens/len(byLoad.latencies), byLoadP99)
+	if byPrefix.computedTokens > byLoad.computedTokens/2 {
+		t.Errorf("%d prompt tokens computed, without prefixes %d", byPrefix.computedTokens, byLoad.computedTokens)
 	}
-	if byTook > blindTook {
-		t.Errorf("p99 %v to the end, without prefixes %v", byTook, blindTook)
+	if byPrefixP99 > byLoadP99 {
+		t.Errorf("p99 latency %v, without prefixes %v", byPrefixP99, byLoadP99)
 	}
 }
 
-// One endpoint of twenty drops to an eighth of its pace and goes on reporting
-// what it always did. Until it is found slow, its callers wait eight times as
-// long; from then on hardly anybody may.
+// One endpoint of twenty drops to an eighth of its speed without any change in
+// what it reports. Until it is detected as slow, its requests take eight times
+// as long; after that hardly any request may be affected.
 func TestSlowEndpoint(t *testing.T) {
-	late := func(noticed time.Duration) (n int) {
+	lateAnswers := func(detectAfter time.Duration) (n int) {
 		m := newFleetModel(20, 4)
-		m.at = func(now time.Duration) {
+		m.onTick = func(now time.Duration) {
 			if now > 20*time.Second {
 				m.speed[3] = 0.125
-				m.agents[3].Slow = now > 20*time.Second+noticed
+				m.agents[3].Slow = now > 20*time.Second+detectAfter
 			}
 		}
 		m.run(New(Config{Zone: "z1"}), 0.6, true)
-		for _, d := range m.took {
+		for _, d := range m.latencies {
 			if d > 5*time.Second {
 				n++
 			}
 		}
 		return n
 	}
-	// The bound finds an endpoint slow that drops to an eighth after 2.31 s
-	// (TestSlowAndBack in core/bound).
-	noticed, never := late(2310*time.Millisecond), late(time.Hour)
-	t.Logf("%d late answers, %d if it is never found slow", noticed, never)
-	if noticed > never/2 {
-		t.Errorf("%d late answers, %d if it is never found slow", noticed, never)
+	// core/bound marks an endpoint that drops to an eighth of its speed as slow
+	// after 2.31 s (TestSlowAndBack there).
+	detectAfter, never := lateAnswers(2310*time.Millisecond), lateAnswers(time.Hour)
+	t.Logf("%d late answers, %d if it is never marked slow", detectAfter, never)
+	if detectAfter > never/2 {
+		t.Errorf("%d late answers, %d if it is never marked slow", detectAfter, never)
 	}
 }
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -1,29 +1,32 @@
-// Package place chooses the agents that are offered a request.
+// Package place chooses the agents to which a request is offered.
 //
-// The load it answers is many requests over many endpoints of unlike speed,
-// whose load is known late, and prompts that begin alike. Sent to the endpoint
-// that looks least loaded, all entries' requests meet at the same one; sent at
-// random, some queue while others idle, and the same prefix is computed
-// everywhere.
+// It is designed for many requests to many endpoints of different speeds, whose
+// load is known with a delay, and for prompts that share prefixes. If each
+// request went to the endpoint that seems least loaded, the requests of all
+// entries would arrive at the same one. If requests were sent at random, some
+// would queue while other endpoints are idle, and the same prefix would be
+// computed everywhere.
 //
-// Two agents drawn at random are compared, which is nearly as good as comparing
-// all and does not herd. To them come the agents that have the prompt's prefix
-// in their cache, as far as the entry's own grants tell: cache events come late
-// and with gaps, while what was sent is known at once. An agent with the prefix
-// is worth the prefill that it saves, to the request and to those in the same
-// batch, and is offered the request alone as long as that is more than its queue
-// costs; beside it a second agent would claim first and compute the prefix
-// again. A prefix that this entry has not sent yet goes where rendezvous hashing
-// puts it, so that all entries send it to the same one or two. When the queue there costs more, the
-// request goes elsewhere, and a prefix in demand spreads to a few agents.
+// The placer compares two agents drawn at random, which is nearly as good as
+// comparing all of them and avoids herding. It adds the agents that have the
+// prompt's prefix in their cache according to this entry's own grants: cache
+// events arrive late and with gaps, while what was sent is known at once. An
+// agent with the prefix saves prefill time for the request and for the others
+// in its batch. It alone is offered the request as long as the saving is
+// greater than the cost of its queue, because a second agent might claim the
+// request first and compute the prefix again. A prefix that this entry has not
+// sent yet goes to the one or two agents chosen by rendezvous hashing, so that
+// all entries send it to the same ones. When the queue there costs more than
+// the saving, the request goes elsewhere, and a prefix in high demand spreads
+// to a few agents.
 //
-// Slow and leaving agents get nothing, except that one pick in thirty-two also
-// offers to a slow one, so that its recovery can be seen. Agents of other zones
-// take part at a penalty, which the queues of a full zone exceed.
+// Slow agents get no requests while there are others, except that one pick in
+// thirty-two is also offered to a slow agent to detect its recovery. Agents
+// that are leaving get none. Agents of other zones take part with a penalty,
+// which the queues of a full zone exceed.
 //
-// Grounds of the figures: the penalty of another zone is well above the
-// millisecond between zones, so that a balanced zone keeps its work; the others
-// are to be measured.
+// The penalty for another zone is well above the network latency between zones,
+// which is about a millisecond, so that a balanced zone keeps its work.
 package place
 
 import (
@@ -33,249 +36,263 @@
 )
 
 const (
-	// DefaultPrefill is the time to compute one token of a prompt that is
-	// assumed when Config has none: an engine of middling speed.
-	DefaultPrefill = 125 * time.Microsecond
-	// zonePenalty is what an agent of another zone must be better by.
+	// DefaultPrefillPerToken is the default of Config.PrefillPerToken. It is
+	// that of an engine of medium speed.
+	DefaultPrefillPerToken = 125 * time.Microsecond
+	// zonePenalty is the delay that is added to agents of other zones in
+	// comparisons.
 	zonePenalty = 10 * time.Millisecond
-	// crowding is the part of its work that a request loses in a full batch,
-	// against an empty one.
-	crowding = 8
-	// probeEvery is the number of picks of which one offers to a slow agent.
-	probeEvery = 32
-	// stalled is the divisor of the others' time in the batch that a prefill
-	// takes: they do not stand still all of the time, because an engine mixes a
-	// part of a prompt with the tokens of the others.
-	stalled = 8
-	// evicts is how many prefills a miss costs in a full cache: its own, and
-	// later that of the prefix that it evicts.
-	evicts = 2
-	// homeLevel is the prefix of the fingerprint that chooses a prompt's homes.
-	homeLevel = 2
-	// knownHome and newHome are the parts, as divisors, of a prefix that a home
-	// is taken to have when this entry did not send it there: of one that it
-	// has sent elsewhere, and of one that it never saw.
-	knownHome, newHome = 2, 4
-	// leastSaving is the prefill that must be saved for an agent to be offered
-	// a request alone.
-	leastSaving = 5 * time.Millisecond
-	// draws is how often an agent is drawn again that must not be offered to,
-	// before all are looked at.
-	draws = 8
+	// batchSlowdownDivisor gives the slowdown in a full batch: compared with an
+	// empty batch, a request loses 1/batchSlowdownDivisor of its work.
+	batchSlowdownDivisor = 8
+	// probeInterval is the number of picks of which one includes a slow agent.
+	probeInterval = 32
+	// prefillStallDivisor gives the delay that a prefill causes to each other
+	// request in the batch: 1/prefillStallDivisor of its time. They are not
+	// stalled for all of it, because an engine interleaves parts of a prompt
+	// with the tokens of the others.
+	prefillStallDivisor = 8
+	// prefillsPerMiss is the number of prefills that a cache miss costs when
+	// the cache is full: that of the prompt itself, and later that of the
+	// prefix that it evicts.
+	prefillsPerMiss = 2
+	// preferredLevel is the index of the fingerprint's prefix whose hash
+	// selects the preferred agents of a prompt.
+	preferredLevel = 2
+	// knownPrefixDivisor and newPrefixDivisor give the part of a prefix that a
+	// preferred agent is assumed to have cached although this entry did not
+	// send it there: 1/knownPrefixDivisor of a prefix that this entry has sent
+	// to other agents, and 1/newPrefixDivisor of one that it has never sent.
+	knownPrefixDivisor, newPrefixDivisor = 2, 4
+	// minExclusiveSaving is the saving from which on an agent is offered a
+	// request alone.
+	minExclusiveSaving = 5 * time.Millisecond
+	// maxDraws is the number of random draws that may hit an ineligible agent
+	// before all agents are scanned.
+	maxDraws = 8
 )
 
-// Agent is what an entry knows of one agent it has a link to.
+// Agent is what an entry knows about an agent to which it has a link.
 type Agent struct {
 	Name string
 	Zone string
-	// InFlight, Bound, Queued and QueuedCost are the last load heard, plus
-	// what the entry itself has offered since.
+	// InFlight, Bound, Queued and QueuedCost are the agent's last reported
+	// load, plus what this entry has offered to it since.
 	InFlight, Bound, Queued int
 	QueuedCost              time.Duration
-	// Slow, Leaving and Full come from the agent; Full means that it returned
-	// an offer for want of room a moment ago.
+	// Slow and Leaving are reported by the agent. Full means that it returned
+	// an offer a moment ago because it had no room.
 	Slow, Leaving, Full bool
 }
 
-// usable reports whether a is offered work as long as there are others.
+// usable reports whether a may be offered requests while other agents are
+// available.
 func (a *Agent) usable() bool { return !a.Leaving && !a.Full && !a.Slow }
 
-// Request is what placement needs to know of a request.
+// Request holds the properties of a request that matter for its placement.
 type Request struct {
 	Tier         uint8
 	PromptTokens int
 	Work         time.Duration
-	// Prefix holds the Fingerprint of the prompt.
+	// Prefix is the Fingerprint of the prompt.
 	Prefix []uint64
 }
 
-// Config says from where placement is done.
+// Config configures a Placer.
 type Config struct {
 	// Zone is the zone of the entry.
 	Zone string
-	// Prefill is the time to compute one token of a prompt; zero means
-	// DefaultPrefill.
-	Prefill time.Duration
-	// MaxPrefixes bounds the prefixes that are remembered; zero means
+	// PrefillPerToken is the time to compute one token of a prompt. Zero means
+	// DefaultPrefillPerToken.
+	PrefillPerToken time.Duration
+	// MaxPrefixes bounds the number of remembered prefixes. Zero means
 	// DefaultMaxPrefixes.
 	MaxPrefixes int
 }
 
-// Placer chooses agents. One goroutine owns it.
+// Placer chooses agents for requests. One goroutine owns it.
 type Placer struct {
 	cfg   Config
 	cache cache
-	// found holds the candidates of the present pick.
-	found []candidate
+	// candidates holds the candidates of the current pick.
+	candidates []candidate
 }
 
 // candidate is an agent that may be picked.
 type candidate struct {
 	index int
-	// cost is the time that the request would lose there.
+	// cost is the expected delay of the request at the agent less saving, the
+	// time that is saved by a cached prefix.
 	cost   time.Duration
 	saving time.Duration
 }
 
-// New returns a placer that has sent nothing yet.
+// New returns a Placer that has no knowledge of any cache.
 func New(cfg Config) *Placer {
-	if cfg.Prefill <= 0 {
-		cfg.Prefill = DefaultPrefill
+	if cfg.PrefillPerToken <= 0 {
+		cfg.PrefillPerToken = DefaultPrefillPerToken
 	}
 	return &Placer{cfg: cfg, cache: newCache(cfg.MaxPrefixes)}
 }
 
-// Pick appends to out the indexes of up to n agents to offer req to, the best
-// first. It picks one alone if that one has the prompt's prefix. rnd is a fresh
-// random number.
+// Pick appends to out the indexes of up to n agents to which req should be
+// offered, the best first. It appends only one if that agent is expected to
+// have the prompt's prefix and it saves enough. rnd must be a fresh random
+// number.
 func (p *Placer) Pick(now time.Duration, req Request, agents []Agent, n int, rnd uint64, out []int) []int {
 	if n <= 0 || len(agents) == 0 {
 		return out
 	}
-	p.found = p.found[:0]
-	p.addHomes(&req, agents, p.addHolders(now, &req, agents))
-	r := random(rnd)
-	p.addDrawn(&req, agents, max(n, 2), &r)
-	if len(p.found) == 0 {
-		p.addLast(&req, agents)
+	p.candidates = p.candidates[:0]
+	p.addPreferred(&req, agents, p.addHolders(now, &req, agents))
+	random := randomSource(rnd)
+	p.addRandom(&req, agents, max(n, 2), &random)
+	if len(p.candidates) == 0 {
+		p.addFallback(&req, agents)
 	}
-	slices.SortFunc(p.found, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
-	if len(p.found) > 0 && p.found[0].saving >= leastSaving {
+	slices.SortFunc(p.candidates, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
+	if len(p.candidates) > 0 && p.candidates[0].saving >= minExclusiveSaving {
 		n = 1
 	}
 	first := len(out)
-	for _, c := range p.found[:min(n, len(p.found))] {
+	for _, c := range p.candidates[:min(n, len(p.candidates))] {
 		out = append(out, c.index)
 	}
-	if n > 1 && r.below(probeEvery) == 0 {
-		out = p.probe(agents, out, first, n, &r)
+	if n > 1 && random.below(probeInterval) == 0 {
+		out = p.addProbe(agents, out, first, n, &random)
 	}
 	return out
 }
 
-// add makes agents[i] a candidate unless it is one.
-func (p *Placer) add(req *Request, agents []Agent, i, held int) {
-	for j := range p.found {
-		if p.found[j].index == i {
+// add makes agents[i] a candidate unless it is one already. heldTokens is the
+// number of the prompt's tokens that it is assumed to have cached.
+func (p *Placer) add(req *Request, agents []Agent, i, heldTokens int) {
+	for j := range p.candidates {
+		if p.candidates[j].index == i {
 			return
 		}
 	}
-	saving := p.saving(req.PromptTokens, held, &agents[i])
-	p.found = append(p.found, candidate{index: i, cost: p.loss(req, &agents[i]) - saving, saving: saving})
+	saving := p.saving(req.PromptTokens, heldTokens, &agents[i])
+	p.candidates = append(p.candidates, candidate{index: i, cost: p.expectedDelay(req, &agents[i]) - saving, saving: saving})
 }
 
-// saving is what a prompt of which held tokens are cached at a is worth there:
-// the prefill that it saves, that of what it would evict elsewhere, and a part
-// of both for every request in the batch, all of which stand still meanwhile.
-func (p *Placer) saving(prompt, held int, a *Agent) time.Duration {
-	prefill := evicts * time.Duration(min(held, prompt)) * p.cfg.Prefill
-	return prefill + prefill*time.Duration(min(a.InFlight, a.Bound))/stalled
+// saving returns the time that is saved if heldTokens of the prompt are cached
+// at a: the prefill itself, the later prefill of the prefix that it would evict
+// elsewhere, and a part of both for every request in the batch, which would be
+// delayed by the prefill.
+func (p *Placer) saving(promptTokens, heldTokens int, a *Agent) time.Duration {
+	prefill := prefillsPerMiss * time.Duration(min(heldTokens, promptTokens)) * p.cfg.PrefillPerToken
+	return prefill + prefill*time.Duration(min(a.InFlight, a.Bound))/prefillStallDivisor
 }
 
-// loss is the time that req would lose at a: the queue, a share of a full
-// batch, and the way to another zone.
-func (p *Placer) loss(req *Request, a *Agent) time.Duration {
+// expectedDelay returns the time that req would lose at a: its wait in the
+// queue, its share of the slowdown of a full batch, and the penalty for another
+// zone.
+func (p *Placer) expectedDelay(req *Request, a *Agent) time.Duration {
 	bound := max(a.Bound, 1)
 	busy := a.InFlight + a.Queued
-	d := req.Work / crowding * time.Duration(min(busy, bound)) / time.Duration(bound)
+	delay := req.Work / batchSlowdownDivisor * time.Duration(min(busy, bound)) / time.Duration(bound)
 	if busy >= bound {
-		// Offers that the agent has yet to hear of count half as long as this
-		// one, since others hold them too.
+		// Offers that the agent has not reported yet count as half of this
+		// request, because other agents hold them too.
 		queued := max(a.QueuedCost, time.Duration(a.Queued)*req.Work/2)
-		d += (queued + req.Work) / time.Duration(bound)
+		delay += (queued + req.Work) / time.Duration(bound)
 	}
 	if a.Zone != p.cfg.Zone {
-		d += zonePenalty
+		delay += zonePenalty
 	}
-	return d
+	return delay
 }
 
 // addHolders adds the agents that have the longest known prefix of the prompt
-// and returns its length in tokens.
+// and returns the length of that prefix in tokens.
 func (p *Placer) addHolders(now time.Duration, req *Request, agents []Agent) int {
-	h, tokens := p.cache.longest(now, req.Prefix)
+	h, tokens := p.cache.longestKnown(now, req.Prefix)
 	if h == nil {
 		return 0
 	}
-	for i := range h.agents[:h.n] {
-		at := p.cache.locate(h.agents[i], agents)
+	for i := range h.agents[:h.count] {
+		at := p.cache.indexOf(h.agents[i], agents)
 		if at >= 0 && agents[at].usable() {
-			p.add(req, agents, at, int(float64(tokens)*p.cache.agents[h.agents[i].agent].trust))
+			p.add(req, agents, at, int(float64(tokens)*p.cache.agents[h.agents[i].agent].hitRate))
 		}
 	}
 	return tokens
 }
 
-// addHomes adds the agents that the other entries send the prompt's beginning
-// to, of which known tokens were sent by this one before.
-func (p *Placer) addHomes(req *Request, agents []Agent, known int) {
+// addPreferred adds the agents to which the other entries send prompts with
+// this beginning. knownTokens is the length in tokens of the longest prefix
+// that this entry has sent to any agent.
+func (p *Placer) addPreferred(req *Request, agents []Agent, knownTokens int) {
 	if len(req.Prefix) == 0 {
 		return
 	}
-	level := min(homeLevel, len(req.Prefix)-1)
-	held := max(known/knownHome, length(level)/newHome)
-	first, second := p.cache.homes(req.Prefix[level], agents)
+	level := min(preferredLevel, len(req.Prefix)-1)
+	heldTokens := max(knownTokens/knownPrefixDivisor, prefixTokens(level)/newPrefixDivisor)
+	first, second := p.cache.preferredAgents(req.Prefix[level], agents)
 	if first >= 0 {
-		p.add(req, agents, first, held)
+		p.add(req, agents, first, heldTokens)
 	}
 	if second >= 0 {
-		p.add(req, agents, second, held/knownHome)
+		p.add(req, agents, second, heldTokens/knownPrefixDivisor)
 	}
 }
 
-// addDrawn adds n agents of the own zone and one of another, as far as there
-// are usable ones.
-func (p *Placer) addDrawn(req *Request, agents []Agent, n int, r *random) {
-	own := func(a *Agent) bool { return a.usable() && a.Zone == p.cfg.Zone }
+// addRandom adds n random agents of the entry's own zone and one of another
+// zone, as far as there are usable ones. If that gives fewer than n candidates,
+// it adds others from any zone.
+func (p *Placer) addRandom(req *Request, agents []Agent, n int, rnd *randomSource) {
+	inOwnZone := func(a *Agent) bool { return a.usable() && a.Zone == p.cfg.Zone }
 	for range n {
-		p.draw(req, agents, r, own)
+		p.drawOne(req, agents, rnd, inOwnZone)
 	}
-	p.draw(req, agents, r, func(a *Agent) bool { return a.usable() && a.Zone != p.cfg.Zone })
+	p.drawOne(req, agents, rnd, func(a *Agent) bool { return a.usable() && a.Zone != p.cfg.Zone })
 	for range n {
-		if len(p.found) >= n {
+		if len(p.candidates) >= n {
 			return
 		}
-		p.draw(req, agents, r, (*Agent).usable)
+		p.drawOne(req, agents, rnd, (*Agent).usable)
 	}
 }
 
-// draw adds a random agent that passes ok and is no candidate yet.
-func (p *Placer) draw(req *Request, agents []Agent, r *random, ok func(*Agent) bool) {
-	for range draws {
-		i := r.below(len(agents))
-		if ok(&agents[i]) && !p.has(i) {
+// drawOne adds a random eligible agent that is not a candidate yet, if there is
+// one.
+func (p *Placer) drawOne(req *Request, agents []Agent, rnd *randomSource, eligible func(*Agent) bool) {
+	for range maxDraws {
+		i := rnd.below(len(agents))
+		if eligible(&agents[i]) && !p.isCandidate(i) {
 			p.add(req, agents, i, 0)
 			return
 		}
 	}
-	from := r.below(len(agents))
+	start := rnd.below(len(agents))
 	for k := range agents {
-		i := (from + k) % len(agents)
-		if ok(&agents[i]) && !p.has(i) {
+		i := (start + k) % len(agents)
+		if eligible(&agents[i]) && !p.isCandidate(i) {
 			p.add(req, agents, i, 0)
 			return
 		}
 	}
 }
 
-func (p *Placer) has(i int) bool {
-	for j := range p.found {
-		if p.found[j].index == i {
+func (p *Placer) isCandidate(i int) bool {
+	for j := range p.candidates {
+		if p.candidates[j].index == i {
 			return true
 		}
 	}
 	return false
 }
 
-// addLast adds the agents that are offered work only when there are no others:
-// those that just were full, then those that are slow.
-func (p *Placer) addLast(req *Request, agents []Agent) {
+// addFallback adds the agents that are offered requests only when there are no
+// others: those that were full a moment ago, or else those that are slow.
+func (p *Placer) addFallback(req *Request, agents []Agent) {
 	for i := range agents {
 		if !agents[i].Leaving && !agents[i].Slow {
 			p.add(req, agents, i, 0)
 		}
 	}
-	if len(p.found) > 0 {
+	if len(p.candidates) > 0 {
 		return
 	}
 	for i := range agents {
@@ -285,12 +302,12 @@
 	}
 }
 
-// probe offers to a slow agent in place of the last pick. The first pick
-// stays, so the request does not depend on it.
-func (p *Placer) probe(agents []Agent, out []int, first, n int, r *random) []int {
-	from := r.below(len(agents))
+// addProbe adds a slow agent, in place of the last pick if there are n already.
+// The first pick stays, so that the request does not depend on the slow agent.
+func (p *Placer) addProbe(agents []Agent, out []int, first, n int, rnd *randomSource) []int {
+	start := rnd.below(len(agents))
 	for k := range agents {
-		i := (from + k) % len(agents)
+		i := (start + k) % len(agents)
 		if !agents[i].Slow || agents[i].Leaving || slices.Contains(out[first:], i) {
 			continue
 		}
@@ -302,11 +319,11 @@
 	return out
 }
 
-// random makes the random numbers of one pick from one.
-type random uint64
+// randomSource generates the random numbers of one pick from a seed.
+type randomSource uint64
 
-// below returns a number from 0 to n-1.
-func (r *random) below(n int) int {
+// below returns a random number from 0 to n-1.
+func (r *randomSource) below(n int) int {
 	*r += 0x9e3779b97f4a7c15
 	return int(mix(uint64(*r)) % uint64(n))
 }
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func fleet(n int, zone string) []Agent {
+func makeAgents(n int, zone string) []Agent {
 	all := make([]Agent, n)
 	for i := range all {
 		all[i] = Agent{Name: fmt.Sprint(zone, "-", i), Zone: zone, Bound: 8}
@@ -20,17 +20,17 @@
 
 var request = Request{Tier: 1, PromptTokens: 1000, Work: 2 * time.Second}
 
-// shares returns how often each agent was the first pick.
-func shares(p *Placer, req Request, agents []Agent, picks int) []int {
-	got, rnd := make([]int, len(agents)), rand.New(rand.NewPCG(1, 1))
+// firstPickCounts returns how often each agent was the first pick.
+func firstPickCounts(p *Placer, req Request, agents []Agent, picks int) []int {
+	counts, rnd := make([]int, len(agents)), rand.New(rand.NewPCG(1, 1))
 	var out []int
 	for range picks {
 		out = p.Pick(0, req, agents, 2, rnd.Uint64(), out[:0])
 		if len(out) > 0 {
-			got[out[0]]++
+			counts[out[0]]++
 		}
 	}
-	return got
+	return counts
 }
 
 func TestPick(t *testing.T) {
@@ -41,38 +41,39 @@
 		want  func(got []int) bool
 	}{
 		{"own zone first", func([]Agent) {}, func(g []int) bool { return g[2]+g[3] == 0 && g[0] > 300 && g[1] > 300 }},
-		{"own zone while hardly busier", func(a []Agent) {
+		{"own zone while slightly busier", func(a []Agent) {
 			for i := range a {
 				a[i].Bound = 100
 			}
 			a[0].InFlight, a[1].InFlight = 3, 3
 		}, func(g []int) bool { return g[2]+g[3] == 0 }},
-		{"other zone when one's own is full", func(a []Agent) { full(&a[0]); full(&a[1]) }, func(g []int) bool { return g[0]+g[1] == 0 }},
-		{"other zone when one's own is lost", func(a []Agent) { a[0].Leaving, a[1].Leaving = true, true }, func(g []int) bool { return g[2]+g[3] == 1000 }},
-		{"less loaded", func(a []Agent) { a[0].InFlight = 6 }, func(g []int) bool { return g[1] == 1000 }},
-		{"not slow", func(a []Agent) { a[0].Slow = true }, func(g []int) bool { return g[1] == 1000 }},
-		{"slow when there is no other", func(a []Agent) { a[0].Slow, a[1].Leaving, a[2].Leaving, a[3].Leaving = true, true, true, true }, func(g []int) bool { return g[0] == 1000 }},
-		{"full when there is no other", func(a []Agent) { a[0].Full, a[1].Leaving, a[2].Leaving, a[3].Leaving = true, true, true, true }, func(g []int) bool { return g[0] == 1000 }},
-		{"never leaving", func(a []Agent) {
+		{"other zone when the own zone is full", func(a []Agent) { full(&a[0]); full(&a[1]) }, func(g []int) bool { return g[0]+g[1] == 0 }},
+		{"other zone when all agents of the own zone leave", func(a []Agent) { a[0].Leaving, a[1].Leaving = true, true }, func(g []int) bool { return g[2]+g[3] == 1000 }},
+		{"less loaded agent", func(a []Agent) { a[0].InFlight = 6 }, func(g []int) bool { return g[1] == 1000 }},
+		{"not a slow agent", func(a []Agent) { a[0].Slow = true }, func(g []int) bool { return g[1] == 1000 }},
+		{"slow agent when there is no other", func(a []Agent) { a[0].Slow, a[1].Leaving, a[2].Leaving, a[3].Leaving = true, true, true, true }, func(g []int) bool { return g[0] == 1000 }},
+		{"full agent when there is no other", func(a []Agent) { a[0].Full, a[1].Leaving, a[2].Leaving, a[3].Leaving = true, true, true, true }, func(g []int) bool { return g[0] == 1000 }},
+		{"never a leaving agent", func(a []Agent) {
 			for i := range a {
 				a[i].Leaving = true
 			}
 		}, func(g []int) bool { return g[0]+g[1]+g[2]+g[3] == 0 }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			agents := append(fleet(2, "z1"), fleet(2, "z2")...)
+			agents := append(makeAgents(2, "z1"), makeAgents(2, "z2")...)
 			tc.setup(agents)
-			if got := shares(New(Config{Zone: "z1"}), request, agents, 1000); !tc.want(got) {
+			if got := firstPickCounts(New(Config{Zone: "z1"}), request, agents, 1000); !tc.want(got) {
 				t.Fatalf("first picks %v", got)
 			}
 		})
 	}
 }
 
-// A slow agent must see a little work, or nobody would find out that it has
-// recovered; but no request may depend on it.
-func TestProbesTheSlow(t *testing.T) {
-	p, agents := New(Config{Zone: "z1"}), fleet(5, "z1")
+// A slow agent must get a few offers, otherwise its recovery would never be
+// detected. But every probe must have a second agent, so that no request
+// depends on the slow one.
+func TestSlowAgentsAreProbed(t *testing.T) {
+	p, agents := New(Config{Zone: "z1"}), makeAgents(5, "z1")
 	agents[3].Slow = true
 	probes, rnd := 0, rand.New(rand.NewPCG(1, 1))
 	for range 3200 {
@@ -89,8 +90,8 @@
 	}
 }
 
-// A prefix is worth its prefill and no more: the agent that has it gets the
-// request alone until its queue costs more.
+// A cached prefix is worth the prefill that it saves and no more. The agent
+// that has it gets the request alone until its queue costs more.
 func TestPrefixAgainstQueue(t *testing.T) {
 	prompt := make([]byte, 16384)
 	req := Request{Tier: 1, PromptTokens: 4096, Work: time.Second, Prefix: Fingerprint(prompt)}
@@ -100,7 +101,7 @@
 		alone  bool
 	}{{"free", 0, true}, {"short queue", time.Second, true}, {"long queue", 20 * time.Second, false}} {
 		t.Run(tc.name, func(t *testing.T) {
-			p, agents := New(Config{Zone: "z1"}), fleet(20, "z1")
+			p, agents := New(Config{Zone: "z1"}), makeAgents(20, "z1")
 			p.Sent(0, agents[7].Name, req.Prefix)
 			if tc.queued > 0 {
 				agents[7].InFlight, agents[7].Queued, agents[7].QueuedCost = 8, 1, tc.queued
@@ -117,13 +118,13 @@
 	}
 }
 
-// The engine evicts sooner than is believed. If that went unnoticed, requests
-// would queue for a prefix that is gone.
-func TestTrust(t *testing.T) {
-	p, agents := New(Config{Zone: "z1"}), fleet(20, "z1")
+// The engine evicts prefixes sooner than assumed. If that were not detected,
+// requests would queue for a prefix that is no longer cached.
+func TestHitRateLowersSavings(t *testing.T) {
+	p, agents := New(Config{Zone: "z1"}), makeAgents(20, "z1")
 	req := Request{Tier: 1, PromptTokens: 256, Work: time.Second, Prefix: Fingerprint(make([]byte, 1024))}
-	if believed := p.Sent(0, agents[7].Name, req.Prefix); believed != 0 {
-		t.Fatalf("believed %d tokens of a new prompt", believed)
+	if believedTokens := p.Sent(0, agents[7].Name, req.Prefix); believedTokens != 0 {
+		t.Fatalf("%d tokens of a new prompt assumed to be cached", believedTokens)
 	}
 	for range 20 {
 		p.Cached(agents[7].Name, p.Sent(0, agents[7].Name, req.Prefix), 0)
@@ -135,14 +136,14 @@
 		p.Cached(agents[7].Name, 256, 256)
 	}
 	if out := p.Pick(0, req, agents, 2, 1, nil); len(out) != 1 || out[0] != 7 {
-		t.Fatalf("picked %v after the cache proved right", out)
+		t.Fatalf("picked %v after the cache hits", out)
 	}
 }
 
-// Two entries do not tell each other where they sent a prompt. If each chose on
-// its own, every prefix would be computed once for each entry.
+// Entries do not tell each other where they sent a prompt. If each of them
+// chose on its own, every prefix would be computed once per entry.
 func TestEntriesAgreeOnNewPrefixes(t *testing.T) {
-	agents := fleet(20, "z1")
+	agents := makeAgents(20, "z1")
 	used := map[int]bool{}
 	for n := range 40 {
 		req := Request{Tier: 1, PromptTokens: 1000, Work: time.Second, Prefix: Fingerprint(append([]byte(fmt.Sprint(n)), make([]byte, 4000)...))}
@@ -158,17 +159,17 @@
 	}
 }
 
-func TestWider(t *testing.T) {
+func TestOffersToExtend(t *testing.T) {
 	const s = time.Second
-	waiting := []Waiting{
+	offers := []Waiting{
 		{Tier: 2, Offered: 0, Agents: 1},
 		{Tier: 1, Offered: 0, Agents: 1, Due: 30 * s},
 		{Tier: 1, Offered: 0, Agents: 2, Due: 9 * s},
-		{Tier: 0, Offered: -time.Minute, Agents: mostAgents},
+		{Tier: 0, Offered: -time.Minute, Agents: maxAgentsPerOffer},
 		{Tier: 0, Offered: 950 * time.Millisecond, Agents: 1},
 		{Tier: 3, Offered: s, Agents: 0},
 	}
-	if got := fmt.Sprint(New(Config{}).Wider(s, waiting, nil)); got != "[2 1 0 5]" {
+	if got := fmt.Sprint(New(Config{}).Wider(s, offers, nil)); got != "[2 1 0 5]" {
 		t.Fatalf("order %v", got)
 	}
 }
@@ -177,17 +178,17 @@
 	a, b := make([]byte, 5000), make([]byte, 5000)
 	b[1500] = 1
 	x, y := Fingerprint(a), Fingerprint(b)
-	if len(x) != 5 || !slices.Equal(x[:3], y[:3]) || x[3] == y[3] || len(Fingerprint(a[:255])) != 0 || len(Fingerprint(make([]byte, 1<<20))) != MaxPrefix {
+	if len(x) != 5 || !slices.Equal(x[:3], y[:3]) || x[3] == y[3] || len(Fingerprint(a[:255])) != 0 || len(Fingerprint(make([]byte, 1<<20))) != MaxPrefixHashes {
 		t.Fatalf("%x, %x", x, y)
 	}
 }
 
-// Whatever the agents are like, picks are distinct, never leaving, at most n,
-// and there is one if there is an agent that is not leaving.
+// For any set of agents, picks are distinct, at most n, never leaving, and
+// there is at least one if any agent is not leaving.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(Config{Zone: "z1", MaxPrefixes: 8})
-		agents := append(fleet(rapid.IntRange(0, 6).Draw(t, "own"), "z1"), fleet(rapid.IntRange(0, 6).Draw(t, "others"), "z2")...)
+		agents := append(makeAgents(rapid.IntRange(0, 6).Draw(t, "own"), "z1"), makeAgents(rapid.IntRange(0, 6).Draw(t, "others"), "z2")...)
 		live := false
 		for i := range agents {
 			a := &agents[i]
@@ -219,7 +220,7 @@
 func BenchmarkPick(b *testing.B) {
 	for _, known := range []int{0, 100} {
 		b.Run(fmt.Sprint("prefixes=", known), func(b *testing.B) {
-			p, agents := New(Config{Zone: "z1"}), append(fleet(109, "z1"), fleet(6, "z2")...)
+			p, agents := New(Config{Zone: "z1"}), append(makeAgents(109, "z1"), makeAgents(6, "z2")...)
 			var prefixes [][]uint64
 			for i := range max(known, 1) {
 				prefixes = append(prefixes, Fingerprint(append([]byte(fmt.Sprint(i)), make([]byte, 8192)...)))
--- a/core/place/wider.go
+++ b/core/place/wider.go
@@ -7,80 +7,83 @@
 )
 
 const (
-	// firstPatience is how long an offer that one agent holds waits before
-	// another gets it too; each further agent doubles it. An idle agent claims
-	// within the way there and back, some milliseconds.
-	firstPatience = 100 * time.Millisecond
-	// mostAgents is how many agents hold an offer at most. Each further one
-	// costs a message and gains less.
-	mostAgents = 6
-	// fullBatch is the number of requests in a full batch.
-	fullBatch = 16
-	// hurry is the part of the time left to the target that an offer waits at
-	// most.
-	hurry = 4
+	// firstExtension is how long an offer waits at a single agent before it is
+	// extended to another one. The time doubles with each further agent. An
+	// idle agent claims an offer within one round trip, a few milliseconds.
+	firstExtension = 100 * time.Millisecond
+	// maxAgentsPerOffer is the maximum number of agents that hold the same
+	// offer. Each further agent costs a message and helps less.
+	maxAgentsPerOffer = 6
+	// fullBatchSize is the assumed number of requests in a full batch.
+	fullBatchSize = 16
+	// targetWaitDivisor bounds the wait before an offer is extended to
+	// 1/targetWaitDivisor of the time that was left to the target when the
+	// offer was made.
+	targetWaitDivisor = 4
 )
 
-// Waiting is an offered request that no agent has claimed yet.
+// UnclaimedOffer is an offered request that no agent has claimed yet.
 type Waiting struct {
 	Tier uint8
-	// Offered is when it was last offered; Due is when its target is missed,
-	// zero if never.
+	// OfferedAt is when the request was last offered. Due is when it misses its
+	// target; zero means that it has none.
 	Offered, Due time.Duration
-	// Agents is how many agents hold the offer now.
+	// AgentCount is the number of agents that hold the offer now.
 	Agents int
-	// PromptTokens and Prefix are those of its Request.
+	// PromptTokens and Prefix are those of the Request.
 	PromptTokens int
 	Prefix       []uint64
 }
 
-// patient reports whether w should go on waiting for the agents that it has;
-// worth is what the prefix that one of them may have saves.
-func (w *Waiting) patient(now, worth time.Duration) bool {
-	if w.Agents >= mostAgents {
+// keepWaiting reports whether the offer should stay with the agents that hold
+// it. prefixSaving is the time that is saved if an agent with the prompt's
+// prefix claims it.
+func (w *Waiting) keepWaiting(now, prefixSaving time.Duration) bool {
+	if w.Agents >= maxAgentsPerOffer {
 		return true
 	}
-	patience := firstPatience<<max(w.Agents-1, 0) + worth
+	timeout := firstExtension<<max(w.Agents-1, 0) + prefixSaving
 	if w.Agents == 0 {
-		patience = 0
+		timeout = 0
 	}
 	if w.Due > now {
-		patience = min(patience, max((w.Due-w.Offered)/hurry, firstPatience/hurry))
+		timeout = min(timeout, max((w.Due-w.Offered)/targetWaitDivisor, firstExtension/targetWaitDivisor))
 	}
-	return now-w.Offered < patience
+	return now-w.Offered < timeout
 }
 
-// Wider appends to out the indexes of the requests that should be offered to
-// one more agent, the highest tier first and in it the most urgent. An agent
-// that is stuck or was reported with too little load would otherwise keep a
-// request from all the others.
-func (p *Placer) Wider(now time.Duration, waiting []Waiting, out []int) []int {
+// OffersToExtend appends to out the indexes of the requests that should be
+// offered to one more agent, ordered by tier and then by Due. Otherwise an
+// agent that is stuck, or whose reported load was too low, would keep a request
+// from all other agents.
+func (p *Placer) Wider(now time.Duration, offers []Waiting, out []int) []int {
 	first := len(out)
-	for i := range waiting {
-		if !waiting[i].patient(now, p.worth(now, &waiting[i])) {
+	for i := range offers {
+		if !offers[i].keepWaiting(now, p.prefixSaving(now, &offers[i])) {
 			out = append(out, i)
 		}
 	}
 	slices.SortFunc(out[first:], func(i, j int) int {
-		a, b := &waiting[i], &waiting[j]
-		return cmp.Or(cmp.Compare(a.Tier, b.Tier), cmp.Compare(never(a.Due), never(b.Due)), cmp.Compare(a.Offered, b.Offered))
+		a, b := &offers[i], &offers[j]
+		return cmp.Or(cmp.Compare(a.Tier, b.Tier), cmp.Compare(orNever(a.Due), orNever(b.Due)), cmp.Compare(a.Offered, b.Offered))
 	})
 	return out
 }
 
-// worth is what an agent with the prompt's prefix saves in a full batch. Offers
-// to others before that has been waited for would spread every prefix over the
-// fleet, until no cache holds any.
-func (p *Placer) worth(now time.Duration, w *Waiting) time.Duration {
-	h, tokens := p.cache.longest(now, w.Prefix)
+// prefixSaving returns the time that an agent with the prompt's prefix saves in
+// a full batch. If offers were extended to other agents before that time had
+// passed, every prefix would be spread over the fleet until no cache holds it.
+func (p *Placer) prefixSaving(now time.Duration, w *Waiting) time.Duration {
+	h, tokens := p.cache.longestKnown(now, w.Prefix)
 	if h == nil {
 		return 0
 	}
-	return evicts * fullBatch / stalled * time.Duration(min(tokens, w.PromptTokens)) * p.cfg.Prefill
+	return prefillsPerMiss * fullBatchSize / prefillStallDivisor * time.Duration(min(tokens, w.PromptTokens)) * p.cfg.PrefillPerToken
 }
 
-// never orders requests without a target last.
-func never(due time.Duration) time.Duration {
+// orNever replaces zero, which means no target, by the largest time, so that
+// requests without a target come last.
+func orNever(due time.Duration) time.Duration {
 	if due == 0 {
 		return 1<<63 - 1
 	}
