--- a/core/bound/bound.go
+++ b/core/bound/bound.go
@@ -6,88 +6,92 @@
 	"lycheepond/core/spec"
 )
 
-// Config says within which limits the bound is sought.
+// Config limits the search for the bound.
 type Config struct {
-	// Min and Max are the least and the largest bound; zero means DefaultMin
+	// Min and Max are the smallest and the largest bound. Zero means DefaultMin
 	// and DefaultMax.
 	Min, Max int
 }
 
-// Defaults of Config, and where the search begins.
+// Defaults of Config, and the first value of the bound.
 const (
-	DefaultMin = 1
-	DefaultMax = 256
-	coldStart  = 6
+	DefaultMin   = 1
+	DefaultMax   = 256
+	initialBound = 6
 )
 
-// Sample is what one request showed, when it had its first byte, while it ran
-// or at its end. A request may give several.
+// Sample holds what was observed of one request at its first byte, while it
+// ran, or at its end. A request may give several samples.
 type Sample struct {
-	// First is the time from handing the request to the endpoint to its first
-	// byte, in one sample of a request only. Between is the mean time between
-	// tokens since the request's last sample; over fewer than about eight
-	// tokens it says little and is better left out. Zero means not seen.
+	// FirstToken is the time from handing the request to the endpoint to its
+	// first byte; it is set in only one sample of a request. BetweenTokens is
+	// the mean time between tokens since the previous sample of the request.
+	// Over fewer than about eight tokens it is not meaningful and should be
+	// left out. Zero means not observed.
 	First, Between time.Duration
-	// FirstTarget is what was left of the class's first-token target when the
-	// request was handed over, BetweenTarget the class's target; zero means
-	// none.
+	// FirstTokenTarget is the time that was left of the class's first-token
+	// target when the request was handed over. BetweenTokensTarget is the
+	// class's target. Zero means that there is no target.
 	FirstTarget, BetweenTarget               time.Duration
 	PromptTokens, CachedTokens, OutputTokens int
-	// InFlight is how many requests were in flight when what was sampled
-	// happened, this one included.
+	// InFlight is the number of requests in flight at the time of the
+	// observation, including this one.
 	InFlight int
 }
 
-// Report is what the endpoint says of itself, Age ago.
+// Report is the state that the endpoint reports of itself. Age is the time
+// since then.
 type Report struct {
 	Running, Waiting int
-	// KVUsed and KVTotal are in any unit, as blocks; zero means unknown.
+	// KVUsed and KVTotal are in any common unit, such as blocks. Zero means
+	// unknown.
 	KVUsed, KVTotal int64
 	Age             time.Duration
 }
 
-// Running sums up the requests in flight.
+// InFlight sums up the requests in flight.
 type Running struct {
 	Count int
-	// LongCount is how many of them were Long when they were dispatched.
+	// LongCount is the number of requests that RecordDispatch classified as
+	// long.
 	LongCount int
 	// Tokens is the sum of their Work.Tokens.
 	Tokens int64
 }
 
-// Work is the request that may be dispatched next.
+// Work describes a request that may be dispatched next.
 type Work struct {
 	Tier uint8
-	// Tokens is the estimate of prompt and output together.
+	// Tokens is the estimated number of prompt and output tokens together.
 	Tokens int64
 	Cost   time.Duration
 }
 
-// Answer tells whether there is room.
-type Answer uint8
+// Fit says whether a request may be dispatched.
+type Fit uint8
 
 const (
-	// Yes means that the work may be dispatched.
-	Yes Answer = iota
-	// NoPlace means that nothing may be dispatched.
-	NoPlace
-	// LongFull means that the places for long work are taken.
+	// Fits means that the request may be dispatched.
+	Yes Fit = iota
+	// NoSlot means that no request may be dispatched.
+	NoSlot
+	// NoLongSlot means that the slots available to long work are taken.
 	LongFull
-	// NoMemory means that the work might not fit into the KV memory.
+	// NoMemory means that the request might not fit into the KV memory.
 	NoMemory
 )
 
 // Bound is the in-flight bound of one endpoint. One goroutine owns it.
 type Bound struct {
-	find   search
+	search search
 	pace   pace
 	memory memory
-	// long tells long work by tier.
-	long  [spec.Tiers]lengths
-	short places
+	// lengths separates long from short work for each tier.
+	lengths    [spec.Tiers]lengths
+	shortSlots slotUsage
 }
 
-// New returns a bound at its cold start.
+// New returns a Bound with its initial value.
 func New(cfg Config) *Bound {
 	if cfg.Min <= 0 {
 		cfg.Min = DefaultMin
@@ -96,72 +100,75 @@
 		cfg.Max = DefaultMax
 	}
 	cfg.Max = max(cfg.Min, cfg.Max)
-	return &Bound{find: newSearch(cfg), memory: newMemory()}
+	return &Bound{search: newSearch(cfg), memory: newMemory()}
 }
 
-// Limit returns the number of requests that may be in flight. A slow endpoint
-// gets a probe's worth, from which its recovery shows.
+// Limit returns the number of requests that may be in flight. For a slow
+// endpoint it is Config.Min, just enough to detect its recovery.
 func (b *Bound) Limit() int {
 	if b.pace.slow {
-		return min(b.find.cfg.Min, b.find.limit())
+		return min(b.search.cfg.Min, b.search.limit())
 	}
-	return b.find.limit()
+	return b.search.limit()
 }
 
-// Observe takes in what a request showed.
+// Observe updates the bound from a sample.
 func (b *Bound) Observe(now time.Duration, s Sample) {
 	wasSlow := b.pace.slow
 	b.pace.observe(now, s)
 	switch {
 	case wasSlow && !b.pace.slow:
-		b.find.restart(now)
+		b.search.restart(now)
 	case !b.pace.slow:
-		b.find.observe(now, s, &b.pace)
+		b.search.observe(now, s, &b.pace)
 	}
 }
 
-// Silence tells for how long the endpoint has been giving nothing although it
-// has work, so that one that stopped in the middle of its streams is noticed
-// before a request ends.
-func (b *Bound) Silence(d time.Duration) { b.pace.silence(d) }
+// ObserveSilence records for how long the endpoint has sent nothing although it
+// has work. It detects an endpoint that stopped in the middle of its streams
+// before any request ends.
+func (b *Bound) Silence(d time.Duration) { b.pace.observeSilence(d) }
 
-// Report takes in what the endpoint says of itself.
+// ObserveReport updates the bound from a report of the endpoint.
 func (b *Bound) Report(now time.Duration, r Report) {
-	b.find.report(now, r)
-	b.memory.report(now, r)
+	b.search.observeReport(now, r)
+	b.memory.observeReport(now, r)
 }
 
-// Long reports whether w is so long beside the work of its and higher tiers
-// that it counts against the places for long work. It is called once, when w is
-// dispatched.
+// RecordDispatch records that w is dispatched and reports whether it is long
+// compared with the other work of its tier and of higher tiers. Long work
+// counts against the slots available to long work. It must be called exactly
+// once per dispatch.
 func (b *Bound) Long(w Work) bool {
 	tier := min(w.Tier, spec.Tiers-1)
 	for t := tier; t < spec.Tiers; t++ {
-		b.long[t].learn(w.Cost)
+		b.lengths[t].learn(w.Cost)
 	}
-	return b.long[tier].isLong(w.Cost)
+	return b.lengths[tier].isLong(w.Cost)
 }
 
-// Fit tells whether next may be dispatched now.
-func (b *Bound) Fit(now time.Duration, r Running, next Work) Answer {
-	b.memory.note(now, r.Tokens)
-	b.short.observe(now, r.Count-r.LongCount)
+// CheckFit says whether next may be dispatched now.
+func (b *Bound) Fit(now time.Duration, inFlight Running, next Work) Fit {
+	b.memory.recordTokens(now, inFlight.Tokens)
+	b.shortSlots.observe(now, inFlight.Count-inFlight.LongCount)
 	limit := b.Limit()
-	if r.Count >= limit {
-		return NoPlace
+	if inFlight.Count >= limit {
+		return NoSlot
 	}
-	long := &b.long[min(next.Tier, spec.Tiers-1)]
-	if long.isLong(next.Cost) && r.LongCount >= limit-long.reserve(limit, next.Tier, b.short.taken) {
+	lengths := &b.lengths[min(next.Tier, spec.Tiers-1)]
+	if lengths.isLong(next.Cost) && inFlight.LongCount >= limit-lengths.reservedSlots(limit, next.Tier, b.shortSlots.average) {
 		return LongFull
 	}
-	if r.Count > 0 && !b.memory.room(r.Tokens+next.Tokens) {
+	if inFlight.Count > 0 && !b.memory.fits(inFlight.Tokens+next.Tokens) {
 		return NoMemory
 	}
 	return Yes
 }
 
-// Room reports whether next may be dispatched now.
-func (b *Bound) Room(now time.Duration, r Running, next Work) bool { return b.Fit(now, r, next) == Yes }
+// CanDispatch reports whether next may be dispatched now.
+func (b *Bound) Room(now time.Duration, inFlight Running, next Work) bool {
+	return b.Fit(now, inFlight, next) == Yes
+}
 
 // Slow reports whether the endpoint is far below its own usual pace.
 func (b *Bound) Slow() bool { return b.pace.slow }
--- a/core/bound/bound_test.go
+++ b/core/bound/bound_test.go
@@ -7,57 +7,58 @@
 	"pgregory.net/rapid"
 )
 
-func middling() engine {
-	return engine{between: 20 * time.Millisecond, slope: 0.1, slots: 64, prefill: 8000, kv: 64000, speed: 1}
+func mediumEngine() engine {
+	return engine{tokenInterval: 20 * time.Millisecond, slope: 0.1, slots: 64, prefillRate: 8000, kvTokens: 64000, speed: 1}
 }
 
-// Engines of four generations come up, one after the other, with a bound that
-// knows nothing of them. Callers see less than the engine could give them if
-// the bound is too low and late answers if it is too high.
+// Engines of several generations start with a bound that knows nothing about
+// them. If the bound becomes too low, goodput is lost; if it becomes too high,
+// answers are late.
 func TestFindsTheBound(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		e     engine
 		guess float64
 	}{
-		{"middling", middling(), 1},
-		{"fast", engine{between: 8 * time.Millisecond, slope: 0.1, slots: 64, prefill: 20000, kv: 128000, speed: 1}, 1},
-		{"slow", engine{between: 36 * time.Millisecond, slope: 0.06, slots: 32, prefill: 3000, kv: 32000, speed: 1}, 1},
-		{"few slots", engine{between: 12 * time.Millisecond, slope: 0.05, slots: 16, prefill: 8000, kv: 32000, speed: 1}, 1},
-		{"little memory", engine{between: 12 * time.Millisecond, slope: 0.02, slots: 64, prefill: 8000, kv: 8000, speed: 1}, 1},
-		{"estimates ten times too high", engine{between: 12 * time.Millisecond, slope: 0.02, slots: 64, prefill: 8000, kv: 8000, speed: 1}, 10},
-		{"estimates ten times too low", engine{between: 12 * time.Millisecond, slope: 0.02, slots: 64, prefill: 8000, kv: 8000, speed: 1}, 0.1},
+		{"medium", mediumEngine(), 1},
+		{"fast", engine{tokenInterval: 8 * time.Millisecond, slope: 0.1, slots: 64, prefillRate: 20000, kvTokens: 128000, speed: 1}, 1},
+		{"slow", engine{tokenInterval: 36 * time.Millisecond, slope: 0.06, slots: 32, prefillRate: 3000, kvTokens: 32000, speed: 1}, 1},
+		{"few slots", engine{tokenInterval: 12 * time.Millisecond, slope: 0.05, slots: 16, prefillRate: 8000, kvTokens: 32000, speed: 1}, 1},
+		{"little memory", engine{tokenInterval: 12 * time.Millisecond, slope: 0.02, slots: 64, prefillRate: 8000, kvTokens: 8000, speed: 1}, 1},
+		{"estimates ten times too high", engine{tokenInterval: 12 * time.Millisecond, slope: 0.02, slots: 64, prefillRate: 8000, kvTokens: 8000, speed: 1}, 10},
+		{"estimates ten times too low", engine{tokenInterval: 12 * time.Millisecond, slope: 0.02, slots: 64, prefillRate: 8000, kvTokens: 8000, speed: 1}, 0.1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			want, n := best(tc.e, time.Minute, 400, 200)
+			want, n := bestConstantBound(tc.e, time.Minute, 400, 200)
 			e, b := tc.e, New(Config{})
-			e.load(b, 2*time.Minute, e.bounded(b), guessed(400, 200, tc.guess))
-			got := e.good / e.now.Seconds()
-			t.Logf("%.0f tokens/s in target at bound %d; best constant bound %d gives %.0f; waste %.2f%%", got, b.Limit(), n, want, 100*e.waste())
+			e.drive(b, 2*time.Minute, e.withinBound(b), jobsEstimatedAt(400, 200, tc.guess))
+			got := e.onTimeTokens / e.now.Seconds()
+			t.Logf("%.0f tokens/s in target at bound %d; best constant bound %d gives %.0f; wasted prefill %.2f%%", got, b.Limit(), n, want, 100*e.wastedShare())
 			if got < 0.85*want {
 				t.Errorf("%.0f tokens/s in target, the best constant bound gives %.0f", got, want)
 			}
-			if e.waste() > 0.02 {
-				t.Errorf("%.1f%% of the prefill was thrown away", 100*e.waste())
+			if e.wastedShare() > 0.02 {
+				t.Errorf("%.1f%% of the prefill was wasted", 100*e.wastedShare())
 			}
 		})
 	}
 }
 
-// The nightly change makes an engine twice as fast or half as fast. With the
-// bound of the day before, callers get late answers or half of the goodput.
-func TestFindsTheBoundAgain(t *testing.T) {
+// The nightly change makes an engine twice as fast, or reduces it to 0.6 of its
+// speed. With the bound of the day before, callers would get late answers or
+// half of the goodput.
+func TestBoundAdaptsToSpeedChange(t *testing.T) {
 	for _, speed := range []float64{2, 0.6} {
-		e, b := middling(), New(Config{})
-		e.load(b, time.Minute, e.bounded(b), drafts(400, 200))
+		e, b := mediumEngine(), New(Config{})
+		e.drive(b, time.Minute, e.withinBound(b), jobs(400, 200))
 		e.speed = speed
-		e.load(b, 30*time.Second, e.bounded(b), drafts(400, 200))
-		e.good, e.total = 0, 0
-		e.load(b, time.Minute, e.bounded(b), drafts(400, 200))
-		changed := middling()
+		e.drive(b, 30*time.Second, e.withinBound(b), jobs(400, 200))
+		e.onTimeTokens, e.totalTokens = 0, 0
+		e.drive(b, time.Minute, e.withinBound(b), jobs(400, 200))
+		changed := mediumEngine()
 		changed.speed = speed
-		want, n := best(changed, time.Minute, 400, 200)
-		got := e.good / 60
+		want, n := bestConstantBound(changed, time.Minute, 400, 200)
+		got := e.onTimeTokens / 60
 		t.Logf("speed %g: %.0f tokens/s in target at bound %d, best %d gives %.0f", speed, got, b.Limit(), n, want)
 		if got < 0.85*want {
 			t.Errorf("speed %g: %.0f tokens/s in target 30 s after the change, best %.0f", speed, got, want)
@@ -65,48 +66,49 @@
 	}
 }
 
-// An engine falls to an eighth of its pace in the middle of its streams and
-// reports nothing. Callers would see every new request crawl until it is
-// avoided; after it has recovered it must be found out, with little work at
-// risk.
-func TestSlowAndBack(t *testing.T) {
-	e, b := middling(), New(Config{})
-	next := drafts(400, 200)
-	e.load(b, time.Minute, e.bounded(b), next)
+// An engine drops to an eighth of its speed in the middle of its streams and
+// reports nothing. Every new request would be slow until the endpoint is
+// avoided. After it has recovered, this must be detected with only little work
+// at risk.
+func TestSlowdownAndRecovery(t *testing.T) {
+	e, b := mediumEngine(), New(Config{})
+	next := jobs(400, 200)
+	e.drive(b, time.Minute, e.withinBound(b), next)
 	if b.Slow() {
-		t.Fatal("slow at its usual pace")
+		t.Fatal("marked slow at its usual pace")
 	}
 	e.speed = 0.125
 	from := e.now
 	for !b.Slow() {
-		e.load(b, tick, e.bounded(b), next)
+		e.drive(b, tick, e.withinBound(b), next)
 		if e.now-from > 3*time.Second {
-			t.Fatal("not found slow within 3 s")
+			t.Fatal("not marked slow within 3 s")
 		}
 	}
-	t.Logf("found slow after %v", e.now-from)
-	e.load(b, time.Minute, e.bounded(b), next)
+	t.Logf("marked slow after %v", e.now-from)
+	e.drive(b, time.Minute, e.withinBound(b), next)
 	if b.Limit() > 1 {
-		t.Fatalf("a slow endpoint gets %d", b.Limit())
+		t.Fatalf("bound %d of a slow endpoint", b.Limit())
 	}
 	e.speed, from = 1, e.now
 	for b.Slow() {
-		e.load(b, tick, e.bounded(b), next)
+		e.drive(b, tick, e.withinBound(b), next)
 		if e.now-from > 10*time.Second {
-			t.Fatal("not found recovered within 10 s")
+			t.Fatal("recovery not detected within 10 s")
 		}
 	}
-	t.Logf("found recovered after %v", e.now-from)
-	e.load(b, 20*time.Second, e.bounded(b), next)
+	t.Logf("recovery detected after %v", e.now-from)
+	e.drive(b, 20*time.Second, e.withinBound(b), next)
 	if b.Limit() < 8 {
 		t.Fatalf("bound %d 20 s after the recovery", b.Limit())
 	}
 }
 
-// The engine runs twelve and has others waiting inside, where no tier counts.
-// Only its late report shows it; one request that it just met on its way in is
-// no queue, and a report from before the last cut is of no more use.
-func TestQueueInsideCuts(t *testing.T) {
+// The engine runs twelve requests and has others waiting in its own queue,
+// which ignores tiers. Only its delayed report shows this. A single request
+// that has just arrived is not a queue, and reports from before the last cut
+// must be ignored.
+func TestEngineQueueCutsBound(t *testing.T) {
 	const s = time.Second
 	for _, tc := range []struct {
 		name    string
@@ -114,14 +116,14 @@
 		want    int
 	}{
 		{"a queue", []Report{{Running: 12, Waiting: 4}}, 12},
-		{"one on its way", []Report{{Running: 12, Waiting: 1}}, 40},
+		{"one that just arrived", []Report{{Running: 12, Waiting: 1}}, 40},
 		{"one that stays", []Report{{Running: 12, Waiting: 1}, {Running: 12, Waiting: 1}}, 12},
 		{"from before the cut", []Report{{Running: 12, Waiting: 4}, {Running: 3, Waiting: 4, Age: 5 * s}}, 12},
 		{"no queue", []Report{{Running: 12}, {Running: 12}}, 40},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b := New(Config{Max: 64})
-			b.find.set(0, 40)
+			b.search.set(0, 40)
 			for i, r := range tc.reports {
 				b.Report(time.Duration(i+1)*s, r)
 			}
@@ -132,15 +134,15 @@
 	}
 }
 
-// After a cut the answers of the requests that were too many still come, all
-// late. They must not cut the bound again and again.
+// After a cut, the answers of the requests that were too many still arrive, all
+// of them late. They must not cut the bound again.
 func TestLateAnswersCutOnce(t *testing.T) {
 	b, now := New(Config{}), 10*time.Second
 	late := Sample{First: 3 * time.Second, FirstTarget: time.Second, PromptTokens: 100, InFlight: 20}
 	early := Sample{First: 100 * time.Millisecond, FirstTarget: time.Second, PromptTokens: 100, InFlight: 1}
 	b.Observe(0, early)
 	b.Observe(0, early)
-	b.find.set(0, 40)
+	b.search.set(0, 40)
 	for b.Limit() == 40 {
 		b.Observe(now, late)
 	}
@@ -153,23 +155,23 @@
 	}
 }
 
-// A frozen engine gives no byte and ends no request, so nothing is sampled.
-func TestSilenceIsSlow(t *testing.T) {
-	e, b := middling(), New(Config{})
-	e.load(b, 20*time.Second, e.bounded(b), drafts(400, 200))
+// A frozen engine sends no byte and ends no request, so there are no samples.
+func TestSilenceMarksSlow(t *testing.T) {
+	e, b := mediumEngine(), New(Config{})
+	e.drive(b, 20*time.Second, e.withinBound(b), jobs(400, 200))
 	b.Silence(900 * time.Millisecond)
 	if b.Slow() {
-		t.Fatal("a short pause is taken for slow")
+		t.Fatal("marked slow after a short pause")
 	}
 	b.Silence(3 * time.Second)
 	if !b.Slow() {
-		t.Fatal("silence is not taken for slow")
+		t.Fatal("not marked slow after a long silence")
 	}
 }
 
-// Long drafts come before lookups. If they take every place, a lookup waits
-// for a draft to end.
-func TestLongLeavesPlaces(t *testing.T) {
+// Long drafts arrive before short lookups. If the drafts took every slot, a
+// lookup would wait for one of them to end.
+func TestLongWorkLeavesSlots(t *testing.T) {
 	b := New(Config{Min: 8, Max: 8})
 	for range 10 {
 		b.Long(Work{Cost: time.Second})
@@ -178,7 +180,7 @@
 	r := Running{}
 	for b.Fit(0, r, long) == Yes {
 		if !b.Long(long) {
-			t.Fatal("a hundred times as long, yet not long")
+			t.Fatal("work that is a hundred times as long is not classified as long")
 		}
 		r.Count++
 		r.LongCount++
@@ -189,30 +191,30 @@
 	low := long
 	low.Tier = 3
 	if b.Fit(0, Running{Count: 4, LongCount: 4}, low) != LongFull || b.Fit(0, Running{Count: 3, LongCount: 3}, low) != Yes {
-		t.Fatal("long work of the lowest tier may not take half of the places, or more")
+		t.Fatal("long work of the lowest tier does not get exactly half of the slots")
 	}
 	for now := range time.Minute / time.Second {
 		b.Fit(now*time.Second, Running{Count: 3, LongCount: 3}, short)
 	}
 	if b.Fit(time.Minute, Running{Count: 6, LongCount: 6}, low) != Yes {
-		t.Fatal("places stay empty that short work has not used for a minute")
+		t.Fatal("slots stay reserved that short work has not used for a minute")
 	}
 	b.Long(Work{Tier: 0, Cost: 50 * time.Second})
 	long.Tier = 0
 	if b.Fit(0, r, long) != Yes {
-		t.Fatal("the highest tier waits for a place kept for lower work")
+		t.Fatal("the highest tier waits for a slot reserved for lower tiers")
 	}
 }
 
-// Tags of a low tier are short beside the work of a higher one. No place may be
-// kept for them against it.
-func TestNoPlacesAreKeptForLowerWork(t *testing.T) {
+// Short work of a low tier makes the work of a higher tier look long. No slots
+// may be reserved for the low tier against the higher one.
+func TestNoSlotsAreReservedForLowerTiers(t *testing.T) {
 	b := New(Config{Min: 8, Max: 8})
 	higher := Work{Tier: 1, Cost: 10 * time.Second}
 	for range 20 {
 		b.Long(Work{Tier: 2, Cost: 100 * time.Millisecond})
 		if b.Long(higher) {
-			t.Fatal("work is long beside work of a lower tier")
+			t.Fatal("classified as long because of work of a lower tier")
 		}
 	}
 	if got := b.Fit(0, Running{Count: 7, LongCount: 7}, higher); got != Yes {
@@ -220,8 +222,8 @@
 	}
 }
 
-// Whatever is seen, the bound stays within its limits and an empty endpoint
-// takes work.
+// For any observations, the bound stays within its limits and an endpoint
+// without requests accepts any work.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(Config{Min: 2, Max: 40})
@@ -245,7 +247,7 @@
 					t.Fatalf("bound %d", l)
 				}
 				if !b.Room(now, Running{}, Work{Tokens: 1 << 40, Cost: time.Hour}) {
-					t.Fatal("an empty endpoint has no room")
+					t.Fatal("an empty endpoint accepts no work")
 				}
 			},
 		})
--- a/core/bound/long.go
+++ b/core/bound/long.go
@@ -8,91 +8,98 @@
 )
 
 const (
-	// longRatio is how many times the short work's length long work has.
+	// longRatio is the ratio to the shortest recent work above which work is
+	// long.
 	longRatio = 8
-	// shortFade is how much the length of short work rises with each piece of
-	// work that is longer, so that it is found again when it changes.
-	shortFade = 1.02
-	// reserveFrom is the least number of places of which any is kept for short
-	// work.
-	reserveFrom = 3
-	// shortFor is the time over which the places that short work takes are
-	// averaged, and shortRoom how many times that average, and one, is kept.
-	shortFor  = 10 * time.Second
-	shortRoom = 1.5
-	// shortWeight is the weight of one dispatch in the share of short work.
-	shortWeight = 1.0 / 64
-	// rare is the share of short work in all work below which no more than one
-	// place is kept for it.
-	rare = 0.1
+	// shortestGrowth is the factor by which the length of the shortest recent
+	// work grows with each longer request, so that it adapts when short work
+	// becomes longer.
+	shortestGrowth = 1.02
+	// minSlotsForReserve is the smallest bound at which slots are reserved for
+	// short work.
+	minSlotsForReserve = 3
+	// shortUsageWindow is the time over which the number of slots used by short
+	// work is averaged. One slot more than shortHeadroom times that average is
+	// reserved.
+	shortUsageWindow = 10 * time.Second
+	shortHeadroom    = 1.5
+	// shortShareWeight is the weight of one dispatch in lengths.shortShare.
+	shortShareWeight = 1.0 / 64
+	// rareShortShare is the share of short requests in all requests below which
+	// only one slot is reserved for them.
+	rareShortShare = 0.1
 )
 
-// lengths tells long work from short, as seen by one tier: only work of that
-// and higher tiers counts, because places are not kept for lower work against
-// higher.
+// lengths separates long from short work as seen by one tier. It considers only
+// work of that tier and of higher tiers, because slots are not reserved for
+// lower tiers against higher ones.
 type lengths struct {
-	// short is the length of the shortest work seen of late, zero before any.
-	short time.Duration
-	// shorts is the share of short work among the work dispatched, by number.
-	shorts float64
+	// shortest is the cost of the shortest recent work, or zero before there
+	// was any.
+	shortest time.Duration
+	// shortShare is the recent share of short requests in all dispatched
+	// requests.
+	shortShare float64
 }
 
 func (l *lengths) isLong(cost time.Duration) bool {
-	return l.short > 0 && cost > longRatio*l.short
+	return l.shortest > 0 && cost > longRatio*l.shortest
 }
 
-// learn takes in one piece of work.
+// learn updates the lengths with the cost of a dispatched request.
 func (l *lengths) learn(cost time.Duration) {
 	if cost <= 0 {
 		return
 	}
 	switch {
-	case l.short == 0:
-		l.short = cost
-		l.shorts = 1
-	case cost < l.short:
-		l.short += (cost - l.short) / 2
+	case l.shortest == 0:
+		l.shortest = cost
+		l.shortShare = 1
+	case cost < l.shortest:
+		l.shortest += (cost - l.shortest) / 2
 	default:
-		l.short = min(cost, time.Duration(float64(l.short)*shortFade))
+		l.shortest = min(cost, time.Duration(float64(l.shortest)*shortestGrowth))
 	}
-	l.shorts += (share(!l.isLong(cost)) - l.shorts) * shortWeight
+	l.shortShare += (indicator(!l.isLong(cost)) - l.shortShare) * shortShareWeight
 }
 
-// reserveParts are the largest parts of the places that long work of a tier
-// leaves to short work. The lower the tier the more: long work that has begun
-// can't be refused any more, and holds its place for long when higher tiers
-// burst. The highest tier leaves one place, however long its work is.
-var reserveParts = [spec.Tiers]float64{0, 1.0 / 4, 1.0 / 3, 1.0 / 2}
+// maxReservedShares holds, for each tier, the maximum share of the slots that
+// long work of the tier leaves to short work. The share is larger for lower
+// tiers: long work that has begun can't be refused any more and occupies its
+// slot for a long time when a burst of higher tiers arrives. Long work of the
+// highest tier leaves only one slot.
+var maxReservedShares = [spec.Tiers]float64{0, 1.0 / 4, 1.0 / 3, 1.0 / 2}
 
-// reserve is how many of limit places long work of a tier leaves free, where
-// short work takes so many on average.
-func (l *lengths) reserve(limit int, tier uint8, taken float64) int {
-	if limit < reserveFrom {
+// reservedSlots returns how many of limit slots long work of a tier leaves
+// free. shortSlots is the average number of slots that short work uses.
+func (l *lengths) reservedSlots(limit int, tier uint8, shortSlots float64) int {
+	if limit < minSlotsForReserve {
 		return 0
 	}
-	if l.shorts < rare {
+	if l.shortShare < rareShortShare {
 		return 1
 	}
-	most := math.Ceil(float64(limit) * reserveParts[min(tier, spec.Tiers-1)])
-	return int(max(min(most, math.Round(taken*shortRoom)+1), 1))
+	maxReserved := math.Ceil(float64(limit) * maxReservedShares[min(tier, spec.Tiers-1)])
+	return int(max(min(maxReserved, math.Round(shortSlots*shortHeadroom)+1), 1))
 }
 
-// places averages the places that short work takes, from startTaken on.
-type places struct {
-	taken float64
-	seen  bool
-	last  time.Duration
+// slotUsage averages the number of slots that short work uses. The average
+// starts at initialShortSlots.
+type slotUsage struct {
+	average    float64
+	started    bool
+	lastUpdate time.Duration
 }
 
-func (p *places) observe(now time.Duration, short int) {
-	if !p.seen {
-		p.seen, p.taken, p.last = true, startTaken, now
+func (p *slotUsage) observe(now time.Duration, shortCount int) {
+	if !p.started {
+		p.started, p.average, p.lastUpdate = true, initialShortSlots, now
 	}
-	part := 1 - math.Exp(-(now-p.last).Seconds()/shortFor.Seconds())
-	p.taken += (float64(short) - p.taken) * part
-	p.last = now
+	weight := 1 - math.Exp(-(now-p.lastUpdate).Seconds()/shortUsageWindow.Seconds())
+	p.average += (float64(shortCount) - p.average) * weight
+	p.lastUpdate = now
 }
 
-// startTaken is how many places short work is taken to need before any time
-// has passed.
-const startTaken = 16
+// initialShortSlots is the assumed number of slots used by short work before
+// any time has passed.
+const initialShortSlots = 16
--- a/core/bound/memory.go
+++ b/core/bound/memory.go
@@ -3,118 +3,126 @@
 import "time"
 
 const (
-	// startFill is the part of the KV memory that is planned for at the start,
-	// leastFill and mostFill bound it. It may exceed one, because requests are
-	// at different points of their answers and seldom need all they will need
-	// at the same time.
-	startFill, leastFill, mostFill = 0.7, 0.5, 1.5
-	// tight is the used part of the memory above which the plan is cut, and
-	// loose that below which it grows while it holds work back.
-	tight, loose = 0.95, 0.85
-	fillCut      = 0.9
-	fillGrowth   = 0.003
-	// startSize is the memory of a token in the usual blocks of 16.
-	startSize = 1.0 / 16
-	// sizeRise is the part of the way that the size of a token follows a larger
-	// one, and sizeFade how fast a larger one is forgotten, with each report.
-	sizeRise, sizeFade = 0.5, 0.995
-	// around is how exactly the time of a report is known.
-	around = 150 * time.Millisecond
-	// leastPart is the part of the memory that must be in use for a report to
-	// tell how much a token takes.
-	leastPart = 0.02
-	// noteEvery and notes bound the history that reports are compared with.
-	noteEvery = 20 * time.Millisecond
-	notes     = 256
+	// initialFill is the first value of memory.fill, the share of the KV memory
+	// that may be planned for requests; minFill and maxFill bound it. It may
+	// exceed one, because requests are at different points of their answers and
+	// seldom need their maximum at the same time.
+	initialFill, minFill, maxFill = 0.7, 0.5, 1.5
+	// highUse is the used share of the memory above which fill is cut. lowUse
+	// is the share below which fill grows if it has held work back.
+	highUse, lowUse = 0.95, 0.85
+	fillCutFactor   = 0.9
+	fillStep        = 0.003
+	// initialTokenSize is the memory of a token in blocks of the usual size, 16
+	// tokens.
+	initialTokenSize = 1.0 / 16
+	// tokenSizeRise is the fraction of the difference by which tokenSize
+	// follows a larger value in a report. tokenSizeDecay is the factor by which
+	// it may shrink with each report.
+	tokenSizeRise, tokenSizeDecay = 0.5, 0.995
+	// reportTimeError is the accuracy to which the time of a report is known.
+	reportTimeError = 150 * time.Millisecond
+	// minUsedShare is the used share of the memory below which a report is not
+	// used to determine the size of a token.
+	minUsedShare = 0.02
+	// historyInterval is the minimum time between two elements of the history
+	// with which reports are compared, and historySize the number of its
+	// elements.
+	historyInterval = 20 * time.Millisecond
+	historySize     = 256
 )
 
-// memory keeps the work in flight within the endpoint's KV memory. When it is
-// over-filled the engine throws away what it has computed for a request to let
-// others finish, and the prompt is computed twice.
+// memory keeps the work in flight within the endpoint's KV memory. When the
+// memory overflows, the engine discards what it has computed for a request to
+// let others finish, and that prompt is computed twice.
 type memory struct {
 	total int64
-	// size is the memory that one estimated token takes, in units of the
-	// report: about the largest seen of late, or startSize until known is set
-	// by the first useful report.
-	size  float64
-	known bool
-	fill  float64
-	// blocked is set while the plan has held work back since the last report.
+	// tokenSize is the memory that one estimated token needs, in the unit of
+	// the reports. It follows the largest recent values. It is initialTokenSize
+	// until the first usable report, which sets sizeKnown.
+	tokenSize float64
+	sizeKnown bool
+	fill      float64
+	// blocked is set if work has been held back since the last report because
+	// it did not fit.
 	blocked bool
-	// past is a ring of what was in flight, to compare late reports with.
-	past [notes]note
-	next int
+	// history is a ring buffer of the tokens in flight, with which delayed
+	// reports are compared.
+	history [historySize]inFlightTokens
+	next    int
 }
 
-type note struct {
+// inFlightTokens is the number of tokens in flight at one time.
+type inFlightTokens struct {
 	at     time.Duration
 	tokens int64
 }
 
-func newMemory() memory { return memory{size: startSize, fill: startFill} }
+func newMemory() memory { return memory{tokenSize: initialTokenSize, fill: initialFill} }
 
-// note remembers the tokens in flight.
-func (m *memory) note(now time.Duration, tokens int64) {
-	last := &m.past[(m.next+notes-1)%notes]
-	if now-last.at < noteEvery && last.at > 0 {
+// recordTokens adds the tokens in flight to the history.
+func (m *memory) recordTokens(now time.Duration, tokens int64) {
+	last := &m.history[(m.next+historySize-1)%historySize]
+	if now-last.at < historyInterval && last.at > 0 {
 		last.tokens = max(last.tokens, tokens)
 		return
 	}
-	m.past[m.next] = note{at: now, tokens: tokens}
-	m.next = (m.next + 1) % notes
+	m.history[m.next] = inFlightTokens{at: now, tokens: tokens}
+	m.next = (m.next + 1) % historySize
 }
 
-// at returns the most tokens that were in flight around a time in the past.
-func (m *memory) at(t time.Duration) (most int64) {
-	for i := 1; i <= notes; i++ {
-		n := &m.past[(m.next+notes-i)%notes]
-		if n.at <= t+around {
-			most = max(most, n.tokens)
+// maxTokensAround returns the maximum number of tokens in flight around a time
+// in the past.
+func (m *memory) maxTokensAround(t time.Duration) (maxTokens int64) {
+	for i := 1; i <= historySize; i++ {
+		n := &m.history[(m.next+historySize-i)%historySize]
+		if n.at <= t+reportTimeError {
+			maxTokens = max(maxTokens, n.tokens)
 		}
-		if n.at <= t-around {
+		if n.at <= t-reportTimeError {
 			break
 		}
 	}
-	return most
+	return maxTokens
 }
 
-func (m *memory) report(now time.Duration, r Report) {
+func (m *memory) observeReport(now time.Duration, r Report) {
 	if r.KVTotal <= 0 {
 		return
 	}
 	if r.KVTotal != m.total {
-		m.total, m.size, m.known, m.fill = r.KVTotal, startSize, false, startFill
+		m.total, m.tokenSize, m.sizeKnown, m.fill = r.KVTotal, initialTokenSize, false, initialFill
 	}
-	m.learn(m.at(now-r.Age), r.KVUsed)
-	used := float64(r.KVUsed) / float64(r.KVTotal)
+	m.learnTokenSize(m.maxTokensAround(now-r.Age), r.KVUsed)
+	usedShare := float64(r.KVUsed) / float64(r.KVTotal)
 	switch {
-	case used > tight:
-		m.fill = max(m.fill*fillCut, leastFill)
-	case used < loose && m.blocked && m.known:
-		m.fill = min(m.fill+fillGrowth, mostFill)
+	case usedShare > highUse:
+		m.fill = max(m.fill*fillCutFactor, minFill)
+	case usedShare < lowUse && m.blocked && m.sizeKnown:
+		m.fill = min(m.fill+fillStep, maxFill)
 	}
 	m.blocked = false
 }
 
-func (m *memory) learn(tokens, used int64) {
-	if tokens <= 0 || float64(used) < leastPart*float64(m.total) {
+func (m *memory) learnTokenSize(tokens, used int64) {
+	if tokens <= 0 || float64(used) < minUsedShare*float64(m.total) {
 		return
 	}
-	seen := float64(used) / float64(tokens)
-	if !m.known {
-		m.size, m.known = seen, true
+	tokenSize := float64(used) / float64(tokens)
+	if !m.sizeKnown {
+		m.tokenSize, m.sizeKnown = tokenSize, true
 		return
 	}
-	if seen > m.size {
-		m.size += (seen - m.size) * sizeRise
+	if tokenSize > m.tokenSize {
+		m.tokenSize += (tokenSize - m.tokenSize) * tokenSizeRise
 		return
 	}
-	m.size = max(seen, m.size*sizeFade)
+	m.tokenSize = max(tokenSize, m.tokenSize*tokenSizeDecay)
 }
 
-// room reports whether so many tokens may be in flight.
-func (m *memory) room(tokens int64) bool {
-	if m.total == 0 || float64(tokens)*m.size <= m.fill*float64(m.total) {
+// fits reports whether the given number of tokens may be in flight.
+func (m *memory) fits(tokens int64) bool {
+	if m.total == 0 || float64(tokens)*m.tokenSize <= m.fill*float64(m.total) {
 		return true
 	}
 	m.blocked = true
--- a/core/bound/model_test.go
+++ b/core/bound/model_test.go
@@ -13,73 +13,76 @@
 	reportLag     = 500 * time.Millisecond
 )
 
-// engine is a small model of an engine that batches continuously: every
-// sequence of the batch gets slower with its size, prompts are computed in
-// order of arrival, and memory that runs out throws the newest sequence back.
+// engine is a small model of an engine with continuous batching. Every sequence
+// gets slower as the batch grows, prompts are computed in order of arrival, and
+// when memory runs out the newest sequence is moved back to the queue and its
+// work is lost.
 type engine struct {
-	// between is the time between the tokens of a sequence that runs alone and
-	// slope how much of it each further sequence adds.
-	between time.Duration
-	slope   float64
-	slots   int
-	prefill float64
-	kv      int64
-	speed   float64
-
-	now              time.Duration
-	batch, queue     []*job
-	reports          []Report
-	wasted, prompted float64
-	// good and total count output tokens of answers within target and of all.
-	good, total float64
-	done        []*job
+	// tokenInterval is the time between tokens of a sequence that runs alone.
+	// slope is the part of it that each further sequence adds.
+	tokenInterval time.Duration
+	slope         float64
+	slots         int
+	prefillRate   float64
+	kvTokens      int64
+	speed         float64
+
+	now                      time.Duration
+	batch, queue             []*job
+	reports                  []Report
+	wastedPrefill, prefilled float64
+	// onTimeTokens and totalTokens count the output tokens of answers within
+	// target and of all answers.
+	onTimeTokens, totalTokens float64
+	done                      []*job
 }
 
 type job struct {
-	prompt, out    float64
-	seen, made     float64
-	start, firstAt time.Duration
-	sampledAt      time.Duration
-	sampled        float64
-	inFlight       int
-	work           Work
+	prompt, out          float64
+	prefilled, generated float64
+	start, firstTokenAt  time.Duration
+	sampledAt            time.Duration
+	sampledTokens        float64
+	inFlight             int
+	work                 Work
 }
 
 func (e *engine) used() (n int64) {
 	for _, j := range e.batch {
-		n += int64(j.seen + j.made)
+		n += int64(j.prefilled + j.generated)
 	}
 	return n
 }
 
-// step advances the engine and tells b what the agent would see.
+// step advances the engine by one tick and passes to b what the agent would
+// observe.
 func (e *engine) step(b *Bound) {
 	e.now += tick
-	for len(e.queue) > 0 && len(e.batch) < e.slots && e.used()+int64(e.queue[0].prompt) <= e.kv {
+	for len(e.queue) > 0 && len(e.batch) < e.slots && e.used()+int64(e.queue[0].prompt) <= e.kvTokens {
 		e.batch, e.queue = append(e.batch, e.queue[0]), e.queue[1:]
 	}
-	budget := e.prefill * e.speed * tick.Seconds()
-	each := tick.Seconds() * e.speed / (e.between.Seconds() * (1 + e.slope*float64(len(e.batch)-1)))
+	prefillBudget := e.prefillRate * e.speed * tick.Seconds()
+	tokensEach := tick.Seconds() * e.speed / (e.tokenInterval.Seconds() * (1 + e.slope*float64(len(e.batch)-1)))
 	var left []*job
 	for _, j := range e.batch {
-		n := min(budget, j.prompt-j.seen)
-		budget -= n
-		j.seen += n
-		if j.seen < j.prompt {
+		computed := min(prefillBudget, j.prompt-j.prefilled)
+		prefillBudget -= computed
+		j.prefilled += computed
+		if j.prefilled < j.prompt {
 			left = append(left, j)
 			continue
 		}
-		j.made = min(j.made+each, j.out)
+		j.generated = min(j.generated+tokensEach, j.out)
 		e.sample(b, j)
-		if j.made < j.out {
+		if j.generated < j.out {
 			left = append(left, j)
 		}
 	}
 	e.batch = left
-	for e.used() > e.kv {
+	for e.used() > e.kvTokens {
 		last := e.batch[len(e.batch)-1]
-		e.wasted += last.seen
-		last.seen, last.made = 0, 0
+		e.wastedPrefill += last.prefilled
+		last.prefilled, last.generated = 0, 0
 		e.batch = e.batch[:len(e.batch)-1]
 		e.queue = append([]*job{last}, e.queue...)
 	}
@@ -89,34 +92,34 @@
 func (e *engine) inFlight() int { return len(e.batch) + len(e.queue) }
 
 func (e *engine) sample(b *Bound, j *job) {
-	s := Sample{FirstTarget: firstTarget, BetweenTarget: betweenTarget, PromptTokens: int(j.prompt), OutputTokens: int(j.made), InFlight: e.inFlight()}
+	s := Sample{FirstTarget: firstTarget, BetweenTarget: betweenTarget, PromptTokens: int(j.prompt), OutputTokens: int(j.generated), InFlight: e.inFlight()}
 	switch {
-	case j.firstAt == 0 && j.made > 0:
-		j.firstAt, j.sampledAt, j.sampled = e.now, e.now, j.made
+	case j.firstTokenAt == 0 && j.generated > 0:
+		j.firstTokenAt, j.sampledAt, j.sampledTokens = e.now, e.now, j.generated
 		s.First = e.now - j.start
-	case j.made == j.out || (e.now-j.sampledAt >= sampleEvery && j.made-j.sampled >= 8):
-		if j.made-j.sampled >= 8 {
-			s.Between = time.Duration(float64(e.now-j.sampledAt) / (j.made - j.sampled))
+	case j.generated == j.out || (e.now-j.sampledAt >= sampleEvery && j.generated-j.sampledTokens >= 8):
+		if j.generated-j.sampledTokens >= 8 {
+			s.Between = time.Duration(float64(e.now-j.sampledAt) / (j.generated - j.sampledTokens))
 		}
-		j.sampledAt, j.sampled = e.now, j.made
+		j.sampledAt, j.sampledTokens = e.now, j.generated
 	default:
 		return
 	}
 	b.Observe(e.now, s)
-	if j.made < j.out {
+	if j.generated < j.out {
 		return
 	}
-	e.prompted += j.prompt
-	e.total += j.out
+	e.prefilled += j.prompt
+	e.totalTokens += j.out
 	e.done = append(e.done, j)
-	mean := time.Duration(float64(e.now-j.firstAt) / j.out)
-	if j.firstAt-j.start <= firstTarget && mean <= betweenTarget {
-		e.good += j.out
+	mean := time.Duration(float64(e.now-j.firstTokenAt) / j.out)
+	if j.firstTokenAt-j.start <= firstTarget && mean <= betweenTarget {
+		e.onTimeTokens += j.out
 	}
 }
 
 func (e *engine) report(b *Bound) {
-	e.reports = append(e.reports, Report{Running: len(e.batch), Waiting: len(e.queue), KVUsed: e.used() / 16, KVTotal: e.kv / 16, Age: reportLag})
+	e.reports = append(e.reports, Report{Running: len(e.batch), Waiting: len(e.queue), KVUsed: e.used() / 16, KVTotal: e.kvTokens / 16, Age: reportLag})
 	if lag := int(reportLag / tick); len(e.reports) > lag {
 		if e.now%(500*time.Millisecond) == 0 {
 			b.Report(e.now, e.reports[0])
@@ -125,8 +128,9 @@
 	}
 }
 
-// load keeps the engine busy with jobs from next, within the bound, for d.
-func (e *engine) load(b *Bound, d time.Duration, room func(Running, Work) bool, next func() *job) {
+// drive keeps the engine busy for d with jobs from next, as far as canDispatch
+// allows.
+func (e *engine) drive(b *Bound, d time.Duration, canDispatch func(Running, Work) bool, next func() *job) {
 	var waiting *job
 	for end := e.now + d; e.now < end; e.step(b) {
 		for {
@@ -138,7 +142,7 @@
 				r.Count++
 				r.Tokens += j.work.Tokens
 			}
-			if !room(r, waiting.work) {
+			if !canDispatch(r, waiting.work) {
 				break
 			}
 			waiting.start = e.now
@@ -148,36 +152,37 @@
 	}
 }
 
-func (e *engine) bounded(b *Bound) func(Running, Work) bool {
+func (e *engine) withinBound(b *Bound) func(Running, Work) bool {
 	return func(r Running, w Work) bool { return b.Room(e.now, r, w) }
 }
 
-// drafts returns jobs of about the given sizes, whose tokens are estimated
-// right.
-func drafts(prompt, out float64) func() *job { return guessed(prompt, out, 1) }
+// jobs returns a source of jobs of about the given sizes, whose tokens are
+// estimated correctly on average.
+func jobs(prompt, out float64) func() *job { return jobsEstimatedAt(prompt, out, 1) }
 
-// guessed returns jobs whose tokens are estimated at so many times the truth.
-func guessed(prompt, out, times float64) func() *job {
+// jobsEstimatedAt is like jobs, but the estimates are the given factor times
+// the true mean.
+func jobsEstimatedAt(prompt, out, estimateFactor float64) func() *job {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	return func() *job {
 		j := &job{prompt: prompt * (0.5 + rnd.Float64()), out: out * (0.5 + rnd.Float64())}
-		j.work = Work{Tier: 1, Tokens: int64((prompt + out) * times), Cost: time.Duration(j.out) * 20 * time.Millisecond}
+		j.work = Work{Tier: 1, Tokens: int64((prompt + out) * estimateFactor), Cost: time.Duration(j.out) * 20 * time.Millisecond}
 		return j
 	}
 }
 
-// best returns the goodput a second of the best constant bound that throws at
-// most 2% of the prefill away.
-func best(e engine, d time.Duration, prompt, out float64) (rate float64, limit int) {
+// bestConstantBound returns the best constant bound that wastes at most 2% of
+// the prefill, and its goodput in tokens per second.
+func bestConstantBound(e engine, d time.Duration, prompt, out float64) (rate float64, limit int) {
 	for n := 1; n <= e.slots; n += 1 + n/8 {
-		try := e
-		try.load(New(Config{}), d, func(r Running, _ Work) bool { return r.Count < n }, drafts(prompt, out))
-		if got := try.good / d.Seconds(); got > rate && try.waste() <= 0.02 {
+		trial := e
+		trial.drive(New(Config{}), d, func(r Running, _ Work) bool { return r.Count < n }, jobs(prompt, out))
+		if got := trial.onTimeTokens / d.Seconds(); got > rate && trial.wastedShare() <= 0.02 {
 			rate, limit = got, n
 		}
 	}
 	return rate, limit
 }
 
-// waste returns the part of the prefill that was thrown away.
-func (e *engine) waste() float64 { return e.wasted / (e.prompted + e.wasted + 1) }
+// wastedShare returns the share of the prefill that was discarded.
+func (e *engine) wastedShare() float64 { return e.wastedPrefill / (e.prefilled + e.wastedPrefill + 1) }
--- a/core/bound/pace.go
+++ b/core/bound/pace.go
@@ -6,65 +6,71 @@
 )
 
 const (
-	// slowRatio is how many times its usual an endpoint takes that is slow, and
-	// fairRatio that of one that is no longer.
-	slowRatio, fairRatio = 4, 2
-	// recentWeight is the weight of a sample in the recent ratio: one sample of
-	// an endpoint at an eighth of its pace is enough to find it slow.
+	// slowRatio is the ratio to the expected time above which an endpoint is
+	// marked slow. recoveredRatio is the ratio up to which a slow endpoint
+	// counts as recovered.
+	slowRatio, recoveredRatio = 4, 2
+	// recentWeight is the weight of a sample in the recent ratio. One sample of
+	// an endpoint at an eighth of its pace is enough to mark it slow.
 	recentWeight = 0.45
-	// usualFor is how long the usual pace remembers, and doubt the weight of a
-	// sample that would make it slow: little enough not to take slowness for
-	// usual at once, and enough to take an endpoint as it is that stays so.
-	usualFor = time.Minute
-	doubt    = 0.02
-	// bestFor is how long the best pace is remembered, so that the best of
+	// usualWindow is the time over which the usual pace is averaged.
+	usualWindow = time.Minute
+	// slowSampleWeight is the weight in that average of a sample above
+	// slowRatio. It is small enough that a sudden slowdown is not learnt as
+	// usual at once, and large enough that the pace of an endpoint that stays
+	// slow becomes its usual pace.
+	slowSampleWeight = 0.02
+	// bestWindow is the decay time of the best pace, so that the best pace of
 	// yesterday's engine is forgotten.
-	bestFor = 5 * time.Minute
-	// promptOverhead is the length in tokens that stands for what a first
-	// token costs besides its prompt.
-	promptOverhead = 64
-	// minSamples is how many samples make a usual pace.
+	bestWindow = 5 * time.Minute
+	// promptOverheadTokens represents the part of the time to the first token
+	// that does not depend on the prompt, as a number of tokens.
+	promptOverheadTokens = 64
+	// minSamples is the number of samples that are needed to know the usual
+	// pace.
 	minSamples = 8
-	// leastSilence is the shortest silence that can make an endpoint slow.
-	leastSilence = time.Second
+	// minSilence is the shortest silence after which an endpoint can be marked
+	// slow.
+	minSilence = time.Second
 )
 
-// track follows one kind of time, in seconds, by how many were in flight.
-type track struct {
+// latencyTrack follows one kind of latency, in seconds, as a function of the
+// number of requests in flight.
+type latencyTrack struct {
 	samples int
-	// best is the shortest time seen of late, and ratio how many times the
-	// usual one it takes recently.
-	best, ratio float64
-	// The sums of a decayed linear regression of the time v on the number in
-	// flight n: weight, n, v, n*n and n*v.
+	// best is the shortest recent time. recentRatio is the decayed mean of the
+	// ratio of the observed to the expected time.
+	best, recentRatio float64
+	// These are the sums of an exponentially decayed linear regression of the
+	// time v on the number in flight n: of the weights, n, v, n*n and n*v.
 	w, n, v, nn, nv float64
-	last            time.Duration
+	lastSample      time.Duration
 }
 
-// add takes in the time v that was seen with n in flight.
-func (t *track) add(now time.Duration, n, v float64) {
+// add adds the time v, observed with n requests in flight.
+func (t *latencyTrack) add(now time.Duration, n, v float64) {
 	t.samples++
 	if t.samples == 1 {
-		t.best, t.ratio, t.last = v, 1, now
+		t.best, t.recentRatio, t.lastSample = v, 1, now
 	}
-	since := (now - t.last).Seconds()
-	t.best = min(v, t.best*math.Exp(since/bestFor.Seconds()))
+	elapsed := (now - t.lastSample).Seconds()
+	t.best = min(v, t.best*math.Exp(elapsed/bestWindow.Seconds()))
 	weight := 1.0
 	if t.samples > minSamples {
-		r := v / t.usual(n)
-		t.ratio += (r - t.ratio) * recentWeight
-		if r > slowRatio {
-			weight = doubt
+		ratio := v / t.expected(n)
+		t.recentRatio += (ratio - t.recentRatio) * recentWeight
+		if ratio > slowRatio {
+			weight = slowSampleWeight
 		}
 	}
-	fade := math.Exp(-since / usualFor.Seconds())
-	t.last = now
-	t.w, t.n, t.v = t.w*fade+weight, t.n*fade+weight*n, t.v*fade+weight*v
-	t.nn, t.nv = t.nn*fade+weight*n*n, t.nv*fade+weight*n*v
+	decay := math.Exp(-elapsed / usualWindow.Seconds())
+	t.lastSample = now
+	t.w, t.n, t.v = t.w*decay+weight, t.n*decay+weight*n, t.v*decay+weight*v
+	t.nn, t.nv = t.nn*decay+weight*n*n, t.nv*decay+weight*n*v
 }
 
-// usual returns the time that is usual with n in flight.
-func (t *track) usual(n float64) float64 {
+// expected returns the usual time with n requests in flight.
+func (t *latencyTrack) expected(n float64) float64 {
 	if t.w == 0 {
 		return 0
 	}
@@ -77,93 +83,95 @@
 	return max(meanV+slope*(n-meanN), meanV/slowRatio, t.best)
 }
 
-// pace knows how fast the endpoint usually is.
+// pace knows the usual pace of the endpoint and whether it is now slow.
 type pace struct {
-	// first is the time to the first token for each token of the prompt that
-	// was not cached, and between the time between tokens.
-	first, between track
-	slow           bool
+	// firstToken is the time to the first token per uncached token of the
+	// prompt. betweenTokens is the time between tokens.
+	firstToken, betweenTokens latencyTrack
+	slow                      bool
 }
 
-// uncached is the length of the prompt that had to be computed.
-func (m *Sample) uncached() float64 {
-	return float64(max(m.PromptTokens-m.CachedTokens, 0) + promptOverhead)
+// uncachedTokens returns the number of prompt tokens that had to be computed,
+// plus promptOverheadTokens.
+func (s *Sample) uncachedTokens() float64 {
+	return float64(max(s.PromptTokens-s.CachedTokens, 0) + promptOverheadTokens)
 }
 
-func (p *pace) observe(now time.Duration, m Sample) {
-	n := float64(m.InFlight)
-	if m.First > 0 {
-		p.first.add(now, n, m.First.Seconds()/m.uncached())
+func (p *pace) observe(now time.Duration, s Sample) {
+	n := float64(s.InFlight)
+	if s.First > 0 {
+		p.firstToken.add(now, n, s.First.Seconds()/s.uncachedTokens())
 	}
-	if m.Between > 0 {
-		p.between.add(now, n, m.Between.Seconds())
+	if s.Between > 0 {
+		p.betweenTokens.add(now, n, s.Between.Seconds())
 	}
-	// Times to the first token vary with the company much more than those
-	// between tokens, so they decide only where there are no others.
-	ratio := p.between.ratio
-	if p.between.samples == 0 {
-		ratio = p.first.ratio
+	// Times to the first token depend much more on the other requests in flight
+	// than times between tokens, so they decide only if there are no others.
+	ratio := p.betweenTokens.recentRatio
+	if p.betweenTokens.samples == 0 {
+		ratio = p.firstToken.recentRatio
 	}
 	if p.slow {
-		p.slow = ratio > fairRatio
+		p.slow = ratio > recoveredRatio
 		return
 	}
 	p.slow = ratio > slowRatio
 }
 
-// silence marks the endpoint slow when it gives nothing for much longer than
-// usual.
-func (p *pace) silence(d time.Duration) {
-	if p.between.samples+p.first.samples < minSamples || d < leastSilence {
+// observeSilence marks the endpoint slow if it has sent nothing for much longer
+// than usual.
+func (p *pace) observeSilence(d time.Duration) {
+	if p.betweenTokens.samples+p.firstToken.samples < minSamples || d < minSilence {
 		return
 	}
-	usual := p.between.usual(1)
-	if p.between.samples == 0 {
-		usual = p.first.usual(1) * promptOverhead
+	expected := p.betweenTokens.expected(1)
+	if p.betweenTokens.samples == 0 {
+		expected = p.firstToken.expected(1) * promptOverheadTokens
 	}
-	if d.Seconds() > 2*slowRatio*usual {
+	if d.Seconds() > 2*slowRatio*expected {
 		p.slow = true
-		p.between.ratio = max(p.between.ratio, slowRatio)
-		p.first.ratio = max(p.first.ratio, slowRatio)
+		p.betweenTokens.recentRatio = max(p.betweenTokens.recentRatio, slowRatio)
+		p.firstToken.recentRatio = max(p.firstToken.recentRatio, slowRatio)
 	}
 }
 
-// load returns how much of its target a sample used, the worse of first token
-// and between tokens; zero if it says nothing.
-func (p *pace) load(m Sample) float64 {
-	return max(p.firstLoad(m), p.betweenLoad(m))
+// targetUse returns the fraction of its target that a sample used, the larger
+// of those for the first token and between tokens. It is above one for a late
+// sample, and zero if the sample does not count.
+func (p *pace) targetUse(s Sample) float64 {
+	return max(p.firstTokenUse(s), p.betweenTokensUse(s))
 }
 
-func (p *pace) firstLoad(m Sample) float64 {
-	if m.First == 0 || p.first.samples < 2 {
+func (p *pace) firstTokenUse(s Sample) float64 {
+	if s.First == 0 || p.firstToken.samples < 2 {
 		return 0
 	}
-	company := m.First.Seconds() / (p.first.best * m.uncached())
-	if m.FirstTarget == 0 {
-		return company / ownCompany
+	bestRatio := s.First.Seconds() / (p.firstToken.best * s.uncachedTokens())
+	if s.FirstTarget == 0 {
+		return bestRatio / noTargetRatio
 	}
-	load := m.First.Seconds() / m.FirstTarget.Seconds()
-	if load > 1 && company < guilt {
+	use := s.First.Seconds() / s.FirstTarget.Seconds()
+	if use > 1 && bestRatio < crowdedRatio {
 		return 0
 	}
-	return min(load, company/guilt)
+	return min(use, bestRatio/crowdedRatio)
 }
 
-// headway returns the load by which the bound may grow, which is more than
-// load for a first token: a queue inside the endpoint shows there first, long
-// before a report of it comes or a target is missed. It slows growth, and does
-// not hold it up.
-func (p *pace) headway(m Sample, load float64) float64 {
-	first := p.firstLoad(m)
-	return max(load, min(first*caution, roomy-0.01))
+// growthUse returns the use that decides about growth of the bound. For a first
+// token it is more than its targetUse: a queue inside the endpoint shows there
+// first, long before it is reported or a target is missed. This slows growth
+// but does not prevent it.
+func (p *pace) growthUse(s Sample, use float64) float64 {
+	firstTokenUse := p.firstTokenUse(s)
+	return max(use, min(firstTokenUse*firstTokenCaution, maxGrowUse-0.01))
 }
 
-func (p *pace) betweenLoad(m Sample) float64 {
-	if m.Between == 0 {
+func (p *pace) betweenTokensUse(s Sample) float64 {
+	if s.Between == 0 {
 		return 0
 	}
-	if m.BetweenTarget > 0 {
-		return m.Between.Seconds() / m.BetweenTarget.Seconds()
+	if s.BetweenTarget > 0 {
+		return s.Between.Seconds() / s.BetweenTarget.Seconds()
 	}
-	return m.Between.Seconds() / (p.between.best * ownCompany)
+	return s.Between.Seconds() / (p.betweenTokens.best * noTargetRatio)
 }
--- a/core/bound/search.go
+++ b/core/bound/search.go
@@ -6,184 +6,191 @@
 )
 
 const (
-	// lateWeight is the weight of one sample in the share of late ones.
-	lateWeight = 1.0 / 16
-	// overWeight is that of a late one in how late they are.
-	overWeight = 1.0 / 4
-	// lateWanted is the share of late samples below which the bound grows and
-	// lateTooMany that above which it shrinks.
-	lateWanted  = 0.03
-	lateTooMany = 0.08
-	// nearLimit is the part of the bound that must be in use for a sample to
-	// tell that there is room for more.
-	nearLimit = 0.8
-	// light and fair are the parts of the target below which the bound may
-	// grow by half and by a sixth; up to roomy it grows by one. The time
-	// between tokens grows no faster than the batch, so that no step from
-	// below can pass the target by much.
-	light, fair, roomy      = 0.5, 0.75, 0.92
-	lightGrowth, fairGrowth = 1.5, 1.17
-	leastGrowth             = 1
-	// leastCut and mostCut bound what the bound keeps when it shrinks.
-	leastCut, mostCut = 0.95, 0.5
-	// settle is how long after a change samples between tokens still tell of
-	// the time before it.
-	settle = 500 * time.Millisecond
-	// probeEvery is how often a bound that was cut is tried above where it
-	// stands, and probeLight how often when the targets are far off.
-	probeEvery = 30 * time.Second
-	probeLight = 10 * time.Second
-	// ownCompany is how many times its own best an endpoint without a target
-	// may take.
-	ownCompany = 4
-	// caution is how many times as much a first token counts for growth.
-	caution = 2
-	// guilt is how many times its own best the first token must take for a
-	// late one to be due to the company it had, and not to its own prompt or
-	// to waiting before it came here.
-	guilt = 2
+	// lateShareWeight is the weight of one sample in the share of late samples.
+	lateShareWeight = 1.0 / 16
+	// overshootWeight is the weight of one late sample in search.overshoot.
+	overshootWeight = 1.0 / 4
+	// growLateShare is the share of late samples below which the bound may
+	// grow, and cutLateShare the share above which it is cut.
+	growLateShare = 0.03
+	cutLateShare  = 0.08
+	// minLimitUse is the part of the bound that must be in use for a sample to
+	// show that the bound may grow.
+	minLimitUse = 0.8
+	// lightUse and moderateUse are the fractions of the target below which the
+	// bound may grow by a half and by a sixth. Up to maxGrowUse it grows by
+	// one. The time between tokens grows at most in proportion to the batch, so
+	// that no step from below exceeds the target by much.
+	lightUse, moderateUse, maxGrowUse = 0.5, 0.75, 0.92
+	lightGrowth, moderateGrowth       = 1.5, 1.17
+	minStep                           = 1
+	// maxKeep and minKeep limit the part of the bound that is kept when it is
+	// cut.
+	maxKeep, minKeep = 0.95, 0.5
+	// settleTime is the time after a change during which samples between tokens
+	// still describe the time before it.
+	settleTime = 500 * time.Millisecond
+	// probeInterval is the time after which a bound that was cut is increased
+	// above its ceiling. lightProbeInterval applies when the use of the targets
+	// is below moderateUse.
+	probeInterval      = 30 * time.Second
+	lightProbeInterval = 10 * time.Second
+	// noTargetRatio replaces the target of requests without one: the allowed
+	// ratio to the endpoint's own best time.
+	noTargetRatio = 4
+	// firstTokenCaution is the factor by which a first token's use of its
+	// target counts more when the bound grows.
+	firstTokenCaution = 2
+	// crowdedRatio is the ratio to the endpoint's own best time that a late
+	// first token must reach to be attributed to the other requests in flight.
+	// Below it, the request was late because of its own prompt or because it
+	// had waited before it was handed over.
+	crowdedRatio = 2
 )
 
-// search finds the bound from late and timely samples.
+// search finds the bound from the late and timely samples.
 type search struct {
 	cfg Config
-	// size is the bound before rounding, within cfg's limits.
+	// size is the bound before rounding. It is within the limits of cfg.
 	size float64
-	// ceiling is the largest bound below the last one that was too large, zero
-	// if none was. Without it the search would go one too far every few
-	// rounds, which at a small bound makes most answers late. probe is the
-	// next step above it.
-	ceiling, probe float64
-	// late is the share of late samples seen at the present bound, and over
-	// the part of the target that late ones used of late, at least one.
-	late, over float64
-	// changed is when size last changed. Since then there were samples of a
-	// nearly used bound, fresh of them of a first token. load is the sum of the
-	// parts of their targets that all used, and freshLoad that of the fresh.
-	changed         time.Duration
-	samples, fresh  int
-	load, freshLoad float64
-	// queued counts reports in a row that show a queue inside the endpoint, and
-	// cutAt is when the last cut was made.
-	queued int
-	cutAt  time.Duration
+	// ceiling is one below the last bound that was too large, or zero if there
+	// was none. Without it the search would exceed the right bound every few
+	// rounds, which makes most answers late if the bound is small. probeStep is
+	// the next step above the ceiling.
+	ceiling, probeStep float64
+	// lateShare is the recent share of late samples at the current bound.
+	// overshoot is the mean targetUse of recent late samples, at least one.
+	lateShare, overshoot float64
+	// lastChange is when size last changed. samples counts the samples since
+	// then that had at least minLimitUse of the bound in flight, and
+	// firstTokenSamples those of them with a first token. useSum and
+	// firstTokenUseSum are the sums of their growthUse.
+	lastChange                 time.Duration
+	samples, firstTokenSamples int
+	useSum, firstTokenUseSum   float64
+	// queueReports is the number of reports in a row that show a queue inside
+	// the endpoint. lastCut is when the bound was last cut.
+	queueReports int
+	lastCut      time.Duration
 }
 
 func newSearch(cfg Config) search {
-	return search{cfg: cfg, size: float64(min(max(cfg.Min, coldStart), cfg.Max)), probe: leastGrowth, over: 1}
+	return search{cfg: cfg, size: float64(min(max(cfg.Min, initialBound), cfg.Max)), probeStep: minStep, overshoot: 1}
 }
 
 func (s *search) limit() int { return int(s.size) }
 
 func (s *search) set(now time.Duration, size float64) {
 	s.size = min(max(size, float64(s.cfg.Min)), float64(s.cfg.Max))
-	s.changed, s.samples, s.fresh = now, 0, 0
-	s.load, s.freshLoad = 0, 0
+	s.lastChange, s.samples, s.firstTokenSamples = now, 0, 0
+	s.useSum, s.firstTokenUseSum = 0, 0
 }
 
-// restart begins anew from the cold start, after a slow endpoint recovered.
+// restart begins the search again, at most at the initial bound, after a slow
+// endpoint has recovered.
 func (s *search) restart(now time.Duration) {
-	s.late, s.over, s.queued = 0, 1, 0
-	s.set(now, min(s.size, float64(max(s.cfg.Min, coldStart))))
+	s.lateShare, s.overshoot, s.queueReports = 0, 1, 0
+	s.set(now, min(s.size, float64(max(s.cfg.Min, initialBound))))
 }
 
-// observe moves the bound after one sample.
-func (s *search) observe(now time.Duration, m Sample, p *pace) {
-	load := p.load(m)
-	if load == 0 || s.stale(now, m) {
+// observe adjusts the bound after one sample.
+func (s *search) observe(now time.Duration, sample Sample, p *pace) {
+	use := p.targetUse(sample)
+	if use == 0 || s.isStale(now, sample) {
 		return
 	}
-	s.late += (share(load > 1) - s.late) * lateWeight
-	if load > 1 {
-		s.over += (load - s.over) * overWeight
+	s.lateShare += (indicator(use > 1) - s.lateShare) * lateShareWeight
+	if use > 1 {
+		s.overshoot += (use - s.overshoot) * overshootWeight
 	}
-	if load > 1 && s.late > lateTooMany {
+	if use > 1 && s.lateShare > cutLateShare {
 		s.cut(now)
 		return
 	}
-	s.count(m, p.headway(m, load))
-	if s.samples >= s.limit() && s.fresh > 0 && s.late < lateWanted {
+	s.addSample(sample, p.growthUse(sample, use))
+	if s.samples >= s.limit() && s.firstTokenSamples > 0 && s.lateShare < growLateShare {
 		s.grow(now)
 	}
 }
 
 func (s *search) cut(now time.Duration) {
-	keep := min(max(1/s.over, mostCut), leastCut)
-	s.late, s.over, s.cutAt = lateWanted, 1, now
-	s.probe, s.ceiling = leastGrowth, max(math.Floor(s.size)-leastGrowth, float64(s.cfg.Min))
-	s.set(now, min(s.size*keep, s.size-leastGrowth))
+	keep := min(max(1/s.overshoot, minKeep), maxKeep)
+	s.lateShare, s.overshoot, s.lastCut = growLateShare, 1, now
+	s.probeStep, s.ceiling = minStep, max(math.Floor(s.size)-minStep, float64(s.cfg.Min))
+	s.set(now, min(s.size*keep, s.size-minStep))
 }
 
-// stale reports whether a sample tells of the time before the last change.
-// Without this a cut would be followed by others for the same late answers,
-// and growth by more before its effect was seen.
-func (s *search) stale(now time.Duration, m Sample) bool {
-	if m.First > 0 {
-		return now-m.First < s.changed
+// isStale reports whether a sample describes the time before the last change.
+// Otherwise the same late answers would cause several cuts, and growth would be
+// followed by more growth before its effect was seen.
+func (s *search) isStale(now time.Duration, sample Sample) bool {
+	if sample.First > 0 {
+		return now-sample.First < s.lastChange
 	}
-	return now-settle < s.changed || float64(m.InFlight) > s.size+1
+	return now-settleTime < s.lastChange || float64(sample.InFlight) > s.size+1
 }
 
-func (s *search) count(m Sample, load float64) {
-	if float64(m.InFlight) < nearLimit*float64(s.limit()) {
+func (s *search) addSample(sample Sample, use float64) {
+	if float64(sample.InFlight) < minLimitUse*float64(s.limit()) {
 		return
 	}
 	s.samples++
-	s.load += load
-	if m.First > 0 {
-		s.fresh++
-		s.freshLoad += load
+	s.useSum += use
+	if sample.First > 0 {
+		s.firstTokenSamples++
+		s.firstTokenUseSum += use
 	}
 }
 
-func share(yes bool) float64 {
-	if yes {
+func indicator(cond bool) float64 {
+	if cond {
 		return 1
 	}
 	return 0
 }
 
-// grow makes the bound larger by what the samples since its last change allow.
+// grow increases the bound as far as the samples since its last change allow.
 func (s *search) grow(now time.Duration) {
-	size, wait := s.size+leastGrowth, probeLight
-	load := max(s.load/float64(s.samples), s.freshLoad/float64(s.fresh))
+	size, probeAfter := s.size+minStep, lightProbeInterval
+	meanUse := max(s.useSum/float64(s.samples), s.firstTokenUseSum/float64(s.firstTokenSamples))
 	switch {
-	case load >= roomy:
+	case meanUse >= maxGrowUse:
 		return
-	case load < light:
+	case meanUse < lightUse:
 		size = max(size, s.size*lightGrowth)
-	case load < fair:
-		size = max(size, s.size*fairGrowth)
+	case meanUse < moderateUse:
+		size = max(size, s.size*moderateGrowth)
 	default:
-		wait = probeEvery
+		probeAfter = probeInterval
 	}
 	switch {
 	case s.ceiling == 0 || size <= s.ceiling:
 		s.set(now, size)
 	case s.size < s.ceiling:
 		s.set(now, s.ceiling)
-	case now-s.changed >= wait:
-		// The last step above the ceiling has stood, so the next is larger.
-		s.ceiling = min(s.size+s.probe, max(size, s.size+leastGrowth))
-		s.probe *= 2
+	case now-s.lastChange >= probeAfter:
+		// The previous step above the ceiling was not cut, so the next step is
+		// larger.
+		s.ceiling = min(s.size+s.probeStep, max(size, s.size+minStep))
+		s.probeStep *= 2
 		s.set(now, s.ceiling)
 	}
 }
 
-// report cuts the bound to what runs when the endpoint shows a queue of its
-// own. One report of one that waits may just have met it on its way in. A
-// report from before the bound last grew is good evidence all the same, and one
-// from before it was cut is none.
-func (s *search) report(now time.Duration, r Report) {
-	if r.Waiting == 0 || now-r.Age < s.cutAt {
-		s.queued = 0
+// observeReport cuts the bound to the number of running requests when the
+// endpoint reports a queue. A single report of one waiting request is ignored,
+// because that request may just have arrived. Reports from before the last
+// growth of the bound count, reports from before the last cut do not.
+func (s *search) observeReport(now time.Duration, r Report) {
+	if r.Waiting == 0 || now-r.Age < s.lastCut {
+		s.queueReports = 0
 		return
 	}
-	s.queued++
-	if (s.queued < 2 && r.Waiting < 2) || float64(r.Running) >= s.size {
+	s.queueReports++
+	if (s.queueReports < 2 && r.Waiting < 2) || float64(r.Running) >= s.size {
 		return
 	}
-	s.queued, s.probe, s.ceiling = 0, leastGrowth, float64(max(r.Running, s.cfg.Min))
-	s.cutAt = now
+	s.queueReports, s.probeStep, s.ceiling = 0, minStep, float64(max(r.Running, s.cfg.Min))
+	s.lastCut = now
 	s.set(now, s.ceiling)
 }
--- a/core/place/model_test.go
+++ b/core/place/model_test.go
@@ -179,7 +179,7 @@
 		return n
 	}
 	// core/bound marks an endpoint that drops to an eighth of its speed as slow
-	// after 2.31 s (TestSlowAndBack there).
+	// after 2.31 s (TestSlowdownAndRecovery there).
 	detectAfter, never := lateAnswers(2310*time.Millisecond), lateAnswers(time.Hour)
 	t.Logf("%d late answers, %d if it is never marked slow", detectAfter, never)
 	if detectAfter > never/2 {
--- a/core/queue/model_test.go
+++ b/core/queue/model_test.go
@@ -62,7 +62,7 @@
 			}
 			it, ok := q.Next(now, func(it Item) Fit {
 				switch fit := b.Fit(now, r, bound.Work{Tier: 1, Cost: it.Cost}); {
-				case fit == bound.NoPlace:
+				case fit == bound.NoSlot:
 					return Stop
 				case fit == bound.LongFull && !fifo:
 					return Pass
