--- a/core/bound/doc.go
+++ b/core/bound/doc.go
@@ -24,6 +24,5 @@
 // lookup would wait for a draft to end.
 //
 // The search keeps the share of late samples at 3 in 100, which is below the 5
-// in 100 that the targets allow. The other values were set with the engine
-// model in the tests; see docs/design/decisions.md for measurements.
+// in 100 that the targets allow. Measurements are in docs/design/decisions.md.
 package bound
--- a/core/bound/search.go
+++ b/core/bound/search.go
@@ -53,10 +53,10 @@
 	cfg Config
 	// size is the bound before rounding. It is within the limits of cfg.
 	size float64
-	// ceiling is one below the last bound that was too large, or zero if there
-	// was none. Without it the search would exceed the right bound every few
-	// rounds, which makes most answers late if the bound is small. probeStep is
-	// the next step above the ceiling.
+	// ceiling is the largest bound below the last one that was too large, or
+	// zero if there was none. Without it the search would exceed the right
+	// bound every few rounds, which makes most answers late if the bound is
+	// small. probeStep is the next step above the ceiling.
 	ceiling, probeStep float64
 	// lateShare is the recent share of late samples at the current bound.
 	// overshoot is the mean targetUse of recent late samples, at least one.
--- a/core/cost/cost.go
+++ b/core/cost/cost.go
@@ -1,26 +1,28 @@
-// Package cost estimates what a request will cost before it has run.
+// Package cost estimates the cost of a request before it runs.
 //
-// The load it answers is work whose lengths differ a hundredfold. Counted in
-// requests, a customer that sends drafts takes a hundred times the share of one
-// that sends lookups, a queue's wait can't be told from its length, and a bound
-// in requests over-fills the KV memory. So fairness, admission and order count
-// estimated time, which is learnt:
+// It is designed for requests whose lengths differ by a factor of a hundred. If
+// costs were counted in requests, a customer that sends drafts would get a
+// hundred times the share of one that sends lookups, the wait in a queue could
+// not be predicted from its length, and a bound on the number of requests would
+// overfill the KV memory. Fairness, admission and order therefore use estimated
+// time, which is learnt from finished requests:
 //
-//   - tokens of the prompt from its bytes, by class;
-//   - tokens of the answer by class and customer, as a part of the caller's
-//     own limit when it gives one, since that tells a draft from a tag;
-//   - time from tokens, by class: a part for the request, one for each token
-//     of the prompt that is not cached and one for each token of the answer.
+//   - the number of prompt tokens from the prompt's bytes, by class;
+//   - the number of output tokens by class and customer. If the caller sets a
+//     limit, this is a fraction of the limit, because the limit distinguishes a
+//     draft from a tag;
+//   - the time from the numbers of tokens, by class: a constant per request, a
+//     time per uncached prompt token and a time per output token.
 //
-// Without a limit of the caller and without history the estimate is a plain
-// guess. Wrong estimates do little harm: one answer moves what was learnt by a
-// factor of two at most, a customer stays within a factor of sixteen of its
-// class, the queue charges actual costs afterwards, and admission measures the
-// drain in the same estimates that it admits by.
+// Without a limit and without history the estimate is a fixed guess. Wrong
+// estimates do little harm: after the first two answers, one answer changes
+// what was learnt by a factor of at most two, a customer stays within a factor
+// of sixteen of its class, the queue charges actual costs afterwards, and
+// admission measures the drain rate in the same estimates that it admits by.
 //
-// Memory is bounded: the customers not seen for longest are forgotten and are
-// estimated as their class from then on. 21,000 customers in one class each fit
-// into the default.
+// Memory is bounded. The customers that were not seen for the longest time are
+// forgotten and get the estimates of their class from then on. The default has
+// room for 21,000 customers with one class each.
 package cost
 
 import (
@@ -30,186 +32,193 @@
 	"lycheepond/core/recent"
 )
 
-// Config says how estimates are made.
+// Config configures a Model.
 type Config struct {
-	// MaxEntries bounds how many pairs of class and customer are remembered;
-	// zero means DefaultMaxEntries.
-	MaxEntries int
+	// MaxCustomers bounds the number of remembered pairs of class and customer.
+	// Zero means DefaultMaxCustomers.
+	MaxCustomers int
 }
 
-// DefaultMaxEntries is enough for 21,000 customers with one or two classes.
-const DefaultMaxEntries = 32768
+// DefaultMaxCustomers is the default of Config.MaxCustomers. It is enough for
+// 21,000 customers with one or two classes.
+const DefaultMaxCustomers = 32768
 
-// What is assumed before anything is known: an ordinary text in an ordinary
-// tokenizer, and an answer of a page at most.
+// Assumptions before anything is known: an ordinary text with an ordinary
+// tokenizer, and an answer of one page at most.
 const (
-	startBytesPerToken = 4.0
-	startOutput        = 256.0
-	// startUsed is the part of a caller's limit that answers use.
-	startUsed = 0.5
+	initialBytesPerToken = 4.0
+	initialOutputTokens  = 256.0
+	// initialLimitUse is the fraction of the caller's limit that an answer
+	// uses.
+	initialLimitUse = 0.5
 )
 
 const (
-	// classWeight and customerWeight are the weights of an answer in what is
-	// known of its class and of its customer.
+	// classWeight and customerWeight are the weights of one answer in the means
+	// of its class and of its customer.
 	classWeight    = 1.0 / 32
 	customerWeight = 1.0 / 8
-	// shrink is the number of answers after which a customer's own history
-	// counts as much as its class.
-	shrink = 4
-	// mostStep is the most that one answer counts for, as a factor.
-	mostStep = 16
-	// mostApart is how far a customer may be from its class, as a factor.
-	mostApart = 16
+	// equalWeightAnswers is the number of answers after which a customer's own
+	// history counts as much as that of its class.
+	equalWeightAnswers = 4
+	// maxSampleFactor is the largest factor by which one answer may differ from
+	// the mean; larger differences count as this one.
+	maxSampleFactor = 16
+	// maxCustomerFactor is the largest factor by which a customer's estimate
+	// may differ from that of its class.
+	maxCustomerFactor = 16
 )
 
-// Estimate is what a request is expected to cost.
+// Estimate is the expected cost of a request.
 type Estimate struct {
 	PromptTokens, OutputTokens int
-	// Work is the time that the request occupies its place in an endpoint.
+	// Work is the time for which the request occupies a slot of an endpoint.
 	Work time.Duration
 }
 
-// Usage is what a finished request did cost.
+// Usage is the actual cost of a finished request.
 type Usage struct {
 	Prompt, Cached, Output int
-	// Max is the caller's own limit of the output, zero if it gave none.
+	// MaxTokens is the caller's limit of the output, or zero if it set none.
 	Max int
 	// Work is the time from dispatch to the last byte.
 	Work time.Duration
 }
 
-// mean is a decayed mean of logarithms, so that a value ten times too large
-// weighs as much as one ten times too small.
-type mean struct {
+// logMean is a decayed mean of logarithms. A value ten times too large counts
+// as much as one ten times too small.
+type logMean struct {
 	log float64
 	n   uint32
 }
 
-// learn moves the mean towards v. The first values count more, so that a cold
-// start ends soon; a value that is far off counts as a less far one.
-func (m *mean) learn(v, start, weight float64) {
+// learn moves the mean towards v. The first values have more weight, so that
+// the mean is soon independent of the initial value. The difference is limited
+// by maxSampleFactor.
+func (m *logMean) learn(v, initial, weight float64) {
 	if m.n == 0 {
-		m.log = math.Log(start)
+		m.log = math.Log(initial)
 	}
 	m.n++
-	far := math.Log(max(v, 0.5)) - m.log
-	far = min(max(far, -math.Log(mostStep)), math.Log(mostStep))
-	m.log += far * max(weight, 1/float64(m.n+1))
+	diff := math.Log(max(v, 0.5)) - m.log
+	diff = min(max(diff, -math.Log(maxSampleFactor)), math.Log(maxSampleFactor))
+	m.log += diff * max(weight, 1/float64(m.n+1))
 }
 
-func (m *mean) value(start float64) float64 {
+func (m *logMean) value(initial float64) float64 {
 	if m.n == 0 {
-		return start
+		return initial
 	}
 	return math.Exp(m.log)
 }
 
-// outputs is what is known of the lengths of answers.
-type outputs struct {
-	// free is the mean of answers without a limit of the caller, and used the
-	// mean part in thousandths that answers use of the limit.
-	free, used mean
+// outputLengths holds what is known about the lengths of answers.
+type outputLengths struct {
+	// unlimited is the mean number of tokens of answers without a limit.
+	// limitUse is the mean fraction of the caller's limit that answers use, in
+	// thousandths.
+	unlimited, limitUse logMean
 }
 
-func (o *outputs) learn(u Usage, weight float64) {
+func (o *outputLengths) learn(u Usage, weight float64) {
 	if u.Max > 0 {
-		o.used.learn(1000*float64(u.Output)/float64(u.Max), 1000*startUsed, weight)
+		o.limitUse.learn(1000*float64(u.Output)/float64(u.Max), 1000*initialLimitUse, weight)
 		return
 	}
-	o.free.learn(float64(u.Output), startOutput, weight)
+	o.unlimited.learn(float64(u.Output), initialOutputTokens, weight)
 }
 
-// class is what is known of a class.
+// class holds what is known about a class.
 type class struct {
-	bytesPerToken mean
-	outputs       outputs
-	time          times
-	// plain is the mean time in microseconds of work without tokens.
-	plain mean
+	bytesPerToken logMean
+	outputs       outputLengths
+	time          timeModel
+	// plainMicros is the mean time in microseconds of calls without tokens.
+	plainMicros logMean
 }
 
-// key is a customer within a class.
+// key identifies a customer within a class.
 type key struct{ class, customer string }
 
-// customer is what is known of a customer within a class.
+// customer holds what is known about a customer within a class.
 type customer struct {
-	outputs outputs
-	plain   mean
+	outputs     outputLengths
+	plainMicros logMean
 }
 
-// Model learns costs. One goroutine owns it.
+// Model learns costs and estimates them. One goroutine owns it.
 type Model struct {
-	// classes is bounded by the classes that operators have made.
+	// classes is bounded by the number of classes that operators have defined.
 	classes   map[string]*class
 	customers *recent.Table[key, customer]
 }
 
-// New returns a model that knows nothing yet.
+// New returns a Model without any history.
 func New(cfg Config) *Model {
-	if cfg.MaxEntries <= 0 {
-		cfg.MaxEntries = DefaultMaxEntries
+	if cfg.MaxCustomers <= 0 {
+		cfg.MaxCustomers = DefaultMaxCustomers
 	}
-	return &Model{classes: make(map[string]*class), customers: recent.New[key, customer](cfg.MaxEntries)}
+	return &Model{classes: make(map[string]*class), customers: recent.New[key, customer](cfg.MaxCustomers)}
 }
 
 func (m *Model) class(name string) *class {
 	c := m.classes[name]
 	if c == nil {
-		c = &class{time: newTimes()}
+		c = &class{time: newTimeModel()}
 		m.classes[name] = c
 	}
 	return c
 }
 
 // Estimate returns the expected cost of a request. maxTokens is the caller's
-// own limit of the output, zero if it gave none; name is the customer. Work without a prompt and
+// limit of the output, or zero if it set none. A request without a prompt and
 // without a limit is a call of a plain service.
-func (m *Model) Estimate(className, name string, promptBytes, maxTokens int) Estimate {
-	c, own := m.class(className), m.customers.Get(key{className, name})
+func (m *Model) Estimate(className, customerName string, promptBytes, maxTokens int) Estimate {
+	c, cust := m.class(className), m.customers.Get(key{className, customerName})
 	if promptBytes == 0 && maxTokens == 0 {
-		us := blend(&c.plain, &own.plain, startPlain)
-		return Estimate{Work: time.Duration(us * float64(time.Microsecond))}
+		micros := blend(&c.plainMicros, &cust.plainMicros, initialPlainMicros)
+		return Estimate{Work: time.Duration(micros * float64(time.Microsecond))}
 	}
-	prompt := math.Ceil(float64(promptBytes) / (c.bytesPerToken.value(1000*startBytesPerToken) / 1000))
+	prompt := math.Ceil(float64(promptBytes) / (c.bytesPerToken.value(1000*initialBytesPerToken) / 1000))
 	var out float64
 	if maxTokens > 0 {
-		out = float64(maxTokens) * min(blend(&c.outputs.used, &own.outputs.used, 1000*startUsed)/1000, 1)
+		out = float64(maxTokens) * min(blend(&c.outputs.limitUse, &cust.outputs.limitUse, 1000*initialLimitUse)/1000, 1)
 	} else {
-		out = blend(&c.outputs.free, &own.outputs.free, startOutput)
+		out = blend(&c.outputs.unlimited, &cust.outputs.unlimited, initialOutputTokens)
 	}
 	out = max(out, 1)
 	return Estimate{PromptTokens: int(prompt), OutputTokens: int(out), Work: c.time.estimate(prompt, out)}
 }
 
-// startPlain is the time of a call of a plain service in microseconds that is
-// assumed before any was seen.
-const startPlain = 20000.0
+// initialPlainMicros is the assumed time in microseconds of a call of a plain
+// service before any was observed.
+const initialPlainMicros = 20000.0
 
-// blend weighs a customer's history against its class.
-func blend(class, own *mean, start float64) float64 {
-	base := class.value(start)
-	if own.n == 0 {
-		return base
+// blend returns the mean of a customer's own history and that of its class,
+// weighted by the number of the customer's answers.
+func blend(class, customer *logMean, initial float64) float64 {
+	classValue := class.value(initial)
+	if customer.n == 0 {
+		return classValue
 	}
-	w := float64(own.n) / (float64(own.n) + shrink)
-	v := math.Exp(math.Log(base)*(1-w) + own.log*w)
-	return min(max(v, base/mostApart), base*mostApart)
+	w := float64(customer.n) / (float64(customer.n) + equalWeightAnswers)
+	v := math.Exp(math.Log(classValue)*(1-w) + customer.log*w)
+	return min(max(v, classValue/maxCustomerFactor), classValue*maxCustomerFactor)
 }
 
-// Learn takes in what a finished request did cost.
-func (m *Model) Learn(className, name string, promptBytes int, u Usage) {
-	c, own := m.class(className), m.customers.Get(key{className, name})
+// Learn updates the model with the actual cost of a finished request.
+func (m *Model) Learn(className, customerName string, promptBytes int, u Usage) {
+	c, cust := m.class(className), m.customers.Get(key{className, customerName})
 	if u.Prompt == 0 && u.Output == 0 {
-		us := float64(u.Work.Microseconds())
-		c.plain.learn(us, startPlain, classWeight)
-		own.plain.learn(us, startPlain, customerWeight)
+		micros := float64(u.Work.Microseconds())
+		c.plainMicros.learn(micros, initialPlainMicros, classWeight)
+		cust.plainMicros.learn(micros, initialPlainMicros, customerWeight)
 		return
 	}
 	if u.Prompt > 0 && promptBytes > 0 {
-		c.bytesPerToken.learn(1000*float64(promptBytes)/float64(u.Prompt), 1000*startBytesPerToken, classWeight)
+		c.bytesPerToken.learn(1000*float64(promptBytes)/float64(u.Prompt), 1000*initialBytesPerToken, classWeight)
 	}
 	c.outputs.learn(u, classWeight)
-	own.outputs.learn(u, customerWeight)
+	cust.outputs.learn(u, customerWeight)
 	c.time.learn(float64(max(u.Prompt-u.Cached, 0)), float64(u.Output), u.Work.Seconds())
 }
--- a/core/cost/cost_test.go
+++ b/core/cost/cost_test.go
@@ -10,48 +10,49 @@
 	"pgregory.net/rapid"
 )
 
-// engine returns what an engine takes for a request.
-func engine(prompt, out int) time.Duration {
+// engineTime returns the time that a simulated engine needs for a request.
+func engineTime(prompt, out int) time.Duration {
 	return time.Duration(prompt)*125*time.Microsecond + time.Duration(out)*20*time.Millisecond
 }
 
-// off returns by which factor the estimate is wrong, one for right.
-func off(got, want float64) float64 { return math.Exp(math.Abs(math.Log(got / want))) }
+// errorFactor returns the factor by which got differs from want. It is one if
+// they are equal.
+func errorFactor(got, want float64) float64 { return math.Exp(math.Abs(math.Log(got / want))) }
 
 func TestColdStart(t *testing.T) {
 	m := New(Config{})
 	for _, tc := range []struct {
-		bytes, most int
-		want        Estimate
+		bytes, limit int
+		want         Estimate
 	}{
 		{4000, 100, Estimate{PromptTokens: 1000, OutputTokens: 50}},
 		{4000, 0, Estimate{PromptTokens: 1000, OutputTokens: 256}},
 		{0, 10, Estimate{OutputTokens: 5}},
 		{0, 0, Estimate{Work: 20 * time.Millisecond}},
 	} {
-		got := m.Estimate("c", "a", tc.bytes, tc.most)
+		got := m.Estimate("c", "a", tc.bytes, tc.limit)
 		if got.PromptTokens != tc.want.PromptTokens || got.OutputTokens != tc.want.OutputTokens || got.Work <= 0 {
-			t.Errorf("%d bytes, limit %d: %+v", tc.bytes, tc.most, got)
+			t.Errorf("%d bytes, limit %d: %+v", tc.bytes, tc.limit, got)
 		}
 	}
 }
 
-// One request in twenty is a hundred times as long, and only the caller's own
-// limit tells which. If all were taken for the mean, long work would hold the
-// short back everywhere.
-func TestTellsLongFromShort(t *testing.T) {
+// One request in twenty is a hundred times as long, and only the caller's limit
+// shows which one. If all of them were estimated at the mean, long requests
+// would delay the short ones everywhere.
+func TestLimitTellsLongFromShort(t *testing.T) {
 	m, rnd := New(Config{}), rand.New(rand.NewPCG(1, 1))
 	for n := range 300 {
-		most := 20
+		limit := 20
 		if n%20 == 0 {
-			most = 2000
+			limit = 2000
 		}
-		out := most * (6 + rnd.IntN(4)) / 10
-		m.Learn("drafts", "a", 2400, Usage{Prompt: 600, Output: out, Max: most, Work: engine(600, out)})
+		out := limit * (6 + rnd.IntN(4)) / 10
+		m.Learn("drafts", "a", 2400, Usage{Prompt: 600, Output: out, Max: limit, Work: engineTime(600, out)})
 	}
 	short, long := m.Estimate("drafts", "a", 2400, 20), m.Estimate("drafts", "a", 2400, 2000)
 	t.Logf("short %+v long %+v", short, long)
-	if off(short.Work.Seconds(), engine(600, 15).Seconds()) > 1.5 || off(long.Work.Seconds(), engine(600, 1500).Seconds()) > 1.5 {
+	if errorFactor(short.Work.Seconds(), engineTime(600, 15).Seconds()) > 1.5 || errorFactor(long.Work.Seconds(), engineTime(600, 1500).Seconds()) > 1.5 {
 		t.Error("estimates are wrong by more than half")
 	}
 }
@@ -59,11 +60,11 @@
 func TestCustomersDiffer(t *testing.T) {
 	m := New(Config{})
 	for range 60 {
-		m.Learn("c", "tags", 400, Usage{Prompt: 100, Output: 10, Work: engine(100, 10)})
-		m.Learn("c", "briefs", 400, Usage{Prompt: 100, Output: 800, Work: engine(100, 800)})
+		m.Learn("c", "tags", 400, Usage{Prompt: 100, Output: 10, Work: engineTime(100, 10)})
+		m.Learn("c", "briefs", 400, Usage{Prompt: 100, Output: 800, Work: engineTime(100, 800)})
 	}
 	for customer, want := range map[string]float64{"tags": 10, "briefs": 800} {
-		if got := m.Estimate("c", customer, 400, 0).OutputTokens; off(float64(got), want) > 1.5 {
+		if got := m.Estimate("c", customer, 400, 0).OutputTokens; errorFactor(float64(got), want) > 1.5 {
 			t.Errorf("%s: %d tokens, want %v", customer, got, want)
 		}
 	}
@@ -73,36 +74,36 @@
 }
 
 // The nightly change makes the engines five times as fast. The estimates must
-// follow within the first hundred answers.
-func TestFollowsTheEngines(t *testing.T) {
+// follow within a hundred answers.
+func TestEstimatesFollowEngineSpeed(t *testing.T) {
 	m, rnd := New(Config{}), rand.New(rand.NewPCG(1, 1))
 	learn := func(n, speed int) {
 		for range n {
 			prompt, out := 200+rnd.IntN(1000), 20+rnd.IntN(200)
-			m.Learn("c", "a", 4*prompt, Usage{Prompt: prompt, Output: out, Max: out, Work: engine(prompt, out) / time.Duration(speed)})
+			m.Learn("c", "a", 4*prompt, Usage{Prompt: prompt, Output: out, Max: out, Work: engineTime(prompt, out) / time.Duration(speed)})
 		}
 	}
 	learn(200, 1)
 	learn(100, 5)
-	got, want := m.Estimate("c", "a", 2400, 100).Work, engine(600, 100)/5
+	got, want := m.Estimate("c", "a", 2400, 100).Work, engineTime(600, 100)/5
 	t.Logf("estimate %v, engine %v", got, want)
-	if off(got.Seconds(), want.Seconds()) > 1.3 {
+	if errorFactor(got.Seconds(), want.Seconds()) > 1.3 {
 		t.Errorf("estimate %v, engine takes %v", got, want)
 	}
 }
 
-// One answer is ten thousand times as long as all others, or its report is
-// wrong. The next estimate must hardly move.
+// One answer is ten thousand times as long as the others, or its reported usage
+// is wrong. The next estimate may change by at most a factor of two.
 func TestOutlier(t *testing.T) {
 	m := New(Config{})
 	for range 50 {
-		m.Learn("c", "a", 400, Usage{Prompt: 100, Output: 10, Work: engine(100, 10)})
+		m.Learn("c", "a", 400, Usage{Prompt: 100, Output: 10, Work: engineTime(100, 10)})
 	}
 	before := m.Estimate("c", "a", 400, 0)
-	m.Learn("c", "a", 400, Usage{Prompt: 100, Output: 100000, Work: engine(100, 100000)})
+	m.Learn("c", "a", 400, Usage{Prompt: 100, Output: 100000, Work: engineTime(100, 100000)})
 	after := m.Estimate("c", "a", 400, 0)
 	if f := after.Work.Seconds() / before.Work.Seconds(); f > 2 {
-		t.Fatalf("one answer changed the estimate by %.1f", f)
+		t.Fatalf("one answer changed the estimate by a factor of %.1f", f)
 	}
 }
 
@@ -111,14 +112,15 @@
 	for range 100 {
 		m.Learn("c", "a", 0, Usage{Work: 300 * time.Millisecond})
 	}
-	if got := m.Estimate("c", "a", 0, 0).Work; off(got.Seconds(), 0.3) > 1.2 {
+	if got := m.Estimate("c", "a", 0, 0).Work; errorFactor(got.Seconds(), 0.3) > 1.2 {
 		t.Errorf("estimate %v of 300ms", got)
 	}
 }
 
-// Customers come and go by the ten thousands; memory must not grow with them.
+// Customers come and go by the ten thousands. Memory must not grow with their
+// number.
 func TestMemoryIsBounded(t *testing.T) {
-	m := New(Config{MaxEntries: 100})
+	m := New(Config{MaxCustomers: 100})
 	for n := range 1000 {
 		m.Learn("c", fmt.Sprint(n), 400, Usage{Prompt: 100, Output: n + 1, Work: time.Second})
 		m.Estimate("c", "kept", 400, 0)
@@ -131,11 +133,11 @@
 	}
 }
 
-// Whatever engines report, estimates stay finite and positive, within the
-// caller's limit, and one answer changes them by no more than a bounded factor.
+// For any usage that engines report, estimates stay positive and within the
+// caller's limit, and one answer changes them by a bounded factor.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := New(Config{MaxEntries: 4})
+		m := New(Config{MaxCustomers: 4})
 		num := func(name string) int { return rapid.IntRange(0, 1<<20).Draw(t, name) }
 		for range rapid.IntRange(1, 50).Draw(t, "answers") {
 			customer := fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "customer"))
@@ -146,7 +148,7 @@
 				t.Fatalf("estimate %+v", after)
 			}
 			if f := after.Work.Seconds() / before.Work.Seconds(); f > 64 || f < 1.0/64 {
-				t.Fatalf("one answer changed the estimate by %g", f)
+				t.Fatalf("one answer changed the estimate by a factor of %g", f)
 			}
 		}
 	})
