--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -1,26 +1,29 @@
-// Package retry bounds how much work retries add.
+// Package retry limits the load that retries add.
 //
-// The load it answers is an outage: every request fails, and each is tried
-// again. With three tries each the endpoints that are left, or that just came
-// back, get three times the load that they could not carry before, and the
-// outage outlives its cause. A budget that first tries earn bounds the sum:
-// in calm there is always enough of it, in an outage retries are a tenth of the
-// load at most. Backoff spreads the retries that are left, so that those of one
-// lost link do not arrive together.
+// It is designed for outages, in which every request fails and is retried. With
+// three attempts per request, the endpoints that remain, or that have just come
+// back, would get three times the load that they could not carry before, and
+// the outage would outlast its cause. The retry budget is a token bucket that
+// is credited by first attempts. In normal operation it always has enough
+// tokens; in an outage retries add at most a tenth to the load. Backoff spreads
+// the remaining retries over time, so that the retries caused by one lost link
+// do not arrive together.
 //
-// Grounds of the figures: a ratio of a tenth is what overload leaves between
-// the goodput to reach and the capacity; a burst of 64 is the work in flight of
-// one lost endpoint, so that losing one costs no refusal. Both are to be
-// measured in the churn scenario.
+// The default ratio of a tenth is the margin between the required goodput under
+// overload and the capacity. The default burst of 64 is the number of requests
+// in flight at one endpoint, so that the loss of one endpoint does not cause a
+// refusal.
 package retry
 
 import "time"
 
-// Config says how much may be retried.
+// Config configures a Budget.
 type Config struct {
-	// Ratio is how many retries each first try earns; zero means DefaultRatio.
+	// Ratio is the number of retries that each first attempt earns. Zero means
+	// DefaultRatio.
 	Ratio float64
-	// Burst is how many retries may be saved up; zero means DefaultBurst.
+	// Burst is the maximum number of retries in the budget. Zero means
+	// DefaultBurst.
 	Burst int
 }
 
@@ -30,11 +33,11 @@
 	DefaultBurst = 64
 )
 
-// Budget is a budget of retries. One goroutine owns it.
+// Budget is a token bucket for retries. One goroutine owns it.
 type Budget struct {
 	cfg Config
-	// saved is never negative and never above cfg.Burst.
-	saved float64
+	// available is the number of retries in the budget, from 0 to cfg.Burst.
+	available float64
 }
 
 // New returns a full budget.
@@ -45,40 +48,41 @@
 	if cfg.Burst <= 0 {
 		cfg.Burst = DefaultBurst
 	}
-	return &Budget{cfg: cfg, saved: float64(cfg.Burst)}
+	return &Budget{cfg: cfg, available: float64(cfg.Burst)}
 }
 
-// Earn credits the budget for n first tries.
+// Credit credits the budget for n first attempts.
 func (b *Budget) Earn(n int) {
-	b.saved = min(float64(b.cfg.Burst), b.saved+float64(max(n, 0))*b.cfg.Ratio)
+	b.available = min(float64(b.cfg.Burst), b.available+float64(max(n, 0))*b.cfg.Ratio)
 }
 
-// Spend takes one retry from the budget and reports whether there was one.
+// Spend takes one retry from the budget and reports whether one was available.
 func (b *Budget) Spend() bool {
-	if b.saved < 1 {
+	if b.available < 1 {
 		return false
 	}
-	b.saved--
+	b.available--
 	return true
 }
 
-// Return gives back a retry that was taken and not used.
-func (b *Budget) Return() { b.saved = min(float64(b.cfg.Burst), b.saved+1) }
+// Refund returns a retry that was taken by Spend but not used.
+func (b *Budget) Return() { b.available = min(float64(b.cfg.Burst), b.available+1) }
 
 const (
-	// backoffBase is the longest wait before the first retry, a few times the
-	// way to an agent and back; it doubles up to backoffMax, which is less
-	// than the three heartbeats after which a peer is taken for dead.
+	// backoffBase is the longest wait before the first retry, a few round trips
+	// to an agent. It doubles with each retry up to backoffMax, which is less
+	// than the three heartbeats after which a peer is considered dead.
 	backoffBase = 10 * time.Millisecond
 	backoffMax  = 2 * time.Second
-	// doublings is how often backoffBase fits into backoffMax when doubled.
-	doublings = 8
+	// maxDoublings is the number of doublings from backoffBase to at least
+	// backoffMax.
+	maxDoublings = 8
 )
 
-// Backoff returns how long to wait before the attempt-th retry, counted from
-// zero: between half and all of a time that doubles with each attempt. rnd is
-// a fresh random number.
+// Backoff returns the time to wait before a retry, a random time between half
+// and all of a limit that doubles with each attempt. The first retry is attempt
+// zero. rnd must be a fresh random number.
 func Backoff(attempt int, rnd uint64) time.Duration {
-	limit := min(backoffMax, backoffBase<<min(max(attempt, 0), doublings))
+	limit := min(backoffMax, backoffBase<<min(max(attempt, 0), maxDoublings))
 	return limit/2 + time.Duration(rnd%uint64(limit/2+1))
 }
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -7,26 +7,26 @@
 	"pgregory.net/rapid"
 )
 
-// Every endpoint fails for an hour, and each request would be tried three
-// times more. The endpoints must not get a multiple of the load.
-func TestOutageIsNotMultiplied(t *testing.T) {
+// All endpoints fail for an hour, and each request would be retried three
+// times. The endpoints must not get a multiple of the load.
+func TestRetriesDoNotMultiplyLoad(t *testing.T) {
 	b := New(Config{})
-	first, all := 100000, 0
-	for range first {
+	requests, attempts := 100000, 0
+	for range requests {
 		b.Earn(1)
-		all++
+		attempts++
 		for range 3 {
 			if b.Spend() {
-				all++
+				attempts++
 			}
 		}
 	}
-	if all > first+first/10+DefaultBurst {
-		t.Fatalf("%d tries for %d requests", all, first)
+	if attempts > requests+requests/10+DefaultBurst {
+		t.Fatalf("%d attempts for %d requests", attempts, requests)
 	}
 }
 
-func TestOneLostEndpointIsCovered(t *testing.T) {
+func TestBurstCoversOneLostEndpoint(t *testing.T) {
 	b := New(Config{})
 	b.Earn(1000000)
 	for i := range DefaultBurst {
@@ -35,25 +35,25 @@
 		}
 	}
 	if b.Spend() {
-		t.Fatal("more than the burst")
+		t.Fatal("more retries than the burst")
 	}
 }
 
-// A retry that was taken and not used is there for the next one; what is saved
-// stays bounded all the same.
-func TestReturnedRetryIsThereAgain(t *testing.T) {
+// A retry that was taken and not used must be available again, without
+// exceeding the burst.
+func TestRefundedRetryIsAvailable(t *testing.T) {
 	b := New(Config{Burst: 1})
 	if !b.Spend() || b.Spend() {
-		t.Fatal("not one retry")
+		t.Fatal("not exactly one retry available")
 	}
 	b.Return()
 	if !b.Spend() {
-		t.Error("the retry that was given back is lost")
+		t.Error("the refunded retry is lost")
 	}
 	b.Return()
 	b.Return()
 	if !b.Spend() || b.Spend() {
-		t.Error("not one retry after two were given back")
+		t.Error("not exactly one retry available after two refunds")
 	}
 }
 
@@ -76,17 +76,17 @@
 	}
 }
 
-// However first tries and retries mix, no more is spent than was earned, also if
-// some that were taken are given back.
-func TestSpendsNoMoreThanEarned(t *testing.T) {
+// For any sequence of calls, the retries spent and not refunded do not exceed
+// the burst plus what first attempts have credited.
+func TestSpendsNoMoreThanCredited(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{Ratio: rapid.Float64Range(0.01, 1).Draw(t, "ratio"), Burst: rapid.IntRange(1, 50).Draw(t, "burst")}
-		b, earned, spent := New(cfg), 0, 0
+		b, credited, spent := New(cfg), 0, 0
 		for range rapid.IntRange(0, 300).Draw(t, "steps") {
 			switch {
 			case rapid.Bool().Draw(t, "earn"):
 				b.Earn(1)
-				earned++
+				credited++
 			case spent > 0 && rapid.Bool().Draw(t, "return"):
 				b.Return()
 				spent--
@@ -94,8 +94,8 @@
 				spent++
 			}
 		}
-		if float64(spent) > float64(cfg.Burst)+float64(earned)*cfg.Ratio+1e-6 {
-			t.Fatalf("%d spent of %d earned", spent, earned)
+		if float64(spent) > float64(cfg.Burst)+float64(credited)*cfg.Ratio+1e-6 {
+			t.Fatalf("%d spent after %d credits", spent, credited)
 		}
 	})
 }
