--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -1,23 +1,24 @@
 // Package roles decides which endpoint serves which version of which model.
 //
-// The load it answers is the nightly change: new versions for every model at
-// once, and by morning another share of the load for each. If all endpoints
-// loaded at the same moment nothing would be served for as long as the weight
-// store needs for the whole fleet, and if each change of the load moved
+// It is designed for the nightly change, when every model gets a new version
+// and, by the morning, another share of the load. If all endpoints loaded
+// weights at the same time, nothing would be served until the weight store had
+// delivered them to the whole fleet. If every change of the load moved
 // endpoints, they would spend the day loading weights.
 //
-// Plan is called again and again with what is served at present, and returns
-// the orders to give now. It gives none that is not needed: an endpoint that
-// serves what it should is never moved, and a model that is short of endpoints
-// takes idle ones first, then those that another model can spare, the fastest
-// first, since fewer have to load. Upgrades are made in place, from the zone
-// that has most left, and never take more out of service than the model can
-// spare, but one at a time whatever the load, or a model under load all day
-// would never be upgraded. No more endpoints load at a time than the weight
-// store's rate allows.
+// Plan is called regularly with the current state and returns the orders to
+// give now. It gives no unnecessary orders: an endpoint that serves what it
+// should is never moved. A model that is short of endpoints takes idle ones
+// first, then those that another model can spare, the fastest first, because
+// then fewer have to load. Upgrades are done in place, starting in the zone
+// with the most capacity in service. They never take more out of service than
+// the model can spare, except that one endpoint at a time may always be
+// upgraded; otherwise a model under load all day would never be upgraded. No
+// more endpoints load at the same time than the rate of the weight store
+// allows.
 //
-// Grounds of the figures: a quarter out of service at most keeps the load of
-// the others within a third more; to be measured with real loading times.
+// With at most a quarter of the endpoints out of service, the load of the
+// others rises by at most a third.
 package roles
 
 import (
@@ -29,52 +30,58 @@
 )
 
 const (
-	// mostOut is the part of a model's endpoints, as a divisor, that may be out
-	// of service for an upgrade at a time.
-	mostOut = 4
-	// loadFor is how long a load may take before the order counts as lost and
-	// is given again.
-	loadFor = 15 * time.Minute
+	// maxOutDivisor limits the part of a model's endpoints that may be out of
+	// service for an upgrade at the same time to 1/maxOutDivisor.
+	maxOutDivisor = 4
+	// loadTimeout is how long a load may take before the order is considered
+	// lost and is given again.
+	loadTimeout = 15 * time.Minute
 )
 
-// Endpoint is one endpoint that may serve a model.
+// Endpoint is an endpoint that may serve a model.
 type Endpoint struct {
 	Name, Zone string
-	// Model and Version are what it serves now; both empty when nothing.
+	// Model and Version are what it serves now. Both are empty if it serves
+	// nothing.
 	Model, Version string
-	// WantModel and WantVersion are what it was last ordered to serve; both
-	// empty when nothing was ordered.
+	// OrderedModel and OrderedVersion are what it was last ordered to serve.
+	// Both are empty if nothing was ordered.
 	WantModel, WantVersion string
-	// Ordered is when that order was given.
+	// OrderedAt is when that order was given.
 	Ordered time.Duration
-	// Leaving is set when it takes no new work.
+	// Leaving is set when the endpoint accepts no new work.
 	Leaving bool
-	// Pace is its speed beside the usual one; zero means 1.
-	Pace float64
-	// Labels are those of the instance, to be matched with Want.Endpoints.
+	// RelativeSpeed is the speed of the endpoint relative to a usual one. Zero
+	// means 1.
+	RelativeSpeed float64
+	// Labels are the labels of the instance. They are matched with
+	// Requirement.Selector.
 	Labels map[string]string
 }
 
-// Want is what operators want of a model.
+// Requirement is what operators require for a model. Selector holds the labels
+// that its endpoints must have.
 type Want struct {
 	Model, Version string
 	Endpoints      map[string]string
-	// Need is how many endpoints of usual pace its targets need at the present
-	// load; zero means all that match and serve no other wanted model.
-	Need float64
+	// RequiredSpeed is the number of endpoints of usual speed that the model
+	// needs to meet its targets at the current load. Zero means all endpoints
+	// that match and serve no other required model.
+	RequiredSpeed float64
 }
 
-// State is everything that a plan rests on.
+// State is the input of Plan.
 type State struct {
 	Endpoints []Endpoint
 	Wants     []Want
-	// Loads is how many endpoints may load weights at the same time; zero
-	// means 1. Retry is when the weight store answers again after it refused.
-	Loads int
-	Retry time.Duration
+	// MaxLoads is the number of endpoints that may load weights at the same
+	// time. Zero means 1. RetryAt is when the weight store may be asked again
+	// after it refused a load; Plan gives no orders before that time.
+	Loads   int
+	RetryAt time.Duration
 }
 
-// Move orders one endpoint to serve a version of a model.
+// Order tells an endpoint to serve a version of a model.
 type Move struct {
 	Endpoint, Model, Version string
 }
@@ -82,192 +89,202 @@
 // Plan returns the orders to give now.
 func Plan(now time.Duration, s State) []Move {
 	p := newPlan(now, s)
-	if now < s.Retry {
+	if now < s.RetryAt {
 		return nil
 	}
-	for _, w := range p.wants {
-		p.supply(w)
+	for _, r := range p.requirements {
+		p.supply(r)
 	}
-	for _, w := range p.wants {
-		p.upgrade(w)
+	for _, r := range p.requirements {
+		p.upgrade(r)
 	}
-	return p.moves
+	return p.orders
 }
 
-// standing is an endpoint during a plan.
-type standing struct {
+// plannedEndpoint is an endpoint during a plan, with its speed relative to a
+// usual one.
+type plannedEndpoint struct {
 	*Endpoint
-	pace float64
-	// loading is set while an order is under way or given by this plan.
+	speed float64
+	// loading is set if an order is in progress or was given by this plan.
 	loading bool
 }
 
-// plan is the work on one call of Plan.
+// plan is the working state of one call of Plan.
 type plan struct {
-	endpoints []*standing
-	// wants is in order of names, so that equal states give equal plans.
-	wants  []*Want
-	byWant map[string]*Want
-	// slots is how many loads may still begin.
-	slots int
-	moves []Move
+	endpoints []*plannedEndpoint
+	// requirements are sorted by model, so that equal states give equal plans.
+	requirements []*Want
+	byModel      map[string]*Want
+	// loadsLeft is the number of loads that may still be started.
+	loadsLeft int
+	orders    []Move
 }
 
 func newPlan(now time.Duration, s State) *plan {
-	p := &plan{slots: max(s.Loads, 1), byWant: make(map[string]*Want)}
+	p := &plan{loadsLeft: max(s.Loads, 1), byModel: make(map[string]*Want)}
 	for i := range s.Wants {
-		p.wants = append(p.wants, &s.Wants[i])
-		p.byWant[s.Wants[i].Model] = &s.Wants[i]
+		p.requirements = append(p.requirements, &s.Wants[i])
+		p.byModel[s.Wants[i].Model] = &s.Wants[i]
 	}
-	slices.SortFunc(p.wants, func(a, b *Want) int { return cmp.Compare(a.Model, b.Model) })
+	slices.SortFunc(p.requirements, func(a, b *Want) int { return cmp.Compare(a.Model, b.Model) })
 	for i := range s.Endpoints {
 		e := &s.Endpoints[i]
 		if e.Leaving {
 			continue
 		}
-		st := &standing{Endpoint: e, pace: e.Pace}
-		if st.pace <= 0 {
-			st.pace = 1
+		pe := &plannedEndpoint{Endpoint: e, speed: e.RelativeSpeed}
+		if pe.speed <= 0 {
+			pe.speed = 1
 		}
 		ordered := e.WantModel != "" && (e.WantModel != e.Model || e.WantVersion != e.Version)
-		st.loading = ordered && now-e.Ordered < loadFor
-		if st.loading {
-			p.slots--
+		pe.loading = ordered && now-e.Ordered < loadTimeout
+		if pe.loading {
+			p.loadsLeft--
 		}
-		p.endpoints = append(p.endpoints, st)
+		p.endpoints = append(p.endpoints, pe)
 	}
-	slices.SortFunc(p.endpoints, func(a, b *standing) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(p.endpoints, func(a, b *plannedEndpoint) int { return cmp.Compare(a.Name, b.Name) })
 	return p
 }
 
-// model returns the model that an endpoint serves or will serve.
-func (s *standing) model() string {
+// plannedModel returns the model that the endpoint serves, or will serve after
+// loading.
+func (s *plannedEndpoint) plannedModel() string {
 	if s.loading {
 		return s.WantModel
 	}
 	return s.Model
 }
 
-// order gives an order.
-func (p *plan) order(e *standing, w *Want) {
-	p.moves = append(p.moves, Move{Endpoint: e.Name, Model: w.Model, Version: w.Version})
-	p.slots--
-	moved := *e.Endpoint
-	moved.WantModel, moved.WantVersion = w.Model, w.Version
-	e.Endpoint, e.loading = &moved, true
+// addOrder orders an endpoint to serve the required version.
+func (p *plan) addOrder(e *plannedEndpoint, r *Want) {
+	p.orders = append(p.orders, Move{Endpoint: e.Name, Model: r.Model, Version: r.Version})
+	p.loadsLeft--
+	ordered := *e.Endpoint
+	ordered.WantModel, ordered.WantVersion = r.Model, r.Version
+	e.Endpoint, e.loading = &ordered, true
 }
 
-// sum adds up the pace of the endpoints that count.
-func (p *plan) sum(count func(*standing) bool) float64 {
+// totalSpeed returns the sum of the speeds of the included endpoints.
+func (p *plan) totalSpeed(include func(*plannedEndpoint) bool) float64 {
 	total := 0.0
 	for _, e := range p.endpoints {
-		if count(e) {
-			total += e.pace
+		if include(e) {
+			total += e.speed
 		}
 	}
 	return total
 }
 
-// serving is the pace that serves a model now.
-func (p *plan) serving(model string) float64 {
-	return p.sum(func(e *standing) bool { return !e.loading && e.Model == model })
+// servingSpeed returns the total speed of the endpoints that serve a model now.
+func (p *plan) servingSpeed(model string) float64 {
+	return p.totalSpeed(func(e *plannedEndpoint) bool { return !e.loading && e.Model == model })
 }
 
-// coming is the pace that serves a model now or after loading.
-func (p *plan) coming(model string) float64 {
-	return p.sum(func(e *standing) bool { return e.model() == model })
+// plannedSpeed returns the total speed of the endpoints that serve a model now
+// or will serve it after loading.
+func (p *plan) plannedSpeed(model string) float64 {
+	return p.totalSpeed(func(e *plannedEndpoint) bool { return e.plannedModel() == model })
 }
 
-// supply moves endpoints to a model that is short of them.
-func (p *plan) supply(w *Want) {
-	for p.slots > 0 && w.Version != "" {
-		short := w.Need - p.coming(w.Model)
-		if w.Need > 0 && short <= 0 {
+// supply orders endpoints for a model that is short of them.
+func (p *plan) supply(r *Want) {
+	for p.loadsLeft > 0 && r.Version != "" {
+		missing := r.RequiredSpeed - p.plannedSpeed(r.Model)
+		if r.RequiredSpeed > 0 && missing <= 0 {
 			return
 		}
-		e := p.donor(w)
+		e := p.donor(r)
 		if e == nil {
 			return
 		}
-		p.order(e, w)
+		p.addOrder(e, r)
 	}
 }
 
-// donor returns the endpoint to move to w: an idle one, or one that another
-// model can spare, the fastest first, in the zone where w has least.
-func (p *plan) donor(w *Want) *standing {
-	var best *standing
+// donor returns the endpoint to move to a model: an idle one, or else one that
+// another model can spare. It prefers the fastest, then the zone in which the
+// model has the least capacity. It returns nil if there is none.
+func (p *plan) donor(r *Want) *plannedEndpoint {
+	var best *plannedEndpoint
 	for _, e := range p.endpoints {
-		if e.loading || e.Model == w.Model || !spec.Matches(w.Endpoints, e.Labels) || !p.spare(e, w) {
+		if e.loading || e.Model == r.Model || !spec.Matches(r.Endpoints, e.Labels) || !p.canSpare(e, r) {
 			continue
 		}
-		if best == nil || p.better(e, best, w) {
+		if best == nil || p.isBetterDonor(e, best, r) {
 			best = e
 		}
 	}
 	return best
 }
 
-func (p *plan) idle(e *standing) bool { return p.byWant[e.Model] == nil }
+// isIdle reports whether an endpoint serves no required model.
+func (p *plan) isIdle(e *plannedEndpoint) bool { return p.byModel[e.Model] == nil }
 
-// spare reports whether what an endpoint serves can do without it.
-func (p *plan) spare(e *standing, w *Want) bool {
-	if p.idle(e) {
+// canSpare reports whether an endpoint can be taken from the model that it
+// serves.
+func (p *plan) canSpare(e *plannedEndpoint, r *Want) bool {
+	if p.isIdle(e) {
 		return true
 	}
-	other := p.byWant[e.Model]
-	return w.Need > 0 && other.Need > 0 && p.serving(e.Model)-e.pace >= other.Need
+	other := p.byModel[e.Model]
+	return r.RequiredSpeed > 0 && other.RequiredSpeed > 0 && p.servingSpeed(e.Model)-e.speed >= other.RequiredSpeed
 }
 
-func (p *plan) better(a, b *standing, w *Want) bool {
-	if p.idle(a) != p.idle(b) {
-		return p.idle(a)
+// isBetterDonor reports whether a should be moved rather than b.
+func (p *plan) isBetterDonor(a, b *plannedEndpoint, r *Want) bool {
+	if p.isIdle(a) != p.isIdle(b) {
+		return p.isIdle(a)
 	}
-	if a.pace != b.pace {
-		return a.pace > b.pace
+	if a.speed != b.speed {
+		return a.speed > b.speed
 	}
-	return p.inZone(w.Model, a.Zone) < p.inZone(w.Model, b.Zone)
+	return p.speedInZone(r.Model, a.Zone) < p.speedInZone(r.Model, b.Zone)
 }
 
-func (p *plan) inZone(model, zone string) float64 {
-	return p.sum(func(e *standing) bool { return e.Zone == zone && e.model() == model })
+// speedInZone returns the plannedSpeed of a model in one zone.
+func (p *plan) speedInZone(model, zone string) float64 {
+	return p.totalSpeed(func(e *plannedEndpoint) bool { return e.Zone == zone && e.plannedModel() == model })
 }
 
-// upgrade orders the wanted version for endpoints that serve another one.
-func (p *plan) upgrade(w *Want) {
-	for p.slots > 0 && w.Version != "" {
-		e := p.oldest(w)
-		if e == nil || !p.mayLeave(e, w) {
+// upgrade orders the required version for endpoints of the model that serve
+// another version.
+func (p *plan) upgrade(r *Want) {
+	for p.loadsLeft > 0 && r.Version != "" {
+		e := p.nextToUpgrade(r)
+		if e == nil || !p.mayUpgrade(e, r) {
 			return
 		}
-		p.order(e, w)
+		p.addOrder(e, r)
 	}
 }
 
-// oldest returns the next endpoint to upgrade: of the zone that has most of
-// the model in service, the slowest, which is missed least.
-func (p *plan) oldest(w *Want) *standing {
-	var best *standing
-	left := 0.0
+// nextToUpgrade returns the next endpoint to upgrade: in the zone that has the
+// most of the model in service, the slowest, whose absence has the least
+// effect. It returns nil if all endpoints serve the required version.
+func (p *plan) nextToUpgrade(r *Want) *plannedEndpoint {
+	var best *plannedEndpoint
+	mostInService := 0.0
 	for _, e := range p.endpoints {
-		if e.loading || e.Model != w.Model || e.Version == w.Version || !spec.Matches(w.Endpoints, e.Labels) {
+		if e.loading || e.Model != r.Model || e.Version == r.Version || !spec.Matches(r.Endpoints, e.Labels) {
 			continue
 		}
-		here := p.sum(func(o *standing) bool { return !o.loading && o.Model == w.Model && o.Zone == e.Zone })
-		if best == nil || here > left || (here == left && e.pace < best.pace) {
-			best, left = e, here
+		inService := p.totalSpeed(func(o *plannedEndpoint) bool { return !o.loading && o.Model == r.Model && o.Zone == e.Zone })
+		if best == nil || inService > mostInService || (inService == mostInService && e.speed < best.speed) {
+			best, mostInService = e, inService
 		}
 	}
 	return best
 }
 
-// mayLeave reports whether e may be out of service now. One endpoint at a time
-// always may.
-func (p *plan) mayLeave(e *standing, w *Want) bool {
-	total, serving := p.coming(w.Model), p.serving(w.Model)
-	out := total - serving
-	if out == 0 {
+// mayUpgrade reports whether e may be taken out of service now. This is always
+// allowed if no other endpoint of the model is out of service.
+func (p *plan) mayUpgrade(e *plannedEndpoint, r *Want) bool {
+	total, serving := p.plannedSpeed(r.Model), p.servingSpeed(r.Model)
+	outOfService := total - serving
+	if outOfService == 0 {
 		return true
 	}
-	return out+e.pace <= total/mostOut && serving-e.pace >= w.Need
+	return outOfService+e.speed <= total/maxOutDivisor && serving-e.speed >= r.RequiredSpeed
 }
