--- a/core/subset/subset.go
+++ b/core/subset/subset.go
@@ -1,23 +1,23 @@
-// Package subset chooses which agents an entry keeps links to.
+// Package subset chooses the agents to which an entry keeps links.
 //
-// The load it answers is size: at 420 entries and 12,000 agents a full mesh
-// would be five million links, whose heartbeats alone exceed what a process may
-// spend on control. Each entry drawing some agents at random would leave some
-// agents with many entries and others with none, and every restart would move
-// most links.
+// It is designed for large fleets. With 420 entries and 12,000 agents a full
+// mesh would have five million links, whose heartbeats alone would exceed the
+// control traffic that a process may use. If each entry chose agents at random,
+// some agents would be linked to many entries and others to none, and every
+// restart would move most links.
 //
 // Every agent is linked to the few entries of its own zone that rank highest
-// for it by rendezvous hashing. Every process that sees the same instance list
-// computes the same links, without asking anybody; an entry that comes or goes
-// moves only the links that it gets or had. An agent whose zone has too few
-// entries is linked to others too. An entry that gets too few agents in this
-// way, because its zone has few, or lost them, takes agents of other zones, and
-// a few of them always, so that it finds room at once when its own zone is
-// full.
+// for it by rendezvous hashing. All processes with the same instance list
+// compute the same links without communication. An entry that is added or
+// removed moves only its own links. An agent whose zone has too few entries is
+// also linked to entries of other zones. An entry that gets too few agents in
+// this way, because its zone has few or has lost them, adds agents of other
+// zones. Every entry also links to a few agents of other zones, so that it has
+// capacity at once when its own zone is full.
 //
-// Grounds of the figures: four links an agent are what 5 KB/s of control for
-// each process allow at 115 agents an entry; docs/design/decisions.md has the
-// balance and the churn that were measured.
+// Four links per agent are what 5 KB/s of control traffic per process allow
+// with 115 agents per entry. Measurements of balance and churn are in
+// docs/design/decisions.md.
 package subset
 
 import (
@@ -31,82 +31,86 @@
 	Name, Zone string
 }
 
-// Config says how many links are kept.
+// Config configures the number of links.
 type Config struct {
-	// Links is how many entries each agent is linked to, those of its own zone
-	// first; zero means DefaultLinks.
-	Links int
-	// Least is how many agents of a pool an entry links to at least, as far as
-	// there are so many; zero means DefaultLeast. So an entry knows the whole
-	// of a small pool.
-	Least int
-	// Spill is how many agents of other zones an entry links to besides; zero
-	// means DefaultSpill and a negative number none.
-	Spill int
+	// LinksPerAgent is the number of entries to which each agent is linked,
+	// those of its own zone first. Zero means DefaultLinksPerAgent.
+	LinksPerAgent int
+	// MinAgents is the minimum number of agents of a pool to which an entry
+	// links, if the pool has as many. An entry therefore knows all agents of a
+	// small pool. Zero means DefaultMinAgents.
+	MinAgents int
+	// RemoteAgents is the minimum number of agents of other zones to which an
+	// entry links. Zero means DefaultRemoteAgents, a negative number none.
+	RemoteAgents int
 }
 
 // Defaults of Config.
 const (
-	DefaultLinks = 4
-	DefaultLeast = 32
-	DefaultSpill = 6
+	DefaultLinksPerAgent = 4
+	DefaultMinAgents     = 32
+	DefaultRemoteAgents  = 6
 )
 
-// fairShares is how many times its equal share of all agents an entry links to
-// at least: enough to carry its callers when its zone has lost its agents.
-const fairShares = 2
+// minFairShares is the minimum number of agents to which an entry links, in
+// multiples of its equal share of all agents. Twice the share is enough to
+// serve its callers when its zone has lost its agents.
+const minFairShares = 2
 
-func (c Config) filled() Config {
-	if c.Links <= 0 {
-		c.Links = DefaultLinks
+// withDefaults returns c with zero fields replaced by their defaults.
+func (c Config) withDefaults() Config {
+	if c.LinksPerAgent <= 0 {
+		c.LinksPerAgent = DefaultLinksPerAgent
 	}
-	if c.Least <= 0 {
-		c.Least = DefaultLeast
+	if c.MinAgents <= 0 {
+		c.MinAgents = DefaultMinAgents
 	}
 	switch {
-	case c.Spill == 0:
-		c.Spill = DefaultSpill
-	case c.Spill < 0:
-		c.Spill = 0
+	case c.RemoteAgents == 0:
+		c.RemoteAgents = DefaultRemoteAgents
+	case c.RemoteAgents < 0:
+		c.RemoteAgents = 0
 	}
 	return c
 }
 
-// Agents returns the names of the agents of one pool that the entry self keeps
-// links to, sorted. Entries holds every entry, self included or not.
+// Agents returns the names of the agents of one pool to which the entry self
+// keeps links, sorted. Entries holds all entries; self may be missing.
 func Agents(self Node, entries, agents []Node, cfg Config) []string {
-	cfg = cfg.filled()
-	zones := byZone(self, entries)
-	c := choice{self: self, names: make(map[string]bool, 128)}
+	cfg = cfg.withDefaults()
+	zones := groupByZone(self, entries)
+	c := selection{self: self, names: make(map[string]bool, 128)}
 	for _, a := range agents {
-		if zones.links(self, a, cfg.Links) {
-			c.take(a)
+		if zones.isLinked(self, a, cfg.LinksPerAgent) {
+			c.add(a)
 		}
 	}
-	least := max(cfg.Least, fairShares*len(agents)/zones.count)
-	rest := c.rest(agents)
-	c.fill(rest, func(a Node) bool { return a.Zone == self.Zone && len(c.names) < least })
-	c.fill(rest, func(a Node) bool { return a.Zone != self.Zone && (len(c.names) < least || c.others < cfg.Spill) })
+	minAgents := max(cfg.MinAgents, minFairShares*len(agents)/zones.count)
+	rest := c.unselected(agents)
+	c.addIf(rest, func(a Node) bool { return a.Zone == self.Zone && len(c.names) < minAgents })
+	c.addIf(rest, func(a Node) bool {
+		return a.Zone != self.Zone && (len(c.names) < minAgents || c.remote < cfg.RemoteAgents)
+	})
 	return slices.Sorted(maps.Keys(c.names))
 }
 
-// choice is the agents chosen so far.
-type choice struct {
+// selection holds the agents selected so far.
+type selection struct {
 	self  Node
 	names map[string]bool
-	// others counts those of other zones.
-	others int
+	// remote is the number of selected agents in other zones.
+	remote int
 }
 
-func (c *choice) take(a Node) {
+func (c *selection) add(a Node) {
 	c.names[a.Name] = true
 	if a.Zone != c.self.Zone {
-		c.others++
+		c.remote++
 	}
 }
 
-// rest returns the agents that are not chosen, by rank.
-func (c *choice) rest(agents []Node) []Node {
+// unselected returns the agents that are not selected, highest rank first.
+func (c *selection) unselected(agents []Node) []Node {
 	type ranked struct {
 		Node
 		rank uint64
@@ -127,25 +131,26 @@
 	return out
 }
 
-// fill takes agents in order of rank for which more holds.
-func (c *choice) fill(rest []Node, more func(Node) bool) {
-	for _, a := range rest {
-		if more(a) {
-			c.take(a)
+// addIf adds the agents for which wanted returns true, in the given order. The
+// result of wanted may depend on the agents already added.
+func (c *selection) addIf(ranked []Node, wanted func(Node) bool) {
+	for _, a := range ranked {
+		if wanted(a) {
+			c.add(a)
 		}
 	}
 }
 
-// zones holds the entries by zone.
-type zones struct {
+// entriesByZone holds the names of the entries of each zone.
+type entriesByZone struct {
 	names map[string][]string
-	// all holds every entry, and count is their number.
+	// all holds all entries, and count is their number.
 	all   []Node
 	count int
 }
 
-func byZone(self Node, entries []Node) zones {
-	z := zones{names: make(map[string][]string)}
+func groupByZone(self Node, entries []Node) entriesByZone {
+	z := entriesByZone{names: make(map[string][]string)}
 	if !slices.Contains(entries, self) {
 		z.add(self)
 	}
@@ -155,23 +160,23 @@
 	return z
 }
 
-func (z *zones) add(e Node) {
+func (z *entriesByZone) add(e Node) {
 	z.names[e.Zone] = append(z.names[e.Zone], e.Name)
 	z.all = append(z.all, e)
 	z.count++
 }
 
-// links reports whether self is among the first n entries for the agent: those
-// of its zone by rank, then the others by rank.
-func (z *zones) links(self, agent Node, n int) bool {
+// isLinked reports whether self is among the first n entries for the agent:
+// those of the agent's zone by rank, then the others by rank.
+func (z *entriesByZone) isLinked(self, agent Node, n int) bool {
 	local := z.names[agent.Zone]
 	if self.Zone != agent.Zone && len(local) >= n {
 		return false
 	}
-	mine, before := rank(self.Name, agent.Name), 0
+	selfRank, before := rank(self.Name, agent.Name), 0
 	if self.Zone == agent.Zone {
 		for _, e := range local {
-			if ahead(rank(e, agent.Name), e, mine, self.Name) {
+			if ranksBefore(rank(e, agent.Name), e, selfRank, self.Name) {
 				before++
 			}
 		}
@@ -179,15 +184,16 @@
 	}
 	before = len(local)
 	for _, e := range z.all {
-		if e.Zone != agent.Zone && ahead(rank(e.Name, agent.Name), e.Name, mine, self.Name) {
+		if e.Zone != agent.Zone && ranksBefore(rank(e.Name, agent.Name), e.Name, selfRank, self.Name) {
 			before++
 		}
 	}
 	return before < n
 }
 
-// ahead orders by rank, and by name where ranks are equal.
-func ahead(rank uint64, name string, otherRank uint64, otherName string) bool {
+// ranksBefore compares entries by rank, highest first, and by name if the ranks
+// are equal.
+func ranksBefore(rank uint64, name string, otherRank uint64, otherName string) bool {
 	return rank > otherRank || (rank == otherRank && name > otherName)
 }
 
@@ -197,7 +203,7 @@
 	fnvPrime  = 1099511628211
 )
 
-// rank is the rendezvous hash of a pair of names.
+// rank returns the rendezvous hash of an entry and an agent.
 func rank(entry, agent string) uint64 {
 	h := uint64(fnvOffset)
 	for i := range len(entry) {
--- a/core/subset/subset_test.go
+++ b/core/subset/subset_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func nodes(kind string, zones, each int) []Node {
+func makeNodes(kind string, zones, each int) []Node {
 	var out []Node
 	for z := range zones {
 		for i := range each {
@@ -20,8 +20,8 @@
 	return out
 }
 
-// links returns the entries of every agent.
-func links(entries, agents []Node, cfg Config) map[string][]string {
+// linksByAgent returns the names of the entries linked to each agent.
+func linksByAgent(entries, agents []Node, cfg Config) map[string][]string {
 	out := make(map[string][]string)
 	for _, e := range entries {
 		for _, a := range Agents(e, entries, agents, cfg) {
@@ -31,93 +31,94 @@
 	return out
 }
 
-// One zone of the target's size, with three others beside it.
+// A zone of the target size with three other zones. The numbers of agents per
+// entry and of entries per agent must stay within bounds.
 func TestBalance(t *testing.T) {
-	entries, agents := nodes("entry", 4, 15), nodes("agent", 4, 430)
-	low, high, sum := 1<<30, 0, 0
+	entries, agents := makeNodes("entry", 4, 15), makeNodes("agent", 4, 430)
+	minAgents, maxAgents, sum := 1<<30, 0, 0
 	for _, e := range entries {
 		n := len(Agents(e, entries, agents, Config{}))
-		low, high, sum = min(low, n), max(high, n), sum+n
+		minAgents, maxAgents, sum = min(minAgents, n), max(maxAgents, n), sum+n
 	}
-	other := 0
+	remote := 0
 	for _, name := range Agents(entries[0], entries, agents, Config{}) {
 		if !strings.HasPrefix(name, "agent-0-") {
-			other++
+			remote++
 		}
 	}
-	if other != DefaultSpill {
-		t.Errorf("%d agents of other zones", other)
+	if remote != DefaultRemoteAgents {
+		t.Errorf("%d agents of other zones", remote)
 	}
-	fewest, most := 1<<30, 0
-	for _, got := range links(entries, agents, Config{}) {
-		fewest, most = min(fewest, len(got)), max(most, len(got))
+	minEntries, maxEntries := 1<<30, 0
+	for _, got := range linksByAgent(entries, agents, Config{}) {
+		minEntries, maxEntries = min(minEntries, len(got)), max(maxEntries, len(got))
 	}
-	t.Logf("agents an entry %d to %d, mean %.1f; entries an agent %d to %d", low, high, float64(sum)/float64(len(entries)), fewest, most)
-	if low < 85 || high > 160 || fewest < DefaultLinks || most > 2*DefaultLinks {
-		t.Error("out of balance")
+	t.Logf("agents per entry %d to %d, mean %.1f; entries per agent %d to %d", minAgents, maxAgents, float64(sum)/float64(len(entries)), minEntries, maxEntries)
+	if minAgents < 85 || maxAgents > 160 || minEntries < DefaultLinksPerAgent || maxEntries > 2*DefaultLinksPerAgent {
+		t.Error("links are out of balance")
 	}
 }
 
-// Entries are replaced hundreds of times a day. Links that need not move must
-// not, or every replacement would cut a third of the fleet's links.
+// Entries are replaced hundreds of times a day. If links moved without need,
+// every replacement would cut a third of the fleet's links.
 func TestChurn(t *testing.T) {
-	entries, agents := nodes("entry", 1, 15), nodes("agent", 1, 430)
-	before := links(entries, agents, Config{})
-	after := links(entries[1:], agents, Config{})
-	moved, kept := 0, 0
+	entries, agents := makeNodes("entry", 1, 15), makeNodes("agent", 1, 430)
+	before := linksByAgent(entries, agents, Config{})
+	after := linksByAgent(entries[1:], agents, Config{})
+	moved, unchanged := 0, 0
 	for a, had := range before {
 		for _, e := range after[a] {
 			if slices.Contains(had, e) {
-				kept++
+				unchanged++
 			} else {
 				moved++
 			}
 		}
 	}
 	lost := len(Agents(entries[0], entries, agents, Config{}))
-	t.Logf("an entry with %d links left: %d links are new, %d stay", lost, moved, kept)
+	t.Logf("an entry with %d links was removed: %d new links, %d unchanged", lost, moved, unchanged)
 	if moved > lost {
 		t.Errorf("%d links moved for %d lost", moved, lost)
 	}
 }
 
-func TestShapes(t *testing.T) {
+func TestLinkCounts(t *testing.T) {
 	for _, tc := range []struct {
-		name            string
-		entries, agents []Node
-		cfg             Config
-		least, most     int
+		name                 string
+		entries, agents      []Node
+		cfg                  Config
+		minAgents, maxAgents int
 	}{
-		{"a small pool is known whole", nodes("entry", 3, 2), nodes("agent", 3, 4), Config{}, 12, 12},
-		{"few agents are spread by links", nodes("entry", 1, 15), nodes("agent", 1, 430), Config{Least: 1, Spill: -1}, 85, 150},
-		{"the own zone has no agents", nodes("entry", 4, 15), nodes("agent", 4, 430)[430:], Config{}, 43, 50},
-		{"other zones are reached", nodes("entry", 2, 15), nodes("agent", 2, 430), Config{}, 90, 160},
-		{"no agents", nodes("entry", 1, 3), nil, Config{}, 0, 0},
+		{"all agents of a small pool", makeNodes("entry", 3, 2), makeNodes("agent", 3, 4), Config{}, 12, 12},
+		{"links per agent only", makeNodes("entry", 1, 15), makeNodes("agent", 1, 430), Config{MinAgents: 1, RemoteAgents: -1}, 85, 150},
+		{"no agents in the own zone", makeNodes("entry", 4, 15), makeNodes("agent", 4, 430)[430:], Config{}, 43, 50},
+		{"agents of another zone added", makeNodes("entry", 2, 15), makeNodes("agent", 2, 430), Config{}, 90, 160},
+		{"no agents", makeNodes("entry", 1, 3), nil, Config{}, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			self := tc.entries[0]
 			got := Agents(self, tc.entries, tc.agents, tc.cfg)
-			if len(got) < tc.least || len(got) > tc.most {
-				t.Fatalf("%d agents, want %d to %d", len(got), tc.least, tc.most)
+			if len(got) < tc.minAgents || len(got) > tc.maxAgents {
+				t.Fatalf("%d agents, want %d to %d", len(got), tc.minAgents, tc.maxAgents)
 			}
 		})
 	}
 }
 
-// Whatever the zones hold, every agent has as many entries as it should, every
-// entry enough agents, and the order of the lists does not matter.
+// For any zones, every agent has enough entries, every entry has enough agents,
+// and the order of the lists does not matter.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		make1 := func(kind string) []Node {
+		randomNodes := func(kind string) []Node {
 			var out []Node
 			for i := range rapid.IntRange(1, 12).Draw(t, kind) {
 				out = append(out, Node{Name: fmt.Sprint(kind, i), Zone: fmt.Sprint("z", rapid.IntRange(0, 2).Draw(t, "zone"))})
 			}
 			return out
 		}
-		entries, agents := make1("entry"), make1("agent")
-		cfg := Config{Links: 2, Least: rapid.IntRange(1, 6).Draw(t, "least"), Spill: 1}
-		got := links(entries, agents, cfg)
+		entries, agents := randomNodes("entry"), randomNodes("agent")
+		cfg := Config{LinksPerAgent: 2, MinAgents: rapid.IntRange(1, 6).Draw(t, "least"), RemoteAgents: 1}
+		got := linksByAgent(entries, agents, cfg)
 		for _, a := range agents {
 			if len(got[a.Name]) < min(2, len(entries)) {
 				t.Fatalf("%v has %v", a, got[a.Name])
@@ -128,7 +129,7 @@
 		rnd.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 		for _, e := range entries {
 			own := Agents(e, entries, agents, cfg)
-			if len(own) < min(cfg.Least, len(agents)) {
+			if len(own) < min(cfg.MinAgents, len(agents)) {
 				t.Fatalf("%v has %v", e, own)
 			}
 			if !slices.Equal(own, Agents(e, entries, shuffled, cfg)) {
@@ -139,7 +140,7 @@
 }
 
 func BenchmarkAgents(b *testing.B) {
-	entries, agents := nodes("entry", 28, 15), nodes("agent", 28, 430)
+	entries, agents := makeNodes("entry", 28, 15), makeNodes("agent", 28, 430)
 	b.ReportAllocs()
 	for range b.N {
 		Agents(entries[0], entries, agents, Config{})
