--- a/core/homes/check.go
+++ b/core/homes/check.go
@@ -7,23 +7,23 @@
 	"lycheepond/core/spec"
 )
 
-// Bounds of a table. They keep the sums of times within their type and the
-// object within the platform's megabyte.
+// Limits of a table. They prevent sums of times from overflowing and keep the
+// object below the platform's limit of one megabyte.
 const (
 	maxLease = time.Hour
 	maxSlots = 1 << 15
 )
 
-// TableError reports a table that no entry of this version writes.
+// TableError reports a table that no entry of this version would write.
 type TableError struct{ reason string }
 
-// Error names the fault and the remedy.
+// Error describes the fault and what to do about it.
 func (e *TableError) Error() string {
 	return fmt.Sprintf("homes: table of key homes rejected: %s: the last good one stays in force; delete the object only while no agent runs", e.reason)
 }
 
-// Check returns a *TableError for a table whose use could let two agents act
-// for one key.
+// Validate returns a *TableError for a table with which two agents could act
+// for the same key.
 func Check(t spec.Homes) error {
 	switch lease := t.Lease.Std(); {
 	case t.Epoch < 1:
--- a/core/homes/hand.go
+++ b/core/homes/hand.go
@@ -7,31 +7,33 @@
 	"lycheepond/core/spec"
 )
 
-// keepLeft is how long the table names the owner before, in milliseconds after
-// Since. It is longer than the grace time of any agent; without it the table
-// would grow with every restart.
-const keepLeft = int64(10 * time.Minute / time.Millisecond)
+// keepPreviousMillis is how long the table names the previous owner of a slot,
+// in milliseconds after the slot's Since. It is longer than the grace period of
+// any agent. Without the limit the table would grow with every restart.
+const keepPreviousMillis = int64(10 * time.Minute / time.Millisecond)
 
-// mark names in next the owner that each slot was taken from.
-func mark(t spec.Homes, next *spec.Homes, wall int64) {
-	at := make(map[spec.HomeOwner]int)
+// setPreviousOwners sets in next, for each slot, the owner that it had before
+// the current one in table t.
+func setPreviousOwners(t spec.Homes, next *spec.Homes, nowMillis int64) {
+	index := make(map[spec.HomeOwner]int)
 	for i := range next.Slots {
 		s := &next.Slots[i]
-		from, ok := leftOwner(t, i)
+		previous, ok := previousOwner(t, i)
 		if s.Took == next.Epoch {
-			from, ok = ownerOf(t, i)
+			previous, ok = ownerOf(t, i)
 		}
-		if !ok || wall > s.Since+keepLeft {
+		if !ok || nowMillis > s.Since+keepPreviousMillis {
 			continue
 		}
-		if at[from] == 0 {
-			next.Left = append(next.Left, from)
-			at[from] = len(next.Left)
+		if index[previous] == 0 {
+			next.Left = append(next.Left, previous)
+			index[previous] = len(next.Left)
 		}
-		s.From = at[from]
+		s.From = index[previous]
 	}
 }
 
+// ownerOf returns the owner of a slot, if it has one.
 func ownerOf(t spec.Homes, slot int) (spec.HomeOwner, bool) {
 	if slot >= len(t.Slots) {
 		return spec.HomeOwner{}, false
@@ -43,8 +45,9 @@
 	return t.Owners[o], true
 }
 
-// leftOwner returns the owner before the present one.
-func leftOwner(t spec.Homes, slot int) (spec.HomeOwner, bool) {
+// previousOwner returns the owner before the current one, if the table names
+// it.
+func previousOwner(t spec.Homes, slot int) (spec.HomeOwner, bool) {
 	if slot >= len(t.Slots) {
 		return spec.HomeOwner{}, false
 	}
@@ -55,101 +58,106 @@
 	return t.Left[f-1], true
 }
 
-// given is a slot that this agent owned until the table gave it to another.
-type given struct {
-	to   spec.HomeOwner
-	took int64
-	// begin is when this agent might act for it at the earliest: before, the
-	// owner before it may still act.
-	begin time.Duration
-	since int64
+// lostSlot is a slot that this agent owned until the table assigned it to
+// another one.
+type lostSlot struct {
+	newOwner spec.HomeOwner
+	epoch    int64
+	// actFrom is the time from which this agent could act for the slot. Before
+	// that time the owner before it may still act.
+	actFrom      time.Duration
+	recordsSince int64
 }
 
-// Share is one slot that changes hands with its records. Records of keys made
-// before Since, in Unix milliseconds, may be lost; zero if none can be.
+// SlotHandover is one slot whose records are handed over to its new owner.
+// Records of keys made before Since, in Unix milliseconds, may be lost. Since
+// is zero if none can be.
 type Share struct {
 	Slot  int
 	Since int64
 }
 
-// Gift is what one change of the table moved from this agent to another.
+// Handover lists the slots that one change of the table moved from this agent
+// to another one.
 type Gift struct {
 	To spec.HomeOwner
-	// Took is the epoch of the change.
+	// Epoch is the epoch of the change.
 	Took   int64
 	Shares []Share
 }
 
-// give notes which slots go to another agent with table t.
-func (h *Holder) give(t spec.Homes) {
-	next := make(map[int]given)
+// recordLostSlots updates lostSlots for the new table t.
+func (v *Holder) recordLostSlots(t spec.Homes) {
+	next := make(map[int]lostSlot)
 	for i, s := range t.Slots {
 		to, ok := ownerOf(t, i)
-		if from, left := leftOwner(t, i); !ok || !left || from != h.self {
+		if from, left := previousOwner(t, i); !ok || !left || from != v.self {
 			continue
 		}
-		if g, known := h.given[i]; known && g.took == s.Took {
+		if g, known := v.lostSlots[i]; known && g.epoch == s.Took {
 			next[i] = g
-		} else if ownedBy(h.table, i, h.self) && h.table.Slots[i].Took < s.Took {
-			next[i] = given{to: to, took: s.Took, begin: h.begins[i], since: h.sinceOf(i)}
+		} else if ownedBy(v.table, i, v.self) && v.table.Slots[i].Took < s.Took {
+			next[i] = lostSlot{newOwner: to, epoch: s.Took, actFrom: v.actFrom[i], recordsSince: v.slotRecordsSince(i)}
 		}
 	}
-	h.given = next
+	v.lostSlots = next
 }
 
-func (h *Holder) sinceOf(slot int) int64 {
-	if v, ok := h.since[slot]; ok {
-		return v
+// slotRecordsSince returns the time before which records of a slot may be lost.
+func (v *Holder) slotRecordsSince(slot int) int64 {
+	if since, ok := v.receivedSince[slot]; ok {
+		return since
 	}
-	return h.table.Slots[slot].Since
+	return v.table.Slots[slot].Since
 }
 
-// Holds reports whether the table gives any slot to this agent.
-func (h *Holder) Holds() bool {
-	for i := range h.table.Slots {
-		if ownedBy(h.table, i, h.self) {
+// OwnsAnySlot reports whether the table assigns any slot to this agent.
+func (v *Holder) Holds() bool {
+	for i := range v.table.Slots {
+		if ownedBy(v.table, i, v.self) {
 			return true
 		}
 	}
 	return false
 }
 
-// Gifts returns the slots whose records may be handed over. The caller hands
-// them over only when it will never act for any slot again: that is the word
-// which the receiver relies on.
-func (h *Holder) Gifts(now time.Duration) []Gift {
+// Handovers returns the slots whose records may be handed over. The caller may
+// hand them over only when it will never act for any slot again, because the
+// receiver relies on that.
+func (v *Holder) Gifts(now time.Duration) []Gift {
 	var out []Gift
-	for i := range h.table.Slots {
-		g, ok := h.given[i]
-		if !ok || now < g.begin {
+	for i := range v.table.Slots {
+		g, ok := v.lostSlots[i]
+		if !ok || now < g.actFrom {
 			continue
 		}
-		at := slices.IndexFunc(out, func(o Gift) bool { return o.To == g.to && o.Took == g.took })
+		at := slices.IndexFunc(out, func(o Gift) bool { return o.To == g.newOwner && o.Took == g.epoch })
 		if at < 0 {
-			at, out = len(out), append(out, Gift{To: g.to, Took: g.took})
+			at, out = len(out), append(out, Gift{To: g.newOwner, Took: g.epoch})
 		}
-		out[at].Shares = append(out[at].Shares, Share{Slot: i, Since: g.since})
+		out[at].Shares = append(out[at].Shares, Share{Slot: i, Since: g.recordsSince})
 	}
 	return out
 }
 
-// Expects reports whether this agent took slot over from another in the epoch
-// took, and still owns it.
-func (h *Holder) Expects(slot int, from spec.HomeOwner, took int64) bool {
-	if slot < 0 || slot >= len(h.table.Slots) || !ownedBy(h.table, slot, h.self) {
+// ExpectsHandover reports whether this agent took over slot from the given
+// owner in the given epoch and still owns it.
+func (v *Holder) Expects(slot int, from spec.HomeOwner, epoch int64) bool {
+	if slot < 0 || slot >= len(v.table.Slots) || !ownedBy(v.table, slot, v.self) {
 		return false
 	}
-	left, ok := leftOwner(h.table, slot)
-	return ok && left == from && h.table.Slots[slot].Took == took
+	left, ok := previousOwner(v.table, slot)
+	return ok && left == from && v.table.Slots[slot].Took == epoch
 }
 
-// Receive takes in the word of the owner before, after all records of the
-// shares have come: this agent may act for them as soon as it holds a lease.
-func (h *Holder) Receive(from spec.HomeOwner, took int64, shares []Share) {
-	for _, s := range shares {
-		if h.Expects(s.Slot, from, took) {
-			delete(h.begins, s.Slot)
-			h.since[s.Slot] = s.Since
+// AcceptHandover records that the previous owner will never act again and that
+// all records of the slots have been received. This agent may act for these
+// slots as soon as it has a lease.
+func (v *Holder) Receive(from spec.HomeOwner, epoch int64, slots []Share) {
+	for _, s := range slots {
+		if v.Expects(s.Slot, from, epoch) {
+			delete(v.actFrom, s.Slot)
+			v.receivedSince[s.Slot] = s.Since
 		}
 	}
 }
--- a/core/homes/hand_test.go
+++ b/core/homes/hand_test.go
@@ -10,39 +10,41 @@
 	"lycheepond/core/spec"
 )
 
-// site is a few agents around one table, with clocks that agree.
-type site struct {
-	t   *rapid.T
-	tab spec.Homes
-	now time.Duration
-	// confirmed is when an entry last saw the epoch at the platform.
+// cluster simulates a few agents that share one table. Their clocks agree.
+type cluster struct {
+	t     *rapid.T
+	table spec.Homes
+	now   time.Duration
+	// confirmed is the last time at which an entry confirmed the epoch at the
+	// platform.
 	confirmed time.Duration
-	// here are the processes of all agents so far; left marks those that gave
-	// their word.
-	here []*Holder
-	left map[*Holder]bool
-	// mail are handovers under way: late, lost or doubled.
-	mail []letter
+	// views holds a view for every process so far. stopped marks the processes
+	// that have promised not to act again.
+	views   []*Holder
+	stopped map[*Holder]bool
+	// inTransit holds the handovers that were sent. They may be lost, delayed
+	// or delivered several times.
+	inTransit []sentHandover
 }
 
-type letter struct {
-	from spec.HomeOwner
-	gift Gift
+type sentHandover struct {
+	from     spec.HomeOwner
+	handover Gift
 }
 
-func (s *site) pick(name string) *Holder {
-	return s.here[rapid.IntRange(0, len(s.here)-1).Draw(s.t, name)]
+func (s *cluster) draw(name string) *Holder {
+	return s.views[rapid.IntRange(0, len(s.views)-1).Draw(s.t, name)]
 }
 
-// alive returns the newest incarnation of each agent, without one that an entry
-// takes for dead, rightly or not.
-func (s *site) alive() []spec.HomeOwner {
+// alive returns the newest incarnation of each agent that has not stopped. It
+// may leave out one agent, which an entry considers dead, rightly or wrongly.
+func (s *cluster) alive() []spec.HomeOwner {
 	newest := make(map[string]spec.HomeOwner)
-	for _, h := range s.here {
+	for _, h := range s.views {
 		if h.self.Incarnation > newest[h.self.Name].Incarnation {
 			newest[h.self.Name] = h.self
 		}
-		if s.left[h] && newest[h.self.Name] == h.self {
+		if s.stopped[h] && newest[h.self.Name] == h.self {
 			delete(newest, h.self.Name)
 		}
 	}
@@ -54,65 +56,65 @@
 	return out
 }
 
-func (s *site) step() {
+func (s *cluster) step() {
 	s.now += rapid.SampledFrom([]time.Duration{0, 0, 0, 200 * time.Millisecond, time.Second, 12 * time.Second}).Draw(s.t, "later")
 	switch rapid.IntRange(0, 7).Draw(s.t, "what") {
 	case 0:
 		s.confirmed = s.now
 	case 1:
-		s.tab, _ = Takeover(s.tab, s.alive(), wall+s.now.Milliseconds())
+		s.table, _ = Takeover(s.table, s.alive(), startMillis+s.now.Milliseconds())
 		s.confirmed = s.now
 	case 2, 3:
-		s.pick("learner").Learn(s.now, s.tab)
+		s.draw("learner").Learn(s.now, s.table)
 	case 4:
-		s.pick("asker").Confirm(s.now, s.now-s.confirmed, s.tab.Epoch)
+		s.draw("asker").Confirm(s.now, s.now-s.confirmed, s.table.Epoch)
 	case 5:
-		h := s.pick("leaver")
-		if !s.left[h] {
-			s.left[h] = true
-			s.here = append(s.here, NewHolder(spec.HomeOwner{Name: h.self.Name, Incarnation: h.self.Incarnation + 1}))
+		h := s.draw("leaver")
+		if !s.stopped[h] {
+			s.stopped[h] = true
+			s.views = append(s.views, NewHolder(spec.HomeOwner{Name: h.self.Name, Incarnation: h.self.Incarnation + 1}))
 		}
 	case 6:
-		if h := s.pick("giver"); s.left[h] {
+		if h := s.draw("giver"); s.stopped[h] {
 			for _, g := range h.Gifts(s.now) {
-				s.mail = append(s.mail, letter{h.self, g})
+				s.inTransit = append(s.inTransit, sentHandover{h.self, g})
 			}
 		}
 	case 7:
-		if len(s.mail) > 0 {
-			l := s.mail[rapid.IntRange(0, len(s.mail)-1).Draw(s.t, "letter")]
-			for _, h := range s.here {
-				if h.self == l.gift.To {
-					h.Receive(l.from, l.gift.Took, l.gift.Shares)
+		if len(s.inTransit) > 0 {
+			l := s.inTransit[rapid.IntRange(0, len(s.inTransit)-1).Draw(s.t, "letter")]
+			for _, h := range s.views {
+				if h.self == l.handover.To {
+					h.Receive(l.from, l.handover.Took, l.handover.Shares)
 				}
 			}
 		}
 	}
 }
 
-// Agents are restarted as planned, taken for dead while they live, and paused;
-// handovers are lost, late and repeated. If two agents acted for one slot at
-// the same moment, a submission could run twice.
+// Agents are restarted as planned, considered dead while they are alive, and
+// paused. Handovers are lost, delayed and repeated. If two agents acted for the
+// same slot at the same time, a submission could run twice.
 func TestNeverTwoOwnersWithHandovers(t *testing.T) {
-	handed := 0
+	actingAfterHandover := 0
 	rapid.Check(t, func(t *rapid.T) {
-		s := &site{t: t, left: make(map[*Holder]bool)}
+		s := &cluster{t: t, stopped: make(map[*Holder]bool)}
 		for _, o := range owners("a", "b", "c") {
-			s.here = append(s.here, NewHolder(o))
+			s.views = append(s.views, NewHolder(o))
 		}
-		s.tab, _ = Takeover(s.tab, owners("a", "b", "c"), wall)
-		s.tab.Slots = s.tab.Slots[:6]
+		s.table, _ = Takeover(s.table, owners("a", "b", "c"), startMillis)
+		s.table.Slots = s.table.Slots[:6]
 		key := make([]byte, 8)
 		for range 300 {
 			s.step()
-			for slot := range s.tab.Slots {
+			for slot := range s.table.Slots {
 				binary.BigEndian.PutUint64(key, uint64(slot))
 				n := 0
-				for _, h := range s.here {
-					if !s.left[h] && h.Owns(s.now, key, h.Table().Epoch) == Owned {
+				for _, h := range s.views {
+					if !s.stopped[h] && h.Owns(s.now, key, h.Table().Epoch) == Owned {
 						n++
-						if _, ok := h.since[slot]; ok {
-							handed++
+						if _, ok := h.receivedSince[slot]; ok {
+							actingAfterHandover++
 						}
 					}
 				}
@@ -122,105 +124,107 @@
 			}
 		}
 	})
-	t.Logf("%d looks at an owner that acts on a handover", handed)
-	if handed == 0 {
-		t.Error("no history had an owner that acts on a handover")
+	t.Logf("%d checks found an owner that acts because of a handover", actingAfterHandover)
+	if actingAfterHandover == 0 {
+		t.Error("no generated history had an owner that acts because of a handover")
 	}
 }
 
-// handOver returns the holders of an agent that leaves and of the one that
-// takes its slots over, both with the new table.
-func handOver(since int64) (old, next *Holder, tab spec.Homes) {
+// viewsBeforeHandover returns the views of an agent that stops and of its
+// successor, both with the new table, and that table.
+func viewsBeforeHandover(since int64) (old, successor *Holder, table spec.Homes) {
 	names := owners("a", "b")
-	tab, _ = Takeover(spec.Homes{}, names, wall)
-	for i := range tab.Slots {
-		tab.Slots[i].Since = since
-	}
-	old, next = NewHolder(names[0]), NewHolder(names[1])
-	old.Learn(0, tab)
-	next.Learn(0, tab)
-	tab, _ = Takeover(tab, names[1:], wall)
-	old.Learn(time.Second, tab)
-	next.Learn(time.Second, tab)
-	next.Confirm(time.Second, 0, tab.Epoch)
-	return old, next, tab
+	table, _ = Takeover(spec.Homes{}, names, startMillis)
+	for i := range table.Slots {
+		table.Slots[i].Since = since
+	}
+	old, successor = NewHolder(names[0]), NewHolder(names[1])
+	old.Learn(0, table)
+	successor.Learn(0, table)
+	table, _ = Takeover(table, names[1:], startMillis)
+	old.Learn(time.Second, table)
+	successor.Learn(time.Second, table)
+	successor.Confirm(time.Second, 0, table.Epoch)
+	return old, successor, table
 }
 
-// An agent is stopped as planned. Its successor serves the keys at once and
-// knows of every record; a slot handed over again keeps what was known.
-func TestReceivedSlotsBeginAtOnce(t *testing.T) {
-	const since = wall - 1000
-	old, next, tab := handOver(since)
+// An agent is stopped as planned. Its successor must serve the keys at once and
+// have all records. When the slot is handed over again, the Since of the first
+// handover must be passed on.
+func TestHandoverTakesEffectAtOnce(t *testing.T) {
+	const since = startMillis - 1000
+	old, successor, table := viewsBeforeHandover(since)
 	key := make([]byte, 8)
-	if next.Owns(time.Second, key, tab.Epoch) != NoLease || next.Since(key) <= wall {
-		t.Fatal("acts before the records have come")
+	if successor.Owns(time.Second, key, table.Epoch) != NoLease || successor.Since(key) <= startMillis {
+		t.Fatal("acts before the records were received")
 	}
-	gifts := old.Gifts(time.Second)
-	if len(gifts) != 1 || gifts[0].To != next.self || len(gifts[0].Shares) != Slots/2 {
-		t.Fatalf("%d gifts", len(gifts))
+	handovers := old.Gifts(time.Second)
+	if len(handovers) != 1 || handovers[0].To != successor.self || len(handovers[0].Shares) != Slots/2 {
+		t.Fatalf("%d handovers", len(handovers))
 	}
-	next.Receive(old.self, gifts[0].Took, gifts[0].Shares)
-	if next.Owns(time.Second, key, tab.Epoch) != Owned || next.Since(key) != since {
-		t.Fatalf("owns %d, since %d", next.Owns(time.Second, key, tab.Epoch), next.Since(key))
+	successor.Receive(old.self, handovers[0].Took, handovers[0].Shares)
+	if successor.Owns(time.Second, key, table.Epoch) != Owned || successor.Since(key) != since {
+		t.Fatalf("owns %d, since %d", successor.Owns(time.Second, key, table.Epoch), successor.Since(key))
 	}
-	tab.Epoch++
-	next.Learn(time.Second, tab)
-	next.Confirm(time.Second, 0, tab.Epoch)
-	if next.Owns(time.Second, key, tab.Epoch) != Owned || next.Since(key) != since {
-		t.Fatal("a change elsewhere in the table undoes the handover")
+	table.Epoch++
+	successor.Learn(time.Second, table)
+	successor.Confirm(time.Second, 0, table.Epoch)
+	if successor.Owns(time.Second, key, table.Epoch) != Owned || successor.Since(key) != since {
+		t.Fatal("a new epoch without a change of the slot undoes the handover")
 	}
 	third := owners("c")
-	tab, _ = Takeover(tab, third, wall+5000)
-	next.Learn(2*time.Second, tab)
-	for _, s := range next.Gifts(2 * time.Second)[0].Shares {
+	table, _ = Takeover(table, third, startMillis+5000)
+	successor.Learn(2*time.Second, table)
+	for _, s := range successor.Gifts(2 * time.Second)[0].Shares {
 		if s.Since != since {
-			t.Fatalf("slot %d is handed on with since %d", s.Slot, s.Since)
+			t.Fatalf("slot %d is handed over again with since %d", s.Slot, s.Since)
 		}
 	}
 }
 
-// A handover comes from another process than the table names, or is about
-// another change of the table. It must not let anybody act.
-func TestStrangeHandoversAreIgnored(t *testing.T) {
-	old, next, tab := handOver(0)
+// A handover comes from a process other than the table's previous owner, or
+// belongs to another change of the table. It must not let any agent act.
+func TestUnexpectedHandoversAreIgnored(t *testing.T) {
+	old, successor, table := viewsBeforeHandover(0)
 	g := old.Gifts(time.Second)[0]
-	next.Receive(spec.HomeOwner{Name: "a", Incarnation: 2}, g.Took, g.Shares)
-	next.Receive(old.self, g.Took+1, g.Shares)
-	next.Receive(old.self, g.Took, []Share{{Slot: -1}, {Slot: Slots}, {Slot: 1}})
-	if key := make([]byte, 8); next.Owns(time.Second, key, tab.Epoch) != NoLease {
-		t.Fatal("acts on a strange handover")
+	successor.Receive(spec.HomeOwner{Name: "a", Incarnation: 2}, g.Took, g.Shares)
+	successor.Receive(old.self, g.Took+1, g.Shares)
+	successor.Receive(old.self, g.Took, []Share{{Slot: -1}, {Slot: Slots}, {Slot: 1}})
+	if key := make([]byte, 8); successor.Owns(time.Second, key, table.Epoch) != NoLease {
+		t.Fatal("acts because of an unexpected handover")
 	}
 }
 
-// The table names the owners before only for a while, else it would grow with
-// every restart until the platform takes it no more.
-func TestTableForgetsWhoLeft(t *testing.T) {
-	tab, _ := Takeover(spec.Homes{}, owners("a", "b", "c"), wall)
-	tab, _ = Takeover(tab, owners("b", "c"), wall)
+// The table must name previous owners only for a limited time. Otherwise it
+// would grow with every restart until it exceeds the platform's size limit.
+func TestTableForgetsPreviousOwners(t *testing.T) {
+	tab, _ := Takeover(spec.Homes{}, owners("a", "b", "c"), startMillis)
+	tab, _ = Takeover(tab, owners("b", "c"), startMillis)
 	if len(tab.Left) != 1 {
-		t.Fatalf("left %v", tab.Left)
+		t.Fatalf("previous owners %v", tab.Left)
 	}
-	later := wall + Margin(DefaultLease).Milliseconds() + keepLeft + 1
+	later := startMillis + Margin(DefaultLease).Milliseconds() + keepPreviousMillis + 1
 	tab, _ = Takeover(tab, owners("c"), later)
 	if len(tab.Left) != 1 || tab.Left[0].Name != "b" {
-		t.Fatalf("left %v", tab.Left)
+		t.Fatalf("previous owners %v", tab.Left)
 	}
 }
 
-// An agent is taken for dead while it is only cut off, and the one that took
-// its slots over is stopped before the lease of the first has run out. Its word
-// says nothing of the first, so nobody may begin on it.
-func TestNoHandoverBeforeTheGiverBegan(t *testing.T) {
+// An agent is considered dead while it is only disconnected. The agent that
+// took over its slots is stopped before the lease of the first one has expired.
+// Its handover says nothing about the first agent, so no other agent may act
+// because of it.
+func TestNoHandoverBeforeOwnerMayAct(t *testing.T) {
 	names := owners("a", "b", "c")
-	tab, _ := Takeover(spec.Homes{}, names, wall)
+	tab, _ := Takeover(spec.Homes{}, names, startMillis)
 	first, second, third := NewHolder(names[0]), NewHolder(names[1]), NewHolder(names[2])
 	for _, h := range []*Holder{first, second, third} {
 		h.Learn(0, tab)
 		h.Confirm(0, 0, tab.Epoch)
 	}
-	tab, _ = Takeover(tab, names[1:], wall)
+	tab, _ = Takeover(tab, names[1:], startMillis)
 	second.Learn(time.Second, tab)
-	tab, _ = Takeover(tab, names[2:], wall)
+	tab, _ = Takeover(tab, names[2:], startMillis)
 	second.Learn(2*time.Second, tab)
 	third.Learn(2*time.Second, tab)
 	third.Confirm(2*time.Second, 0, tab.Epoch)
--- a/core/homes/holder.go
+++ b/core/homes/holder.go
@@ -6,71 +6,74 @@
 	"lycheepond/core/spec"
 )
 
-// Verdict says whether an agent may act for a key.
-type Verdict uint8
+// Ownership says whether an agent may act for a key.
+type Ownership uint8
 
-// The verdicts of Holder.Owns.
+// The results of View.CheckOwnership.
 const (
 	// Owned: the agent may act.
-	Owned Verdict = iota
-	// NotHome: another agent is the key's home, or the two sides do not have
-	// the same table.
+	Owned Ownership = iota
+	// NotHome: another agent is the home of the key, or the tables of the two
+	// sides differ.
 	NotHome
-	// NoLease: the agent is the home but its lease has run out, or the one of
-	// the owner before it may still run.
+	// NoLease: the agent is the home, but its lease has expired, or the lease
+	// of the previous owner may not have expired yet.
 	NoLease
 )
 
-// Holder is an agent's view of one pool's table. Its times are of one
+// View is an agent's view of the table of one pool. Its times are of one
 // monotonic clock. One goroutine owns it.
 type Holder struct {
 	self  spec.HomeOwner
 	table spec.Homes
-	// begins maps each slot that was taken over to the time from which this
-	// agent may act for it; others have no entry.
-	begins map[int]time.Duration
-	// since overrides what the table says of slots whose records were
-	// received; they have no entry in begins.
-	since map[int]int64
-	// given holds the slots that went to another agent and may be handed over.
-	given map[int]given
-	// until is when the lease runs out; zero means that there never was one.
-	until time.Duration
+	// actFrom maps each slot that was taken over to the time from which this
+	// agent may act for it. Other slots have no element.
+	actFrom map[int]time.Duration
+	// receivedSince replaces the table's Since for slots whose records were
+	// received from the previous owner. These slots have no element in actFrom.
+	receivedSince map[int]int64
+	// lostSlots holds the slots that were assigned to another agent and whose
+	// records may be handed over.
+	lostSlots map[int]lostSlot
+	// leaseEnd is when the lease expires. Zero means that there was no lease
+	// yet.
+	leaseEnd time.Duration
 }
 
-// NewHolder returns the view of an agent that has not seen a table.
+// NewView returns the view of the agent self, which has not received a table
+// yet.
 func NewHolder(self spec.HomeOwner) *Holder {
-	return &Holder{self: self, begins: make(map[int]time.Duration), since: make(map[int]int64), given: make(map[int]given)}
+	return &Holder{self: self, actFrom: make(map[int]time.Duration), receivedSince: make(map[int]int64), lostSlots: make(map[int]lostSlot)}
 }
 
-// Table returns the newest table learnt.
-func (h *Holder) Table() spec.Homes { return h.table }
+// Table returns the newest table received.
+func (v *Holder) Table() spec.Homes { return v.table }
 
-// Learn takes in a table and reports whether it is newer than the one known.
-// One with another number of slots is refused: every key would get another
-// home while the old one may still act for it.
-func (h *Holder) Learn(now time.Duration, t spec.Homes) bool {
-	if n := len(h.table.Slots); t.Epoch <= h.table.Epoch || n > 0 && n != len(t.Slots) {
+// Update records a table and reports whether it is newer than the current one.
+// A table with a different number of slots is ignored: every key would get
+// another home while the old one may still act for it.
+func (v *Holder) Learn(now time.Duration, t spec.Homes) bool {
+	if n := len(v.table.Slots); t.Epoch <= v.table.Epoch || n > 0 && n != len(t.Slots) {
 		return false
 	}
-	begin := now + Margin(t.Lease.Std())
-	begins, since := make(map[int]time.Duration), make(map[int]int64)
-	h.give(t)
+	actAt := now + Margin(t.Lease.Std())
+	actFrom, receivedSince := make(map[int]time.Duration), make(map[int]int64)
+	v.recordLostSlots(t)
 	for i, s := range t.Slots {
-		if !ownedBy(t, i, h.self) || s.Took <= 1 {
+		if !ownedBy(t, i, v.self) || s.Took <= 1 {
 			continue
 		}
-		if v, ok := h.since[i]; ok && h.table.Slots[i].Took == s.Took {
-			since[i] = v
+		if since, ok := v.receivedSince[i]; ok && v.table.Slots[i].Took == s.Took {
+			receivedSince[i] = since
 			continue
 		}
-		if at, ok := h.begins[i]; ok && ownedBy(h.table, i, h.self) && h.table.Slots[i].Took == s.Took {
-			begins[i] = at
+		if from, ok := v.actFrom[i]; ok && ownedBy(v.table, i, v.self) && v.table.Slots[i].Took == s.Took {
+			actFrom[i] = from
 			continue
 		}
-		begins[i] = begin
+		actFrom[i] = actAt
 	}
-	h.table, h.begins, h.since = t, begins, since
+	v.table, v.actFrom, v.receivedSince = t, actFrom, receivedSince
 	return true
 }
 
@@ -82,39 +85,42 @@
 	return o >= 0 && o < len(t.Owners) && t.Owners[o] == self
 }
 
-// Confirm takes in that epoch was in force age before an entry was asked, and
-// that it was asked at the time asked of the agent's clock.
-func (h *Holder) Confirm(asked, age time.Duration, epoch int64) {
-	if epoch != h.table.Epoch || epoch == 0 {
+// ExtendLease extends the lease after an entry has confirmed the epoch.
+// requestedAt is the time, on the agent's clock, at which the agent asked the
+// entry. age is how long before that the entry had itself confirmed the epoch
+// at the platform.
+func (v *Holder) Confirm(requestedAt, age time.Duration, epoch int64) {
+	if epoch != v.table.Epoch || epoch == 0 {
 		return
 	}
-	h.until = max(h.until, asked-age+h.table.Lease.Std())
+	v.leaseEnd = max(v.leaseEnd, requestedAt-age+v.table.Lease.Std())
 }
 
-// Lease returns until when the agent may act.
-func (h *Holder) Lease() time.Duration { return h.until }
+// LeaseEnd returns the time until which the agent may act.
+func (v *Holder) Lease() time.Duration { return v.leaseEnd }
 
-// Owns says whether the agent may act for a hashed key that was offered under
-// epoch. An older epoch is as good while the slot has not changed hands since.
-func (h *Holder) Owns(now time.Duration, key []byte, epoch int64) Verdict {
-	if len(h.table.Slots) == 0 || epoch > h.table.Epoch {
+// CheckOwnership says whether the agent may act for a hashed key that was
+// offered under the given epoch. An older epoch than that of the table is
+// accepted if the slot has not changed its owner since.
+func (v *Holder) Owns(now time.Duration, key []byte, epoch int64) Ownership {
+	if len(v.table.Slots) == 0 || epoch > v.table.Epoch {
 		return NotHome
 	}
-	i := Slot(key, len(h.table.Slots))
-	if !ownedBy(h.table, i, h.self) || epoch < h.table.Slots[i].Took {
+	i := Slot(key, len(v.table.Slots))
+	if !ownedBy(v.table, i, v.self) || epoch < v.table.Slots[i].Took {
 		return NotHome
 	}
-	if now >= h.until || now < h.begins[i] {
+	if now >= v.leaseEnd || now < v.actFrom[i] {
 		return NoLease
 	}
 	return Owned
 }
 
-// Since returns the time before which records of the key may be lost, in Unix
-// milliseconds.
-func (h *Holder) Since(key []byte) int64 {
-	if len(h.table.Slots) == 0 {
+// RecordsSince returns the time before which records of the key may be lost, in
+// Unix milliseconds.
+func (v *Holder) Since(key []byte) int64 {
+	if len(v.table.Slots) == 0 {
 		return 0
 	}
-	return h.sinceOf(Slot(key, len(h.table.Slots)))
+	return v.slotRecordsSince(Slot(key, len(v.table.Slots)))
 }
--- a/core/homes/homes.go
+++ b/core/homes/homes.go
@@ -1,29 +1,32 @@
-// Package homes decides which agent keeps the record of an idempotency key and
+// Package homes decides which agent keeps the record of an idempotency key, and
 // when that agent may act on it.
 //
-// It answers retries that come through another entry after the first one died:
-// without a record that outlives the entry, the retry of a register submission
-// would run it again. The record stands at one agent, the home of the key's
-// slot, and is never copied, so three rules keep two agents from acting for the
-// same slot:
+// It is designed for retries that arrive through another entry after the first
+// entry has failed. Without a record that outlives the entry, the retry of a
+// register submission would run it again. The record is kept by a single agent,
+// the home of the key's slot, and is never replicated. Three rules prevent two
+// agents from acting for the same slot:
 //
-//   - An owner acts only while it holds a lease: for Table.Lease from the moment
-//     that it asked an entry, less the age of the entry's own confirmation. An
-//     entry counts that age from the moment before it sent the conditional write
-//     that confirmed the epoch, because a read may be answered from the past.
-//   - A new owner begins only when a whole lease and its margin have passed by
-//     its own monotonic clock since it learnt of its ownership.
-//   - Keys that may be older than the change of owner are not run: Since lies a
-//     lease and its margin after the change, when the old owner has stopped.
+//   - An owner acts only while it has a lease. It lasts for the table's Lease
+//     from the time at which the owner asked an entry, less the age of the
+//     entry's own confirmation. An entry measures that age from the time before
+//     it sent the conditional write that confirmed the epoch, because a read
+//     may return an old state.
+//   - A new owner acts only when TakeoverDelay, a whole lease and a margin, has
+//     passed on its own monotonic clock since it received the table that makes
+//     it the owner.
+//   - Keys that may be older than the change of owner are not run. The slot's
+//     Since is TakeoverDelay after the change, when the old owner has stopped.
 //
-// An owner that stops as planned can do better: it gives its word that it will
-// never act again and hands its records over. Then the next owner begins at
-// once, and Since stays as it was. Without it the 940 planned restarts a day at
-// the target's size would each make an hour of an agent's keys unknown.
+// Without the third rule, a key that the lost owner ran would be run again by
+// the new one. The cost of the rule is that requests with such keys are
+// answered as unknown.
 //
-// Without the third rule a key that the lost owner ran would be run again by
-// the new one. Its cost is that such keys are answered as unknown. How many
-// those are at 170 failures a day is to be measured.
+// An owner that stops as planned avoids this. It promises that it will never
+// act again and hands its records over. The next owner then acts at once, and
+// Since does not change. Otherwise the 940 planned restarts a day at the target
+// size would each make the outcomes of an hour of an agent's keys unknown. This
+// still happens after the 170 failures a day.
 package homes
 
 import (
@@ -34,25 +37,25 @@
 	"lycheepond/core/spec"
 )
 
-// Figures of the rules. They are chosen, not measured.
 const (
-	// Slots is the number of partitions of a new table.
+	// DefaultSlots is the number of slots of a new table.
 	Slots = 1024
 	// DefaultLease is the lease of a new table. A longer lease bridges longer
-	// outages of the platform and keeps the keys of a lost agent refused for
+	// outages of the platform, but the keys of a lost agent are refused for
 	// longer.
 	DefaultLease = 20 * time.Second
 	// Retention is how long a record is kept after its answer ended.
 	Retention = time.Hour
-	// Skew is how far the clocks of two instances may differ.
+	// MaxClockSkew is the maximum difference between the clocks of two
+	// instances.
 	Skew = 2 * time.Second
 )
 
-// Margin is how much longer than a lease the next owner waits, for clocks that
-// run at unequal speeds.
+// TakeoverDelay returns how long a new owner waits before it acts: a lease and
+// a tenth of it, to allow for clocks that run at different speeds.
 func Margin(lease time.Duration) time.Duration { return lease + lease/10 }
 
-// Slot returns the partition of a hashed key in a table of n slots.
+// Slot returns the slot of a hashed key in a table of n slots.
 func Slot(key []byte, n int) int {
 	if n <= 0 {
 		return 0
@@ -62,7 +65,7 @@
 	return int(binary.BigEndian.Uint64(b[:]) % uint64(n))
 }
 
-// Home returns the owner of a hashed key.
+// Home returns the owner of the slot of a hashed key, if it has one.
 func Home(t spec.Homes, key []byte) (spec.HomeOwner, bool) {
 	if len(t.Slots) == 0 {
 		return spec.HomeOwner{}, false
@@ -74,51 +77,54 @@
 	return t.Owners[o], true
 }
 
-// Takeover returns the table after the owners that are not live have lost
-// their slots, and whether it differs. A table without slots is created. Only
-// orphaned slots move; they go to the live owners with the fewest slots. wall is
-// the time in Unix milliseconds. The caller writes the result on condition that
-// the table is still the one that it read.
-func Takeover(t spec.Homes, live []spec.HomeOwner, wall int64) (spec.Homes, bool) {
-	live = sorted(live)
+// ReassignSlots removes the owners that are not live from the table and assigns
+// their slots to the live owners with the fewest slots. No other slots move. If
+// the table has no slots, a new one is created. It returns the new table and
+// whether it differs from t. nowMillis is the time in Unix milliseconds. The
+// caller must write the result only on condition that the stored table is still
+// t.
+func Takeover(t spec.Homes, live []spec.HomeOwner, nowMillis int64) (spec.Homes, bool) {
+	live = sortedUnique(live)
 	if len(t.Slots) == 0 {
-		return create(live, wall)
+		return newTable(live, nowMillis)
 	}
-	orphans := orphaned(t, live)
+	orphans := orphanedSlots(t, live)
 	if len(orphans) == 0 || len(live) == 0 {
 		return t, false
 	}
-	next := remap(t, live, wall)
+	next := remapOwners(t, live, nowMillis)
 	counts := make([]int, len(next.Owners))
 	for _, s := range next.Slots {
 		if s.Owner >= 0 {
 			counts[s.Owner]++
 		}
 	}
-	since := wall + Margin(t.Lease.Std()).Milliseconds()
+	since := nowMillis + Margin(t.Lease.Std()).Milliseconds()
 	for _, i := range orphans {
-		o := least(counts)
+		o := minIndex(counts)
 		counts[o]++
 		next.Slots[i] = spec.HomeSlot{Owner: o, Since: since, Took: next.Epoch}
 	}
-	mark(t, &next, wall)
+	setPreviousOwners(t, &next, nowMillis)
 	return next, true
 }
 
-func create(live []spec.HomeOwner, wall int64) (spec.Homes, bool) {
+// newTable returns a table whose slots are spread evenly over the live owners.
+// It returns false if there are none.
+func newTable(live []spec.HomeOwner, nowMillis int64) (spec.Homes, bool) {
 	if len(live) == 0 {
 		return spec.Homes{}, false
 	}
-	t := spec.Homes{Epoch: 1, Lease: spec.Duration(DefaultLease), Owners: live, Touched: wall, Slots: make([]spec.HomeSlot, Slots)}
+	t := spec.Homes{Epoch: 1, Lease: spec.Duration(DefaultLease), Owners: live, Touched: nowMillis, Slots: make([]spec.HomeSlot, Slots)}
 	for i := range t.Slots {
 		t.Slots[i] = spec.HomeSlot{Owner: i % len(live), Took: 1}
 	}
 	return t, true
 }
 
-// sorted returns live in one order for every caller, without duplicates of a
-// name: the first of them stays.
-func sorted(live []spec.HomeOwner) []spec.HomeOwner {
+// sortedUnique returns live sorted by name, so that every caller gets the same
+// order. Of several owners with the same name it keeps the first.
+func sortedUnique(live []spec.HomeOwner) []spec.HomeOwner {
 	out := slices.Clone(live)
 	slices.SortStableFunc(out, func(a, b spec.HomeOwner) int {
 		if a.Name < b.Name {
@@ -132,7 +138,8 @@
 	return slices.CompactFunc(out, func(a, b spec.HomeOwner) bool { return a.Name == b.Name })
 }
 
-func orphaned(t spec.Homes, live []spec.HomeOwner) []int {
+// orphanedSlots returns the indexes of the slots whose owner is not live.
+func orphanedSlots(t spec.Homes, live []spec.HomeOwner) []int {
 	alive := make(map[spec.HomeOwner]bool, len(live))
 	for _, o := range live {
 		alive[o] = true
@@ -146,18 +153,18 @@
 	return out
 }
 
-// remap returns a copy of t whose Owners are live and whose slots point into
-// them, -1 for the orphans.
-func remap(t spec.Homes, live []spec.HomeOwner, wall int64) spec.Homes {
-	at := make(map[spec.HomeOwner]int, len(live))
+// remapOwners returns a copy of t with live as its owners. Orphaned slots get
+// the owner -1.
+func remapOwners(t spec.Homes, live []spec.HomeOwner, nowMillis int64) spec.Homes {
+	index := make(map[spec.HomeOwner]int, len(live))
 	for i, o := range live {
-		at[o] = i
+		index[o] = i
 	}
-	next := spec.Homes{Epoch: t.Epoch + 1, Lease: t.Lease, Owners: live, Touched: wall, Slots: make([]spec.HomeSlot, len(t.Slots))}
+	next := spec.Homes{Epoch: t.Epoch + 1, Lease: t.Lease, Owners: live, Touched: nowMillis, Slots: make([]spec.HomeSlot, len(t.Slots))}
 	for i, s := range t.Slots {
 		owner := -1
 		if s.Owner >= 0 && s.Owner < len(t.Owners) {
-			if n, ok := at[t.Owners[s.Owner]]; ok {
+			if n, ok := index[t.Owners[s.Owner]]; ok {
 				owner = n
 			}
 		}
@@ -166,28 +173,29 @@
 	return next
 }
 
-func least(counts []int) int {
-	best := 0
+func minIndex(counts []int) int {
+	lowest := 0
 	for i, n := range counts {
-		if n < counts[best] {
-			best = i
+		if n < counts[lowest] {
+			lowest = i
 		}
 	}
-	return best
+	return lowest
 }
 
-// Usable reports whether a key that has no record may run: whether it is
-// certain that no lost or expired record had it. made is when the key was made
-// and wall the time now, both in Unix milliseconds; made is zero for a key that
-// does not tell.
-func Usable(made, since, wall int64) bool {
+// MayRun reports whether a request whose key has no record may run, which
+// requires that no lost or expired record can have had that key. madeMillis is
+// when the key was made, zero if the key does not contain a time. sinceMillis
+// is the time before which records may be lost, and nowMillis the current time.
+// All are in Unix milliseconds.
+func Usable(madeMillis, sinceMillis, nowMillis int64) bool {
 	skew, retention := Skew.Milliseconds(), Retention.Milliseconds()
-	if made > wall+skew {
-		// A clock that runs ahead would make every key look new.
-		made = 0
+	if madeMillis > nowMillis+skew {
+		// A client's clock that runs ahead would make every key look new.
+		madeMillis = 0
 	}
-	if made == 0 {
-		return since == 0 || wall > since+retention
+	if madeMillis == 0 {
+		return sinceMillis == 0 || nowMillis > sinceMillis+retention
 	}
-	return made-skew >= since && made+retention-skew >= wall
+	return madeMillis-skew >= sinceMillis && madeMillis+retention-skew >= nowMillis
 }
--- a/core/homes/homes_test.go
+++ b/core/homes/homes_test.go
@@ -11,7 +11,7 @@
 	"lycheepond/core/spec"
 )
 
-const wall = int64(1_800_000_000_000)
+const startMillis = int64(1_800_000_000_000)
 
 func owners(names ...string) []spec.HomeOwner {
 	var out []spec.HomeOwner
@@ -21,8 +21,8 @@
 	return out
 }
 
-func TestCreateSpreadsSlots(t *testing.T) {
-	tab, changed := Takeover(spec.Homes{}, owners("b", "a", "c"), wall)
+func TestNewTableSpreadsSlots(t *testing.T) {
+	tab, changed := Takeover(spec.Homes{}, owners("b", "a", "c"), startMillis)
 	if !changed || tab.Epoch != 1 || len(tab.Slots) != Slots {
 		t.Fatalf("epoch %d, %d slots", tab.Epoch, len(tab.Slots))
 	}
@@ -30,7 +30,7 @@
 	for _, s := range tab.Slots {
 		counts[s.Owner]++
 		if s.Since != 0 {
-			t.Fatal("a new table says that records are lost")
+			t.Fatal("a new table reports lost records")
 		}
 	}
 	for _, n := range counts {
@@ -38,21 +38,21 @@
 			t.Fatalf("counts %v", counts)
 		}
 	}
-	if _, changed := Takeover(tab, owners("a", "b", "c", "d"), wall); changed {
-		t.Fatal("a new agent moved slots")
+	if _, changed := Takeover(tab, owners("a", "b", "c", "d"), startMillis); changed {
+		t.Fatal("slots moved to a new agent")
 	}
 }
 
-// An agent is lost. Only its keys may become unknown: were others moved, every
-// failure would refuse retries all over the pool.
-func TestTakeoverMovesOnlyOrphans(t *testing.T) {
+// An agent is lost. Only its keys may become unknown. If other slots moved as
+// well, every failure would refuse retries in the whole pool.
+func TestReassignSlotsMovesOnlyOrphans(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := make([]spec.HomeOwner, rapid.IntRange(2, 12).Draw(t, "agents"))
 		for i := range all {
 			all[i] = spec.HomeOwner{Name: fmt.Sprintf("a%02d", i), Incarnation: 1}
 		}
-		tab, _ := Takeover(spec.Homes{}, all, wall)
-		now := wall
+		tab, _ := Takeover(spec.Homes{}, all, startMillis)
+		now := startMillis
 		for range rapid.IntRange(1, 6).Draw(t, "changes") {
 			now += rapid.Int64Range(1, 100_000).Draw(t, "later")
 			i := rapid.IntRange(0, len(all)-1).Draw(t, "lost")
@@ -67,7 +67,7 @@
 					t.Fatalf("slot %d moved from %v to %v", s, before, after)
 				}
 				if before != after && next.Slots[s].Since < now+tab.Lease.Std().Milliseconds() {
-					t.Fatalf("slot %d may be used before the old lease ran out", s)
+					t.Fatalf("slot %d may be used before the old lease expired", s)
 				}
 			}
 			tab = next
@@ -75,34 +75,35 @@
 	})
 }
 
-// Two entries decide at the same time from the same lists in another order.
-// One write wins; the other must not find a reason to change it again.
-func TestTakeoverIsTheSameForAll(t *testing.T) {
-	tab, _ := Takeover(spec.Homes{}, owners("a", "b", "c"), wall)
-	one, _ := Takeover(tab, owners("c", "a"), wall)
-	two, _ := Takeover(tab, owners("a", "c"), wall)
+// Two entries decide at the same time from the same lists in a different order.
+// One write succeeds; the other entry must not find a reason to change the
+// table again.
+func TestReassignSlotsIsDeterministic(t *testing.T) {
+	tab, _ := Takeover(spec.Homes{}, owners("a", "b", "c"), startMillis)
+	one, _ := Takeover(tab, owners("c", "a"), startMillis)
+	two, _ := Takeover(tab, owners("a", "c"), startMillis)
 	for i := range one.Slots {
 		if one.Slots[i] != two.Slots[i] {
 			t.Fatalf("slot %d differs", i)
 		}
 	}
-	if _, changed := Takeover(one, owners("c", "a"), wall+1); changed {
-		t.Fatal("the result is changed again")
+	if _, changed := Takeover(one, owners("c", "a"), startMillis+1); changed {
+		t.Fatal("the result was changed again")
 	}
-	if same, changed := Takeover(tab, nil, wall); changed || same.Epoch != 1 {
+	if same, changed := Takeover(tab, nil, startMillis); changed || same.Epoch != 1 {
 		t.Fatal("a table without live agents was changed")
 	}
 }
 
-// holders drives agents through takeovers, pauses and late confirmations. At
-// no moment may two of them act for the same key.
+// The test runs agents through reassignments, pauses and delayed confirmations.
+// No two agents may act for the same key at the same time.
 func TestNeverTwoOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := owners("a", "b", "c")
-		tab, _ := Takeover(spec.Homes{}, names, wall)
+		tab, _ := Takeover(spec.Homes{}, names, startMillis)
 		holders := []*Holder{NewHolder(names[0]), NewHolder(names[1]), NewHolder(names[2])}
-		// confirmed is the last time at which an entry saw the epoch at the
-		// platform, on the clock of all.
+		// confirmed is the last time at which an entry confirmed the epoch at
+		// the platform. All clocks agree.
 		now, confirmed := time.Duration(0), time.Duration(0)
 		key := make([]byte, 8)
 		for range 60 {
@@ -113,7 +114,7 @@
 			case 1:
 				alive := owners("a", "b", "c")
 				i := rapid.IntRange(0, 2).Draw(t, "thought dead")
-				tab, _ = Takeover(tab, append(alive[:i], alive[i+1:]...), wall+now.Milliseconds())
+				tab, _ = Takeover(tab, append(alive[:i], alive[i+1:]...), startMillis+now.Milliseconds())
 				confirmed = now
 			case 2:
 				holders[rapid.IntRange(0, 2).Draw(t, "learner")].Learn(now, tab)
@@ -135,15 +136,16 @@
 	})
 }
 
-// An entry's answer to the question for the lease is late, or rests on an old
-// confirmation. The lease counts from the asking, less that age.
-func TestLeaseCountsFromAsking(t *testing.T) {
-	tab, _ := Takeover(spec.Homes{}, owners("a"), wall)
+// An entry's answer to the request for a lease is late, or is based on an old
+// confirmation. The lease must count from the request, less the age of that
+// confirmation.
+func TestLeaseCountsFromRequest(t *testing.T) {
+	tab, _ := Takeover(spec.Homes{}, owners("a"), startMillis)
 	h := NewHolder(tab.Owners[0])
 	h.Learn(0, tab)
 	key := []byte("k")
 	if v := h.Owns(0, key, 1); v != NoLease {
-		t.Fatalf("verdict %d without a lease", v)
+		t.Fatalf("ownership %d without a lease", v)
 	}
 	h.Confirm(time.Second, 3*time.Second, 1)
 	until := DefaultLease - 2*time.Second
@@ -152,76 +154,76 @@
 	}
 	resized := spec.Homes{Epoch: 2, Lease: tab.Lease, Owners: tab.Owners, Slots: tab.Slots[1:]}
 	if h.Learn(4*time.Second, resized) {
-		t.Fatal("a table with another number of slots was taken")
+		t.Fatal("a table with a different number of slots was accepted")
 	}
 	h.Confirm(5*time.Second, 0, 2)
 	if h.Lease() != until {
-		t.Fatal("the confirmation of another epoch counted")
+		t.Fatal("the confirmation of another epoch extended the lease")
 	}
 	if h.Owns(0, key, 2) != NotHome {
-		t.Fatal("acted under an epoch that is not known")
+		t.Fatal("acts under an unknown epoch")
 	}
 }
 
-// A restarted agent has none of the records of the process before, so it must
-// not act for its slots until they are given to it anew.
+// A restarted agent has no records of its previous process, so it must not act
+// for its slots until they are assigned to it again.
 func TestRestartedAgentOwnsNothing(t *testing.T) {
-	tab, _ := Takeover(spec.Homes{}, owners("a"), wall)
+	tab, _ := Takeover(spec.Homes{}, owners("a"), startMillis)
 	self := spec.HomeOwner{Name: "a", Incarnation: 2}
 	h := NewHolder(self)
 	h.Learn(0, tab)
 	h.Confirm(0, 0, 1)
 	if h.Owns(0, []byte("k"), 1) != NotHome {
-		t.Fatal("acts on the records of the process before")
+		t.Fatal("acts for the slots of its previous process")
 	}
-	next, _ := Takeover(tab, []spec.HomeOwner{self}, wall)
+	next, _ := Takeover(tab, []spec.HomeOwner{self}, startMillis)
 	h.Learn(time.Second, next)
 	begin := time.Second + Margin(DefaultLease)
 	h.Confirm(begin-time.Second, 0, 2)
 	if h.Owns(begin-1, []byte("k"), 2) != NoLease || h.Owns(begin, []byte("k"), 2) != Owned {
-		t.Fatal("does not wait for the lease before it")
+		t.Fatal("does not wait until the previous lease has expired")
 	}
 	if h.Since([]byte("k")) == 0 {
-		t.Fatal("the table hides that records were lost")
+		t.Fatal("the table does not show that records were lost")
 	}
 }
 
-func TestUsable(t *testing.T) {
+func TestMayRun(t *testing.T) {
 	skew, retention := Skew.Milliseconds(), Retention.Milliseconds()
 	for _, c := range []struct {
 		name        string
 		made, since int64
 		want        bool
 	}{
-		{"opaque, nothing lost", 0, 0, true},
-		{"opaque, records lost", 0, wall - retention, false},
-		{"opaque, long after the loss", 0, wall - retention - 1, true},
-		{"young", wall, wall - skew, true},
-		{"too near the loss for the clocks", wall, wall - skew + 1, false},
-		{"older than the loss", wall - 10*skew, wall - 5*skew, false},
-		{"older than any record is kept", wall - retention, 0, false},
-		{"clock ahead within the skew", wall + skew, wall, true},
-		{"clock far ahead hides the age", wall + 1000*skew, wall - 1, false},
+		{"key without a time, nothing lost", 0, 0, true},
+		{"key without a time, records lost", 0, startMillis - retention, false},
+		{"key without a time, long after the loss", 0, startMillis - retention - 1, true},
+		{"new key", startMillis, startMillis - skew, true},
+		{"too close to the loss for the clock skew", startMillis, startMillis - skew + 1, false},
+		{"older than the loss", startMillis - 10*skew, startMillis - 5*skew, false},
+		{"older than the retention of records", startMillis - retention, 0, false},
+		{"clock ahead within the skew", startMillis + skew, startMillis, true},
+		{"clock far ahead hides the age", startMillis + 1000*skew, startMillis - 1, false},
 	} {
-		if got := Usable(c.made, c.since, wall); got != c.want {
+		if got := Usable(c.made, c.since, startMillis); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
 }
 
-// A damaged table, or one of a future version, must not come into force: a
-// lease that overflows would end in the past, and the next owner would begin
-// while the old one still acts.
-func TestCheckRefusesWhatWouldBreakTheRules(t *testing.T) {
-	good, _ := Takeover(spec.Homes{}, owners("a", "b"), wall)
+// A damaged table, or one written by a future version, must not be used. For
+// example, a lease that overflows would end in the past, and the next owner
+// would act while the old one still does.
+func TestValidateRejectsUnsafeTables(t *testing.T) {
+	good, _ := Takeover(spec.Homes{}, owners("a", "b"), startMillis)
 	if err := Check(good); err != nil {
 		t.Fatal(err)
 	}
-	next, _ := Takeover(good, owners("b"), wall)
+	next, _ := Takeover(good, owners("b"), startMillis)
 	if err := Check(next); err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(*spec.Homes){
+	for name, damage := range map[string]func(*spec.Homes){
 		"no epoch":        func(h *spec.Homes) { h.Epoch = 0 },
 		"endless lease":   func(h *spec.Homes) { h.Lease = 1 << 62 },
 		"no lease":        func(h *spec.Homes) { h.Lease = 0 },
@@ -230,8 +232,8 @@
 		"unknown left":    func(h *spec.Homes) { h.Slots[3].From = 1 },
 		"taken in future": func(h *spec.Homes) { h.Slots[3].Took = 2 },
 	} {
-		bad, _ := Takeover(spec.Homes{}, owners("a", "b"), wall)
-		spoil(&bad)
+		bad, _ := Takeover(spec.Homes{}, owners("a", "b"), startMillis)
+		damage(&bad)
 		if Check(bad) == nil {
 			t.Errorf("%s was accepted", name)
 		}
