--- a/core/once/once.go
+++ b/core/once/once.go
@@ -1,11 +1,11 @@
-// Package once decides for one request whether it may be granted and what may
-// truthfully be said about it.
+// Package once decides whether a request may be granted to an agent, and what
+// may truthfully be said about its execution.
 //
-// The load pattern it answers: an offer stands at two agents, both claim it,
-// frames arrive twice or late, links break after the grant was written and
-// agents restart in between. Without it the same request would be dispatched
-// by two agents, or a caller would hear not-run of a request that ran. The
-// package keeps no figures; its only bound is one grant for each ID.
+// It handles these failures: the same request is offered to two agents and both
+// claim it, frames arrive twice or late, links break after a grant was written,
+// and agents restart in between. Without it, two agents could dispatch the same
+// request, or a caller could be told not-run about a request that ran. The only
+// limit that the package enforces is one grant for each ID.
 package once
 
 import (
@@ -15,20 +15,20 @@
 	"lycheepond/core/ident"
 )
 
-// Outcome is what a caller is told about the dispatch of its request.
+// Outcome is what a caller is told about the execution of its request.
 type Outcome uint8
 
 // The outcomes of a request.
 const (
-	// NotRun: no endpoint has seen the request, nor will one.
+	// NotRun: no endpoint has received the request or will receive it.
 	NotRun Outcome = iota
-	// Unknown: the request may have run, as a whole or in part.
+	// Unknown: the request may have run, in whole or in part.
 	Unknown
-	// Complete: the caller has the whole answer.
+	// Complete: the whole answer was received.
 	Complete
 )
 
-// String returns the outcome as the header Lychee-Outcome spells it.
+// String returns the outcome as it appears in the header Lychee-Outcome.
 func (o Outcome) String() string {
 	switch o {
 	case NotRun:
@@ -39,121 +39,128 @@
 	return "unknown"
 }
 
-// State is where the present attempt of a request stands.
+// State is the state of the current attempt of a request.
 type State uint8
 
 // The states of an attempt.
 const (
-	// Offered: no grant was written under the present ID.
+	// Offered: no grant was written under the current ID.
 	Offered State = iota
-	// Granted: the one grant was written.
+	// Granted: the single grant was written.
 	Granted
-	// Returned: the granted agent gave the request back without running it.
+	// Returned: the granted agent returned the request without running it.
 	Returned
-	// Failed: what became of the granted request is not known, or its answer
-	// broke off.
+	// Failed: it is unknown what happened to the granted request, or its answer
+	// is incomplete.
 	Failed
-	// Ended: the whole answer has arrived.
+	// Ended: the whole answer was received.
 	Ended
 )
 
-// Verdict is the answer to a claim.
-type Verdict uint8
+// ClaimDecision is the reply to a claim.
+type ClaimDecision uint8
 
-// The answers to a claim.
+// The replies to a claim.
 const (
-	// Deny: the claim came too late.
-	Deny Verdict = iota
-	// Grant: write the one grant to the claiming agent.
+	// Deny: the agent may not have the request, usually because the claim came
+	// too late.
+	Deny ClaimDecision = iota
+	// Grant: write the single grant to the claiming agent.
 	Grant
-	// Ignore: the claim repeats the one that was granted. A Deny would make
-	// the agent forget a request that it holds.
+	// Ignore: the claim is a duplicate of the one that was granted. Deny would
+	// make the agent discard a request that it was granted.
 	Ignore
 )
 
-// Agent is one incarnation of an agent. A restarted agent has no memory of
-// what its predecessor did, so the two are never taken for each other.
+// Agent is one incarnation of an agent. A restarted agent does not know what
+// its previous process did, so the two are never treated as the same.
 type Agent struct {
 	Name        string
 	Incarnation uint64
 }
 
-// ErrRenew reports a second attempt that might run the request twice.
-var ErrRenew = errors.New("once: request may have run already: answer the caller with outcome unknown")
+// ErrMayHaveRun is returned by Retry if another attempt is not allowed, because
+// it might run the request twice.
+var ErrMayHaveRun = errors.New("once: request may have run already: answer the caller with outcome unknown")
 
-// Request is the dispatch state of one request over all its attempts. It is
-// owned by one goroutine.
+// Request is the dispatch state of one request over all its attempts. One
+// goroutine owns it.
 type Request struct {
-	// id names the present attempt. An ID under which a grant was written is
-	// never offered again.
+	// id is the ID of the current attempt. An ID under which a grant was
+	// written is never offered again.
 	id    ident.ID
 	state State
-	// holder is the agent that the grant was written to; it is set in every
-	// state but Offered.
+	// holder is the agent to which the grant was written. It is set in every
+	// state except Offered.
 	holder Agent
-	// offers are the agents that may still claim the present ID.
+	// offers are the agents that may still claim the current ID.
 	offers []Agent
-	// former are the agents whose offer of the present ID has ended. None is
-	// offered it again: a copy of the Return that ended the first offer, held
-	// up on the way, would be taken for the word that the later grant did not
-	// run.
-	former []Agent
-	// ran is set for good once an attempt may have reached an endpoint.
-	ran bool
-	// repeatable is set when running twice does no harm. It is never set for a
-	// request with an idempotency key or a non-idempotent mark.
+	// pastOffers are the agents whose offer of the current ID has ended. The ID
+	// is not offered to them again: a delayed copy of the Return that ended the
+	// first offer would be mistaken for the statement that a later grant was
+	// not run.
+	pastOffers []Agent
+	// mayHaveRun is set permanently when an attempt may have reached an
+	// endpoint.
+	mayHaveRun bool
+	// repeatable is set if running the request twice does no harm. It is never
+	// set for a request with an idempotency key or with the non-idempotent
+	// mark.
 	repeatable bool
-	// given is set for good once the caller has a part of an answer.
-	given bool
-	// began is set once a part of the present attempt's answer arrived; a
-	// Return after that is false and is not believed.
-	began bool
-	// grants counts the grants of the present ID: 0 or 1.
-	grants int
+	// answerDelivered is set permanently when the caller has a part of an
+	// answer.
+	answerDelivered bool
+	// answerStarted is set when a part of the current attempt's answer has
+	// arrived. A Return after that can't be true and is ignored.
+	answerStarted bool
+	// grantCount is the number of grants written under the current ID, 0 or 1.
+	grantCount int
 }
 
-// New returns a request whose first attempt is id.
+// New returns a request whose first attempt has the given ID.
 func New(id ident.ID, repeatable bool) *Request {
 	return &Request{id: id, repeatable: repeatable}
 }
 
-// ID returns the ID of the present attempt.
+// ID returns the ID of the current attempt.
 func (r *Request) ID() ident.ID { return r.id }
 
-// State returns the state of the present attempt.
+// State returns the state of the current attempt.
 func (r *Request) State() State { return r.state }
 
-// Holder returns the agent that holds the grant.
+// Holder returns the agent to which the grant was written.
 func (r *Request) Holder() Agent { return r.holder }
 
-// Offers returns the agents that may still claim. The caller must not keep it.
+// Offers returns the agents that may still claim the request. The caller must
+// not keep the slice.
 func (r *Request) Offers() []Agent { return r.offers }
 
-// Offer notes that the present ID is offered to a. It reports false when it
-// may not be.
+// Offer records that the current ID is offered to a. It reports whether the
+// offer is allowed.
 func (r *Request) Offer(a Agent) bool {
-	if r.state != Offered || slices.Contains(r.former, a) || r.offered(a) {
+	if r.state != Offered || slices.Contains(r.pastOffers, a) || r.hasOffer(a) {
 		return false
 	}
 	r.offers = append(r.offers, a)
 	return true
 }
 
-func (r *Request) offered(a Agent) bool { return slices.Contains(r.offers, a) }
+func (r *Request) hasOffer(a Agent) bool { return slices.Contains(r.offers, a) }
 
-// Claim decides about a claim of id by a.
-func (r *Request) Claim(id ident.ID, a Agent) Verdict {
+// HandleClaim decides on a claim of id by a. If it returns Grant, the caller
+// must write the grant or call RevokeUnsentGrant.
+func (r *Request) Claim(id ident.ID, a Agent) ClaimDecision {
 	if id != r.id {
 		return Deny
 	}
 	switch r.state {
 	case Offered:
-		if !r.offered(a) {
+		if !r.hasOffer(a) {
 			return Deny
 		}
 		r.state, r.holder = Granted, a
-		r.grants++
-		r.drop(a)
+		r.grantCount++
+		r.endOffer(a)
 		return Grant
 	case Granted, Ended:
 		if a == r.holder {
@@ -163,132 +170,139 @@
 	return Deny
 }
 
-// Join notes that a holds the answer of an earlier request under the same
-// idempotency key and sends it under the present ID. That request ran, so the
-// present one may not be called not-run any more, and no grant is written.
+// JoinAnswer records that a holds the answer of an earlier request with the
+// same idempotency key and sends it under the current ID. The earlier request
+// ran, so the current one may no longer be called not-run, and no grant is
+// written. It reports whether a has an open offer of id.
 func (r *Request) Join(id ident.ID, a Agent) bool {
-	if id != r.id || r.state != Offered || !r.offered(a) {
+	if id != r.id || r.state != Offered || !r.hasOffer(a) {
 		return false
 	}
-	r.state, r.holder, r.began, r.repeatable = Granted, a, true, false
-	r.drop(a)
+	r.state, r.holder, r.answerStarted, r.repeatable = Granted, a, true, false
+	r.endOffer(a)
 	return true
 }
 
-// Taint notes that an earlier request under the same idempotency key may have
-// run.
-func (r *Request) Taint() { r.ran = true }
+// MarkMayHaveRun records that an earlier request with the same idempotency key
+// may have run.
+func (r *Request) Taint() { r.mayHaveRun = true }
 
-// Unwritten takes back a grant that never left this process, because the link
-// refused to queue it. The agent's offer is gone with its link.
+// RevokeUnsentGrant takes back a grant that never left this process because the
+// link refused to queue it. The agent's offer ends with its link.
 func (r *Request) Unwritten() {
 	if r.state != Granted {
 		return
 	}
-	// The agent stays in former: its link has ended or is about to.
+	// The agent stays in pastOffers: its link has ended or is about to end.
 	r.state, r.holder = Offered, Agent{}
-	r.grants--
+	r.grantCount--
 }
 
-// Return notes that a gave id back. It reports whether that closed an open
-// offer or the grant. The word of an agent counts only in the incarnation that
-// got the grant: a restarted agent can't know what its predecessor dispatched.
+// HandleReturn records that a returned id without running it. It reports
+// whether that ended an open offer or the grant. For a grant, the Return counts
+// only if it comes from the incarnation that got the grant: a restarted agent
+// can't know what its previous process dispatched.
 func (r *Request) Return(id ident.ID, a Agent) bool {
 	if id != r.id {
 		return false
 	}
 	switch r.state {
 	case Offered:
-		return r.drop(a)
+		return r.endOffer(a)
 	case Granted:
 		if a != r.holder {
-			return r.drop(a)
+			return r.endOffer(a)
 		}
-		if r.began {
+		if r.answerStarted {
 			return false
 		}
 		r.state = Returned
 		return true
 	}
-	return r.drop(a)
+	return r.endOffer(a)
 }
 
-// Drop forgets the open offer at a. It reports whether there was one.
-func (r *Request) Drop(a Agent) bool { return r.drop(a) }
+// DropOffer ends the open offer to a and reports whether there was one.
+func (r *Request) Drop(a Agent) bool { return r.endOffer(a) }
 
-func (r *Request) drop(a Agent) bool {
+func (r *Request) endOffer(a Agent) bool {
 	i := slices.Index(r.offers, a)
 	if i < 0 {
 		return false
 	}
 	r.offers = slices.Delete(r.offers, i, i+1)
-	r.former = append(r.former, a)
+	r.pastOffers = append(r.pastOffers, a)
 	return true
 }
 
-// Begin notes that a part of the answer arrived from the granted agent.
+// RecordAnswerStart records that a part of the answer has arrived from the
+// granted agent.
 func (r *Request) Begin() {
 	if r.state == Granted {
-		r.began = true
+		r.answerStarted = true
 	}
 }
 
-// Give notes that the caller is about to get the first part of the answer.
-func (r *Request) Give() { r.given = true }
+// RecordDelivery records that the caller is about to get the first part of the
+// answer.
+func (r *Request) Give() { r.answerDelivered = true }
 
-// Given reports whether the caller has a part of the answer.
-func (r *Request) Given() bool { return r.given }
+// AnswerDelivered reports whether the caller has a part of the answer.
+func (r *Request) Given() bool { return r.answerDelivered }
 
-// Fail notes that the granted attempt has no whole answer and may have run.
+// Fail records that the granted attempt has no complete answer and may have
+// run.
 func (r *Request) Fail() {
 	if r.state == Granted {
 		r.state = Failed
 	}
 }
 
-// End notes that the whole answer has arrived.
+// End records that the whole answer has arrived.
 func (r *Request) End() {
 	if r.state == Granted {
 		r.state = Ended
 	}
 }
 
-// MayRenew reports whether another attempt could be made: nobody holds the
-// last one's offer, or it certainly did not run, or running again does no harm
-// and the caller has nothing of the first answer.
+// MayRetry reports whether another attempt is allowed. It is if the current
+// attempt has no open offer and no grant, or if it certainly did not run, or if
+// running it again does no harm. Once the caller has a part of an answer, an
+// attempt that was granted must not be repeated.
 func (r *Request) MayRenew() bool {
 	switch r.state {
 	case Offered:
 		return len(r.offers) == 0
 	case Returned:
-		return !r.given
+		return !r.answerDelivered
 	case Failed:
-		return r.repeatable && !r.given
+		return r.repeatable && !r.answerDelivered
 	}
 	return false
 }
 
-// Renew begins another attempt under id.
+// Retry starts another attempt under a new ID. It returns ErrMayHaveRun if
+// MayRetry reports false.
 func (r *Request) Renew(id ident.ID) error {
 	if !r.MayRenew() || id == r.id {
-		return ErrRenew
+		return ErrMayHaveRun
 	}
 	if r.state == Failed {
-		r.ran = true
+		r.mayHaveRun = true
 	}
-	r.id, r.state, r.holder, r.grants = id, Offered, Agent{}, 0
-	r.began = false
-	r.offers, r.former = r.offers[:0], r.former[:0]
+	r.id, r.state, r.holder, r.grantCount = id, Offered, Agent{}, 0
+	r.answerStarted = false
+	r.offers, r.pastOffers = r.offers[:0], r.pastOffers[:0]
 	return nil
 }
 
-// Outcome returns what may truthfully be said of the request now, were it
-// given up.
+// Outcome returns what may truthfully be said about the request if it is given
+// up now.
 func (r *Request) Outcome() Outcome {
 	switch {
 	case r.state == Ended:
 		return Complete
-	case r.ran, r.state == Granted, r.state == Failed:
+	case r.mayHaveRun, r.state == Granted, r.state == Failed:
 		return Unknown
 	}
 	return NotRun
--- a/core/once/once_test.go
+++ b/core/once/once_test.go
@@ -10,93 +10,97 @@
 	"lycheepond/core/ident"
 )
 
-// TestMain fixes the seed, so that every run checks the same histories.
+// TestMain sets a fixed seed, so that every run checks the same histories.
 func TestMain(m *testing.M) { os.Exit(fixed.Run(m, fixed.Seed, 3000)) }
 
-// frame is a Return that an agent has sent at some time.
-type frame struct {
-	id ident.ID
-	a  Agent
+// returnFrame is a Return that an agent has sent.
+type returnFrame struct {
+	id    ident.ID
+	agent Agent
 }
 
-// world is what really happens at the agents, which a Request can only guess.
-type world struct {
+// simulation is the true state of the agents, which a Request can only infer.
+type simulation struct {
 	r *Request
-	// offered holds the offers that reached an agent and were not taken back.
-	offered map[frame]bool
-	// granted maps an ID to the agent that holds its grant and still may run.
-	granted map[ident.ID]Agent
-	grants  map[ident.ID]int
-	// sent are all Returns ever sent; any may arrive again at any time.
-	sent []frame
-	runs int
-	next uint64
+	// offered holds the offers that have reached an agent and were not
+	// returned.
+	offered map[returnFrame]bool
+	// grantHolders maps an ID to the agent that holds its grant and may still
+	// run it.
+	grantHolders map[ident.ID]Agent
+	grantCounts  map[ident.ID]int
+	// sentReturns holds every Return sent so far. Each may arrive again at any
+	// time.
+	sentReturns []returnFrame
+	runs        int
+	lastID      uint64
 }
 
-func (w *world) id() ident.ID {
-	w.next++
-	return ident.Make(1, w.next)
+func (w *simulation) newID() ident.ID {
+	w.lastID++
+	return ident.Make(1, w.lastID)
 }
 
-// Two agents claim the same offer, frames arrive twice or long after they were
-// sent, agents restart between grant and answer. A user would notice it as a
-// request that ran twice, or that ran after an answer had said not-run.
-func TestNeverTwiceNeverFalse(t *testing.T) {
+// Two agents claim the same offer, frames arrive twice or with a long delay,
+// and agents restart between grant and answer. No request may run twice unless
+// it is repeatable, and none may be reported as not-run if it ran or may still
+// run.
+func TestNoSecondRunAndNoFalseNotRun(t *testing.T) {
 	agents := []Agent{{"a", 1}, {"a", 2}}
 	rapid.Check(t, func(t *rapid.T) {
 		repeatable := rapid.Bool().Draw(t, "repeatable")
-		w := &world{offered: map[frame]bool{}, granted: map[ident.ID]Agent{}, grants: map[ident.ID]int{}}
-		w.r = New(w.id(), repeatable)
+		w := &simulation{offered: map[returnFrame]bool{}, grantHolders: map[ident.ID]Agent{}, grantCounts: map[ident.ID]int{}}
+		w.r = New(w.newID(), repeatable)
 		agent := rapid.SampledFrom(agents)
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": func(t *rapid.T) {
 				a := agent.Draw(t, "agent")
 				if w.r.Offer(a) {
-					w.offered[frame{w.r.ID(), a}] = true
+					w.offered[returnFrame{w.r.ID(), a}] = true
 				}
 			},
 			"claim": func(t *rapid.T) {
 				a := agent.Draw(t, "agent")
 				id := w.r.ID()
 				if w.r.Claim(id, a) == Grant {
-					w.grants[id]++
-					w.granted[id] = a
+					w.grantCounts[id]++
+					w.grantHolders[id] = a
 				}
 			},
 			"return": func(t *rapid.T) {
-				f := frame{w.r.ID(), agent.Draw(t, "agent")}
+				f := returnFrame{w.r.ID(), agent.Draw(t, "agent")}
 				if !w.offered[f] {
 					t.Skip("not offered")
 				}
-				if holder, ok := w.granted[f.id]; ok && holder != f.a {
+				if holder, ok := w.grantHolders[f.id]; ok && holder != f.agent {
 					t.Skip("another agent's grant")
 				}
 				delete(w.offered, f)
-				delete(w.granted, f.id)
-				w.sent = append(w.sent, f)
-				w.r.Return(f.id, f.a)
+				delete(w.grantHolders, f.id)
+				w.sentReturns = append(w.sentReturns, f)
+				w.r.Return(f.id, f.agent)
 			},
 			"stale return": func(t *rapid.T) {
-				if len(w.sent) == 0 {
+				if len(w.sentReturns) == 0 {
 					t.Skip("none sent")
 				}
-				f := rapid.SampledFrom(w.sent).Draw(t, "frame")
-				w.r.Return(f.id, f.a)
+				f := rapid.SampledFrom(w.sentReturns).Draw(t, "frame")
+				w.r.Return(f.id, f.agent)
 			},
 			"run": func(_ *rapid.T) {
-				for id := range w.granted {
-					delete(w.granted, id)
-					delete(w.offered, frame{id, w.r.Holder()})
+				for id := range w.grantHolders {
+					delete(w.grantHolders, id)
+					delete(w.offered, returnFrame{id, w.r.Holder()})
 					w.runs++
 				}
 			},
 			"link lost": func(t *rapid.T) { w.r.Drop(agent.Draw(t, "agent")) },
 			"broken":    func(*rapid.T) { w.r.Fail() },
 			"renew": func(*rapid.T) {
-				id := w.id()
+				id := w.newID()
 				before := w.r.State()
 				if w.r.Renew(id) == nil && before == Failed && !repeatable {
-					t.Fatal("renewed a request that may not be repeated")
+					t.Fatal("retried a request that may not be repeated")
 				}
 			},
 			"": func(t *rapid.T) { w.check(t, repeatable) },
@@ -104,31 +108,32 @@
 	})
 }
 
-func (w *world) check(t *rapid.T, repeatable bool) {
-	for id, n := range w.grants {
+func (w *simulation) check(t *rapid.T, repeatable bool) {
+	for id, n := range w.grantCounts {
 		if n > 1 {
 			t.Fatalf("%d grants of %s", n, id)
 		}
 	}
-	if w.r.Outcome() == NotRun && w.runs+len(w.granted) > 0 {
+	if w.r.Outcome() == NotRun && w.runs+len(w.grantHolders) > 0 {
 		t.Fatalf("not-run of a request that ran or may run")
 	}
-	if !repeatable && w.runs+len(w.granted) > 1 {
-		t.Fatalf("ran or may run %d times", w.runs+len(w.granted))
+	if !repeatable && w.runs+len(w.grantHolders) > 1 {
+		t.Fatalf("ran or may run %d times", w.runs+len(w.grantHolders))
 	}
 }
 
-// An agent has no room and gives the offer back; a copy of that frame is held
-// up on the way. The same agent then gets the request again, claims it and
-// runs it. The copy must not be taken for word that it did not run.
-func TestLateCopyOfReturn(t *testing.T) {
+// An agent has no room and returns an offer, and a copy of that frame is
+// delayed. The same agent then gets the request again, claims it and runs it.
+// The delayed copy must not be mistaken for the statement that the request was
+// not run.
+func TestDelayedCopyOfReturn(t *testing.T) {
 	a := Agent{"a", 1}
 	id := ident.Make(1, 1)
 	r := New(id, false)
 	r.Offer(a)
 	r.Return(id, a)
 	if r.Offer(a) {
-		t.Fatal("the same ID was offered again to an agent that gave it back")
+		t.Fatal("the same ID was offered again to an agent that returned it")
 	}
 	next := ident.Make(1, 2)
 	if err := r.Renew(next); err != nil {
@@ -138,31 +143,31 @@
 	r.Claim(next, a)
 	r.Return(id, a)
 	if o := r.Outcome(); o != Unknown {
-		t.Errorf("outcome %s of a request that runs", o)
+		t.Errorf("outcome %s of a running request", o)
 	}
 }
 
-// The first request under a key runs at its home; a retry gets its answer. If
-// that answer breaks off, the caller must not hear not-run.
-func TestJoinedIsNeverNotRun(t *testing.T) {
+// The first request with a key runs at its home, and a retry gets its answer.
+// If that answer is incomplete, the caller must not be told not-run.
+func TestJoinedRequestIsNeverNotRun(t *testing.T) {
 	a := Agent{"a", 1}
 	id := ident.Make(1, 1)
 	r := New(id, false)
 	r.Offer(a)
 	if !r.Join(id, a) {
-		t.Fatal("not joined")
+		t.Fatal("JoinAnswer returned false")
 	}
 	if r.Return(id, a) {
-		t.Error("a Return was believed after the answer was joined")
+		t.Error("a Return was accepted after JoinAnswer")
 	}
 	r.Fail()
 	if r.Outcome() != Unknown || r.MayRenew() {
-		t.Errorf("outcome %s, may renew %t", r.Outcome(), r.MayRenew())
+		t.Errorf("outcome %s, may retry %t", r.Outcome(), r.MayRenew())
 	}
 }
 
-// The holder's claim frame arrives twice. A Deny in answer to the copy would
-// make the agent drop a request that it was granted.
+// The claim of the granted agent arrives twice. A Deny for the copy would make
+// the agent discard the request that it was granted.
 func TestRepeatedClaimIsIgnored(t *testing.T) {
 	a := Agent{"a", 1}
 	id := ident.Make(1, 1)
@@ -176,8 +181,8 @@
 	}
 }
 
-// An answer whose first byte the caller has can't be taken back.
-func TestGivenIsNotRepeated(t *testing.T) {
+// An answer can't be repeated after the caller has received its first byte.
+func TestDeliveredAnswerIsNotRetried(t *testing.T) {
 	a := Agent{"a", 1}
 	id := ident.Make(1, 1)
 	r := New(id, true)
@@ -186,6 +191,6 @@
 	r.Give()
 	r.Fail()
 	if r.MayRenew() {
-		t.Error("may run again after the caller got a part of the answer")
+		t.Error("may be retried after the caller got a part of the answer")
 	}
 }
