--- a/core/recent/recent.go
+++ b/core/recent/recent.go
@@ -1,34 +1,40 @@
-// Package recent holds values by key and forgets those that were not used for
-// longest, so that what is learnt of customers and prompts stays bounded.
+// Package recent implements a bounded map that evicts the least recently used
+// key. It bounds the memory for what is learnt about customers and prompts.
 package recent
 
-type slot[K comparable, V any] struct {
+// element is a key with its value and its position in the order of use.
+type element[K comparable, V any] struct {
 	key   K
 	value V
-	// newer and older are neighbours in the order of use, -1 at the ends.
+	// newer and older are the indexes of the neighbours in the order of use, or
+	// -1 at the ends.
 	newer, older int32
 }
 
-// Table holds at most a fixed number of values.
+// Table holds at most a fixed number of values. It is not safe for concurrent
+// use.
 type Table[K comparable, V any] struct {
-	// slots never grows beyond max; index holds the place of each key in it.
-	max   int
-	index map[K]int32
-	slots []slot[K, V]
-	// newest and oldest are the ends of the order of use, -1 when empty.
+	// max is the maximum length of elements. index maps each key to its
+	// element.
+	max      int
+	index    map[K]int32
+	elements []element[K, V]
+	// newest and oldest are the ends of the order of use, or -1 if the table is
+	// empty.
 	newest, oldest int32
 }
 
-// New returns an empty table for up to limit values; limit is at least one.
+// New returns an empty table for at most limit values. A limit below one counts
+// as one.
 func New[K comparable, V any](limit int) *Table[K, V] {
 	return &Table[K, V]{max: max(limit, 1), index: make(map[K]int32), newest: -1, oldest: -1}
 }
 
-// Len returns how many values are held.
-func (t *Table[K, V]) Len() int { return len(t.slots) }
+// Len returns the number of values.
+func (t *Table[K, V]) Len() int { return len(t.elements) }
 
-// Find returns the value of k, nil if there is none. It counts as a use. The
-// pointer is valid until the next call of Get.
+// Find returns the value of k, or nil if there is none. It counts as a use. The
+// pointer is valid until the next call of GetOrAdd.
 func (t *Table[K, V]) Find(k K) *V {
 	i, ok := t.index[k]
 	if !ok {
@@ -36,64 +42,68 @@
 	}
 	t.unlink(i)
 	t.link(i)
-	return &t.slots[i].value
+	return &t.elements[i].value
 }
 
-// Peek returns the value of k, nil if there is none. It does not count as a use.
+// Peek is like Find but does not count as a use.
 func (t *Table[K, V]) Peek(k K) *V {
 	if i, ok := t.index[k]; ok {
-		return &t.slots[i].value
+		return &t.elements[i].value
 	}
 	return nil
 }
 
-// Each calls f with every key and its value.
+// Each calls f for every key and its value, in no particular order. It does not
+// count as a use.
 func (t *Table[K, V]) Each(f func(k K, v *V)) {
-	for i := range t.slots {
-		f(t.slots[i].key, &t.slots[i].value)
+	for i := range t.elements {
+		f(t.elements[i].key, &t.elements[i].value)
 	}
 }
 
-// Get returns the value of k, a zero one if there was none. The pointer is
-// valid until the next call of Get.
+// GetOrAdd returns the value of k. If there is none, it adds a zero value, and
+// evicts the least recently used key if the table is full. It counts as a use.
+// The pointer is valid until the next call of GetOrAdd.
 func (t *Table[K, V]) Get(k K) *V {
 	if v := t.Find(k); v != nil {
 		return v
 	}
 	var i int32
-	if len(t.slots) < t.max {
-		i = int32(len(t.slots))
-		t.slots = append(t.slots, slot[K, V]{})
+	if len(t.elements) < t.max {
+		i = int32(len(t.elements))
+		t.elements = append(t.elements, element[K, V]{})
 	} else {
 		i = t.oldest
 		t.unlink(i)
-		delete(t.index, t.slots[i].key)
+		delete(t.index, t.elements[i].key)
 	}
-	t.slots[i] = slot[K, V]{key: k}
+	t.elements[i] = element[K, V]{key: k}
 	t.index[k] = i
 	t.link(i)
-	return &t.slots[i].value
+	return &t.elements[i].value
 }
 
+// unlink removes element i from the order of use.
 func (t *Table[K, V]) unlink(i int32) {
-	s := &t.slots[i]
+	s := &t.elements[i]
 	if s.newer >= 0 {
-		t.slots[s.newer].older = s.older
+		t.elements[s.newer].older = s.older
 	} else {
 		t.newest = s.older
 	}
 	if s.older >= 0 {
-		t.slots[s.older].newer = s.newer
+		t.elements[s.older].newer = s.newer
 	} else {
 		t.oldest = s.newer
 	}
 }
 
+// link adds element i to the order of use as the newest.
 func (t *Table[K, V]) link(i int32) {
-	s := &t.slots[i]
+	s := &t.elements[i]
 	s.newer, s.older = -1, t.newest
 	if t.newest >= 0 {
-		t.slots[t.newest].newer = i
+		t.elements[t.newest].newer = i
 	}
 	t.newest = i
 	if t.oldest < 0 {
--- a/core/recent/recent_test.go
+++ b/core/recent/recent_test.go
@@ -7,7 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-func TestKeepsTheLastUsed(t *testing.T) {
+// For any sequence of uses, the table holds exactly the most recently used keys
+// with their values.
+func TestKeepsMostRecentlyUsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 5
 		table := New[int, int](limit)
@@ -26,13 +28,13 @@
 					t.Fatalf("Peek(%d) = %v, last used %v", k, v, used)
 				}
 			}
-			seen := 0
+			visited := 0
 			table.Each(func(k int, v *int) {
-				if seen++; *v != k || !slices.Contains(used, k) {
+				if visited++; *v != k || !slices.Contains(used, k) {
 					t.Fatalf("Each(%d) = %d, last used %v", k, *v, used)
 				}
 			})
-			if table.Len() != len(used) || seen != len(used) || len(table.index) != len(used) {
+			if table.Len() != len(used) || visited != len(used) || len(table.index) != len(used) {
 				t.Fatalf("holds %d, want %d", table.Len(), len(used))
 			}
 		}
