--- a/core/fixed/fixed.go
+++ b/core/fixed/fixed.go
@@ -1,6 +1,7 @@
-// Package fixed gives property tests the same verdict in every run. A seed
-// drawn anew each time would fail now and then for a fault, or for too few
-// interesting histories, that the next run does not show again.
+// Package fixed runs property tests with a fixed seed, so that every run has
+// the same result. With a random seed, a test would fail now and then, because
+// of a fault or because the generated histories contained too few interesting
+// ones, and the next run would not reproduce it.
 package fixed
 
 import (
@@ -9,24 +10,24 @@
 	"testing"
 )
 
-// Seed is the seed of packages without a reason for another.
+// Seed is the seed for packages that have no reason to use another one.
 const Seed = 1
 
-// Run runs the tests of a package with the property tests' seed and number of
-// checks set, unless the command line sets them. Zero checks leaves the
-// library's number.
+// Run runs the tests of a package with the given seed and number of checks for
+// property tests. Flags on the command line override both. If checks is zero,
+// the number is the default of the rapid library.
 func Run(m *testing.M, seed, checks int) int {
-	set("rapid.seed", strconv.Itoa(seed))
-	set("rapid.nofailfile", "true")
+	setDefault("rapid.seed", strconv.Itoa(seed))
+	setDefault("rapid.nofailfile", "true")
 	if checks > 0 {
-		set("rapid.checks", strconv.Itoa(checks))
+		setDefault("rapid.checks", strconv.Itoa(checks))
 	}
 	return m.Run()
 }
 
-// set gives a flag another default: the command line is read later, by Run of
-// testing.M, and goes before it.
-func set(name, value string) {
+// setDefault changes the default of a flag. The command line is parsed later,
+// by testing.M.Run, and overrides it.
+func setDefault(name, value string) {
 	if err := flag.Set(name, value); err != nil {
 		panic(err)
 	}
