--- a/core/ring/ring.go
+++ b/core/ring/ring.go
@@ -1,4 +1,4 @@
-// Package ring joins two goroutines by a bounded queue.
+// Package ring implements a bounded queue between goroutines.
 package ring
 
 import (
@@ -6,19 +6,21 @@
 	"errors"
 )
 
-// ErrFull reports that the reader of a ring has fallen behind.
+// ErrFull is returned by TryPut when the ring is full because its reader has
+// fallen behind.
 var ErrFull = errors.New("ring: full: the reader has fallen behind, drop the peer or wait with Put")
 
-// Ring is a bounded first-in first-out queue between goroutines.
+// Ring is a bounded first-in first-out queue. Its methods may be called by
+// several goroutines.
 type Ring[T any] struct {
-	// items never holds more than the capacity given to New.
+	// items has the capacity given to New.
 	items chan T
 }
 
-// New returns a ring that holds up to n items.
+// New returns a ring that holds at most n items.
 func New[T any](n int) *Ring[T] { return &Ring[T]{items: make(chan T, n)} }
 
-// Offer adds v without waiting and returns ErrFull when there is no room.
+// TryPut adds v without waiting. It returns ErrFull if the ring is full.
 func (r *Ring[T]) Offer(v T) error {
 	select {
 	case r.items <- v:
@@ -28,7 +30,8 @@
 	}
 }
 
-// Put adds v and waits for room until ctx ends.
+// Put adds v. If the ring is full, it waits for room and returns the cause of
+// ctx if ctx ends first.
 func (r *Ring[T]) Put(ctx context.Context, v T) error {
 	select {
 	case r.items <- v:
@@ -41,8 +44,8 @@
 // Items returns the channel to receive from.
 func (r *Ring[T]) Items() <-chan T { return r.items }
 
-// Len returns how many items wait.
+// Len returns the number of items in the ring.
 func (r *Ring[T]) Len() int { return len(r.items) }
 
-// Cap returns how many items fit.
+// Cap returns the capacity of the ring.
 func (r *Ring[T]) Cap() int { return cap(r.items) }
--- a/core/ring/ring_test.go
+++ b/core/ring/ring_test.go
@@ -9,9 +9,9 @@
 	"lycheepond/core/ring"
 )
 
-// The reader of a ring stops reading while its writer goes on. The writer
-// learns at once that the ring is full instead of growing without bound.
-func TestOfferReportsFull(t *testing.T) {
+// The reader of a ring stops reading while the writer goes on. The writer must
+// be told at once that the ring is full, and the ring must not grow.
+func TestTryPutReportsFull(t *testing.T) {
 	r := ring.New[int](1)
 	if err := r.Offer(1); err != nil {
 		t.Fatal(err)
