--- a/core/bound/bound_test.go
+++ b/core/bound/bound_test.go
@@ -16,9 +16,9 @@
 // answers are late.
 func TestFindsTheBound(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		e     engine
-		guess float64
+		name           string
+		e              engine
+		estimateFactor float64
 	}{
 		{"medium", mediumEngine(), 1},
 		{"fast", engine{tokenInterval: 8 * time.Millisecond, slope: 0.1, slots: 64, prefillRate: 20000, kvTokens: 128000, speed: 1}, 1},
@@ -31,7 +31,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			want, n := bestConstantBound(tc.e, time.Minute, 400, 200)
 			e, b := tc.e, New(Config{})
-			e.drive(b, 2*time.Minute, e.withinBound(b), jobsEstimatedAt(400, 200, tc.guess))
+			e.drive(b, 2*time.Minute, e.withinBound(b), jobsEstimatedAt(400, 200, tc.estimateFactor))
 			got := e.onTimeTokens / e.now.Seconds()
 			t.Logf("%.0f tokens/s in target at bound %d; best constant bound %d gives %.0f; wasted prefill %.2f%%", got, b.Limit(), n, want, 100*e.wastedShare())
 			if got < 0.85*want {
@@ -230,7 +230,7 @@
 		dur := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, name))
 		}
-		num := func(name string, most int) int { return rapid.IntRange(0, most).Draw(t, name) }
+		num := func(name string, maxValue int) int { return rapid.IntRange(0, maxValue).Draw(t, name) }
 		now := time.Duration(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"observe": func(*rapid.T) {
--- a/core/cost/cost_test.go
+++ b/core/cost/cost_test.go
@@ -19,6 +19,7 @@
 // they are equal.
 func errorFactor(got, want float64) float64 { return math.Exp(math.Abs(math.Log(got / want))) }
 
+// Without any history the estimates must be the documented initial values.
 func TestColdStart(t *testing.T) {
 	m := New(Config{})
 	for _, tc := range []struct {
@@ -57,6 +58,8 @@
 	}
 }
 
+// Customers of one class send requests of very different lengths. Each must get
+// estimates from its own history, and a new customer a value in between.
 func TestCustomersDiffer(t *testing.T) {
 	m := New(Config{})
 	for range 60 {
@@ -107,6 +110,7 @@
 	}
 }
 
+// The estimate for calls without tokens must follow their actual time.
 func TestPlainService(t *testing.T) {
 	m := New(Config{})
 	for range 100 {
--- a/core/homes/homes_test.go
+++ b/core/homes/homes_test.go
@@ -21,6 +21,8 @@
 	return out
 }
 
+// A new table must spread its slots evenly and report no lost records. A new
+// agent must not move any slot.
 func TestNewTableSpreadsSlots(t *testing.T) {
 	tab, changed := Takeover(spec.Homes{}, owners("b", "a", "c"), startMillis)
 	if !changed || tab.Epoch != 1 || len(tab.Slots) != Slots {
@@ -188,6 +190,8 @@
 	}
 }
 
+// A key must be run only if no lost or expired record can have had it, whatever
+// the clocks of clients and agents show within the allowed skew.
 func TestMayRun(t *testing.T) {
 	skew, retention := Skew.Milliseconds(), Retention.Milliseconds()
 	for _, c := range []struct {
--- a/core/once/once.go
+++ b/core/once/once.go
@@ -282,7 +282,7 @@
 }
 
 // Retry starts another attempt under a new ID. It returns ErrMayHaveRun if
-// MayRetry reports false.
+// MayRetry reports false or id is the current ID.
 func (r *Request) Renew(id ident.ID) error {
 	if !r.MayRenew() || id == r.id {
 		return ErrMayHaveRun
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -33,6 +33,8 @@
 	return counts
 }
 
+// The first pick must be a lightly loaded agent of the own zone, and other
+// zones, full agents and slow agents only if there is nothing better.
 func TestPick(t *testing.T) {
 	full := func(a *Agent) { a.InFlight, a.Queued, a.QueuedCost = 8, 4, 8*time.Second }
 	for _, tc := range []struct {
@@ -159,6 +161,8 @@
 	}
 }
 
+// Offers that have waited too long must be extended, most urgent first. Offers
+// that are recent, or that enough agents already hold, must not.
 func TestOffersToExtend(t *testing.T) {
 	const s = time.Second
 	offers := []Waiting{
@@ -174,6 +178,8 @@
 	}
 }
 
+// Prompts must have equal hashes exactly as far as they are equal, and at most
+// MaxPrefixHashes of them.
 func TestFingerprint(t *testing.T) {
 	a, b := make([]byte, 5000), make([]byte, 5000)
 	b[1500] = 1
--- a/core/queue/next.go
+++ b/core/queue/next.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// maxSkips is the number of items that may run before one that answered
-	// SkipLimited.
+	// maxSkips is the number of items that may run before one for which fit
+	// returns SkipLimited.
 	maxSkips = 16
 	// maxScanned is the number of items of one tier that PopFitting examines.
 	maxScanned = 32
@@ -54,7 +54,7 @@
 func (q *Queue) findFitting(now time.Duration, fit func(Item) Fit) *node {
 	for i := range q.tiers {
 		t := &q.tiers[i]
-		for tried := 0; t.count > 0 && tried < maxScanned; tried++ {
+		for examined := 0; t.count > 0 && examined < maxScanned; examined++ {
 			n := t.head(now)
 			switch fit(n.Item) {
 			case Fits:
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -37,6 +37,8 @@
 	}
 }
 
+// Pop must return items in order of tier, then of the customers' fair shares,
+// then of lateness, urgency and arrival.
 func TestOrder(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -62,6 +64,8 @@
 	}
 }
 
+// A full queue must make room for a new item only at the expense of lower tiers
+// or of a customer that fills it.
 func TestFullQueueEvicts(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -26,6 +26,8 @@
 	}
 }
 
+// After normal operation the budget must cover the requests in flight of one
+// lost endpoint, and no more.
 func TestBurstCoversOneLostEndpoint(t *testing.T) {
 	b := New(Config{})
 	b.Earn(1000000)
@@ -57,6 +59,8 @@
 	}
 }
 
+// The wait must stay within half and all of the limit for any attempt number,
+// including negative and very large ones.
 func TestBackoff(t *testing.T) {
 	for _, tc := range []struct {
 		attempt   int
--- a/core/ring/ring_test.go
+++ b/core/ring/ring_test.go
@@ -24,6 +24,7 @@
 	}
 }
 
+// Put on a full ring must end with the cause of its context.
 func TestPutEndsWithContext(t *testing.T) {
 	r := ring.New[int](1)
 	ctx, cancel := context.WithCancelCause(context.Background())
--- a/core/roles/roles_test.go
+++ b/core/roles/roles_test.go
@@ -55,6 +55,9 @@
 	return orders, duration, maxLoading, minServing
 }
 
+// All twelve endpoints get a new version in one night. They must all be
+// upgraded, without exceeding the rate of the weight store and without taking
+// too many out of service.
 func TestNightlyUpgrade(t *testing.T) {
 	for _, tc := range []struct {
 		name                   string
@@ -92,6 +95,8 @@
 	}
 }
 
+// Plan must use idle endpoints, respect labels, wait for the weight store, and
+// neither repeat an order in progress nor forget a lost one.
 func TestPlan(t *testing.T) {
 	idle := Endpoint{Name: "idle", Labels: map[string]string{"gpu": "new"}}
 	old := Endpoint{Name: "old", Model: "a", Version: "v1"}
--- a/core/shed/model_test.go
+++ b/core/shed/model_test.go
@@ -53,7 +53,8 @@
 	unjustRefusals int
 	retryAfters    []time.Duration
 	busySeconds    float64
-	sharesLevels   bool
+	// sharesLevels is set if the entries exchange their levels.
+	sharesLevels bool
 }
 
 type job struct {
--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -235,14 +235,15 @@
 // waitLimit returns the longest predicted wait with which a request is
 // admitted.
 func (p *Pool) waitLimit(req Ask) time.Duration {
-	target := req.Target
-	if target == 0 {
-		target = defaultMaxWait
+	maxWait := req.Target
+	if maxWait == 0 {
+		maxWait = defaultMaxWait
 	}
-	return max(time.Duration(float64(target)*p.tiers[req.Tier].margin), minWaitLimit)
+	return max(time.Duration(float64(maxWait)*p.tiers[req.Tier].margin), minWaitLimit)
 }
 
-// predictWait predicts how long a request would wait for its start.
+// predictWait predicts how long a request would wait for its start. It returns
+// zero if nothing waits or if no rate is known.
 func (p *Pool) predictWait(now time.Duration, req Ask, v View) time.Duration {
 	if p.waiting == 0 {
 		return 0
@@ -268,11 +269,12 @@
 	return seconds(wait)
 }
 
-// refuse returns the decision for a request that is refused. Requests refused
-// earlier will be retried as well, so this one is told to retry after them;
-// otherwise all of them would return at the same moment. When the refused work
-// is more than the pool can run within maxRetryAfter/2, the retry times wrap
-// around and are still spread evenly.
+// refuse returns the decision for a request that is refused, and adds it to the
+// refused work of its tier. Requests refused earlier will be retried as well,
+// so this one is told to retry after them; otherwise all of them would return
+// at the same moment. When the refused work is more than the pool can run
+// within maxRetryAfter/2, the retry times wrap around and are still spread
+// evenly.
 func (p *Pool) refuse(now time.Duration, req Ask, v View, excess time.Duration, excluded bool) Decision {
 	reason, after := PredictedLate, max(excess, 0)
 	if excluded {
--- a/core/shed/shed_test.go
+++ b/core/shed/shed_test.go
@@ -43,7 +43,7 @@
 		name            string
 		places, entries int
 		mean, target    time.Duration
-		guess           float64
+		estimateFactor  float64
 	}{
 		{"small pool", 12, 1, second, 3 * second, 1},
 		{"two entries", 48, 2, second, 3 * second, 1},
@@ -56,7 +56,7 @@
 			m := newModel(tc.places, tc.entries)
 			streams := mixedStreams(tc.places, 2, tc.mean, tc.target)
 			for i := range streams {
-				streams[i].estimateFactor = tc.guess
+				streams[i].estimateFactor = tc.estimateFactor
 			}
 			const d = 2 * time.Minute
 			m.run(d, streams)
@@ -164,6 +164,8 @@
 	}
 }
 
+// A pool that has not seen any work start must admit everything, otherwise a
+// new entry would refuse its first requests.
 func TestColdStartAdmits(t *testing.T) {
 	p := New(Config{})
 	for i := range 1000 {
@@ -193,6 +195,9 @@
 	}
 }
 
+// The level must fall one tier at a time as lower tiers drain, hold, rise
+// slowly, hold longer after a relapse, respect a peer's level for a limited
+// time, and rise sooner while slots are idle.
 func TestLevel(t *testing.T) {
 	l := newLevel(2 * second)
 	now := time.Duration(0)
--- a/core/subset/subset_test.go
+++ b/core/subset/subset_test.go
@@ -82,6 +82,8 @@
 	}
 }
 
+// The number of links of an entry must be within bounds for small pools, a
+// single zone, and zones without agents.
 func TestLinkCounts(t *testing.T) {
 	for _, tc := range []struct {
 		name                 string
