--- a/agent/node.go
+++ b/agent/node.go
@@ -77,7 +77,7 @@
 		Self:   spec.HomeOwner{Name: cfg.Name, Incarnation: incarnation},
 		Now:    func() time.Duration { return time.Since(start) },
 		WallMS: func() int64 { return time.Now().UnixMilli() },
-		Queue:  queue.Config{Max: maxQueued},
+		Queue:  queue.Config{MaxItems: maxQueued},
 		Log:    n.log, Stats: slot.NewStats(n.metrics), StopGrace: cfg.Grace.Std(),
 	}
 	n.setEndpoint(&slotCfg)
--- a/agent/slot/bench_test.go
+++ b/agent/slot/bench_test.go
@@ -54,7 +54,7 @@
 	h := &harness{t: t, runs: make(chan *fakeRun, 64), cancels: make(chan ident.ID, 64), resumes: make(chan *fakeRun, 64)}
 	cfg := Config{
 		Self:  spec.HomeOwner{Name: "a", Incarnation: selfIncarnation},
-		Queue: queue.Config{Max: 8}, Bound: bound.Config{Min: limit, Max: limit},
+		Queue: queue.Config{MaxItems: 8}, Bound: bound.Config{Min: limit, Max: limit},
 		Now: func() time.Duration { return h.now }, WallMS: func() int64 { return startWallMS + h.now.Milliseconds() },
 		StopGrace: time.Minute, Log: zap.NewNop(), Stats: NewStats(meter.New()),
 		Run: func(ctx context.Context, r *call.Request, sink call.Sink, p *call.Progress) call.Result {
--- a/agent/slot/claim.go
+++ b/agent/slot/claim.go
@@ -18,7 +18,7 @@
 func (o *Owner) dispatch(now time.Duration) {
 	o.startReady(now)
 	for !o.isLeaving && !o.isDown && !o.isStalled {
-		it, ok := o.queue.Next(now, func(it queue.Item) queue.Fit { return o.checkFit(now, it) })
+		it, ok := o.queue.PopFitting(now, func(it queue.Item) queue.Fit { return o.checkFit(now, it) })
 		if ok {
 			o.sendClaim(now, o.records[it.ID])
 			continue
@@ -36,13 +36,13 @@
 func (o *Owner) checkFit(now time.Duration, it queue.Item) queue.Fit {
 	r := o.records[it.ID]
 	committed, notStarted := o.committedWork(int(r.offer.Tier))
-	switch o.bound.Fit(now, committed, r.work) {
-	case bound.Yes:
+	switch o.bound.CheckFit(now, committed, r.work) {
+	case bound.Fits:
 		return queue.Fits
-	case bound.LongFull:
-		return queue.Pass
+	case bound.NoLongSlot:
+		return queue.Skip
 	case bound.NoMemory:
-		return queue.PassFew
+		return queue.SkipLimited
 	}
 	if notStarted == 0 && canClaimEarly(r) && len(o.running) > 0 {
 		return queue.Fits
@@ -56,7 +56,7 @@
 
 func (o *Owner) sendClaim(now time.Duration, r *record) {
 	o.setState(now, r, stateClaimed)
-	r.isLong, r.isCharged = o.bound.Long(r.work), true
+	r.isLong, r.isCharged = o.bound.RecordDispatch(r.work), true
 	o.publishLoad()
 	o.send(r.link, &wire.Claim{ID: r.id, Load: *o.load.Load()})
 }
@@ -66,7 +66,7 @@
 func (o *Owner) refundCharge(r *record) {
 	if r.isCharged {
 		r.isCharged = false
-		o.queue.Done(r.offer.Customer, r.offer.Tier, r.work.Cost, 0)
+		o.queue.ChargeActual(r.offer.Customer, r.offer.Tier, r.work.Cost, 0)
 	}
 }
 
@@ -76,7 +76,7 @@
 // committedWork returns the total of the running requests and of those that were
 // claimed or granted but have not started and whose tier is at or above the given
 // one. notStarted is the number of the latter.
-func (o *Owner) committedWork(tier int) (sum bound.Running, notStarted int) {
+func (o *Owner) committedWork(tier int) (sum bound.InFlight, notStarted int) {
 	for _, r := range o.running {
 		addWork(&sum, r)
 	}
@@ -92,7 +92,7 @@
 	return sum, notStarted
 }
 
-func addWork(sum *bound.Running, r *record) {
+func addWork(sum *bound.InFlight, r *record) {
 	sum.Count++
 	sum.Tokens += r.work.Tokens
 	if r.isLong {
@@ -188,7 +188,7 @@
 			o.returnRequest(now, r, reason)
 			continue
 		}
-		if sum, _ := o.committedWork(runningOnly); o.isStalled || !o.bound.Room(now, sum, r.work) {
+		if sum, _ := o.committedWork(runningOnly); o.isStalled || !o.bound.CanDispatch(now, sum, r.work) {
 			i++
 			continue
 		}
--- a/agent/slot/displ.go
+++ b/agent/slot/displ.go
@@ -17,7 +17,7 @@
 // slot is free when that run has ended.
 func (o *Owner) displaceFor(now time.Duration, r *record) {
 	sum, _ := o.committedWork(int(r.offer.Tier))
-	if o.bound.Fit(now, sum, r.work) == bound.LongFull {
+	if o.bound.CheckFit(now, sum, r.work) == bound.NoLongSlot {
 		// Short requests of a lower tier occupy slots that r could not use.
 		return
 	}
--- a/agent/slot/hand.go
+++ b/agent/slot/hand.go
@@ -30,7 +30,7 @@
 // outgoingHandover is a handover of key records from this agent.
 type outgoingHandover struct {
 	pool string
-	plan homes.Gift
+	plan homes.Handover
 	// pendingKeys holds the records that have not been acknowledged. The first
 	// partKeys of them belong to part, the part that is being sent.
 	pendingKeys []*keyRecord
@@ -75,7 +75,7 @@
 		o.handoverDeadline = min(now+handoverTimeout, o.leaveDeadline)
 	}
 	for pool, h := range o.homeViews {
-		for _, plan := range h.Gifts(now) {
+		for _, plan := range h.Handovers(now) {
 			o.beginHandover(pool, h, plan)
 		}
 	}
@@ -104,17 +104,17 @@
 	return false
 }
 
-func (o *Owner) beginHandover(pool string, view *homes.Holder, plan homes.Gift) {
+func (o *Owner) beginHandover(pool string, view *homes.View, plan homes.Handover) {
 	if o.findHandover(pool, plan) != nil {
 		return
 	}
-	plannedSlots := make(map[int]bool, len(plan.Shares))
-	for _, s := range plan.Shares {
+	plannedSlots := make(map[int]bool, len(plan.Slots))
+	for _, s := range plan.Slots {
 		plannedSlots[s.Slot] = true
 	}
 	// If there are more slots than a message holds, there is no handover. The
 	// successor then waits for the end of the lease.
-	h := &outgoingHandover{pool: pool, plan: plan, isDone: len(plan.Shares) > wire.MaxSlots}
+	h := &outgoingHandover{pool: pool, plan: plan, isDone: len(plan.Slots) > wire.MaxSlots}
 	slots := len(view.Table().Slots)
 	for _, k := range o.finishedKeys {
 		if k.pool == pool && plannedSlots[homes.Slot([]byte(k.key), slots)] {
@@ -124,9 +124,9 @@
 	o.outgoingHandovers = append(o.outgoingHandovers, h)
 }
 
-func (o *Owner) findHandover(pool string, plan homes.Gift) *outgoingHandover {
+func (o *Owner) findHandover(pool string, plan homes.Handover) *outgoingHandover {
 	for _, h := range o.outgoingHandovers {
-		if h.pool == pool && h.plan.To == plan.To && h.plan.Took == plan.Took {
+		if h.pool == pool && h.plan.To == plan.To && h.plan.Epoch == plan.Epoch {
 			return h
 		}
 	}
@@ -140,7 +140,7 @@
 		return
 	}
 	if h.part == nil {
-		h.part = &wire.Handover{Pool: h.pool, From: agentProcess(o.cfg.Self), To: agentProcess(h.plan.To), Epoch: h.plan.Took}
+		h.part = &wire.Handover{Pool: h.pool, From: agentProcess(o.cfg.Self), To: agentProcess(h.plan.To), Epoch: h.plan.Epoch}
 		o.fillPart(h)
 	}
 	h.nextSend = now + partRetryInterval
@@ -168,7 +168,7 @@
 		}
 	}
 	h.part.Last = true
-	for _, s := range h.plan.Shares {
+	for _, s := range h.plan.Slots {
 		since := max(s.Since, o.evictedBeforeMS)
 		h.part.Slots = append(h.part.Slots, wire.HandoverSlot{Slot: uint32(s.Slot), LostBefore: since})
 	}
@@ -182,7 +182,7 @@
 		part := h.part
 		if part.Last {
 			h.isDone, h.part, h.pendingKeys = true, nil, nil
-			logs.Info(o.log, logs.EventKeysHandedOver, zap.String("pool", h.pool), zap.String("to", h.plan.To.Name), zap.Int("slots", len(h.plan.Shares)))
+			logs.Info(o.log, logs.EventKeysHandedOver, zap.String("pool", h.pool), zap.String("to", h.plan.To.Name), zap.Int("slots", len(h.plan.Slots)))
 			return
 		}
 		h.pendingKeys, h.nextSend = h.pendingKeys[h.partKeys:], now
@@ -198,10 +198,10 @@
 		return true
 	}
 	for pool, view := range o.homeViews {
-		if view.Holds() || o.handoverDeadline == 0 {
+		if view.OwnsAnySlot() || o.handoverDeadline == 0 {
 			return false
 		}
-		for _, plan := range view.Gifts(now) {
+		for _, plan := range view.Handovers(now) {
 			if h := o.findHandover(pool, plan); h == nil || !h.isDone {
 				return false
 			}
@@ -246,11 +246,11 @@
 
 // importPart stores the records of one part. They are valid even if the later
 // parts never arrive.
-func (o *Owner) importPart(now time.Duration, h *homes.Holder, id handoverID, m *wire.Handover) {
+func (o *Owner) importPart(now time.Duration, h *homes.View, id handoverID, m *wire.Handover) {
 	slots := len(h.Table().Slots)
 	for i := range m.Records {
 		r := &m.Records[i]
-		if o.keys[string(r.Key)] != nil || !h.Expects(homes.Slot(r.Key, slots), id.from, id.epoch) {
+		if o.keys[string(r.Key)] != nil || !h.ExpectsHandover(homes.Slot(r.Key, slots), id.from, id.epoch) {
 			continue
 		}
 		k := &keyRecord{key: string(r.Key), pool: m.Pool, firstID: r.FirstID, digest: r.Digest, answer: answer.Import(&o.budget, r), endedAt: now}
@@ -260,10 +260,10 @@
 	if !m.Last {
 		return
 	}
-	slotList := make([]homes.Share, 0, len(m.Slots))
+	slotList := make([]homes.SlotHandover, 0, len(m.Slots))
 	for _, s := range m.Slots {
-		slotList = append(slotList, homes.Share{Slot: int(s.Slot), Since: s.LostBefore})
+		slotList = append(slotList, homes.SlotHandover{Slot: int(s.Slot), Since: s.LostBefore})
 	}
-	h.Receive(id.from, id.epoch, slotList)
+	h.AcceptHandover(id.from, id.epoch, slotList)
 	logs.Info(o.log, logs.EventKeyTakenOver, zap.String("pool", m.Pool), zap.String("from", m.From.Name), zap.Int("slots", len(slotList)))
 }
--- a/agent/slot/hand_test.go
+++ b/agent/slot/hand_test.go
@@ -80,7 +80,7 @@
 	if h.o.leaveComplete() {
 		t.Fatal("the stop is complete as soon as the slots have moved")
 	}
-	successor.o.homeViews[testPool] = homes.NewHolder(successor.o.cfg.Self)
+	successor.o.homeViews[testPool] = homes.NewView(successor.o.cfg.Self)
 	q.sendConfirmedTable(movedTable(2))
 	q.send(keyedOffer(500, "kept", 2))
 	if r := receive[*wire.Return](q); r.Reason != wire.ReasonNoLease {
@@ -208,7 +208,7 @@
 	q.send(receive[*wire.Handover](p))
 	h.advance(handoverTimeout)
 	h.applyUntil(h.o.leaveComplete)
-	successor.advance(homes.Margin(testLease))
+	successor.advance(homes.TakeoverDelay(testLease))
 	q.confirmEpoch(2, 0)
 	q.send(keyedOffer(900, "k", 2))
 	if k := receive[*wire.KeyStatus](q); k.State != wire.KeyUnknown {
@@ -252,7 +252,7 @@
 		Records: wire.KeyRecords{{Key: []byte("k")}}, Last: true, Slots: wire.HandoverSlots{{}, {Slot: 1}, {Slot: 2}, {Slot: 3}},
 	})
 	expectNone[*wire.HandoverAck](q)
-	if len(successor.o.keys) != maxKeys || successor.o.homeViews[testPool].Since([]byte("k")) == 0 {
+	if len(successor.o.keys) != maxKeys || successor.o.homeViews[testPool].RecordsSince([]byte("k")) == 0 {
 		t.Errorf("%d records", len(successor.o.keys))
 	}
 }
--- a/agent/slot/keys.go
+++ b/agent/slot/keys.go
@@ -69,8 +69,8 @@
 // been used before this agent's records begin.
 func (o *Owner) admitNewKey(_ time.Duration, r *record) bool {
 	m := r.offer
-	since := max(o.homeViews[m.Pool].Since(m.KeyHash), o.evictedBeforeMS)
-	if !homes.Usable(m.KeyCreatedMS, since, o.cfg.WallMS()) {
+	since := max(o.homeViews[m.Pool].RecordsSince(m.KeyHash), o.evictedBeforeMS)
+	if !homes.MayRun(m.KeyCreatedMS, since, o.cfg.WallMS()) {
 		o.sendKeyStatus(r, ident.ID{}, wire.KeyUnknown)
 		return false
 	}
@@ -87,7 +87,7 @@
 	if h == nil {
 		return wire.ReasonNotHome
 	}
-	switch h.Owns(now, m.KeyHash, m.Epoch) {
+	switch h.CheckOwnership(now, m.KeyHash, m.Epoch) {
 	case homes.NotHome:
 		return wire.ReasonNotHome
 	case homes.NoLease:
@@ -103,7 +103,7 @@
 	if r.key == nil || r.offer == nil || o.homeViews[r.offer.Pool] == nil {
 		return nil
 	}
-	until, clock := o.homeViews[r.offer.Pool].Lease(), o.cfg.Now
+	until, clock := o.homeViews[r.offer.Pool].LeaseEnd(), o.cfg.Now
 	r.guard = &call.Guard{Check: func() error {
 		if clock() >= until {
 			return errLeaseExpired
--- a/agent/slot/keys_test.go
+++ b/agent/slot/keys_test.go
@@ -136,13 +136,13 @@
 func TestTakenOverKeysAreNotRun(t *testing.T) {
 	h := newHarness(t, testBound)
 	p := h.newLink(entryIncarnation)
-	since := startWallMS + homes.Margin(testLease).Milliseconds()
+	since := startWallMS + homes.TakeoverDelay(testLease).Milliseconds()
 	p.sendConfirmedTable(homesTable(2, since))
 	p.send(keyedOffer(1, "k", 2))
 	if r := receive[*wire.Return](p); r.Reason != wire.ReasonNoLease {
 		t.Fatalf("return while the old lease may run: %+v", r)
 	}
-	h.advance(homes.Margin(testLease))
+	h.advance(homes.TakeoverDelay(testLease))
 	p.confirmEpoch(2, 0)
 	old := keyedOffer(2, "k", 2)
 	old.KeyCreatedMS = since - 1
@@ -155,7 +155,7 @@
 		t.Fatalf("known %+v", k)
 	}
 	h.expectIdle()
-	h.advance(homes.Skew + time.Millisecond)
+	h.advance(homes.MaxClockSkew + time.Millisecond)
 	p.confirmEpoch(2, 0)
 	young := keyedOffer(4, "young", 2)
 	young.KeyCreatedMS = startWallMS + h.now.Milliseconds()
--- a/agent/slot/lease.go
+++ b/agent/slot/lease.go
@@ -49,7 +49,7 @@
 	var t spec.Homes
 	err := json.Unmarshal(m.Data, &t)
 	if err == nil {
-		err = homes.Check(t)
+		err = homes.Validate(t)
 	}
 	if err != nil {
 		logs.Error(o.log, logs.EventConfigRejected, zap.String("object", m.ObjectKind+"/"+m.Name), zap.Int64("version", m.Version), zap.Error(err))
@@ -57,10 +57,10 @@
 	}
 	h := o.homeViews[m.Name]
 	if h == nil {
-		h = homes.NewHolder(o.cfg.Self)
+		h = homes.NewView(o.cfg.Self)
 		o.homeViews[m.Name] = h
 	}
-	if h.Learn(now, t) {
+	if h.Update(now, t) {
 		logs.Info(o.log, logs.EventHomesChanged, zap.String("pool", m.Name), zap.Int64("epoch", t.Epoch))
 		o.nextLeaseRound = 0
 	}
@@ -117,7 +117,7 @@
 		return
 	}
 	if h := o.homeViews[m.Pool]; h != nil {
-		h.Confirm(request.sentAt, ms(m.AgeMS), m.Epoch)
+		h.ExtendLease(request.sentAt, ms(m.AgeMS), m.Epoch)
 		return
 	}
 	o.confirmAssignment(now, request, m)
--- a/agent/slot/load.go
+++ b/agent/slot/load.go
@@ -31,7 +31,7 @@
 	l.InFlightBound = uint16(o.bound.Limit())
 	l.Queued = uint16(min(o.queue.Len(), 1<<16-1))
 	l.QueuedCostMS = uint32(min(o.queue.Cost().Milliseconds(), 1<<32-1))
-	l.WaitingTiers = o.queue.Mask()
+	l.WaitingTiers = o.queue.TierMask()
 	for _, r := range o.running {
 		tier := uint8(lowestTier)
 		if r.offer != nil {
@@ -59,7 +59,7 @@
 	}
 	switch {
 	case err == nil:
-		o.bound.Report(now, bound.Report{Running: l.Running, Waiting: l.Waiting, KVUsed: l.KVUsed, KVTotal: l.KVTotal, Age: l.Age()})
+		o.bound.ObserveReport(now, bound.Report{Running: l.Running, Waiting: l.Waiting, KVUsed: l.KVUsed, KVTotal: l.KVTotal, Age: l.Age()})
 		o.updateServed(l.Model, l.Version)
 	case errors.Is(err, engine.ErrConnectionRefused):
 		o.markEndpointDown(now)
--- a/agent/slot/offer.go
+++ b/agent/slot/offer.go
@@ -194,7 +194,7 @@
 // expireWaiting returns the waiting requests whose deadline has passed. A claimed
 // one is refused when its grant arrives.
 func (o *Owner) expireWaiting(now time.Duration) {
-	for _, it := range o.queue.Expired(now) {
+	for _, it := range o.queue.RemoveExpired(now) {
 		if r := o.records[it.ID]; r != nil && r.state == stateQueued {
 			o.removeRecord(now, r)
 			o.sendReturn(r, wire.ReasonDeadline)
--- a/agent/slot/owner.go
+++ b/agent/slot/owner.go
@@ -142,7 +142,7 @@
 	// have been evicted because there were too many.
 	evictedBeforeMS int64
 	// homeViews holds this agent's view of each pool's table of homes, by pool.
-	homeViews map[string]*homes.Holder
+	homeViews map[string]*homes.View
 	// outgoingHandovers holds the handovers of key records from this agent,
 	// incomingHandovers the state of those to it.
 	outgoingHandovers []*outgoingHandover
@@ -181,7 +181,7 @@
 		queue: queue.New(cfg.Queue), bound: bound.New(cfg.Bound),
 		records: make(map[ident.ID]*record), waiting: make(map[ident.ID]*record), waitingUnqueued: make(map[ident.ID]*record), running: make(map[ident.ID]*record),
 		sessions: make(map[uint64]*session), keys: make(map[string]*keyRecord),
-		homeViews: make(map[string]*homes.Holder), leaseRequests: make(map[uint32]leaseRequest), incomingHandovers: make(map[handoverID]incomingHandover),
+		homeViews: make(map[string]*homes.View), leaseRequests: make(map[uint32]leaseRequest), incomingHandovers: make(map[handoverID]incomingHandover),
 	}
 	o.lifeCtx, o.endLife = context.WithCancel(context.Background())
 	o.publishLoad()
--- a/agent/slot/rec.go
+++ b/agent/slot/rec.go
@@ -136,7 +136,7 @@
 func (r *record) queueItem() queue.Item {
 	return queue.Item{
 		ID: r.id, Tier: r.offer.Tier, Customer: r.offer.Customer, Cost: r.work.Cost,
-		Arrived: r.arrivedAt - ms(r.offer.WaitedMS), Due: r.startBy, Deadline: r.deadline, Repeatable: r.offer.Repeatable,
+		Arrived: r.arrivedAt - ms(r.offer.WaitedMS), StartBy: r.startBy, Deadline: r.deadline, Repeatable: r.offer.Repeatable,
 	}
 }
 
--- a/agent/slot/run.go
+++ b/agent/slot/run.go
@@ -59,7 +59,7 @@
 	}
 	if r.isCharged {
 		r.isCharged = false
-		o.queue.Done(r.offer.Customer, r.offer.Tier, r.work.Cost, runTime)
+		o.queue.ChargeActual(r.offer.Customer, r.offer.Tier, r.work.Cost, runTime)
 	}
 	o.observe(now, r, res.Usage)
 	reason := r.stopReason
--- a/agent/slot/watch.go
+++ b/agent/slot/watch.go
@@ -46,7 +46,7 @@
 	if hasStream {
 		// Only streams that have begun are considered: the first byte of a long
 		// prompt may take seconds on a healthy endpoint.
-		o.bound.Silence(now - lastTokenAt)
+		o.bound.ObserveSilence(now - lastTokenAt)
 	}
 }
 
@@ -73,7 +73,7 @@
 	default:
 		o.sampleServiceCall(r, &s)
 	}
-	if s.First > 0 || s.Between > 0 {
+	if s.FirstToken > 0 || s.BetweenTokens > 0 {
 		o.bound.Observe(now, s)
 	}
 }
@@ -82,7 +82,7 @@
 func (o *Owner) sampleStream(now time.Duration, r *record, s *bound.Sample) {
 	if !r.firstByteSampled {
 		r.firstByteSampled = true
-		s.First, s.FirstTarget = o.firstByteTime(now, r), firstTarget(r)
+		s.FirstToken, s.FirstTokenTarget = o.firstByteTime(now, r), firstTarget(r)
 	}
 	tokens, last := r.progress.Tokens.Load(), r.progress.LastNS.Load()
 	n := tokens - r.sampledTokens
@@ -90,11 +90,11 @@
 		return
 	}
 	if r.sampledTokens > 0 {
-		s.Between = time.Duration((last - r.sampledLastNS) / n)
+		s.BetweenTokens = time.Duration((last - r.sampledLastNS) / n)
 	} else {
-		s.Between = r.progress.MeanInterval()
+		s.BetweenTokens = r.progress.MeanInterval()
 	}
-	s.BetweenTarget, o.lastStreamSample = betweenTarget(r), now
+	s.BetweenTokensTarget, o.lastStreamSample = betweenTarget(r), now
 	r.sampledTokens, r.sampledLastNS = tokens, last
 }
 
@@ -109,7 +109,7 @@
 		return
 	}
 	tokens := time.Duration(s.OutputTokens)
-	s.First, s.FirstTarget = time.Duration(r.progress.LastNS.Load())/tokens, completeTarget(r)/tokens
+	s.FirstToken, s.FirstTokenTarget = time.Duration(r.progress.LastNS.Load())/tokens, completeTarget(r)/tokens
 	s.PromptTokens, s.CachedTokens = 0, 0
 }
 
@@ -117,7 +117,7 @@
 // in length as prompts do, so the estimated cost in milliseconds takes the place of
 // the number of prompt tokens.
 func (o *Owner) sampleServiceCall(r *record, s *bound.Sample) {
-	s.First, s.FirstTarget = time.Duration(r.progress.LastNS.Load()), completeTarget(r)
+	s.FirstToken, s.FirstTokenTarget = time.Duration(r.progress.LastNS.Load()), completeTarget(r)
 	s.PromptTokens = int(r.offer.CostMS)
 }
 
--- a/agent/slot/watch_test.go
+++ b/agent/slot/watch_test.go
@@ -42,10 +42,10 @@
 	m.FirstTargetMS, m.WaitedMS = 1000, 990
 	r := newRunRecord(m, true, 20*time.Millisecond, 20*time.Millisecond, 1)
 	s := sampleOf(h.o, 0, r, wire.Usage{})
-	if s.First != 20*time.Millisecond || s.FirstTarget != 500*time.Millisecond {
+	if s.FirstToken != 20*time.Millisecond || s.FirstTokenTarget != 500*time.Millisecond {
 		t.Fatalf("sample %+v", s)
 	}
-	if s := sampleOf(h.o, 0, r, wire.Usage{}); s.First != 0 {
+	if s := sampleOf(h.o, 0, r, wire.Usage{}); s.FirstToken != 0 {
 		t.Fatalf("the first byte was sampled twice: %+v", s)
 	}
 }
@@ -58,12 +58,12 @@
 	m.CompleteTargetMS, m.OutputTokens = 7000, 100
 	r := newRunRecord(m, true, 100*time.Millisecond, 250*time.Millisecond, 16)
 	s := sampleOf(h.o, 0, r, wire.Usage{})
-	if s.Between != 10*time.Millisecond || s.BetweenTarget != 35*time.Millisecond || s.FirstTarget != 3500*time.Millisecond {
+	if s.BetweenTokens != 10*time.Millisecond || s.BetweenTokensTarget != 35*time.Millisecond || s.FirstTokenTarget != 3500*time.Millisecond {
 		t.Fatalf("sample %+v", s)
 	}
 	r.progress.Tokens.Store(32)
 	r.progress.LastNS.Store(int64(250*time.Millisecond + 16*80*time.Millisecond))
-	if s := sampleOf(h.o, 0, r, wire.Usage{}); s.Between != 80*time.Millisecond {
+	if s := sampleOf(h.o, 0, r, wire.Usage{}); s.BetweenTokens != 80*time.Millisecond {
 		t.Fatalf("sample %+v", s)
 	}
 }
@@ -76,11 +76,11 @@
 	m.CompleteTargetMS = 4000
 	r := newRunRecord(m, false, 120*time.Millisecond, 120*time.Millisecond, 1)
 	s := sampleOf(h.o, time.Second, r, wire.Usage{OutputTokens: 12})
-	if s.First != 10*time.Millisecond || s.FirstTarget != 2*time.Second/12 {
+	if s.FirstToken != 10*time.Millisecond || s.FirstTokenTarget != 2*time.Second/12 {
 		t.Fatalf("sample %+v", s)
 	}
 	h.o.lastStreamSample = time.Second
-	if s := sampleOf(h.o, 2*time.Second, r, wire.Usage{OutputTokens: 12}); s.First != 0 || s.Between != 0 {
+	if s := sampleOf(h.o, 2*time.Second, r, wire.Usage{OutputTokens: 12}); s.FirstToken != 0 || s.BetweenTokens != 0 {
 		t.Fatalf("sample beside streams %+v", s)
 	}
 }
--- a/core/bound/bound.go
+++ b/core/bound/bound.go
@@ -28,11 +28,11 @@
 	// the mean time between tokens since the previous sample of the request.
 	// Over fewer than about eight tokens it is not meaningful and should be
 	// left out. Zero means not observed.
-	First, Between time.Duration
+	FirstToken, BetweenTokens time.Duration
 	// FirstTokenTarget is the time that was left of the class's first-token
 	// target when the request was handed over. BetweenTokensTarget is the
 	// class's target. Zero means that there is no target.
-	FirstTarget, BetweenTarget               time.Duration
+	FirstTokenTarget, BetweenTokensTarget    time.Duration
 	PromptTokens, CachedTokens, OutputTokens int
 	// InFlight is the number of requests in flight at the time of the
 	// observation, including this one.
@@ -50,7 +50,7 @@
 }
 
 // InFlight sums up the requests in flight.
-type Running struct {
+type InFlight struct {
 	Count int
 	// LongCount is the number of requests that RecordDispatch classified as
 	// long.
@@ -72,11 +72,11 @@
 
 const (
 	// Fits means that the request may be dispatched.
-	Yes Fit = iota
+	Fits Fit = iota
 	// NoSlot means that no request may be dispatched.
 	NoSlot
 	// NoLongSlot means that the slots available to long work are taken.
-	LongFull
+	NoLongSlot
 	// NoMemory means that the request might not fit into the KV memory.
 	NoMemory
 )
@@ -127,10 +127,10 @@
 // ObserveSilence records for how long the endpoint has sent nothing although it
 // has work. It detects an endpoint that stopped in the middle of its streams
 // before any request ends.
-func (b *Bound) Silence(d time.Duration) { b.pace.observeSilence(d) }
+func (b *Bound) ObserveSilence(d time.Duration) { b.pace.observeSilence(d) }
 
 // ObserveReport updates the bound from a report of the endpoint.
-func (b *Bound) Report(now time.Duration, r Report) {
+func (b *Bound) ObserveReport(now time.Duration, r Report) {
 	b.search.observeReport(now, r)
 	b.memory.observeReport(now, r)
 }
@@ -139,7 +139,7 @@
 // compared with the other work of its tier and of higher tiers. Long work
 // counts against the slots available to long work. It must be called exactly
 // once per dispatch.
-func (b *Bound) Long(w Work) bool {
+func (b *Bound) RecordDispatch(w Work) bool {
 	tier := min(w.Tier, spec.Tiers-1)
 	for t := tier; t < spec.Tiers; t++ {
 		b.lengths[t].learn(w.Cost)
@@ -148,7 +148,7 @@
 }
 
 // CheckFit says whether next may be dispatched now.
-func (b *Bound) Fit(now time.Duration, inFlight Running, next Work) Fit {
+func (b *Bound) CheckFit(now time.Duration, inFlight InFlight, next Work) Fit {
 	b.memory.recordTokens(now, inFlight.Tokens)
 	b.shortSlots.observe(now, inFlight.Count-inFlight.LongCount)
 	limit := b.Limit()
@@ -157,17 +157,17 @@
 	}
 	lengths := &b.lengths[min(next.Tier, spec.Tiers-1)]
 	if lengths.isLong(next.Cost) && inFlight.LongCount >= limit-lengths.reservedSlots(limit, next.Tier, b.shortSlots.average) {
-		return LongFull
+		return NoLongSlot
 	}
 	if inFlight.Count > 0 && !b.memory.fits(inFlight.Tokens+next.Tokens) {
 		return NoMemory
 	}
-	return Yes
+	return Fits
 }
 
 // CanDispatch reports whether next may be dispatched now.
-func (b *Bound) Room(now time.Duration, inFlight Running, next Work) bool {
-	return b.Fit(now, inFlight, next) == Yes
+func (b *Bound) CanDispatch(now time.Duration, inFlight InFlight, next Work) bool {
+	return b.CheckFit(now, inFlight, next) == Fits
 }
 
 // Slow reports whether the endpoint is far below its own usual pace.
--- a/core/bound/bound_test.go
+++ b/core/bound/bound_test.go
@@ -125,7 +125,7 @@
 			b := New(Config{Max: 64})
 			b.search.set(0, 40)
 			for i, r := range tc.reports {
-				b.Report(time.Duration(i+1)*s, r)
+				b.ObserveReport(time.Duration(i+1)*s, r)
 			}
 			if b.Limit() != tc.want {
 				t.Fatalf("bound %d, want %d", b.Limit(), tc.want)
@@ -138,8 +138,8 @@
 // of them late. They must not cut the bound again.
 func TestLateAnswersCutOnce(t *testing.T) {
 	b, now := New(Config{}), 10*time.Second
-	late := Sample{First: 3 * time.Second, FirstTarget: time.Second, PromptTokens: 100, InFlight: 20}
-	early := Sample{First: 100 * time.Millisecond, FirstTarget: time.Second, PromptTokens: 100, InFlight: 1}
+	late := Sample{FirstToken: 3 * time.Second, FirstTokenTarget: time.Second, PromptTokens: 100, InFlight: 20}
+	early := Sample{FirstToken: 100 * time.Millisecond, FirstTokenTarget: time.Second, PromptTokens: 100, InFlight: 1}
 	b.Observe(0, early)
 	b.Observe(0, early)
 	b.search.set(0, 40)
@@ -159,11 +159,11 @@
 func TestSilenceMarksSlow(t *testing.T) {
 	e, b := mediumEngine(), New(Config{})
 	e.drive(b, 20*time.Second, e.withinBound(b), jobs(400, 200))
-	b.Silence(900 * time.Millisecond)
+	b.ObserveSilence(900 * time.Millisecond)
 	if b.Slow() {
 		t.Fatal("marked slow after a short pause")
 	}
-	b.Silence(3 * time.Second)
+	b.ObserveSilence(3 * time.Second)
 	if !b.Slow() {
 		t.Fatal("not marked slow after a long silence")
 	}
@@ -174,34 +174,34 @@
 func TestLongWorkLeavesSlots(t *testing.T) {
 	b := New(Config{Min: 8, Max: 8})
 	for range 10 {
-		b.Long(Work{Cost: time.Second})
+		b.RecordDispatch(Work{Cost: time.Second})
 	}
 	long, short := Work{Tier: 1, Cost: 100 * time.Second}, Work{Tier: 1, Cost: time.Second}
-	r := Running{}
-	for b.Fit(0, r, long) == Yes {
-		if !b.Long(long) {
+	r := InFlight{}
+	for b.CheckFit(0, r, long) == Fits {
+		if !b.RecordDispatch(long) {
 			t.Fatal("work that is a hundred times as long is not classified as long")
 		}
 		r.Count++
 		r.LongCount++
 	}
-	if r.Count != 6 || b.Fit(0, r, long) != LongFull || b.Fit(0, r, short) != Yes {
-		t.Fatalf("%d long jobs, then %d for long and %d for short", r.Count, b.Fit(0, r, long), b.Fit(0, r, short))
+	if r.Count != 6 || b.CheckFit(0, r, long) != NoLongSlot || b.CheckFit(0, r, short) != Fits {
+		t.Fatalf("%d long jobs, then %d for long and %d for short", r.Count, b.CheckFit(0, r, long), b.CheckFit(0, r, short))
 	}
 	low := long
 	low.Tier = 3
-	if b.Fit(0, Running{Count: 4, LongCount: 4}, low) != LongFull || b.Fit(0, Running{Count: 3, LongCount: 3}, low) != Yes {
+	if b.CheckFit(0, InFlight{Count: 4, LongCount: 4}, low) != NoLongSlot || b.CheckFit(0, InFlight{Count: 3, LongCount: 3}, low) != Fits {
 		t.Fatal("long work of the lowest tier does not get exactly half of the slots")
 	}
 	for now := range time.Minute / time.Second {
-		b.Fit(now*time.Second, Running{Count: 3, LongCount: 3}, short)
+		b.CheckFit(now*time.Second, InFlight{Count: 3, LongCount: 3}, short)
 	}
-	if b.Fit(time.Minute, Running{Count: 6, LongCount: 6}, low) != Yes {
+	if b.CheckFit(time.Minute, InFlight{Count: 6, LongCount: 6}, low) != Fits {
 		t.Fatal("slots stay reserved that short work has not used for a minute")
 	}
-	b.Long(Work{Tier: 0, Cost: 50 * time.Second})
+	b.RecordDispatch(Work{Tier: 0, Cost: 50 * time.Second})
 	long.Tier = 0
-	if b.Fit(0, r, long) != Yes {
+	if b.CheckFit(0, r, long) != Fits {
 		t.Fatal("the highest tier waits for a slot reserved for lower tiers")
 	}
 }
@@ -212,12 +212,12 @@
 	b := New(Config{Min: 8, Max: 8})
 	higher := Work{Tier: 1, Cost: 10 * time.Second}
 	for range 20 {
-		b.Long(Work{Tier: 2, Cost: 100 * time.Millisecond})
-		if b.Long(higher) {
+		b.RecordDispatch(Work{Tier: 2, Cost: 100 * time.Millisecond})
+		if b.RecordDispatch(higher) {
 			t.Fatal("classified as long because of work of a lower tier")
 		}
 	}
-	if got := b.Fit(0, Running{Count: 7, LongCount: 7}, higher); got != Yes {
+	if got := b.CheckFit(0, InFlight{Count: 7, LongCount: 7}, higher); got != Fits {
 		t.Fatalf("Fit = %d", got)
 	}
 }
@@ -235,18 +235,18 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"observe": func(*rapid.T) {
 				now += dur("wait")
-				b.Observe(now, Sample{First: dur("first"), Between: dur("between"), FirstTarget: dur("firstTarget"), BetweenTarget: dur("betweenTarget"), PromptTokens: num("prompt", 9999), InFlight: num("inFlight", 50)})
+				b.Observe(now, Sample{FirstToken: dur("first"), BetweenTokens: dur("between"), FirstTokenTarget: dur("firstTarget"), BetweenTokensTarget: dur("betweenTarget"), PromptTokens: num("prompt", 9999), InFlight: num("inFlight", 50)})
 			},
 			"report": func(*rapid.T) {
-				b.Report(now, Report{Running: num("running", 50), Waiting: num("waiting", 3), KVUsed: int64(num("used", 2000)), KVTotal: int64(num("total", 2000)), Age: dur("age")})
+				b.ObserveReport(now, Report{Running: num("running", 50), Waiting: num("waiting", 3), KVUsed: int64(num("used", 2000)), KVTotal: int64(num("total", 2000)), Age: dur("age")})
 			},
-			"silence": func(*rapid.T) { b.Silence(dur("silence")) },
-			"long":    func(*rapid.T) { b.Long(Work{Cost: dur("cost")}) },
+			"silence": func(*rapid.T) { b.ObserveSilence(dur("silence")) },
+			"long":    func(*rapid.T) { b.RecordDispatch(Work{Cost: dur("cost")}) },
 			"": func(t *rapid.T) {
 				if l := b.Limit(); l < 2 || l > 40 {
 					t.Fatalf("bound %d", l)
 				}
-				if !b.Room(now, Running{}, Work{Tokens: 1 << 40, Cost: time.Hour}) {
+				if !b.CanDispatch(now, InFlight{}, Work{Tokens: 1 << 40, Cost: time.Hour}) {
 					t.Fatal("an empty endpoint accepts no work")
 				}
 			},
@@ -256,11 +256,11 @@
 
 func BenchmarkRoom(b *testing.B) {
 	w := New(Config{})
-	w.Report(0, Report{KVUsed: 10, KVTotal: 2000})
+	w.ObserveReport(0, Report{KVUsed: 10, KVTotal: 2000})
 	b.ReportAllocs()
 	for n := range b.N {
 		now := time.Duration(n) * time.Millisecond
-		w.Room(now, Running{Count: 3, Tokens: 3000}, Work{Tier: 1, Tokens: 900, Cost: time.Second})
-		w.Observe(now, Sample{Between: 20 * time.Millisecond, BetweenTarget: betweenTarget, InFlight: 4})
+		w.CanDispatch(now, InFlight{Count: 3, Tokens: 3000}, Work{Tier: 1, Tokens: 900, Cost: time.Second})
+		w.Observe(now, Sample{BetweenTokens: 20 * time.Millisecond, BetweenTokensTarget: betweenTarget, InFlight: 4})
 	}
 }
--- a/core/bound/model_test.go
+++ b/core/bound/model_test.go
@@ -92,14 +92,14 @@
 func (e *engine) inFlight() int { return len(e.batch) + len(e.queue) }
 
 func (e *engine) sample(b *Bound, j *job) {
-	s := Sample{FirstTarget: firstTarget, BetweenTarget: betweenTarget, PromptTokens: int(j.prompt), OutputTokens: int(j.generated), InFlight: e.inFlight()}
+	s := Sample{FirstTokenTarget: firstTarget, BetweenTokensTarget: betweenTarget, PromptTokens: int(j.prompt), OutputTokens: int(j.generated), InFlight: e.inFlight()}
 	switch {
 	case j.firstTokenAt == 0 && j.generated > 0:
 		j.firstTokenAt, j.sampledAt, j.sampledTokens = e.now, e.now, j.generated
-		s.First = e.now - j.start
+		s.FirstToken = e.now - j.start
 	case j.generated == j.out || (e.now-j.sampledAt >= sampleEvery && j.generated-j.sampledTokens >= 8):
 		if j.generated-j.sampledTokens >= 8 {
-			s.Between = time.Duration(float64(e.now-j.sampledAt) / (j.generated - j.sampledTokens))
+			s.BetweenTokens = time.Duration(float64(e.now-j.sampledAt) / (j.generated - j.sampledTokens))
 		}
 		j.sampledAt, j.sampledTokens = e.now, j.generated
 	default:
@@ -122,7 +122,7 @@
 	e.reports = append(e.reports, Report{Running: len(e.batch), Waiting: len(e.queue), KVUsed: e.used() / 16, KVTotal: e.kvTokens / 16, Age: reportLag})
 	if lag := int(reportLag / tick); len(e.reports) > lag {
 		if e.now%(500*time.Millisecond) == 0 {
-			b.Report(e.now, e.reports[0])
+			b.ObserveReport(e.now, e.reports[0])
 		}
 		e.reports = e.reports[1:]
 	}
@@ -130,14 +130,14 @@
 
 // drive keeps the engine busy for d with jobs from next, as far as canDispatch
 // allows.
-func (e *engine) drive(b *Bound, d time.Duration, canDispatch func(Running, Work) bool, next func() *job) {
+func (e *engine) drive(b *Bound, d time.Duration, canDispatch func(InFlight, Work) bool, next func() *job) {
 	var waiting *job
 	for end := e.now + d; e.now < end; e.step(b) {
 		for {
 			if waiting == nil {
 				waiting = next()
 			}
-			var r Running
+			var r InFlight
 			for _, j := range append(append([]*job(nil), e.batch...), e.queue...) {
 				r.Count++
 				r.Tokens += j.work.Tokens
@@ -152,8 +152,8 @@
 	}
 }
 
-func (e *engine) withinBound(b *Bound) func(Running, Work) bool {
-	return func(r Running, w Work) bool { return b.Room(e.now, r, w) }
+func (e *engine) withinBound(b *Bound) func(InFlight, Work) bool {
+	return func(r InFlight, w Work) bool { return b.CanDispatch(e.now, r, w) }
 }
 
 // jobs returns a source of jobs of about the given sizes, whose tokens are
@@ -176,7 +176,7 @@
 func bestConstantBound(e engine, d time.Duration, prompt, out float64) (rate float64, limit int) {
 	for n := 1; n <= e.slots; n += 1 + n/8 {
 		trial := e
-		trial.drive(New(Config{}), d, func(r Running, _ Work) bool { return r.Count < n }, jobs(prompt, out))
+		trial.drive(New(Config{}), d, func(r InFlight, _ Work) bool { return r.Count < n }, jobs(prompt, out))
 		if got := trial.onTimeTokens / d.Seconds(); got > rate && trial.wastedShare() <= 0.02 {
 			rate, limit = got, n
 		}
--- a/core/bound/pace.go
+++ b/core/bound/pace.go
@@ -99,11 +99,11 @@
 
 func (p *pace) observe(now time.Duration, s Sample) {
 	n := float64(s.InFlight)
-	if s.First > 0 {
-		p.firstToken.add(now, n, s.First.Seconds()/s.uncachedTokens())
+	if s.FirstToken > 0 {
+		p.firstToken.add(now, n, s.FirstToken.Seconds()/s.uncachedTokens())
 	}
-	if s.Between > 0 {
-		p.betweenTokens.add(now, n, s.Between.Seconds())
+	if s.BetweenTokens > 0 {
+		p.betweenTokens.add(now, n, s.BetweenTokens.Seconds())
 	}
 	// Times to the first token depend much more on the other requests in flight
 	// than times between tokens, so they decide only if there are no others.
@@ -143,14 +143,14 @@
 }
 
 func (p *pace) firstTokenUse(s Sample) float64 {
-	if s.First == 0 || p.firstToken.samples < 2 {
+	if s.FirstToken == 0 || p.firstToken.samples < 2 {
 		return 0
 	}
-	bestRatio := s.First.Seconds() / (p.firstToken.best * s.uncachedTokens())
-	if s.FirstTarget == 0 {
+	bestRatio := s.FirstToken.Seconds() / (p.firstToken.best * s.uncachedTokens())
+	if s.FirstTokenTarget == 0 {
 		return bestRatio / noTargetRatio
 	}
-	use := s.First.Seconds() / s.FirstTarget.Seconds()
+	use := s.FirstToken.Seconds() / s.FirstTokenTarget.Seconds()
 	if use > 1 && bestRatio < crowdedRatio {
 		return 0
 	}
@@ -167,11 +167,11 @@
 }
 
 func (p *pace) betweenTokensUse(s Sample) float64 {
-	if s.Between == 0 {
+	if s.BetweenTokens == 0 {
 		return 0
 	}
-	if s.BetweenTarget > 0 {
-		return s.Between.Seconds() / s.BetweenTarget.Seconds()
+	if s.BetweenTokensTarget > 0 {
+		return s.BetweenTokens.Seconds() / s.BetweenTokensTarget.Seconds()
 	}
-	return s.Between.Seconds() / (p.betweenTokens.best * noTargetRatio)
+	return s.BetweenTokens.Seconds() / (p.betweenTokens.best * noTargetRatio)
 }
--- a/core/bound/search.go
+++ b/core/bound/search.go
@@ -124,8 +124,8 @@
 // Otherwise the same late answers would cause several cuts, and growth would be
 // followed by more growth before its effect was seen.
 func (s *search) isStale(now time.Duration, sample Sample) bool {
-	if sample.First > 0 {
-		return now-sample.First < s.lastChange
+	if sample.FirstToken > 0 {
+		return now-sample.FirstToken < s.lastChange
 	}
 	return now-settleTime < s.lastChange || float64(sample.InFlight) > s.size+1
 }
@@ -136,7 +136,7 @@
 	}
 	s.samples++
 	s.useSum += use
-	if sample.First > 0 {
+	if sample.FirstToken > 0 {
 		s.firstTokenSamples++
 		s.firstTokenUseSum += use
 	}
--- a/core/cost/cost.go
+++ b/core/cost/cost.go
@@ -78,9 +78,9 @@
 
 // Usage is the actual cost of a finished request.
 type Usage struct {
-	Prompt, Cached, Output int
+	PromptTokens, CachedTokens, OutputTokens int
 	// MaxTokens is the caller's limit of the output, or zero if it set none.
-	Max int
+	MaxTokens int
 	// Work is the time from dispatch to the last byte.
 	Work time.Duration
 }
@@ -121,11 +121,11 @@
 }
 
 func (o *outputLengths) learn(u Usage, weight float64) {
-	if u.Max > 0 {
-		o.limitUse.learn(1000*float64(u.Output)/float64(u.Max), 1000*initialLimitUse, weight)
+	if u.MaxTokens > 0 {
+		o.limitUse.learn(1000*float64(u.OutputTokens)/float64(u.MaxTokens), 1000*initialLimitUse, weight)
 		return
 	}
-	o.unlimited.learn(float64(u.Output), initialOutputTokens, weight)
+	o.unlimited.learn(float64(u.OutputTokens), initialOutputTokens, weight)
 }
 
 // class holds what is known about a class.
@@ -174,7 +174,7 @@
 // limit of the output, or zero if it set none. A request without a prompt and
 // without a limit is a call of a plain service.
 func (m *Model) Estimate(className, customerName string, promptBytes, maxTokens int) Estimate {
-	c, cust := m.class(className), m.customers.Get(key{className, customerName})
+	c, cust := m.class(className), m.customers.GetOrAdd(key{className, customerName})
 	if promptBytes == 0 && maxTokens == 0 {
 		micros := blend(&c.plainMicros, &cust.plainMicros, initialPlainMicros)
 		return Estimate{Work: time.Duration(micros * float64(time.Microsecond))}
@@ -208,17 +208,17 @@
 
 // Learn updates the model with the actual cost of a finished request.
 func (m *Model) Learn(className, customerName string, promptBytes int, u Usage) {
-	c, cust := m.class(className), m.customers.Get(key{className, customerName})
-	if u.Prompt == 0 && u.Output == 0 {
+	c, cust := m.class(className), m.customers.GetOrAdd(key{className, customerName})
+	if u.PromptTokens == 0 && u.OutputTokens == 0 {
 		micros := float64(u.Work.Microseconds())
 		c.plainMicros.learn(micros, initialPlainMicros, classWeight)
 		cust.plainMicros.learn(micros, initialPlainMicros, customerWeight)
 		return
 	}
-	if u.Prompt > 0 && promptBytes > 0 {
-		c.bytesPerToken.learn(1000*float64(promptBytes)/float64(u.Prompt), 1000*initialBytesPerToken, classWeight)
+	if u.PromptTokens > 0 && promptBytes > 0 {
+		c.bytesPerToken.learn(1000*float64(promptBytes)/float64(u.PromptTokens), 1000*initialBytesPerToken, classWeight)
 	}
 	c.outputs.learn(u, classWeight)
 	cust.outputs.learn(u, customerWeight)
-	c.time.learn(float64(max(u.Prompt-u.Cached, 0)), float64(u.Output), u.Work.Seconds())
+	c.time.learn(float64(max(u.PromptTokens-u.CachedTokens, 0)), float64(u.OutputTokens), u.Work.Seconds())
 }
--- a/core/cost/cost_test.go
+++ b/core/cost/cost_test.go
@@ -49,7 +49,7 @@
 			limit = 2000
 		}
 		out := limit * (6 + rnd.IntN(4)) / 10
-		m.Learn("drafts", "a", 2400, Usage{Prompt: 600, Output: out, Max: limit, Work: engineTime(600, out)})
+		m.Learn("drafts", "a", 2400, Usage{PromptTokens: 600, OutputTokens: out, MaxTokens: limit, Work: engineTime(600, out)})
 	}
 	short, long := m.Estimate("drafts", "a", 2400, 20), m.Estimate("drafts", "a", 2400, 2000)
 	t.Logf("short %+v long %+v", short, long)
@@ -63,8 +63,8 @@
 func TestCustomersDiffer(t *testing.T) {
 	m := New(Config{})
 	for range 60 {
-		m.Learn("c", "tags", 400, Usage{Prompt: 100, Output: 10, Work: engineTime(100, 10)})
-		m.Learn("c", "briefs", 400, Usage{Prompt: 100, Output: 800, Work: engineTime(100, 800)})
+		m.Learn("c", "tags", 400, Usage{PromptTokens: 100, OutputTokens: 10, Work: engineTime(100, 10)})
+		m.Learn("c", "briefs", 400, Usage{PromptTokens: 100, OutputTokens: 800, Work: engineTime(100, 800)})
 	}
 	for customer, want := range map[string]float64{"tags": 10, "briefs": 800} {
 		if got := m.Estimate("c", customer, 400, 0).OutputTokens; errorFactor(float64(got), want) > 1.5 {
@@ -83,7 +83,7 @@
 	learn := func(n, speed int) {
 		for range n {
 			prompt, out := 200+rnd.IntN(1000), 20+rnd.IntN(200)
-			m.Learn("c", "a", 4*prompt, Usage{Prompt: prompt, Output: out, Max: out, Work: engineTime(prompt, out) / time.Duration(speed)})
+			m.Learn("c", "a", 4*prompt, Usage{PromptTokens: prompt, OutputTokens: out, MaxTokens: out, Work: engineTime(prompt, out) / time.Duration(speed)})
 		}
 	}
 	learn(200, 1)
@@ -100,10 +100,10 @@
 func TestOutlier(t *testing.T) {
 	m := New(Config{})
 	for range 50 {
-		m.Learn("c", "a", 400, Usage{Prompt: 100, Output: 10, Work: engineTime(100, 10)})
+		m.Learn("c", "a", 400, Usage{PromptTokens: 100, OutputTokens: 10, Work: engineTime(100, 10)})
 	}
 	before := m.Estimate("c", "a", 400, 0)
-	m.Learn("c", "a", 400, Usage{Prompt: 100, Output: 100000, Work: engineTime(100, 100000)})
+	m.Learn("c", "a", 400, Usage{PromptTokens: 100, OutputTokens: 100000, Work: engineTime(100, 100000)})
 	after := m.Estimate("c", "a", 400, 0)
 	if f := after.Work.Seconds() / before.Work.Seconds(); f > 2 {
 		t.Fatalf("one answer changed the estimate by a factor of %.1f", f)
@@ -126,7 +126,7 @@
 func TestMemoryIsBounded(t *testing.T) {
 	m := New(Config{MaxCustomers: 100})
 	for n := range 1000 {
-		m.Learn("c", fmt.Sprint(n), 400, Usage{Prompt: 100, Output: n + 1, Work: time.Second})
+		m.Learn("c", fmt.Sprint(n), 400, Usage{PromptTokens: 100, OutputTokens: n + 1, Work: time.Second})
 		m.Estimate("c", "kept", 400, 0)
 	}
 	if got := m.customers.Len(); got != 100 {
@@ -146,7 +146,7 @@
 		for range rapid.IntRange(1, 50).Draw(t, "answers") {
 			customer := fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "customer"))
 			before := m.Estimate("c", customer, 4000, 100)
-			m.Learn("c", customer, num("bytes"), Usage{Prompt: num("prompt"), Cached: num("cached"), Output: num("output"), Max: num("max"), Work: time.Duration(num("ms")) * time.Millisecond})
+			m.Learn("c", customer, num("bytes"), Usage{PromptTokens: num("prompt"), CachedTokens: num("cached"), OutputTokens: num("output"), MaxTokens: num("max"), Work: time.Duration(num("ms")) * time.Millisecond})
 			after := m.Estimate("c", customer, 4000, 100)
 			if after.Work <= 0 || after.OutputTokens < 1 || after.OutputTokens > 100 || after.PromptTokens < 1 {
 				t.Fatalf("estimate %+v", after)
@@ -171,6 +171,6 @@
 	for n := range b.N {
 		name := names[n*7919%customers]
 		m.Estimate("c", name, 4000, 200)
-		m.Learn("c", name, 4000, Usage{Prompt: 1000, Output: 100, Max: 200, Work: 2 * time.Second})
+		m.Learn("c", name, 4000, Usage{PromptTokens: 1000, OutputTokens: 100, MaxTokens: 200, Work: 2 * time.Second})
 	}
 }
--- a/core/homes/check.go
+++ b/core/homes/check.go
@@ -24,7 +24,7 @@
 
 // Validate returns a *TableError for a table with which two agents could act
 // for the same key.
-func Check(t spec.Homes) error {
+func Validate(t spec.Homes) error {
 	switch lease := t.Lease.Std(); {
 	case t.Epoch < 1:
 		return &TableError{fmt.Sprintf("epoch %d", t.Epoch)}
--- a/core/homes/hand.go
+++ b/core/homes/hand.go
@@ -72,22 +72,22 @@
 // SlotHandover is one slot whose records are handed over to its new owner.
 // Records of keys made before Since, in Unix milliseconds, may be lost. Since
 // is zero if none can be.
-type Share struct {
+type SlotHandover struct {
 	Slot  int
 	Since int64
 }
 
 // Handover lists the slots that one change of the table moved from this agent
 // to another one.
-type Gift struct {
+type Handover struct {
 	To spec.HomeOwner
 	// Epoch is the epoch of the change.
-	Took   int64
-	Shares []Share
+	Epoch int64
+	Slots []SlotHandover
 }
 
 // recordLostSlots updates lostSlots for the new table t.
-func (v *Holder) recordLostSlots(t spec.Homes) {
+func (v *View) recordLostSlots(t spec.Homes) {
 	next := make(map[int]lostSlot)
 	for i, s := range t.Slots {
 		to, ok := ownerOf(t, i)
@@ -104,7 +104,7 @@
 }
 
 // slotRecordsSince returns the time before which records of a slot may be lost.
-func (v *Holder) slotRecordsSince(slot int) int64 {
+func (v *View) slotRecordsSince(slot int) int64 {
 	if since, ok := v.receivedSince[slot]; ok {
 		return since
 	}
@@ -112,7 +112,7 @@
 }
 
 // OwnsAnySlot reports whether the table assigns any slot to this agent.
-func (v *Holder) Holds() bool {
+func (v *View) OwnsAnySlot() bool {
 	for i := range v.table.Slots {
 		if ownedBy(v.table, i, v.self) {
 			return true
@@ -124,25 +124,25 @@
 // Handovers returns the slots whose records may be handed over. The caller may
 // hand them over only when it will never act for any slot again, because the
 // receiver relies on that.
-func (v *Holder) Gifts(now time.Duration) []Gift {
-	var out []Gift
+func (v *View) Handovers(now time.Duration) []Handover {
+	var out []Handover
 	for i := range v.table.Slots {
 		g, ok := v.lostSlots[i]
 		if !ok || now < g.actFrom {
 			continue
 		}
-		at := slices.IndexFunc(out, func(o Gift) bool { return o.To == g.newOwner && o.Took == g.epoch })
+		at := slices.IndexFunc(out, func(o Handover) bool { return o.To == g.newOwner && o.Epoch == g.epoch })
 		if at < 0 {
-			at, out = len(out), append(out, Gift{To: g.newOwner, Took: g.epoch})
+			at, out = len(out), append(out, Handover{To: g.newOwner, Epoch: g.epoch})
 		}
-		out[at].Shares = append(out[at].Shares, Share{Slot: i, Since: g.recordsSince})
+		out[at].Slots = append(out[at].Slots, SlotHandover{Slot: i, Since: g.recordsSince})
 	}
 	return out
 }
 
 // ExpectsHandover reports whether this agent took over slot from the given
 // owner in the given epoch and still owns it.
-func (v *Holder) Expects(slot int, from spec.HomeOwner, epoch int64) bool {
+func (v *View) ExpectsHandover(slot int, from spec.HomeOwner, epoch int64) bool {
 	if slot < 0 || slot >= len(v.table.Slots) || !ownedBy(v.table, slot, v.self) {
 		return false
 	}
@@ -153,9 +153,9 @@
 // AcceptHandover records that the previous owner will never act again and that
 // all records of the slots have been received. This agent may act for these
 // slots as soon as it has a lease.
-func (v *Holder) Receive(from spec.HomeOwner, epoch int64, slots []Share) {
+func (v *View) AcceptHandover(from spec.HomeOwner, epoch int64, slots []SlotHandover) {
 	for _, s := range slots {
-		if v.Expects(s.Slot, from, epoch) {
+		if v.ExpectsHandover(s.Slot, from, epoch) {
 			delete(v.actFrom, s.Slot)
 			v.receivedSince[s.Slot] = s.Since
 		}
--- a/core/homes/hand_test.go
+++ b/core/homes/hand_test.go
@@ -20,8 +20,8 @@
 	confirmed time.Duration
 	// views holds a view for every process so far. stopped marks the processes
 	// that have promised not to act again.
-	views   []*Holder
-	stopped map[*Holder]bool
+	views   []*View
+	stopped map[*View]bool
 	// inTransit holds the handovers that were sent. They may be lost, delayed
 	// or delivered several times.
 	inTransit []sentHandover
@@ -29,10 +29,10 @@
 
 type sentHandover struct {
 	from     spec.HomeOwner
-	handover Gift
+	handover Handover
 }
 
-func (s *cluster) draw(name string) *Holder {
+func (s *cluster) draw(name string) *View {
 	return s.views[rapid.IntRange(0, len(s.views)-1).Draw(s.t, name)]
 }
 
@@ -62,21 +62,21 @@
 	case 0:
 		s.confirmed = s.now
 	case 1:
-		s.table, _ = Takeover(s.table, s.alive(), startMillis+s.now.Milliseconds())
+		s.table, _ = ReassignSlots(s.table, s.alive(), startMillis+s.now.Milliseconds())
 		s.confirmed = s.now
 	case 2, 3:
-		s.draw("learner").Learn(s.now, s.table)
+		s.draw("learner").Update(s.now, s.table)
 	case 4:
-		s.draw("asker").Confirm(s.now, s.now-s.confirmed, s.table.Epoch)
+		s.draw("asker").ExtendLease(s.now, s.now-s.confirmed, s.table.Epoch)
 	case 5:
 		h := s.draw("leaver")
 		if !s.stopped[h] {
 			s.stopped[h] = true
-			s.views = append(s.views, NewHolder(spec.HomeOwner{Name: h.self.Name, Incarnation: h.self.Incarnation + 1}))
+			s.views = append(s.views, NewView(spec.HomeOwner{Name: h.self.Name, Incarnation: h.self.Incarnation + 1}))
 		}
 	case 6:
 		if h := s.draw("giver"); s.stopped[h] {
-			for _, g := range h.Gifts(s.now) {
+			for _, g := range h.Handovers(s.now) {
 				s.inTransit = append(s.inTransit, sentHandover{h.self, g})
 			}
 		}
@@ -85,7 +85,7 @@
 			l := s.inTransit[rapid.IntRange(0, len(s.inTransit)-1).Draw(s.t, "letter")]
 			for _, h := range s.views {
 				if h.self == l.handover.To {
-					h.Receive(l.from, l.handover.Took, l.handover.Shares)
+					h.AcceptHandover(l.from, l.handover.Epoch, l.handover.Slots)
 				}
 			}
 		}
@@ -98,11 +98,11 @@
 func TestNeverTwoOwnersWithHandovers(t *testing.T) {
 	actingAfterHandover := 0
 	rapid.Check(t, func(t *rapid.T) {
-		s := &cluster{t: t, stopped: make(map[*Holder]bool)}
+		s := &cluster{t: t, stopped: make(map[*View]bool)}
 		for _, o := range owners("a", "b", "c") {
-			s.views = append(s.views, NewHolder(o))
+			s.views = append(s.views, NewView(o))
 		}
-		s.table, _ = Takeover(s.table, owners("a", "b", "c"), startMillis)
+		s.table, _ = ReassignSlots(s.table, owners("a", "b", "c"), startMillis)
 		s.table.Slots = s.table.Slots[:6]
 		key := make([]byte, 8)
 		for range 300 {
@@ -111,7 +111,7 @@
 				binary.BigEndian.PutUint64(key, uint64(slot))
 				n := 0
 				for _, h := range s.views {
-					if !s.stopped[h] && h.Owns(s.now, key, h.Table().Epoch) == Owned {
+					if !s.stopped[h] && h.CheckOwnership(s.now, key, h.Table().Epoch) == Owned {
 						n++
 						if _, ok := h.receivedSince[slot]; ok {
 							actingAfterHandover++
@@ -132,19 +132,19 @@
 
 // viewsBeforeHandover returns the views of an agent that stops and of its
 // successor, both with the new table, and that table.
-func viewsBeforeHandover(since int64) (old, successor *Holder, table spec.Homes) {
+func viewsBeforeHandover(since int64) (old, successor *View, table spec.Homes) {
 	names := owners("a", "b")
-	table, _ = Takeover(spec.Homes{}, names, startMillis)
+	table, _ = ReassignSlots(spec.Homes{}, names, startMillis)
 	for i := range table.Slots {
 		table.Slots[i].LostBefore = since
 	}
-	old, successor = NewHolder(names[0]), NewHolder(names[1])
-	old.Learn(0, table)
-	successor.Learn(0, table)
-	table, _ = Takeover(table, names[1:], startMillis)
-	old.Learn(time.Second, table)
-	successor.Learn(time.Second, table)
-	successor.Confirm(time.Second, 0, table.Epoch)
+	old, successor = NewView(names[0]), NewView(names[1])
+	old.Update(0, table)
+	successor.Update(0, table)
+	table, _ = ReassignSlots(table, names[1:], startMillis)
+	old.Update(time.Second, table)
+	successor.Update(time.Second, table)
+	successor.ExtendLease(time.Second, 0, table.Epoch)
 	return old, successor, table
 }
 
@@ -155,27 +155,27 @@
 	const since = startMillis - 1000
 	old, successor, table := viewsBeforeHandover(since)
 	key := make([]byte, 8)
-	if successor.Owns(time.Second, key, table.Epoch) != NoLease || successor.Since(key) <= startMillis {
+	if successor.CheckOwnership(time.Second, key, table.Epoch) != NoLease || successor.RecordsSince(key) <= startMillis {
 		t.Fatal("acts before the records were received")
 	}
-	handovers := old.Gifts(time.Second)
-	if len(handovers) != 1 || handovers[0].To != successor.self || len(handovers[0].Shares) != Slots/2 {
+	handovers := old.Handovers(time.Second)
+	if len(handovers) != 1 || handovers[0].To != successor.self || len(handovers[0].Slots) != DefaultSlots/2 {
 		t.Fatalf("%d handovers", len(handovers))
 	}
-	successor.Receive(old.self, handovers[0].Took, handovers[0].Shares)
-	if successor.Owns(time.Second, key, table.Epoch) != Owned || successor.Since(key) != since {
-		t.Fatalf("owns %d, since %d", successor.Owns(time.Second, key, table.Epoch), successor.Since(key))
+	successor.AcceptHandover(old.self, handovers[0].Epoch, handovers[0].Slots)
+	if successor.CheckOwnership(time.Second, key, table.Epoch) != Owned || successor.RecordsSince(key) != since {
+		t.Fatalf("owns %d, since %d", successor.CheckOwnership(time.Second, key, table.Epoch), successor.RecordsSince(key))
 	}
 	table.Epoch++
-	successor.Learn(time.Second, table)
-	successor.Confirm(time.Second, 0, table.Epoch)
-	if successor.Owns(time.Second, key, table.Epoch) != Owned || successor.Since(key) != since {
+	successor.Update(time.Second, table)
+	successor.ExtendLease(time.Second, 0, table.Epoch)
+	if successor.CheckOwnership(time.Second, key, table.Epoch) != Owned || successor.RecordsSince(key) != since {
 		t.Fatal("a new epoch without a change of the slot undoes the handover")
 	}
 	third := owners("c")
-	table, _ = Takeover(table, third, startMillis+5000)
-	successor.Learn(2*time.Second, table)
-	for _, s := range successor.Gifts(2 * time.Second)[0].Shares {
+	table, _ = ReassignSlots(table, third, startMillis+5000)
+	successor.Update(2*time.Second, table)
+	for _, s := range successor.Handovers(2 * time.Second)[0].Slots {
 		if s.Since != since {
 			t.Fatalf("slot %d is handed over again with since %d", s.Slot, s.Since)
 		}
@@ -186,11 +186,11 @@
 // belongs to another change of the table. It must not let any agent act.
 func TestUnexpectedHandoversAreIgnored(t *testing.T) {
 	old, successor, table := viewsBeforeHandover(0)
-	g := old.Gifts(time.Second)[0]
-	successor.Receive(spec.HomeOwner{Name: "a", Incarnation: 2}, g.Took, g.Shares)
-	successor.Receive(old.self, g.Took+1, g.Shares)
-	successor.Receive(old.self, g.Took, []Share{{Slot: -1}, {Slot: Slots}, {Slot: 1}})
-	if key := make([]byte, 8); successor.Owns(time.Second, key, table.Epoch) != NoLease {
+	g := old.Handovers(time.Second)[0]
+	successor.AcceptHandover(spec.HomeOwner{Name: "a", Incarnation: 2}, g.Epoch, g.Slots)
+	successor.AcceptHandover(old.self, g.Epoch+1, g.Slots)
+	successor.AcceptHandover(old.self, g.Epoch, []SlotHandover{{Slot: -1}, {Slot: DefaultSlots}, {Slot: 1}})
+	if key := make([]byte, 8); successor.CheckOwnership(time.Second, key, table.Epoch) != NoLease {
 		t.Fatal("acts because of an unexpected handover")
 	}
 }
@@ -198,13 +198,13 @@
 // The table must name previous owners only for a limited time. Otherwise it
 // would grow with every restart until it exceeds the platform's size limit.
 func TestTableForgetsPreviousOwners(t *testing.T) {
-	tab, _ := Takeover(spec.Homes{}, owners("a", "b", "c"), startMillis)
-	tab, _ = Takeover(tab, owners("b", "c"), startMillis)
+	tab, _ := ReassignSlots(spec.Homes{}, owners("a", "b", "c"), startMillis)
+	tab, _ = ReassignSlots(tab, owners("b", "c"), startMillis)
 	if len(tab.FormerOwners) != 1 {
 		t.Fatalf("previous owners %v", tab.FormerOwners)
 	}
-	later := startMillis + Margin(DefaultLease).Milliseconds() + keepPreviousMillis + 1
-	tab, _ = Takeover(tab, owners("c"), later)
+	later := startMillis + TakeoverDelay(DefaultLease).Milliseconds() + keepPreviousMillis + 1
+	tab, _ = ReassignSlots(tab, owners("c"), later)
 	if len(tab.FormerOwners) != 1 || tab.FormerOwners[0].Name != "b" {
 		t.Fatalf("previous owners %v", tab.FormerOwners)
 	}
@@ -216,25 +216,25 @@
 // because of it.
 func TestNoHandoverBeforeOwnerMayAct(t *testing.T) {
 	names := owners("a", "b", "c")
-	tab, _ := Takeover(spec.Homes{}, names, startMillis)
-	first, second, third := NewHolder(names[0]), NewHolder(names[1]), NewHolder(names[2])
-	for _, h := range []*Holder{first, second, third} {
-		h.Learn(0, tab)
-		h.Confirm(0, 0, tab.Epoch)
-	}
-	tab, _ = Takeover(tab, names[1:], startMillis)
-	second.Learn(time.Second, tab)
-	tab, _ = Takeover(tab, names[2:], startMillis)
-	second.Learn(2*time.Second, tab)
-	third.Learn(2*time.Second, tab)
-	third.Confirm(2*time.Second, 0, tab.Epoch)
-	for _, g := range second.Gifts(2 * time.Second) {
-		third.Receive(names[1], g.Took, g.Shares)
+	tab, _ := ReassignSlots(spec.Homes{}, names, startMillis)
+	first, second, third := NewView(names[0]), NewView(names[1]), NewView(names[2])
+	for _, h := range []*View{first, second, third} {
+		h.Update(0, tab)
+		h.ExtendLease(0, 0, tab.Epoch)
+	}
+	tab, _ = ReassignSlots(tab, names[1:], startMillis)
+	second.Update(time.Second, tab)
+	tab, _ = ReassignSlots(tab, names[2:], startMillis)
+	second.Update(2*time.Second, tab)
+	third.Update(2*time.Second, tab)
+	third.ExtendLease(2*time.Second, 0, tab.Epoch)
+	for _, g := range second.Handovers(2 * time.Second) {
+		third.AcceptHandover(names[1], g.Epoch, g.Slots)
 	}
 	key := make([]byte, 8)
-	for slot := range Slots {
+	for slot := range DefaultSlots {
 		binary.BigEndian.PutUint64(key, uint64(slot))
-		if first.Owns(2*time.Second, key, 1) == Owned && third.Owns(2*time.Second, key, tab.Epoch) == Owned {
+		if first.CheckOwnership(2*time.Second, key, 1) == Owned && third.CheckOwnership(2*time.Second, key, tab.Epoch) == Owned {
 			t.Fatalf("two owners of slot %d", slot)
 		}
 	}
--- a/core/homes/holder.go
+++ b/core/homes/holder.go
@@ -23,7 +23,7 @@
 
 // View is an agent's view of the table of one pool. Its times are of one
 // monotonic clock. One goroutine owns it.
-type Holder struct {
+type View struct {
 	self  spec.HomeOwner
 	table spec.Homes
 	// actFrom maps each slot that was taken over to the time from which this
@@ -42,21 +42,21 @@
 
 // NewView returns the view of the agent self, which has not received a table
 // yet.
-func NewHolder(self spec.HomeOwner) *Holder {
-	return &Holder{self: self, actFrom: make(map[int]time.Duration), receivedSince: make(map[int]int64), lostSlots: make(map[int]lostSlot)}
+func NewView(self spec.HomeOwner) *View {
+	return &View{self: self, actFrom: make(map[int]time.Duration), receivedSince: make(map[int]int64), lostSlots: make(map[int]lostSlot)}
 }
 
 // Table returns the newest table received.
-func (v *Holder) Table() spec.Homes { return v.table }
+func (v *View) Table() spec.Homes { return v.table }
 
 // Update records a table and reports whether it is newer than the current one.
 // A table with a different number of slots is ignored: every key would get
 // another home while the old one may still act for it.
-func (v *Holder) Learn(now time.Duration, t spec.Homes) bool {
+func (v *View) Update(now time.Duration, t spec.Homes) bool {
 	if n := len(v.table.Slots); t.Epoch <= v.table.Epoch || n > 0 && n != len(t.Slots) {
 		return false
 	}
-	actAt := now + Margin(t.Lease.Std())
+	actAt := now + TakeoverDelay(t.Lease.Std())
 	actFrom, receivedSince := make(map[int]time.Duration), make(map[int]int64)
 	v.recordLostSlots(t)
 	for i, s := range t.Slots {
@@ -89,7 +89,7 @@
 // requestedAt is the time, on the agent's clock, at which the agent asked the
 // entry. age is how long before that the entry had itself confirmed the epoch
 // at the platform.
-func (v *Holder) Confirm(requestedAt, age time.Duration, epoch int64) {
+func (v *View) ExtendLease(requestedAt, age time.Duration, epoch int64) {
 	if epoch != v.table.Epoch || epoch == 0 {
 		return
 	}
@@ -97,12 +97,12 @@
 }
 
 // LeaseEnd returns the time until which the agent may act.
-func (v *Holder) Lease() time.Duration { return v.leaseEnd }
+func (v *View) LeaseEnd() time.Duration { return v.leaseEnd }
 
 // CheckOwnership says whether the agent may act for a hashed key that was
 // offered under the given epoch. An older epoch than that of the table is
 // accepted if the slot has not changed its owner since.
-func (v *Holder) Owns(now time.Duration, key []byte, epoch int64) Ownership {
+func (v *View) CheckOwnership(now time.Duration, key []byte, epoch int64) Ownership {
 	if len(v.table.Slots) == 0 || epoch > v.table.Epoch {
 		return NotHome
 	}
@@ -118,7 +118,7 @@
 
 // RecordsSince returns the time before which records of the key may be lost, in
 // Unix milliseconds.
-func (v *Holder) Since(key []byte) int64 {
+func (v *View) RecordsSince(key []byte) int64 {
 	if len(v.table.Slots) == 0 {
 		return 0
 	}
--- a/core/homes/homes.go
+++ b/core/homes/homes.go
@@ -39,7 +39,7 @@
 
 const (
 	// DefaultSlots is the number of slots of a new table.
-	Slots = 1024
+	DefaultSlots = 1024
 	// DefaultLease is the lease of a new table. A longer lease bridges longer
 	// outages of the platform, but the keys of a lost agent are refused for
 	// longer.
@@ -48,12 +48,12 @@
 	Retention = time.Hour
 	// MaxClockSkew is the maximum difference between the clocks of two
 	// instances.
-	Skew = 2 * time.Second
+	MaxClockSkew = 2 * time.Second
 )
 
 // TakeoverDelay returns how long a new owner waits before it acts: a lease and
 // a tenth of it, to allow for clocks that run at different speeds.
-func Margin(lease time.Duration) time.Duration { return lease + lease/10 }
+func TakeoverDelay(lease time.Duration) time.Duration { return lease + lease/10 }
 
 // Slot returns the slot of a hashed key in a table of n slots.
 func Slot(key []byte, n int) int {
@@ -83,7 +83,7 @@
 // whether it differs from t. nowMillis is the time in Unix milliseconds. The
 // caller must write the result only on condition that the stored table is still
 // t.
-func Takeover(t spec.Homes, live []spec.HomeOwner, nowMillis int64) (spec.Homes, bool) {
+func ReassignSlots(t spec.Homes, live []spec.HomeOwner, nowMillis int64) (spec.Homes, bool) {
 	live = sortedUnique(live)
 	if len(t.Slots) == 0 {
 		return newTable(live, nowMillis)
@@ -99,7 +99,7 @@
 			counts[s.Owner]++
 		}
 	}
-	since := nowMillis + Margin(t.Lease.Std()).Milliseconds()
+	since := nowMillis + TakeoverDelay(t.Lease.Std()).Milliseconds()
 	for _, i := range orphans {
 		o := minIndex(counts)
 		counts[o]++
@@ -115,7 +115,7 @@
 	if len(live) == 0 {
 		return spec.Homes{}, false
 	}
-	t := spec.Homes{Epoch: 1, Lease: spec.Duration(DefaultLease), Owners: live, ConfirmedAtMS: nowMillis, Slots: make([]spec.HomeSlot, Slots)}
+	t := spec.Homes{Epoch: 1, Lease: spec.Duration(DefaultLease), Owners: live, ConfirmedAtMS: nowMillis, Slots: make([]spec.HomeSlot, DefaultSlots)}
 	for i := range t.Slots {
 		t.Slots[i] = spec.HomeSlot{Owner: i % len(live), OwnedSinceEpoch: 1}
 	}
@@ -188,8 +188,8 @@
 // when the key was made, zero if the key does not contain a time. sinceMillis
 // is the time before which records may be lost, and nowMillis the current time.
 // All are in Unix milliseconds.
-func Usable(madeMillis, sinceMillis, nowMillis int64) bool {
-	skew, retention := Skew.Milliseconds(), Retention.Milliseconds()
+func MayRun(madeMillis, sinceMillis, nowMillis int64) bool {
+	skew, retention := MaxClockSkew.Milliseconds(), Retention.Milliseconds()
 	if madeMillis > nowMillis+skew {
 		// A client's clock that runs ahead would make every key look new.
 		madeMillis = 0
--- a/core/homes/homes_test.go
+++ b/core/homes/homes_test.go
@@ -24,8 +24,8 @@
 // A new table must spread its slots evenly and report no lost records. A new
 // agent must not move any slot.
 func TestNewTableSpreadsSlots(t *testing.T) {
-	tab, changed := Takeover(spec.Homes{}, owners("b", "a", "c"), startMillis)
-	if !changed || tab.Epoch != 1 || len(tab.Slots) != Slots {
+	tab, changed := ReassignSlots(spec.Homes{}, owners("b", "a", "c"), startMillis)
+	if !changed || tab.Epoch != 1 || len(tab.Slots) != DefaultSlots {
 		t.Fatalf("epoch %d, %d slots", tab.Epoch, len(tab.Slots))
 	}
 	counts := make([]int, 3)
@@ -36,11 +36,11 @@
 		}
 	}
 	for _, n := range counts {
-		if n < Slots/3 || n > Slots/3+1 {
+		if n < DefaultSlots/3 || n > DefaultSlots/3+1 {
 			t.Fatalf("counts %v", counts)
 		}
 	}
-	if _, changed := Takeover(tab, owners("a", "b", "c", "d"), startMillis); changed {
+	if _, changed := ReassignSlots(tab, owners("a", "b", "c", "d"), startMillis); changed {
 		t.Fatal("slots moved to a new agent")
 	}
 }
@@ -53,13 +53,13 @@
 		for i := range all {
 			all[i] = spec.HomeOwner{Name: fmt.Sprintf("a%02d", i), Incarnation: 1}
 		}
-		tab, _ := Takeover(spec.Homes{}, all, startMillis)
+		tab, _ := ReassignSlots(spec.Homes{}, all, startMillis)
 		now := startMillis
 		for range rapid.IntRange(1, 6).Draw(t, "changes") {
 			now += rapid.Int64Range(1, 100_000).Draw(t, "later")
 			i := rapid.IntRange(0, len(all)-1).Draw(t, "lost")
 			all[i].Incarnation++
-			next, changed := Takeover(tab, all, now)
+			next, changed := ReassignSlots(tab, all, now)
 			if changed != (next.Epoch == tab.Epoch+1) {
 				t.Fatalf("changed %v from epoch %d to %d", changed, tab.Epoch, next.Epoch)
 			}
@@ -81,18 +81,18 @@
 // One write succeeds; the other entry must not find a reason to change the
 // table again.
 func TestReassignSlotsIsDeterministic(t *testing.T) {
-	tab, _ := Takeover(spec.Homes{}, owners("a", "b", "c"), startMillis)
-	one, _ := Takeover(tab, owners("c", "a"), startMillis)
-	two, _ := Takeover(tab, owners("a", "c"), startMillis)
+	tab, _ := ReassignSlots(spec.Homes{}, owners("a", "b", "c"), startMillis)
+	one, _ := ReassignSlots(tab, owners("c", "a"), startMillis)
+	two, _ := ReassignSlots(tab, owners("a", "c"), startMillis)
 	for i := range one.Slots {
 		if one.Slots[i] != two.Slots[i] {
 			t.Fatalf("slot %d differs", i)
 		}
 	}
-	if _, changed := Takeover(one, owners("c", "a"), startMillis+1); changed {
+	if _, changed := ReassignSlots(one, owners("c", "a"), startMillis+1); changed {
 		t.Fatal("the result was changed again")
 	}
-	if same, changed := Takeover(tab, nil, startMillis); changed || same.Epoch != 1 {
+	if same, changed := ReassignSlots(tab, nil, startMillis); changed || same.Epoch != 1 {
 		t.Fatal("a table without live agents was changed")
 	}
 }
@@ -102,8 +102,8 @@
 func TestNeverTwoOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := owners("a", "b", "c")
-		tab, _ := Takeover(spec.Homes{}, names, startMillis)
-		holders := []*Holder{NewHolder(names[0]), NewHolder(names[1]), NewHolder(names[2])}
+		tab, _ := ReassignSlots(spec.Homes{}, names, startMillis)
+		holders := []*View{NewView(names[0]), NewView(names[1]), NewView(names[2])}
 		// confirmed is the last time at which an entry confirmed the epoch at
 		// the platform. All clocks agree.
 		now, confirmed := time.Duration(0), time.Duration(0)
@@ -116,23 +116,23 @@
 			case 1:
 				alive := owners("a", "b", "c")
 				i := rapid.IntRange(0, 2).Draw(t, "thought dead")
-				tab, _ = Takeover(tab, append(alive[:i], alive[i+1:]...), startMillis+now.Milliseconds())
+				tab, _ = ReassignSlots(tab, append(alive[:i], alive[i+1:]...), startMillis+now.Milliseconds())
 				confirmed = now
 			case 2:
-				holders[rapid.IntRange(0, 2).Draw(t, "learner")].Learn(now, tab)
+				holders[rapid.IntRange(0, 2).Draw(t, "learner")].Update(now, tab)
 			case 3:
 				h := holders[rapid.IntRange(0, 2).Draw(t, "asker")]
-				h.Confirm(now, now-confirmed, tab.Epoch)
+				h.ExtendLease(now, now-confirmed, tab.Epoch)
 			}
-			binary.BigEndian.PutUint64(key, rapid.Uint64Range(0, Slots-1).Draw(t, "slot"))
+			binary.BigEndian.PutUint64(key, rapid.Uint64Range(0, DefaultSlots-1).Draw(t, "slot"))
 			n := 0
 			for _, h := range holders {
-				if h.Owns(now, key, h.Table().Epoch) == Owned {
+				if h.CheckOwnership(now, key, h.Table().Epoch) == Owned {
 					n++
 				}
 			}
 			if n > 1 {
-				t.Fatalf("%d owners of slot %d", n, Slot(key, Slots))
+				t.Fatalf("%d owners of slot %d", n, Slot(key, DefaultSlots))
 			}
 		}
 	})
@@ -142,27 +142,27 @@
 // confirmation. The lease must count from the request, less the age of that
 // confirmation.
 func TestLeaseCountsFromRequest(t *testing.T) {
-	tab, _ := Takeover(spec.Homes{}, owners("a"), startMillis)
-	h := NewHolder(tab.Owners[0])
-	h.Learn(0, tab)
+	tab, _ := ReassignSlots(spec.Homes{}, owners("a"), startMillis)
+	h := NewView(tab.Owners[0])
+	h.Update(0, tab)
 	key := []byte("k")
-	if v := h.Owns(0, key, 1); v != NoLease {
+	if v := h.CheckOwnership(0, key, 1); v != NoLease {
 		t.Fatalf("ownership %d without a lease", v)
 	}
-	h.Confirm(time.Second, 3*time.Second, 1)
+	h.ExtendLease(time.Second, 3*time.Second, 1)
 	until := DefaultLease - 2*time.Second
-	if h.Owns(until-1, key, 1) != Owned || h.Owns(until, key, 1) != NoLease {
-		t.Fatalf("lease until %v", h.Lease())
+	if h.CheckOwnership(until-1, key, 1) != Owned || h.CheckOwnership(until, key, 1) != NoLease {
+		t.Fatalf("lease until %v", h.LeaseEnd())
 	}
 	resized := spec.Homes{Epoch: 2, Lease: tab.Lease, Owners: tab.Owners, Slots: tab.Slots[1:]}
-	if h.Learn(4*time.Second, resized) {
+	if h.Update(4*time.Second, resized) {
 		t.Fatal("a table with a different number of slots was accepted")
 	}
-	h.Confirm(5*time.Second, 0, 2)
-	if h.Lease() != until {
+	h.ExtendLease(5*time.Second, 0, 2)
+	if h.LeaseEnd() != until {
 		t.Fatal("the confirmation of another epoch extended the lease")
 	}
-	if h.Owns(0, key, 2) != NotHome {
+	if h.CheckOwnership(0, key, 2) != NotHome {
 		t.Fatal("acts under an unknown epoch")
 	}
 }
@@ -170,22 +170,22 @@
 // A restarted agent has no records of its previous process, so it must not act
 // for its slots until they are assigned to it again.
 func TestRestartedAgentOwnsNothing(t *testing.T) {
-	tab, _ := Takeover(spec.Homes{}, owners("a"), startMillis)
+	tab, _ := ReassignSlots(spec.Homes{}, owners("a"), startMillis)
 	self := spec.HomeOwner{Name: "a", Incarnation: 2}
-	h := NewHolder(self)
-	h.Learn(0, tab)
-	h.Confirm(0, 0, 1)
-	if h.Owns(0, []byte("k"), 1) != NotHome {
+	h := NewView(self)
+	h.Update(0, tab)
+	h.ExtendLease(0, 0, 1)
+	if h.CheckOwnership(0, []byte("k"), 1) != NotHome {
 		t.Fatal("acts for the slots of its previous process")
 	}
-	next, _ := Takeover(tab, []spec.HomeOwner{self}, startMillis)
-	h.Learn(time.Second, next)
-	begin := time.Second + Margin(DefaultLease)
-	h.Confirm(begin-time.Second, 0, 2)
-	if h.Owns(begin-1, []byte("k"), 2) != NoLease || h.Owns(begin, []byte("k"), 2) != Owned {
+	next, _ := ReassignSlots(tab, []spec.HomeOwner{self}, startMillis)
+	h.Update(time.Second, next)
+	begin := time.Second + TakeoverDelay(DefaultLease)
+	h.ExtendLease(begin-time.Second, 0, 2)
+	if h.CheckOwnership(begin-1, []byte("k"), 2) != NoLease || h.CheckOwnership(begin, []byte("k"), 2) != Owned {
 		t.Fatal("does not wait until the previous lease has expired")
 	}
-	if h.Since([]byte("k")) == 0 {
+	if h.RecordsSince([]byte("k")) == 0 {
 		t.Fatal("the table does not show that records were lost")
 	}
 }
@@ -193,7 +193,7 @@
 // A key must be run only if no lost or expired record can have had it, whatever
 // the clocks of clients and agents show within the allowed skew.
 func TestMayRun(t *testing.T) {
-	skew, retention := Skew.Milliseconds(), Retention.Milliseconds()
+	skew, retention := MaxClockSkew.Milliseconds(), Retention.Milliseconds()
 	for _, c := range []struct {
 		name        string
 		made, since int64
@@ -209,7 +209,7 @@
 		{"clock ahead within the skew", startMillis + skew, startMillis, true},
 		{"clock far ahead hides the age", startMillis + 1000*skew, startMillis - 1, false},
 	} {
-		if got := Usable(c.made, c.since, startMillis); got != c.want {
+		if got := MayRun(c.made, c.since, startMillis); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -219,12 +219,12 @@
 // example, a lease that overflows would end in the past, and the next owner
 // would act while the old one still does.
 func TestValidateRejectsUnsafeTables(t *testing.T) {
-	good, _ := Takeover(spec.Homes{}, owners("a", "b"), startMillis)
-	if err := Check(good); err != nil {
+	good, _ := ReassignSlots(spec.Homes{}, owners("a", "b"), startMillis)
+	if err := Validate(good); err != nil {
 		t.Fatal(err)
 	}
-	next, _ := Takeover(good, owners("b"), startMillis)
-	if err := Check(next); err != nil {
+	next, _ := ReassignSlots(good, owners("b"), startMillis)
+	if err := Validate(next); err != nil {
 		t.Fatal(err)
 	}
 	for name, damage := range map[string]func(*spec.Homes){
@@ -236,9 +236,9 @@
 		"unknown left":    func(h *spec.Homes) { h.Slots[3].PreviousOwner = 1 },
 		"taken in future": func(h *spec.Homes) { h.Slots[3].OwnedSinceEpoch = 2 },
 	} {
-		bad, _ := Takeover(spec.Homes{}, owners("a", "b"), startMillis)
+		bad, _ := ReassignSlots(spec.Homes{}, owners("a", "b"), startMillis)
 		damage(&bad)
-		if Check(bad) == nil {
+		if Validate(bad) == nil {
 			t.Errorf("%s was accepted", name)
 		}
 	}
--- a/core/once/once.go
+++ b/core/once/once.go
@@ -149,7 +149,7 @@
 
 // HandleClaim decides on a claim of id by a. If it returns Grant, the caller
 // must write the grant or call RevokeUnsentGrant.
-func (r *Request) Claim(id ident.ID, a Agent) ClaimDecision {
+func (r *Request) HandleClaim(id ident.ID, a Agent) ClaimDecision {
 	if id != r.id {
 		return Deny
 	}
@@ -174,7 +174,7 @@
 // same idempotency key and sends it under the current ID. The earlier request
 // ran, so the current one may no longer be called not-run, and no grant is
 // written. It reports whether a has an open offer of id.
-func (r *Request) Join(id ident.ID, a Agent) bool {
+func (r *Request) JoinAnswer(id ident.ID, a Agent) bool {
 	if id != r.id || r.state != Offered || !r.hasOffer(a) {
 		return false
 	}
@@ -185,11 +185,11 @@
 
 // MarkMayHaveRun records that an earlier request with the same idempotency key
 // may have run.
-func (r *Request) Taint() { r.mayHaveRun = true }
+func (r *Request) MarkMayHaveRun() { r.mayHaveRun = true }
 
 // RevokeUnsentGrant takes back a grant that never left this process because the
 // link refused to queue it. The agent's offer ends with its link.
-func (r *Request) Unwritten() {
+func (r *Request) RevokeUnsentGrant() {
 	if r.state != Granted {
 		return
 	}
@@ -202,7 +202,7 @@
 // whether that ended an open offer or the grant. For a grant, the Return counts
 // only if it comes from the incarnation that got the grant: a restarted agent
 // can't know what its previous process dispatched.
-func (r *Request) Return(id ident.ID, a Agent) bool {
+func (r *Request) HandleReturn(id ident.ID, a Agent) bool {
 	if id != r.id {
 		return false
 	}
@@ -223,7 +223,7 @@
 }
 
 // DropOffer ends the open offer to a and reports whether there was one.
-func (r *Request) Drop(a Agent) bool { return r.endOffer(a) }
+func (r *Request) DropOffer(a Agent) bool { return r.endOffer(a) }
 
 func (r *Request) endOffer(a Agent) bool {
 	i := slices.Index(r.offers, a)
@@ -237,7 +237,7 @@
 
 // RecordAnswerStart records that a part of the answer has arrived from the
 // granted agent.
-func (r *Request) Begin() {
+func (r *Request) RecordAnswerStart() {
 	if r.state == Granted {
 		r.answerStarted = true
 	}
@@ -245,10 +245,10 @@
 
 // RecordDelivery records that the caller is about to get the first part of the
 // answer.
-func (r *Request) Give() { r.answerDelivered = true }
+func (r *Request) RecordDelivery() { r.answerDelivered = true }
 
 // AnswerDelivered reports whether the caller has a part of the answer.
-func (r *Request) Given() bool { return r.answerDelivered }
+func (r *Request) AnswerDelivered() bool { return r.answerDelivered }
 
 // Fail records that the granted attempt has no complete answer and may have
 // run.
@@ -269,7 +269,7 @@
 // attempt has no open offer and no grant, or if it certainly did not run, or if
 // running it again does no harm. Once the caller has a part of an answer, an
 // attempt that was granted must not be repeated.
-func (r *Request) MayRenew() bool {
+func (r *Request) MayRetry() bool {
 	switch r.state {
 	case Offered:
 		return len(r.offers) == 0
@@ -283,8 +283,8 @@
 
 // Retry starts another attempt under a new ID. It returns ErrMayHaveRun if
 // MayRetry reports false or id is the current ID.
-func (r *Request) Renew(id ident.ID) error {
-	if !r.MayRenew() || id == r.id {
+func (r *Request) Retry(id ident.ID) error {
+	if !r.MayRetry() || id == r.id {
 		return ErrMayHaveRun
 	}
 	if r.state == Failed {
--- a/core/once/once_test.go
+++ b/core/once/once_test.go
@@ -62,7 +62,7 @@
 			"claim": func(t *rapid.T) {
 				a := agent.Draw(t, "agent")
 				id := w.r.ID()
-				if w.r.Claim(id, a) == Grant {
+				if w.r.HandleClaim(id, a) == Grant {
 					w.grantCounts[id]++
 					w.grantHolders[id] = a
 				}
@@ -78,14 +78,14 @@
 				delete(w.offered, f)
 				delete(w.grantHolders, f.id)
 				w.sentReturns = append(w.sentReturns, f)
-				w.r.Return(f.id, f.agent)
+				w.r.HandleReturn(f.id, f.agent)
 			},
 			"stale return": func(t *rapid.T) {
 				if len(w.sentReturns) == 0 {
 					t.Skip("none sent")
 				}
 				f := rapid.SampledFrom(w.sentReturns).Draw(t, "frame")
-				w.r.Return(f.id, f.agent)
+				w.r.HandleReturn(f.id, f.agent)
 			},
 			"run": func(_ *rapid.T) {
 				for id := range w.grantHolders {
@@ -94,12 +94,12 @@
 					w.runs++
 				}
 			},
-			"link lost": func(t *rapid.T) { w.r.Drop(agent.Draw(t, "agent")) },
+			"link lost": func(t *rapid.T) { w.r.DropOffer(agent.Draw(t, "agent")) },
 			"broken":    func(*rapid.T) { w.r.Fail() },
 			"renew": func(*rapid.T) {
 				id := w.newID()
 				before := w.r.State()
-				if w.r.Renew(id) == nil && before == Failed && !repeatable {
+				if w.r.Retry(id) == nil && before == Failed && !repeatable {
 					t.Fatal("retried a request that may not be repeated")
 				}
 			},
@@ -131,17 +131,17 @@
 	id := ident.Make(1, 1)
 	r := New(id, false)
 	r.Offer(a)
-	r.Return(id, a)
+	r.HandleReturn(id, a)
 	if r.Offer(a) {
 		t.Fatal("the same ID was offered again to an agent that returned it")
 	}
 	next := ident.Make(1, 2)
-	if err := r.Renew(next); err != nil {
+	if err := r.Retry(next); err != nil {
 		t.Fatal(err)
 	}
 	r.Offer(a)
-	r.Claim(next, a)
-	r.Return(id, a)
+	r.HandleClaim(next, a)
+	r.HandleReturn(id, a)
 	if o := r.Outcome(); o != Unknown {
 		t.Errorf("outcome %s of a running request", o)
 	}
@@ -154,15 +154,15 @@
 	id := ident.Make(1, 1)
 	r := New(id, false)
 	r.Offer(a)
-	if !r.Join(id, a) {
+	if !r.JoinAnswer(id, a) {
 		t.Fatal("JoinAnswer returned false")
 	}
-	if r.Return(id, a) {
+	if r.HandleReturn(id, a) {
 		t.Error("a Return was accepted after JoinAnswer")
 	}
 	r.Fail()
-	if r.Outcome() != Unknown || r.MayRenew() {
-		t.Errorf("outcome %s, may retry %t", r.Outcome(), r.MayRenew())
+	if r.Outcome() != Unknown || r.MayRetry() {
+		t.Errorf("outcome %s, may retry %t", r.Outcome(), r.MayRetry())
 	}
 }
 
@@ -173,10 +173,10 @@
 	id := ident.Make(1, 1)
 	r := New(id, true)
 	r.Offer(a)
-	if v := r.Claim(id, a); v != Grant {
+	if v := r.HandleClaim(id, a); v != Grant {
 		t.Fatalf("first claim: %d", v)
 	}
-	if v := r.Claim(id, a); v != Ignore {
+	if v := r.HandleClaim(id, a); v != Ignore {
 		t.Errorf("second claim: %d", v)
 	}
 }
@@ -187,10 +187,10 @@
 	id := ident.Make(1, 1)
 	r := New(id, true)
 	r.Offer(a)
-	r.Claim(id, a)
-	r.Give()
+	r.HandleClaim(id, a)
+	r.RecordDelivery()
 	r.Fail()
-	if r.MayRenew() {
+	if r.MayRetry() {
 		t.Error("may be retried after the caller got a part of the answer")
 	}
 }
--- a/core/place/cache.go
+++ b/core/place/cache.go
@@ -172,7 +172,7 @@
 	agent := c.agentID(name)
 	sent := holder{agent: agent, generation: c.agents[agent].generation, sentAt: now}
 	for i, hash := range prefix {
-		h := c.prefixes.Get(hash)
+		h := c.prefixes.GetOrAdd(hash)
 		c.expire(now, h)
 		pos := h.position(agent)
 		if pos < h.count && h.agents[pos].agent == agent {
@@ -221,7 +221,7 @@
 // which is assumed to have it in its cache from then on. It returns the number
 // of the prompt's tokens that the agent was already assumed to have cached. The
 // caller passes that number to RecordCached when the request has ended.
-func (p *Placer) Sent(now time.Duration, agent string, prefix []uint64) (believedTokens int) {
+func (p *Placer) RecordSent(now time.Duration, agent string, prefix []uint64) (believedTokens int) {
 	return p.cache.record(now, agent, prefix)
 }
 
@@ -229,7 +229,7 @@
 // agent, and how many RecordSent had returned. An agent whose engine evicts
 // prefixes sooner than assumed gets a lower hit rate, which reduces the saving
 // that is expected there.
-func (p *Placer) Cached(agent string, believedTokens, cachedTokens int) {
+func (p *Placer) RecordCached(agent string, believedTokens, cachedTokens int) {
 	i, ok := p.cache.byName[agent]
 	if !ok || believedTokens <= 0 {
 		return
@@ -241,7 +241,7 @@
 
 // ForgetAgent discards what is known about the agent's cache. It is used when
 // the agent has restarted.
-func (p *Placer) Forget(agent string) {
+func (p *Placer) ForgetAgent(agent string) {
 	if i, ok := p.cache.byName[agent]; ok {
 		p.cache.agents[i].generation++
 	}
--- a/core/place/model_test.go
+++ b/core/place/model_test.go
@@ -61,7 +61,7 @@
 	if m.caches[i].Find(prefix) == nil {
 		work += promptTokens * DefaultPrefillPerToken
 		m.computedTokens += promptTokens
-		*m.caches[i].Get(prefix) = true
+		*m.caches[i].GetOrAdd(prefix) = true
 		// The other requests of the batch wait while the prompt is computed.
 		for k := range m.busyUntil[i] {
 			if k != slot && m.busyUntil[i][k] > start {
@@ -78,7 +78,7 @@
 // time and the other has a free slot sooner.
 func (m *fleetModel) claimingAgent(now time.Duration, p *Placer, req Request, i int, rnd uint64) int {
 	start, _ := m.earliestSlot(now, i)
-	w := Waiting{Tier: req.Tier, Offered: now, Agents: 1, PromptTokens: req.PromptTokens, Prefix: req.Prefix}
+	w := UnclaimedOffer{Tier: req.Tier, OfferedAt: now, AgentCount: 1, PromptTokens: req.PromptTokens, Prefix: req.Prefix}
 	if w.keepWaiting(start, p.prefixSaving(now, &w)) {
 		return i
 	}
@@ -134,7 +134,7 @@
 		out = p.Pick(now, req, m.agents, 1, rnd.Uint64(), out[:0])
 		i := m.claimingAgent(now, p, req, out[0], rnd.Uint64())
 		m.agents[i].Queued++
-		p.Sent(now, m.agents[i].Name, req.Prefix)
+		p.RecordSent(now, m.agents[i].Name, req.Prefix)
 		m.runRequest(now, i, prefix)
 	}
 	sorted := slices.Sorted(slices.Values(m.latencies))
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -104,7 +104,7 @@
 	}{{"free", 0, true}, {"short queue", time.Second, true}, {"long queue", 20 * time.Second, false}} {
 		t.Run(tc.name, func(t *testing.T) {
 			p, agents := New(Config{Zone: "z1"}), makeAgents(20, "z1")
-			p.Sent(0, agents[7].Name, req.Prefix)
+			p.RecordSent(0, agents[7].Name, req.Prefix)
 			if tc.queued > 0 {
 				agents[7].InFlight, agents[7].Queued, agents[7].QueuedCost = 8, 1, tc.queued
 			}
@@ -112,7 +112,7 @@
 			if alone := len(out) == 1 && out[0] == 7; alone != tc.alone {
 				t.Fatalf("picked %v", out)
 			}
-			p.Forget(agents[7].Name)
+			p.ForgetAgent(agents[7].Name)
 			if out := p.Pick(time.Second, req, agents, 2, 42, nil); out[0] == 7 {
 				t.Fatalf("picked %v after the agent restarted", out)
 			}
@@ -125,17 +125,17 @@
 func TestHitRateLowersSavings(t *testing.T) {
 	p, agents := New(Config{Zone: "z1"}), makeAgents(20, "z1")
 	req := Request{Tier: 1, PromptTokens: 256, Work: time.Second, Prefix: Fingerprint(make([]byte, 1024))}
-	if believedTokens := p.Sent(0, agents[7].Name, req.Prefix); believedTokens != 0 {
+	if believedTokens := p.RecordSent(0, agents[7].Name, req.Prefix); believedTokens != 0 {
 		t.Fatalf("%d tokens of a new prompt assumed to be cached", believedTokens)
 	}
 	for range 20 {
-		p.Cached(agents[7].Name, p.Sent(0, agents[7].Name, req.Prefix), 0)
+		p.RecordCached(agents[7].Name, p.RecordSent(0, agents[7].Name, req.Prefix), 0)
 	}
 	if out := p.Pick(0, req, agents, 2, 1, nil); out[0] == 7 {
 		t.Fatalf("picked %v", out)
 	}
 	for range 20 {
-		p.Cached(agents[7].Name, 256, 256)
+		p.RecordCached(agents[7].Name, 256, 256)
 	}
 	if out := p.Pick(0, req, agents, 2, 1, nil); len(out) != 1 || out[0] != 7 {
 		t.Fatalf("picked %v after the cache hits", out)
@@ -165,15 +165,15 @@
 // that are recent, or that enough agents already hold, must not.
 func TestOffersToExtend(t *testing.T) {
 	const s = time.Second
-	offers := []Waiting{
-		{Tier: 2, Offered: 0, Agents: 1},
-		{Tier: 1, Offered: 0, Agents: 1, Due: 30 * s},
-		{Tier: 1, Offered: 0, Agents: 2, Due: 9 * s},
-		{Tier: 0, Offered: -time.Minute, Agents: maxAgentsPerOffer},
-		{Tier: 0, Offered: 950 * time.Millisecond, Agents: 1},
-		{Tier: 3, Offered: s, Agents: 0},
-	}
-	if got := fmt.Sprint(New(Config{}).Wider(s, offers, nil)); got != "[2 1 0 5]" {
+	offers := []UnclaimedOffer{
+		{Tier: 2, OfferedAt: 0, AgentCount: 1},
+		{Tier: 1, OfferedAt: 0, AgentCount: 1, Due: 30 * s},
+		{Tier: 1, OfferedAt: 0, AgentCount: 2, Due: 9 * s},
+		{Tier: 0, OfferedAt: -time.Minute, AgentCount: maxAgentsPerOffer},
+		{Tier: 0, OfferedAt: 950 * time.Millisecond, AgentCount: 1},
+		{Tier: 3, OfferedAt: s, AgentCount: 0},
+	}
+	if got := fmt.Sprint(New(Config{}).OffersToExtend(s, offers, nil)); got != "[2 1 0 5]" {
 		t.Fatalf("order %v", got)
 	}
 }
@@ -217,7 +217,7 @@
 				}
 			}
 			if len(out) > 0 {
-				p.Sent(at, agents[out[0]].Name, req.Prefix)
+				p.RecordSent(at, agents[out[0]].Name, req.Prefix)
 			}
 		}
 	})
@@ -231,7 +231,7 @@
 			for i := range max(known, 1) {
 				prefixes = append(prefixes, Fingerprint(append([]byte(fmt.Sprint(i)), make([]byte, 8192)...)))
 				if known > 0 {
-					p.Sent(0, agents[i%len(agents)].Name, prefixes[i])
+					p.RecordSent(0, agents[i%len(agents)].Name, prefixes[i])
 				}
 			}
 			req, rnd := request, rand.New(rand.NewPCG(1, 1))
@@ -243,7 +243,7 @@
 				now := time.Duration(n) * time.Millisecond
 				out = p.Pick(now, req, agents, 2, rnd.Uint64(), out[:0])
 				if known > 0 {
-					p.Sent(now, agents[out[0]].Name, req.Prefix)
+					p.RecordSent(now, agents[out[0]].Name, req.Prefix)
 				}
 			}
 		})
--- a/core/place/wider.go
+++ b/core/place/wider.go
@@ -23,13 +23,13 @@
 )
 
 // UnclaimedOffer is an offered request that no agent has claimed yet.
-type Waiting struct {
+type UnclaimedOffer struct {
 	Tier uint8
 	// OfferedAt is when the request was last offered. Due is when it misses its
 	// target; zero means that it has none.
-	Offered, Due time.Duration
+	OfferedAt, Due time.Duration
 	// AgentCount is the number of agents that hold the offer now.
-	Agents int
+	AgentCount int
 	// PromptTokens and Prefix are those of the Request.
 	PromptTokens int
 	Prefix       []uint64
@@ -38,25 +38,25 @@
 // keepWaiting reports whether the offer should stay with the agents that hold
 // it. prefixSaving is the time that is saved if an agent with the prompt's
 // prefix claims it.
-func (w *Waiting) keepWaiting(now, prefixSaving time.Duration) bool {
-	if w.Agents >= maxAgentsPerOffer {
+func (w *UnclaimedOffer) keepWaiting(now, prefixSaving time.Duration) bool {
+	if w.AgentCount >= maxAgentsPerOffer {
 		return true
 	}
-	timeout := firstExtension<<max(w.Agents-1, 0) + prefixSaving
-	if w.Agents == 0 {
+	timeout := firstExtension<<max(w.AgentCount-1, 0) + prefixSaving
+	if w.AgentCount == 0 {
 		timeout = 0
 	}
 	if w.Due > now {
-		timeout = min(timeout, max((w.Due-w.Offered)/targetWaitDivisor, firstExtension/targetWaitDivisor))
+		timeout = min(timeout, max((w.Due-w.OfferedAt)/targetWaitDivisor, firstExtension/targetWaitDivisor))
 	}
-	return now-w.Offered < timeout
+	return now-w.OfferedAt < timeout
 }
 
 // OffersToExtend appends to out the indexes of the requests that should be
 // offered to one more agent, ordered by tier and then by Due. Otherwise an
 // agent that is stuck, or whose reported load was too low, would keep a request
 // from all other agents.
-func (p *Placer) Wider(now time.Duration, offers []Waiting, out []int) []int {
+func (p *Placer) OffersToExtend(now time.Duration, offers []UnclaimedOffer, out []int) []int {
 	first := len(out)
 	for i := range offers {
 		if !offers[i].keepWaiting(now, p.prefixSaving(now, &offers[i])) {
@@ -65,7 +65,7 @@
 	}
 	slices.SortFunc(out[first:], func(i, j int) int {
 		a, b := &offers[i], &offers[j]
-		return cmp.Or(cmp.Compare(a.Tier, b.Tier), cmp.Compare(orNever(a.Due), orNever(b.Due)), cmp.Compare(a.Offered, b.Offered))
+		return cmp.Or(cmp.Compare(a.Tier, b.Tier), cmp.Compare(orNever(a.Due), orNever(b.Due)), cmp.Compare(a.OfferedAt, b.OfferedAt))
 	})
 	return out
 }
@@ -73,7 +73,7 @@
 // prefixSaving returns the time that an agent with the prompt's prefix saves in
 // a full batch. If offers were extended to other agents before that time had
 // passed, every prefix would be spread over the fleet until no cache holds it.
-func (p *Placer) prefixSaving(now time.Duration, w *Waiting) time.Duration {
+func (p *Placer) prefixSaving(now time.Duration, w *UnclaimedOffer) time.Duration {
 	h, tokens := p.cache.longestKnown(now, w.Prefix)
 	if h == nil {
 		return 0
--- a/core/poison/poison.go
+++ b/core/poison/poison.go
@@ -174,7 +174,7 @@
 
 // RecordLostRun records that a run broke off together with its connection.
 func (t *Tracker) RecordLostRun(now time.Duration, f Fingerprint, id string) {
-	e := t.endpoints.Get(id)
+	e := t.endpoints.GetOrAdd(id)
 	if e.crashed {
 		t.addCrash(now, f, id)
 		t.evaluate(now, f)
@@ -194,7 +194,7 @@
 
 // RecordCrash records that an endpoint has crashed.
 func (t *Tracker) RecordCrash(now time.Duration, id string) {
-	e := t.endpoints.Get(id)
+	e := t.endpoints.GetOrAdd(id)
 	if e.crashed {
 		return
 	}
@@ -235,7 +235,7 @@
 
 // RecordCompleted records a complete answer from an endpoint. It clears the request.
 func (t *Tracker) RecordCompleted(now time.Duration, f Fingerprint, id string) {
-	*t.completed.Get(f) = now
+	*t.completed.GetOrAdd(f) = now
 	if e := t.endpoints.Peek(id); e != nil {
 		if now-e.lostAt > crashSpread {
 			e.lostRequests = nil
@@ -312,7 +312,7 @@
 	change := Change{Fingerprint: f, Duration: duration, Quarantines: s.quarantineCount, Local: s.local}
 	for _, c := range s.crashes {
 		change.Endpoints = append(change.Endpoints, c.endpoint)
-		if e := t.endpoints.Get(c.endpoint); !e.explained {
+		if e := t.endpoints.GetOrAdd(c.endpoint); !e.explained {
 			e.explained, e.culprit = true, f
 		}
 	}
--- a/core/queue/flow.go
+++ b/core/queue/flow.go
@@ -23,7 +23,7 @@
 	skips int
 }
 
-func (n *node) isLate(now time.Duration) bool { return n.Due > 0 && now > n.Due }
+func (n *node) isLate(now time.Duration) bool { return n.StartBy > 0 && now > n.StartBy }
 
 func nodeLess(a, b *node) bool {
 	if a.sortKey != b.sortKey {
--- a/core/queue/model_test.go
+++ b/core/queue/model_test.go
@@ -40,13 +40,13 @@
 		}
 		if rnd.Float64() < 0.7*slots/meanSeconds*tick.Seconds() {
 			n++
-			it := Item{ID: ident.Make(1, uint64(n)), Tier: 1, Customer: fmt.Sprint(rnd.IntN(5)), Cost: second, Due: now + 2*second}
+			it := Item{ID: ident.Make(1, uint64(n)), Tier: 1, Customer: fmt.Sprint(rnd.IntN(5)), Cost: second, StartBy: now + 2*second}
 			if rnd.IntN(20) == 0 {
-				it.Cost, it.Due = 100*second, now+5*time.Minute
+				it.Cost, it.StartBy = 100*second, now+5*time.Minute
 			}
 			if fifo {
 				it.Customer = "all"
-				it.Due, it.Deadline = 0, it.Due
+				it.StartBy, it.Deadline = 0, it.StartBy
 				it.Arrived = now - it.Cost
 			}
 			if _, _, err := q.Push(now, it); err != nil {
@@ -54,31 +54,31 @@
 			}
 		}
 		for {
-			r := bound.Running{Count: len(running)}
+			r := bound.InFlight{Count: len(running)}
 			for i := range running {
 				if running[i].long {
 					r.LongCount++
 				}
 			}
-			it, ok := q.Next(now, func(it Item) Fit {
-				switch fit := b.Fit(now, r, bound.Work{Tier: 1, Cost: it.Cost}); {
+			it, ok := q.PopFitting(now, func(it Item) Fit {
+				switch fit := b.CheckFit(now, r, bound.Work{Tier: 1, Cost: it.Cost}); {
 				case fit == bound.NoSlot:
 					return Stop
-				case fit == bound.LongFull && !fifo:
-					return Pass
+				case fit == bound.NoLongSlot && !fifo:
+					return Skip
 				}
 				return Fits
 			})
 			if !ok {
 				break
 			}
-			running = append(running, run{now + it.Cost, b.Long(bound.Work{Tier: 1, Cost: it.Cost})})
+			running = append(running, run{now + it.Cost, b.RecordDispatch(bound.Work{Tier: 1, Cost: it.Cost})})
 			o := &short
 			if it.Cost > second {
 				o = &long
 			}
 			o.offered++
-			if now <= max(it.Due, it.Deadline) {
+			if now <= max(it.StartBy, it.Deadline) {
 				o.onTime++
 			}
 		}
--- a/core/queue/next.go
+++ b/core/queue/next.go
@@ -11,12 +11,12 @@
 	// Skip means that the item must wait and any number of other items may run
 	// before it. An example is long work while all slots for long work are
 	// taken.
-	Pass
+	Skip
 	// SkipLimited means that the item must wait and at most maxSkips other
 	// items may run before it. An example is work that needs more memory than
 	// is free: without the limit, small work would take every piece of memory
 	// that becomes free and large work would never run.
-	PassFew
+	SkipLimited
 	// Stop means that nothing can run now.
 	Stop
 )
@@ -34,7 +34,7 @@
 // been skipped too often to be skipped again, and when no examined item fits.
 // It examines at most maxScanned items of a tier before it goes on to the next
 // tier.
-func (q *Queue) Next(now time.Duration, fit func(Item) Fit) (Item, bool) {
+func (q *Queue) PopFitting(now time.Duration, fit func(Item) Fit) (Item, bool) {
 	q.setAside = q.setAside[:0]
 	found := q.findFitting(now, fit)
 	for _, n := range q.setAside {
@@ -61,7 +61,7 @@
 				return n
 			case Stop:
 				return nil
-			case PassFew:
+			case SkipLimited:
 				if n.skips >= maxSkips {
 					return nil
 				}
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -72,7 +72,7 @@
 	// the latest start with which the request still meets its target. Deadline
 	// is the time at which the caller gives up. Zero means that there is no
 	// such time; Push replaces a zero Arrived by the current time.
-	Arrived, Due, Deadline time.Duration
+	Arrived, StartBy, Deadline time.Duration
 	// Repeatable is set when the request may be cancelled and run again.
 	Repeatable bool
 }
@@ -80,7 +80,7 @@
 // Config configures a Queue.
 type Config struct {
 	// MaxItems is the maximum number of waiting items. Zero means DefaultMax.
-	Max int
+	MaxItems int
 }
 
 // Queue orders waiting items. One goroutine owns it.
@@ -105,8 +105,8 @@
 
 // New returns an empty queue.
 func New(cfg Config) *Queue {
-	if cfg.Max <= 0 {
-		cfg.Max = DefaultMax
+	if cfg.MaxItems <= 0 {
+		cfg.MaxItems = DefaultMax
 	}
 	q := &Queue{cfg: cfg, byID: make(map[ident.ID]*node)}
 	for i := range q.tiers {
@@ -132,7 +132,7 @@
 	if _, ok := q.byID[it.ID]; ok {
 		return Item{}, false, ErrDuplicate
 	}
-	if len(q.byID) >= q.cfg.Max {
+	if len(q.byID) >= q.cfg.MaxItems {
 		victim := q.evictionCandidate(&it)
 		if victim == nil {
 			return Item{}, false, ErrFull
@@ -149,8 +149,8 @@
 	}
 	n := q.node()
 	n.Item, n.late, n.skips = it, false, 0
-	n.sortKey = it.Due + it.Cost
-	if it.Due == 0 {
+	n.sortKey = it.StartBy + it.Cost
+	if it.StartBy == 0 {
 		n.sortKey = it.Arrived + defaultTarget + it.Cost
 	}
 	n.late = n.isLate(now)
@@ -251,7 +251,7 @@
 
 // RemoveExpired removes and returns the items whose deadline has passed. The
 // slice is valid until the next call of RemoveExpired or DropAbove.
-func (q *Queue) Expired(now time.Duration) []Item {
+func (q *Queue) RemoveExpired(now time.Duration) []Item {
 	q.removed = q.removed[:0]
 	for q.deadlines.len() > 0 && q.deadlines.top().Deadline <= now {
 		q.removed = append(q.removed, q.removeNode(q.deadlines.top(), false))
@@ -280,7 +280,7 @@
 func (q *Queue) Cost() time.Duration { return q.totalCost }
 
 // TierMask returns a mask in which bit t is set while an item of tier t waits.
-func (q *Queue) Mask() uint8 {
+func (q *Queue) TierMask() uint8 {
 	var m uint8
 	for i := range q.tiers {
 		if q.tiers[i].count > 0 {
@@ -292,7 +292,7 @@
 
 // ChargeActual replaces the estimated cost that was charged to the customer in
 // the tier by the actual cost. The owner calls it when the request has ended.
-func (q *Queue) Done(customer string, tier uint8, estimated, actual time.Duration) {
+func (q *Queue) ChargeActual(customer string, tier uint8, estimated, actual time.Duration) {
 	t := &q.tiers[min(tier, spec.Tiers-1)]
 	t.correctStart(customer, charge(actual)-charge(estimated))
 }
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -14,7 +14,7 @@
 const second = time.Second
 
 func item(n int, tier uint8, customer string, cost, due time.Duration) Item {
-	return Item{ID: ident.Make(1, uint64(n)), Tier: tier, Customer: customer, Cost: cost, Due: due}
+	return Item{ID: ident.Make(1, uint64(n)), Tier: tier, Customer: customer, Cost: cost, StartBy: due}
 }
 
 func fill(t *testing.T, q *Queue, items ...Item) {
@@ -82,7 +82,7 @@
 		{"duplicate ID", []Item{item(1, 0, "a", second, 0)}, item(1, 0, "a", second, 0), 0, ErrDuplicate},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			q := New(Config{Max: 2})
+			q := New(Config{MaxItems: 2})
 			fill(t, q, tc.waiting...)
 			evicted, did, err := q.Push(0, tc.it)
 			if err != tc.err || did != (tc.want != 0) || int(evicted.ID[ident.Size-1]) != tc.want {
@@ -108,7 +108,7 @@
 			actual *= 10
 		}
 		served[it.Customer] += actual
-		q.Done(it.Customer, it.Tier, it.Cost, actual)
+		q.ChargeActual(it.Customer, it.Tier, it.Cost, actual)
 	}
 	if a, b := served["under"], served["right"]; a > b+20*second || b > a+20*second {
 		t.Fatalf("served %v to the underestimated customer and %v to the other", a, b)
@@ -160,7 +160,7 @@
 			if _, _, err := q.Push(now, it); err != nil {
 				t.Fatal(err)
 			}
-			if got, _ := q.Pop(now); got.Due == second {
+			if got, _ := q.Pop(now); got.StartBy == second {
 				left--
 			}
 		}
@@ -174,7 +174,7 @@
 	for _, tc := range []struct {
 		fit  Fit
 		want int
-	}{{Pass, 100}, {PassFew, maxSkips}, {Stop, 0}} {
+	}{{Skip, 100}, {SkipLimited, maxSkips}, {Stop, 0}} {
 		q := New(Config{})
 		fill(t, q, item(1, 0, "a", 100*second, 0))
 		for n := range 100 {
@@ -182,7 +182,7 @@
 		}
 		taken := 0
 		for {
-			_, ok := q.Next(0, func(it Item) Fit {
+			_, ok := q.PopFitting(0, func(it Item) Fit {
 				if it.Cost > second {
 					return tc.fit
 				}
@@ -207,9 +207,9 @@
 		fill(t, q, item(n, 1, "a", 100*second, 0))
 	}
 	fill(t, q, item(1000, 2, "b", second, 0))
-	it, ok := q.Next(0, func(it Item) Fit {
+	it, ok := q.PopFitting(0, func(it Item) Fit {
 		if it.Cost > second {
-			return Pass
+			return Skip
 		}
 		return Fits
 	})
@@ -223,7 +223,7 @@
 // items.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := New(Config{Max: 20})
+		q := New(Config{MaxItems: 20})
 		queued := map[ident.ID]Item{}
 		checkRemoved := func(items ...Item) {
 			for _, it := range items {
@@ -239,7 +239,7 @@
 				n++
 				it := item(n, uint8(rapid.IntRange(0, spec.Tiers-1).Draw(t, "tier")), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer"),
 					time.Duration(rapid.IntRange(0, 100).Draw(t, "cost"))*second, time.Duration(rapid.IntRange(0, 50).Draw(t, "due"))*second)
-				it.Deadline = it.Due * 2
+				it.Deadline = it.StartBy * 2
 				evicted, did, err := q.Push(now, it)
 				if did {
 					if evicted.Tier < it.Tier {
@@ -269,9 +269,9 @@
 			},
 			"next": func(t *rapid.T) {
 				limit := time.Duration(rapid.IntRange(0, 100).Draw(t, "limit")) * second
-				it, ok := q.Next(now, func(it Item) Fit {
+				it, ok := q.PopFitting(now, func(it Item) Fit {
 					if it.Cost > limit {
-						return Pass
+						return Skip
 					}
 					return Fits
 				})
@@ -280,10 +280,10 @@
 				}
 			},
 			"done": func(t *rapid.T) {
-				q.Done(rapid.SampledFrom([]string{"a", "b", "x"}).Draw(t, "customer"), 1, second, time.Duration(rapid.IntRange(0, 9).Draw(t, "actual"))*second)
+				q.ChargeActual(rapid.SampledFrom([]string{"a", "b", "x"}).Draw(t, "customer"), 1, second, time.Duration(rapid.IntRange(0, 9).Draw(t, "actual"))*second)
 			},
 			"later":  func(*rapid.T) { now += second },
-			"expire": func(*rapid.T) { checkRemoved(q.Expired(now)...) },
+			"expire": func(*rapid.T) { checkRemoved(q.RemoveExpired(now)...) },
 			"drop":   func(t *rapid.T) { checkRemoved(q.DropAbove(uint8(rapid.IntRange(0, 3).Draw(t, "level")))...) },
 			"": func(t *rapid.T) {
 				cost, mask := time.Duration(0), uint8(0)
@@ -291,8 +291,8 @@
 					cost += it.Cost
 					mask |= 1 << it.Tier
 				}
-				if q.Len() != len(queued) || q.Cost() != cost || q.Mask() != mask {
-					t.Fatalf("len %d cost %v mask %b, want %d %v %b", q.Len(), q.Cost(), q.Mask(), len(queued), cost, mask)
+				if q.Len() != len(queued) || q.Cost() != cost || q.TierMask() != mask {
+					t.Fatalf("len %d cost %v mask %b, want %d %v %b", q.Len(), q.Cost(), q.TierMask(), len(queued), cost, mask)
 				}
 			},
 		})
@@ -306,7 +306,7 @@
 			for i := range names {
 				names[i] = fmt.Sprint("c", i)
 			}
-			q := New(Config{Max: 20000})
+			q := New(Config{MaxItems: 20000})
 			newItem := func(n int) Item {
 				return item(n, uint8(n%spec.Tiers), names[n%customers], time.Duration(n%97)*second, time.Duration(n)*time.Millisecond)
 			}
--- a/core/recent/recent.go
+++ b/core/recent/recent.go
@@ -64,7 +64,7 @@
 // GetOrAdd returns the value of k. If there is none, it adds a zero value, and
 // evicts the least recently used key if the table is full. It counts as a use.
 // The pointer is valid until the next call of GetOrAdd.
-func (t *Table[K, V]) Get(k K) *V {
+func (t *Table[K, V]) GetOrAdd(k K) *V {
 	if v := t.Find(k); v != nil {
 		return v
 	}
--- a/core/recent/recent_test.go
+++ b/core/recent/recent_test.go
@@ -20,7 +20,7 @@
 			if v := table.Find(k); (v != nil) != held || (held && *v != k) {
 				t.Fatalf("Find(%d) = %v, last used %v", k, v, used)
 			}
-			*table.Get(k) = k
+			*table.GetOrAdd(k) = k
 			used = append(slices.DeleteFunc(used, func(u int) bool { return u == k }), k)
 			used = used[max(0, len(used)-limit):]
 			for k := range 10 {
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -52,7 +52,7 @@
 }
 
 // Credit credits the budget for n first attempts.
-func (b *Budget) Earn(n int) {
+func (b *Budget) Credit(n int) {
 	b.available = min(float64(b.cfg.Burst), b.available+float64(max(n, 0))*b.cfg.Ratio)
 }
 
@@ -66,7 +66,7 @@
 }
 
 // Refund returns a retry that was taken by Spend but not used.
-func (b *Budget) Return() { b.available = min(float64(b.cfg.Burst), b.available+1) }
+func (b *Budget) Refund() { b.available = min(float64(b.cfg.Burst), b.available+1) }
 
 const (
 	// backoffBase is the longest wait before the first retry, a few round trips
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -13,7 +13,7 @@
 	b := New(Config{})
 	requests, attempts := 100000, 0
 	for range requests {
-		b.Earn(1)
+		b.Credit(1)
 		attempts++
 		for range 3 {
 			if b.Spend() {
@@ -30,7 +30,7 @@
 // lost endpoint, and no more.
 func TestBurstCoversOneLostEndpoint(t *testing.T) {
 	b := New(Config{})
-	b.Earn(1000000)
+	b.Credit(1000000)
 	for i := range DefaultBurst {
 		if !b.Spend() {
 			t.Fatalf("retry %d refused", i)
@@ -48,12 +48,12 @@
 	if !b.Spend() || b.Spend() {
 		t.Fatal("not exactly one retry available")
 	}
-	b.Return()
+	b.Refund()
 	if !b.Spend() {
 		t.Error("the refunded retry is lost")
 	}
-	b.Return()
-	b.Return()
+	b.Refund()
+	b.Refund()
 	if !b.Spend() || b.Spend() {
 		t.Error("not exactly one retry available after two refunds")
 	}
@@ -89,10 +89,10 @@
 		for range rapid.IntRange(0, 300).Draw(t, "steps") {
 			switch {
 			case rapid.Bool().Draw(t, "earn"):
-				b.Earn(1)
+				b.Credit(1)
 				credited++
 			case spent > 0 && rapid.Bool().Draw(t, "return"):
-				b.Return()
+				b.Refund()
 				spent--
 			case b.Spend():
 				spent++
--- a/core/ring/ring.go
+++ b/core/ring/ring.go
@@ -21,7 +21,7 @@
 func New[T any](n int) *Ring[T] { return &Ring[T]{items: make(chan T, n)} }
 
 // TryPut adds v without waiting. It returns ErrFull if the ring is full.
-func (r *Ring[T]) Offer(v T) error {
+func (r *Ring[T]) TryPut(v T) error {
 	select {
 	case r.items <- v:
 		return nil
--- a/core/ring/ring_test.go
+++ b/core/ring/ring_test.go
@@ -13,10 +13,10 @@
 // be told at once that the ring is full, and the ring must not grow.
 func TestTryPutReportsFull(t *testing.T) {
 	r := ring.New[int](1)
-	if err := r.Offer(1); err != nil {
+	if err := r.TryPut(1); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Offer(2); !errors.Is(err, ring.ErrFull) {
+	if err := r.TryPut(2); !errors.Is(err, ring.ErrFull) {
 		t.Fatalf("second Offer: %v", err)
 	}
 	if r.Len() != 1 || r.Cap() != 1 {
@@ -40,7 +40,7 @@
 
 func ExampleRing() {
 	r := ring.New[string](4)
-	fmt.Println(r.Offer("first"), r.Offer("second"))
+	fmt.Println(r.TryPut("first"), r.TryPut("second"))
 	fmt.Println(<-r.Items(), <-r.Items())
 	// Output:
 	// <nil> <nil>
--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -46,9 +46,9 @@
 	Model, Version string
 	// OrderedModel and OrderedVersion are what it was last ordered to serve.
 	// Both are empty if nothing was ordered.
-	WantModel, WantVersion string
+	OrderedModel, OrderedVersion string
 	// OrderedAt is when that order was given.
-	Ordered time.Duration
+	OrderedAt time.Duration
 	// Leaving is set when the endpoint accepts no new work.
 	Leaving bool
 	// RelativeSpeed is the speed of the endpoint relative to a usual one. Zero
@@ -61,9 +61,9 @@
 
 // Requirement is what operators require for a model. Selector holds the labels
 // that its endpoints must have.
-type Want struct {
+type Requirement struct {
 	Model, Version string
-	Endpoints      map[string]string
+	Selector       map[string]string
 	// RequiredSpeed is the number of endpoints of usual speed that the model
 	// needs to meet its targets at the current load. Zero means all endpoints
 	// that match and serve no other required model.
@@ -72,22 +72,22 @@
 
 // State is the input of Plan.
 type State struct {
-	Endpoints []Endpoint
-	Wants     []Want
+	Endpoints    []Endpoint
+	Requirements []Requirement
 	// MaxLoads is the number of endpoints that may load weights at the same
 	// time. Zero means 1. RetryAt is when the weight store may be asked again
 	// after it refused a load; Plan gives no orders before that time.
-	Loads   int
-	RetryAt time.Duration
+	MaxLoads int
+	RetryAt  time.Duration
 }
 
 // Order tells an endpoint to serve a version of a model.
-type Move struct {
+type Order struct {
 	Endpoint, Model, Version string
 }
 
 // Plan returns the orders to give now.
-func Plan(now time.Duration, s State) []Move {
+func Plan(now time.Duration, s State) []Order {
 	p := newPlan(now, s)
 	if now < s.RetryAt {
 		return nil
@@ -114,20 +114,20 @@
 type plan struct {
 	endpoints []*plannedEndpoint
 	// requirements are sorted by model, so that equal states give equal plans.
-	requirements []*Want
-	byModel      map[string]*Want
+	requirements []*Requirement
+	byModel      map[string]*Requirement
 	// loadsLeft is the number of loads that may still be started.
 	loadsLeft int
-	orders    []Move
+	orders    []Order
 }
 
 func newPlan(now time.Duration, s State) *plan {
-	p := &plan{loadsLeft: max(s.Loads, 1), byModel: make(map[string]*Want)}
-	for i := range s.Wants {
-		p.requirements = append(p.requirements, &s.Wants[i])
-		p.byModel[s.Wants[i].Model] = &s.Wants[i]
+	p := &plan{loadsLeft: max(s.MaxLoads, 1), byModel: make(map[string]*Requirement)}
+	for i := range s.Requirements {
+		p.requirements = append(p.requirements, &s.Requirements[i])
+		p.byModel[s.Requirements[i].Model] = &s.Requirements[i]
 	}
-	slices.SortFunc(p.requirements, func(a, b *Want) int { return cmp.Compare(a.Model, b.Model) })
+	slices.SortFunc(p.requirements, func(a, b *Requirement) int { return cmp.Compare(a.Model, b.Model) })
 	for i := range s.Endpoints {
 		e := &s.Endpoints[i]
 		if e.Leaving {
@@ -137,8 +137,8 @@
 		if pe.speed <= 0 {
 			pe.speed = 1
 		}
-		ordered := e.WantModel != "" && (e.WantModel != e.Model || e.WantVersion != e.Version)
-		pe.loading = ordered && now-e.Ordered < loadTimeout
+		ordered := e.OrderedModel != "" && (e.OrderedModel != e.Model || e.OrderedVersion != e.Version)
+		pe.loading = ordered && now-e.OrderedAt < loadTimeout
 		if pe.loading {
 			p.loadsLeft--
 		}
@@ -152,17 +152,17 @@
 // loading.
 func (s *plannedEndpoint) plannedModel() string {
 	if s.loading {
-		return s.WantModel
+		return s.OrderedModel
 	}
 	return s.Model
 }
 
 // addOrder orders an endpoint to serve the required version.
-func (p *plan) addOrder(e *plannedEndpoint, r *Want) {
-	p.orders = append(p.orders, Move{Endpoint: e.Name, Model: r.Model, Version: r.Version})
+func (p *plan) addOrder(e *plannedEndpoint, r *Requirement) {
+	p.orders = append(p.orders, Order{Endpoint: e.Name, Model: r.Model, Version: r.Version})
 	p.loadsLeft--
 	ordered := *e.Endpoint
-	ordered.WantModel, ordered.WantVersion = r.Model, r.Version
+	ordered.OrderedModel, ordered.OrderedVersion = r.Model, r.Version
 	e.Endpoint, e.loading = &ordered, true
 }
 
@@ -189,7 +189,7 @@
 }
 
 // supply orders endpoints for a model that is short of them.
-func (p *plan) supply(r *Want) {
+func (p *plan) supply(r *Requirement) {
 	for p.loadsLeft > 0 && r.Version != "" {
 		missing := r.RequiredSpeed - p.plannedSpeed(r.Model)
 		if r.RequiredSpeed > 0 && missing <= 0 {
@@ -206,10 +206,10 @@
 // donor returns the endpoint to move to a model: an idle one, or else one that
 // another model can spare. It prefers the fastest, then the zone in which the
 // model has the least capacity. It returns nil if there is none.
-func (p *plan) donor(r *Want) *plannedEndpoint {
+func (p *plan) donor(r *Requirement) *plannedEndpoint {
 	var best *plannedEndpoint
 	for _, e := range p.endpoints {
-		if e.loading || e.Model == r.Model || !spec.Matches(r.Endpoints, e.Labels) || !p.canSpare(e, r) {
+		if e.loading || e.Model == r.Model || !spec.Matches(r.Selector, e.Labels) || !p.canSpare(e, r) {
 			continue
 		}
 		if best == nil || p.isBetterDonor(e, best, r) {
@@ -224,7 +224,7 @@
 
 // canSpare reports whether an endpoint can be taken from the model that it
 // serves.
-func (p *plan) canSpare(e *plannedEndpoint, r *Want) bool {
+func (p *plan) canSpare(e *plannedEndpoint, r *Requirement) bool {
 	if p.isIdle(e) {
 		return true
 	}
@@ -233,7 +233,7 @@
 }
 
 // isBetterDonor reports whether a should be moved rather than b.
-func (p *plan) isBetterDonor(a, b *plannedEndpoint, r *Want) bool {
+func (p *plan) isBetterDonor(a, b *plannedEndpoint, r *Requirement) bool {
 	if p.isIdle(a) != p.isIdle(b) {
 		return p.isIdle(a)
 	}
@@ -250,7 +250,7 @@
 
 // upgrade orders the required version for endpoints of the model that serve
 // another version.
-func (p *plan) upgrade(r *Want) {
+func (p *plan) upgrade(r *Requirement) {
 	for p.loadsLeft > 0 && r.Version != "" {
 		e := p.nextToUpgrade(r)
 		if e == nil || !p.mayUpgrade(e, r) {
@@ -263,11 +263,11 @@
 // nextToUpgrade returns the next endpoint to upgrade: in the zone that has the
 // most of the model in service, the slowest, whose absence has the least
 // effect. It returns nil if all endpoints serve the required version.
-func (p *plan) nextToUpgrade(r *Want) *plannedEndpoint {
+func (p *plan) nextToUpgrade(r *Requirement) *plannedEndpoint {
 	var best *plannedEndpoint
 	mostInService := 0.0
 	for _, e := range p.endpoints {
-		if e.loading || e.Model != r.Model || e.Version == r.Version || !spec.Matches(r.Endpoints, e.Labels) {
+		if e.loading || e.Model != r.Model || e.Version == r.Version || !spec.Matches(r.Selector, e.Labels) {
 			continue
 		}
 		inService := p.totalSpeed(func(o *plannedEndpoint) bool { return !o.loading && o.Model == r.Model && o.Zone == e.Zone })
@@ -280,7 +280,7 @@
 
 // mayUpgrade reports whether e may be taken out of service now. This is always
 // allowed if no other endpoint of the model is out of service.
-func (p *plan) mayUpgrade(e *plannedEndpoint, r *Want) bool {
+func (p *plan) mayUpgrade(e *plannedEndpoint, r *Requirement) bool {
 	total, serving := p.plannedSpeed(r.Model), p.servingSpeed(r.Model)
 	outOfService := total - serving
 	if outOfService == 0 {
--- a/core/roles/roles_test.go
+++ b/core/roles/roles_test.go
@@ -30,21 +30,21 @@
 		loading, serving := 0, 0
 		for i := range s.Endpoints {
 			e := &s.Endpoints[i]
-			if e.WantModel != "" && now-e.Ordered >= loadTime {
-				e.Model, e.Version = e.WantModel, e.WantVersion
+			if e.OrderedModel != "" && now-e.OrderedAt >= loadTime {
+				e.Model, e.Version = e.OrderedModel, e.OrderedVersion
 			}
 		}
 		for _, m := range Plan(now, s) {
 			for i := range s.Endpoints {
 				if e := &s.Endpoints[i]; e.Name == m.Endpoint {
-					e.WantModel, e.WantVersion, e.Ordered = m.Model, m.Version, now
+					e.OrderedModel, e.OrderedVersion, e.OrderedAt = m.Model, m.Version, now
 					orders, duration = orders+1, now+loadTime
 				}
 			}
 		}
 		for i := range s.Endpoints {
 			switch e := &s.Endpoints[i]; {
-			case e.WantModel != "" && (e.WantModel != e.Model || e.WantVersion != e.Version):
+			case e.OrderedModel != "" && (e.OrderedModel != e.Model || e.OrderedVersion != e.Version):
 				loading++
 			case e.Model == model:
 				serving++
@@ -72,7 +72,7 @@
 		{"unknown required speed", 0, 9, 3, 9},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := State{Endpoints: makeEndpoints("roster", "v1", 3, 4), Loads: tc.loads, Wants: []Want{{Model: "roster", Version: "v2", RequiredSpeed: tc.need}}}
+			s := State{Endpoints: makeEndpoints("roster", "v1", 3, 4), MaxLoads: tc.loads, Requirements: []Requirement{{Model: "roster", Version: "v2", RequiredSpeed: tc.need}}}
 			orders, duration, maxLoading, minServing := simulateNight(s, "roster", 2*time.Minute)
 			t.Logf("%d orders in %v, at most %d loading, at least %d serving", orders, duration, maxLoading, minServing)
 			if orders != 12 || maxLoading != tc.maxLoading || minServing != tc.minServing {
@@ -88,7 +88,7 @@
 func TestOrdersNoMoreThanNeeded(t *testing.T) {
 	endpoints := append(makeEndpoints("a", "v1", 3, 4), makeEndpoints("b", "v1", 1, 2)...)
 	endpoints[5].RelativeSpeed = 2
-	s := State{Endpoints: endpoints, Loads: 9, Wants: []Want{{Model: "a", Version: "v1", RequiredSpeed: 9}, {Model: "b", Version: "v1", RequiredSpeed: 5}}}
+	s := State{Endpoints: endpoints, MaxLoads: 9, Requirements: []Requirement{{Model: "a", Version: "v1", RequiredSpeed: 9}, {Model: "b", Version: "v1", RequiredSpeed: 5}}}
 	got := fmt.Sprint(Plan(0, s))
 	if got != "[{a-1-1 b v1} {a-2-0 b v1}]" {
 		t.Fatalf("orders %v", got)
@@ -100,21 +100,21 @@
 func TestPlan(t *testing.T) {
 	idle := Endpoint{Name: "idle", Labels: map[string]string{"gpu": "new"}}
 	old := Endpoint{Name: "old", Model: "a", Version: "v1"}
-	want := Want{Model: "a", Version: "v2"}
+	want := Requirement{Model: "a", Version: "v2"}
 	for _, tc := range []struct {
 		name string
 		now  time.Duration
 		s    State
 		want string
 	}{
-		{"idle endpoint is used", 0, State{Endpoints: []Endpoint{idle}, Wants: []Want{want}}, "[{idle a v2}]"},
-		{"labels must match", 0, State{Endpoints: []Endpoint{idle}, Wants: []Want{{Model: "a", Version: "v2", Endpoints: map[string]string{"gpu": "old"}}}}, "[]"},
-		{"no order without a version", 0, State{Endpoints: []Endpoint{idle, old}, Wants: []Want{{Model: "a"}}}, "[]"},
-		{"no order for a leaving endpoint", 0, State{Endpoints: []Endpoint{{Name: "old", Model: "a", Version: "v1", Leaving: true}}, Wants: []Want{want}}, "[]"},
-		{"no order after a refusal of the weight store", time.Second, State{Endpoints: []Endpoint{old}, Wants: []Want{want}, RetryAt: time.Minute}, "[]"},
-		{"no order while one is in progress", time.Minute, State{Endpoints: []Endpoint{{Name: "old", Model: "a", Version: "v1", WantModel: "a", WantVersion: "v2"}}, Wants: []Want{want}}, "[]"},
-		{"a lost order is given again", time.Hour, State{Endpoints: []Endpoint{{Name: "old", Model: "a", Version: "v1", WantModel: "a", WantVersion: "v2"}}, Wants: []Want{want}}, "[{old a v2}]"},
-		{"no order when all requirements are met", 0, State{Endpoints: []Endpoint{{Name: "new", Model: "a", Version: "v2"}}, Wants: []Want{want}}, "[]"},
+		{"idle endpoint is used", 0, State{Endpoints: []Endpoint{idle}, Requirements: []Requirement{want}}, "[{idle a v2}]"},
+		{"labels must match", 0, State{Endpoints: []Endpoint{idle}, Requirements: []Requirement{{Model: "a", Version: "v2", Selector: map[string]string{"gpu": "old"}}}}, "[]"},
+		{"no order without a version", 0, State{Endpoints: []Endpoint{idle, old}, Requirements: []Requirement{{Model: "a"}}}, "[]"},
+		{"no order for a leaving endpoint", 0, State{Endpoints: []Endpoint{{Name: "old", Model: "a", Version: "v1", Leaving: true}}, Requirements: []Requirement{want}}, "[]"},
+		{"no order after a refusal of the weight store", time.Second, State{Endpoints: []Endpoint{old}, Requirements: []Requirement{want}, RetryAt: time.Minute}, "[]"},
+		{"no order while one is in progress", time.Minute, State{Endpoints: []Endpoint{{Name: "old", Model: "a", Version: "v1", OrderedModel: "a", OrderedVersion: "v2"}}, Requirements: []Requirement{want}}, "[]"},
+		{"a lost order is given again", time.Hour, State{Endpoints: []Endpoint{{Name: "old", Model: "a", Version: "v1", OrderedModel: "a", OrderedVersion: "v2"}}, Requirements: []Requirement{want}}, "[{old a v2}]"},
+		{"no order when all requirements are met", 0, State{Endpoints: []Endpoint{{Name: "new", Model: "a", Version: "v2"}}, Requirements: []Requirement{want}}, "[]"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := fmt.Sprint(Plan(tc.now, tc.s)); got != tc.want {
@@ -130,7 +130,7 @@
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"", "a", "b", "c"}
-		s := State{Loads: rapid.IntRange(1, 5).Draw(t, "loads")}
+		s := State{MaxLoads: rapid.IntRange(1, 5).Draw(t, "loads")}
 		loading := 0
 		for i := range rapid.IntRange(0, 12).Draw(t, "endpoints") {
 			e := Endpoint{
@@ -138,21 +138,21 @@
 				RelativeSpeed: rapid.Float64Range(0.5, 4).Draw(t, "pace"), Labels: map[string]string{"x": rapid.SampledFrom([]string{"1", "2"}).Draw(t, "label")},
 			}
 			if rapid.Bool().Draw(t, "loading") {
-				e.WantModel, e.WantVersion = "a", "v3"
+				e.OrderedModel, e.OrderedVersion = "a", "v3"
 				loading++
 			}
 			s.Endpoints = append(s.Endpoints, e)
 		}
 		for _, m := range names[1:] {
-			s.Wants = append(s.Wants, Want{Model: m, Version: "v2", RequiredSpeed: rapid.Float64Range(0, 8).Draw(t, "need"), Endpoints: map[string]string{"x": rapid.SampledFrom([]string{"1", "2"}).Draw(t, "selector")}})
+			s.Requirements = append(s.Requirements, Requirement{Model: m, Version: "v2", RequiredSpeed: rapid.Float64Range(0, 8).Draw(t, "need"), Selector: map[string]string{"x": rapid.SampledFrom([]string{"1", "2"}).Draw(t, "selector")}})
 		}
 		orders, seen := Plan(0, s), map[string]bool{}
-		if len(orders) > max(s.Loads-loading, 0) {
-			t.Fatalf("%d orders with %d of %d loading", len(orders), loading, s.Loads)
+		if len(orders) > max(s.MaxLoads-loading, 0) {
+			t.Fatalf("%d orders with %d of %d loading", len(orders), loading, s.MaxLoads)
 		}
 		remaining := map[string]float64{}
 		for i := range s.Endpoints {
-			if e := &s.Endpoints[i]; e.WantModel == "" {
+			if e := &s.Endpoints[i]; e.OrderedModel == "" {
 				remaining[e.Model] += e.RelativeSpeed
 			}
 		}
@@ -162,18 +162,18 @@
 				if e.Name != m.Endpoint {
 					continue
 				}
-				var w Want
-				for _, x := range s.Wants {
+				var w Requirement
+				for _, x := range s.Requirements {
 					if x.Model == m.Model {
 						w = x
 					}
 				}
-				if seen[e.Name] || e.WantModel != "" || !spec.Matches(w.Endpoints, e.Labels) || (e.Model == m.Model && e.Version == m.Version) {
+				if seen[e.Name] || e.OrderedModel != "" || !spec.Matches(w.Selector, e.Labels) || (e.Model == m.Model && e.Version == m.Version) {
 					t.Fatalf("order %v for %+v", m, e)
 				}
 				seen[e.Name] = true
 				remaining[e.Model] -= e.RelativeSpeed
-				for _, o := range s.Wants {
+				for _, o := range s.Requirements {
 					if o.Model == e.Model && m.Model != e.Model && remaining[e.Model] < o.RequiredSpeed {
 						t.Fatalf("%v takes what %s needs", m, e.Model)
 					}
--- a/core/shed/drain.go
+++ b/core/shed/drain.go
@@ -104,9 +104,9 @@
 // zero if nothing is known.
 func (d *drainRate) rate(v View) float64 {
 	work, busy := d.startedWork, d.saturatedSeconds
-	if d.starts < windowStarts/2 && v.Places > 0 {
+	if d.starts < windowStarts/2 && v.Slots > 0 {
 		prior := priorSeconds * (1 - d.starts/(windowStarts/2))
-		work += prior * float64(v.Places) / float64(max(v.Peers, 1))
+		work += prior * float64(v.Slots) / float64(max(v.Entries, 1))
 		busy += prior
 	}
 	if work == 0 || busy == 0 {
--- a/core/shed/level.go
+++ b/core/shed/level.go
@@ -45,8 +45,8 @@
 // given tier.
 func (l *level) observeServed(tier uint8, v View) {
 	lowerTiers := uint8(0xff) << (tier + 1)
-	if v.Served != 0 {
-		l.servedTiers = v.Served
+	if v.ServedTiers != 0 {
+		l.servedTiers = v.ServedTiers
 	} else {
 		l.servedTiers &^= lowerTiers
 	}
--- a/core/shed/model_test.go
+++ b/core/shed/model_test.go
@@ -81,7 +81,7 @@
 			mask |= 1 << m.runningTiers[i]
 		}
 	}
-	return mask | m.queue.Mask()
+	return mask | m.queue.TierMask()
 }
 
 // freeSlots returns the number of slots for which nothing waits.
@@ -147,8 +147,8 @@
 	c.offered += work.Seconds()
 	mask := m.served()
 	lower := mask>>(s.tier+1) != 0
-	v := e.Decide(m.now, Ask{Tier: s.tier, Customer: s.customer, Work: estimate, Target: s.target},
-		View{LowerServed: lower, Served: mask, Free: m.freeSlots(), Places: m.slots, Peers: len(m.entries)})
+	v := e.Decide(m.now, Request{Tier: s.tier, Customer: s.customer, Work: estimate, MaxWait: s.target},
+		View{LowerServed: lower, ServedTiers: mask, FreeSlots: m.freeSlots(), Slots: m.slots, Entries: len(m.entries)})
 	if !v.Admit {
 		m.refuse(c, s, work, v.RetryAfter)
 		return
@@ -157,8 +157,8 @@
 	id := ident.Make(1, m.lastID)
 	j := job{stream: s, entry: e, work: work, due: m.now + s.target}
 	m.jobs[id] = j
-	e.Arrived(m.now, s.tier, s.customer, estimate)
-	if _, _, err := m.queue.Push(m.now, queue.Item{ID: id, Tier: s.tier, Customer: s.customer, Cost: estimate, Due: j.due}); err != nil {
+	e.RecordArrival(m.now, s.tier, s.customer, estimate)
+	if _, _, err := m.queue.Push(m.now, queue.Item{ID: id, Tier: s.tier, Customer: s.customer, Cost: estimate, StartBy: j.due}); err != nil {
 		panic(err)
 	}
 }
@@ -182,13 +182,13 @@
 	}
 	for _, e := range m.entries {
 		if m.sharesLevels {
-			e.Peer(m.now, low, 2*tick)
+			e.SetPeerLevel(m.now, low, 2*tick)
 		}
 	}
 	for _, it := range m.queue.DropAbove(low) {
 		j := m.jobs[it.ID]
 		delete(m.jobs, it.ID)
-		j.entry.Left(m.now, it.Tier, it.Customer, it.Cost)
+		j.entry.RecordWithdrawal(m.now, it.Tier, it.Customer, it.Cost)
 		m.countsOf(j.stream).refused += j.work.Seconds()
 	}
 }
@@ -205,11 +205,11 @@
 		}
 		j := m.jobs[it.ID]
 		delete(m.jobs, it.ID)
-		j.entry.Started(m.now, it.Tier, it.Customer, it.Cost)
+		j.entry.RecordStart(m.now, it.Tier, it.Customer, it.Cost)
 		m.busyUntil[i], m.runningTiers[i] = m.now+j.work, it.Tier
-		m.queue.Done(it.Customer, it.Tier, it.Cost, j.work)
+		m.queue.ChargeActual(it.Customer, it.Tier, it.Cost, j.work)
 		onTime := m.now <= j.due
-		j.entry.Ended(m.now, it.Tier, onTime)
+		j.entry.RecordEnd(m.now, it.Tier, onTime)
 		if c := m.countsOf(j.stream); onTime {
 			c.onTime += j.work.Seconds()
 		} else {
--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -75,14 +75,14 @@
 const DefaultHold = 2 * time.Second
 
 // Request is a request that asks for admission.
-type Ask struct {
+type Request struct {
 	Tier     uint8
 	Customer string
 	// Work is the estimated time for which it will occupy a slot.
 	Work time.Duration
 	// MaxWait is the time from now within which it must start to meet its
 	// target. Zero means that it has no target.
-	Target time.Duration
+	MaxWait time.Duration
 }
 
 // View is what the entry knows about the whole pool.
@@ -93,19 +93,19 @@
 	// ServedTiers has bit t set while work of tier t is queued or running
 	// anywhere in the pool, or while that is unknown. If it is zero, only
 	// LowerServed counts.
-	Served uint8
+	ServedTiers uint8
 	// FreeSlots is the number of reachable slots that are known to be free and
 	// for which nothing is queued.
-	Free int
+	FreeSlots int
 	// Slots is the sum of the in-flight bounds of the reachable agents. Entries
 	// is the number of entries that share them, including this one. Zero means
 	// unknown.
-	Places, Peers int
+	Slots, Entries int
 }
 
 // servesBelow reports whether work of a tier lower than the given one may be
 // queued or running.
-func (v *View) servesBelow(tier uint8) bool { return v.LowerServed || v.Served>>(tier+1) != 0 }
+func (v *View) servesBelow(tier uint8) bool { return v.LowerServed || v.ServedTiers>>(tier+1) != 0 }
 
 // Decision is the result of Decide.
 type Decision struct {
@@ -113,7 +113,7 @@
 	// RetryAfter is the time after which the caller may retry. It is set only
 	// on a refusal.
 	RetryAfter time.Duration
-	Why        Reason
+	Reason     Reason
 	// Wait is the predicted wait of an admitted request. On a refusal it is the
 	// predicted wait less the longest wait that is allowed.
 	Wait time.Duration
@@ -175,14 +175,14 @@
 
 // RecordArrival records an admitted request that now waits. work is its
 // estimated time in a slot.
-func (p *Pool) Arrived(now time.Duration, tier uint8, customer string, work time.Duration) {
+func (p *Pool) RecordArrival(now time.Duration, tier uint8, customer string, work time.Duration) {
 	p.advance(now)
 	p.waiting++
 	p.tiers[clampTier(tier)].add(now, customer, work.Seconds())
 }
 
 // RecordStart records that a waiting request was granted.
-func (p *Pool) Started(now time.Duration, tier uint8, customer string, work time.Duration) {
+func (p *Pool) RecordStart(now time.Duration, tier uint8, customer string, work time.Duration) {
 	p.advance(now)
 	if t := &p.tiers[clampTier(tier)]; t.remove(customer, work.Seconds()) {
 		p.waiting--
@@ -193,7 +193,7 @@
 
 // RecordWithdrawal records that a waiting request was withdrawn, or refused
 // after its admission.
-func (p *Pool) Left(now time.Duration, tier uint8, customer string, work time.Duration) {
+func (p *Pool) RecordWithdrawal(now time.Duration, tier uint8, customer string, work time.Duration) {
 	p.advance(now)
 	if p.tiers[clampTier(tier)].remove(customer, work.Seconds()) {
 		p.waiting--
@@ -202,17 +202,17 @@
 
 // RecordEnd records whether an admitted request met its target. This corrects
 // the margin of later predictions.
-func (p *Pool) Ended(_ time.Duration, tier uint8, onTime bool) {
+func (p *Pool) RecordEnd(_ time.Duration, tier uint8, onTime bool) {
 	p.tiers[clampTier(tier)].adjustMargin(onTime)
 }
 
 // Decide decides whether a request is admitted. It does not add the request to
 // the backlog; RecordArrival does.
-func (p *Pool) Decide(now time.Duration, req Ask, v View) Decision {
+func (p *Pool) Decide(now time.Duration, req Request, v View) Decision {
 	req.Tier = clampTier(req.Tier)
 	p.advance(now)
 	p.level.observeServed(req.Tier, v)
-	p.level.slotsIdle = p.waiting == 0 && v.Free > 0
+	p.level.slotsIdle = p.waiting == 0 && v.FreeSlots > 0
 	wait, limit := p.predictWait(now, req, v), p.waitLimit(req)
 	late := wait > limit && !p.hasFreeSlot(now, req.Tier, v)
 	if late {
@@ -229,13 +229,13 @@
 // don't count if work of the tier has been waiting for longer than stuckAfter:
 // that work lacks memory or a slot for long work instead.
 func (p *Pool) hasFreeSlot(now time.Duration, tier uint8, v View) bool {
-	return p.waiting < v.Free && !p.tiers[tier].drain.isStuck(now)
+	return p.waiting < v.FreeSlots && !p.tiers[tier].drain.isStuck(now)
 }
 
 // waitLimit returns the longest predicted wait with which a request is
 // admitted.
-func (p *Pool) waitLimit(req Ask) time.Duration {
-	maxWait := req.Target
+func (p *Pool) waitLimit(req Request) time.Duration {
+	maxWait := req.MaxWait
 	if maxWait == 0 {
 		maxWait = defaultMaxWait
 	}
@@ -244,7 +244,7 @@
 
 // predictWait predicts how long a request would wait for its start. It returns
 // zero if nothing waits or if no rate is known.
-func (p *Pool) predictWait(now time.Duration, req Ask, v View) time.Duration {
+func (p *Pool) predictWait(now time.Duration, req Request, v View) time.Duration {
 	if p.waiting == 0 {
 		return 0
 	}
@@ -275,7 +275,7 @@
 // at the same moment. When the refused work is more than the pool can run
 // within maxRetryAfter/2, the retry times wrap around and are still spread
 // evenly.
-func (p *Pool) refuse(now time.Duration, req Ask, v View, excess time.Duration, excluded bool) Decision {
+func (p *Pool) refuse(now time.Duration, req Request, v View, excess time.Duration, excluded bool) Decision {
 	reason, after := PredictedLate, max(excess, 0)
 	if excluded {
 		reason, after = TierShed, max(excess, p.level.remainingHold(now))
@@ -285,7 +285,7 @@
 		spread := seconds(p.tiers[req.Tier].addRefused(now, req.Work.Seconds(), rate) / rate)
 		after += spread % (maxRetryAfter / 2)
 	}
-	return Decision{RetryAfter: max(after, minRetryAfter), Why: reason, Wait: excess}
+	return Decision{RetryAfter: max(after, minRetryAfter), Reason: reason, Wait: excess}
 }
 
 // Level returns the lowest tier, that is the largest tier number, that this
@@ -301,7 +301,7 @@
 // It is valid for validFor. It limits which requests are admitted here but does
 // not change what Level returns: otherwise two entries would keep each other's
 // level down for ever.
-func (p *Pool) Peer(now time.Duration, level uint8, validFor time.Duration) {
+func (p *Pool) SetPeerLevel(now time.Duration, level uint8, validFor time.Duration) {
 	p.level.setPeerLevel(now, clampTier(level), validFor)
 }
 
--- a/core/shed/shed_test.go
+++ b/core/shed/shed_test.go
@@ -152,7 +152,7 @@
 	p, seen := m.entries[0], map[time.Duration]bool{}
 	first, last := maxRetryAfter, time.Duration(0)
 	for i := range 50 {
-		v := p.Decide(m.now, Ask{Tier: 3, Customer: fmt.Sprint(i), Work: second, Target: 3 * second}, View{})
+		v := p.Decide(m.now, Request{Tier: 3, Customer: fmt.Sprint(i), Work: second, MaxWait: 3 * second}, View{})
 		if v.Admit || v.RetryAfter < minRetryAfter || v.RetryAfter > maxRetryAfter {
 			t.Fatalf("decision %d: %+v", i, v)
 		}
@@ -169,10 +169,10 @@
 func TestColdStartAdmits(t *testing.T) {
 	p := New(Config{})
 	for i := range 1000 {
-		if v := p.Decide(0, Ask{Tier: 3, Customer: "a", Work: second, Target: second}, View{}); !v.Admit {
+		if v := p.Decide(0, Request{Tier: 3, Customer: "a", Work: second, MaxWait: second}, View{}); !v.Admit {
 			t.Fatalf("request %d: %+v", i, v)
 		}
-		p.Arrived(0, 3, "a", second)
+		p.RecordArrival(0, 3, "a", second)
 	}
 }
 
@@ -184,14 +184,14 @@
 	now := time.Duration(0)
 	for range 3600 {
 		now += second
-		p.Arrived(now, 1, "a", second)
-		p.Started(now+time.Millisecond, 1, "a", second)
+		p.RecordArrival(now, 1, "a", second)
+		p.RecordStart(now+time.Millisecond, 1, "a", second)
 	}
 	for i := range 100 {
-		if v := p.Decide(now, Ask{Tier: 1, Customer: "a", Work: second, Target: 20 * second}, View{Places: 50}); !v.Admit {
+		if v := p.Decide(now, Request{Tier: 1, Customer: "a", Work: second, MaxWait: 20 * second}, View{Slots: 50}); !v.Admit {
 			t.Fatalf("request %d of a burst for 50 slots: %+v", i, v)
 		}
-		p.Arrived(now, 1, "a", second)
+		p.RecordArrival(now, 1, "a", second)
 	}
 }
 
@@ -208,12 +208,12 @@
 			t.Fatalf("%s: level %d, want %d", step, l.effective(now), want)
 		}
 	}
-	l.observeServed(0, View{Served: 0b1111})
+	l.observeServed(0, View{ServedTiers: 0b1111})
 	l.lowerTo(now, 0)
 	check("only the lowest tier is shed at once", 2)
-	l.observeServed(0, View{Served: 0b0111})
+	l.observeServed(0, View{ServedTiers: 0b0111})
 	check("the next tier once the lowest is no longer served", 1)
-	l.observeServed(0, View{Served: 0b0001})
+	l.observeServed(0, View{ServedTiers: 0b0001})
 	check("then the next tier", 0)
 	now += 1900 * time.Millisecond
 	check("the level stays during the hold", 0)
@@ -264,17 +264,17 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"decide": func(t *rapid.T) {
 				w := waiting{uint8(rapid.IntRange(0, 3).Draw(t, "tier")), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer"), time.Duration(rapid.IntRange(0, 100).Draw(t, "work")) * second / 10}
-				v := View{LowerServed: rapid.Bool().Draw(t, "lower") && w.tier < 3, Served: uint8(rapid.IntRange(0, 15).Draw(t, "served")), Places: rapid.IntRange(0, 4).Draw(t, "places")}
-				got := p.Decide(now, Ask{Tier: w.tier, Customer: w.customer, Work: w.work, Target: second}, v)
+				v := View{LowerServed: rapid.Bool().Draw(t, "lower") && w.tier < 3, ServedTiers: uint8(rapid.IntRange(0, 15).Draw(t, "served")), Slots: rapid.IntRange(0, 4).Draw(t, "places")}
+				got := p.Decide(now, Request{Tier: w.tier, Customer: w.customer, Work: w.work, MaxWait: second}, v)
 				switch {
-				case !got.Admit && (v.LowerServed || v.Served>>(w.tier+1) != 0):
+				case !got.Admit && (v.LowerServed || v.ServedTiers>>(w.tier+1) != 0):
 					t.Fatal("refused while a lower tier is served")
-				case !got.Admit && (got.RetryAfter < minRetryAfter || got.RetryAfter > maxRetryAfter || got.Why == Admitted):
+				case !got.Admit && (got.RetryAfter < minRetryAfter || got.RetryAfter > maxRetryAfter || got.Reason == Admitted):
 					t.Fatalf("refusal %+v", got)
-				case !got.Admit && len(waitingWork) == 0 && got.Why == PredictedLate:
+				case !got.Admit && len(waitingWork) == 0 && got.Reason == PredictedLate:
 					t.Fatal("refused as late without a backlog")
 				case got.Admit:
-					p.Arrived(now, w.tier, w.customer, w.work)
+					p.RecordArrival(now, w.tier, w.customer, w.work)
 					waitingWork = append(waitingWork, w)
 				}
 				if !got.Admit && p.level.effective(now) > w.tier {
@@ -283,16 +283,16 @@
 			},
 			"start": func(t *rapid.T) {
 				if w, ok := pop(t); ok {
-					p.Started(now, w.tier, w.customer, w.work)
+					p.RecordStart(now, w.tier, w.customer, w.work)
 				}
 			},
 			"leave": func(t *rapid.T) {
 				if w, ok := pop(t); ok {
-					p.Left(now, w.tier, w.customer, w.work)
+					p.RecordWithdrawal(now, w.tier, w.customer, w.work)
 				}
 			},
 			"later": func(t *rapid.T) { now += time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond },
-			"peer":  func(t *rapid.T) { p.Peer(now, uint8(rapid.IntRange(0, 3).Draw(t, "level")), second) },
+			"peer":  func(t *rapid.T) { p.SetPeerLevel(now, uint8(rapid.IntRange(0, 3).Draw(t, "level")), second) },
 			"": func(t *rapid.T) {
 				want := 0.0
 				for _, w := range waitingWork {
@@ -316,16 +316,16 @@
 	p := New(Config{})
 	for i := range names {
 		names[i] = fmt.Sprint("customer-", i)
-		p.Arrived(0, uint8(i%spec.Tiers), names[i], time.Duration(i%97)*second)
+		p.RecordArrival(0, uint8(i%spec.Tiers), names[i], time.Duration(i%97)*second)
 	}
-	v := View{Places: 100, Peers: 2}
+	v := View{Slots: 100, Entries: 2}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for n := range b.N {
 		now := time.Duration(n) * time.Millisecond
 		tier, name := uint8(n%spec.Tiers), names[n*7919%customers]
-		p.Decide(now, Ask{Tier: tier, Customer: name, Work: second, Target: second}, v)
-		p.Arrived(now, tier, name, second)
-		p.Started(now, tier, name, second)
+		p.Decide(now, Request{Tier: tier, Customer: name, Work: second, MaxWait: second}, v)
+		p.RecordArrival(now, tier, name, second)
+		p.RecordStart(now, tier, name, second)
 	}
 }
--- a/core/wire/link.go
+++ b/core/wire/link.go
@@ -123,7 +123,7 @@
 		return ErrClosed
 	}
 	l.queued.Add(1)
-	if err := l.sendQueue.Offer(m); err != nil {
+	if err := l.sendQueue.TryPut(m); err != nil {
 		l.cancel(err)
 		return err
 	}
@@ -139,7 +139,7 @@
 		return ErrClosed
 	}
 	l.queued.Add(1)
-	if err := l.bulkQueue.Offer(m); err == nil {
+	if err := l.bulkQueue.TryPut(m); err == nil {
 		return nil
 	}
 	waitCtx, cancel := context.WithCancel(ctx)
--- a/entry/direct/hand_test.go
+++ b/entry/direct/hand_test.go
@@ -32,7 +32,7 @@
 			b := h.d.view.pool("p", h.d.cfg.RetryBudget, 1).budget
 			for b.Spend() {
 			}
-			b.Return()
+			b.Refund()
 			h.d.mu.Unlock()
 			start := time.Now()
 			got := h.send(t.Context(), "x", callerAnswer{})
--- a/entry/direct/stopped_test.go
+++ b/entry/direct/stopped_test.go
@@ -60,7 +60,7 @@
 			t.Fatal("no replacement was searched for")
 		}
 		h.d.mu.Lock()
-		w.attempt.pool.budget.Return()
+		w.attempt.pool.budget.Refund()
 		h.d.mu.Unlock()
 		time.Sleep(replacementInterval)
 		w.endWait()
--- a/entry/direct/visit.go
+++ b/entry/direct/visit.go
@@ -162,7 +162,7 @@
 		return next, ""
 	}
 	if !free {
-		a.pool.budget.Return()
+		a.pool.budget.Refund()
 	}
 	return nil, dec.Reason.String()
 }
@@ -182,14 +182,14 @@
 func (d *Director) returnRetry(a *attempt) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	a.pool.budget.Return()
+	a.pool.budget.Refund()
 }
 
 // earnRetry credits the pool's retry budget for a first attempt.
 func (d *Director) earnRetry(a *attempt) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	a.pool.budget.Earn(1)
+	a.pool.budget.Credit(1)
 }
 
 // attempt is one dispatch of a job to an endpoint.
--- a/entry/keys/keeper.go
+++ b/entry/keys/keeper.go
@@ -145,7 +145,7 @@
 		return
 	}
 	var t spec.Homes
-	if json.Unmarshal(o.Data, &t) != nil || homes.Check(t) != nil {
+	if json.Unmarshal(o.Data, &t) != nil || homes.Validate(t) != nil {
 		return
 	}
 	if t.Epoch != b.table.Epoch {
@@ -186,7 +186,7 @@
 	if !ready {
 		return false
 	}
-	next, changed := homes.Takeover(b.table, live, k.cfg.Wall())
+	next, changed := homes.ReassignSlots(b.table, live, k.cfg.Wall())
 	if len(next.Slots) == 0 || (!changed && now < b.confirmAt) {
 		return false
 	}
--- a/entry/orders/planner.go
+++ b/entry/orders/planner.go
@@ -126,7 +126,7 @@
 	now := p.cfg.Now()
 	models := p.cfg.Models()
 	state := p.planState(now, models)
-	moves := make(map[string][]roles.Move)
+	moves := make(map[string][]roles.Order)
 	for _, m := range roles.Plan(now, state) {
 		moves[m.Model] = append(moves[m.Model], m)
 	}
@@ -145,7 +145,7 @@
 }
 
 // applyMoves writes the versions of moves into an assignment.
-func (p *Planner) applyMoves(ctx context.Context, model string, b *assignment, moves []roles.Move) {
+func (p *Planner) applyMoves(ctx context.Context, model string, b *assignment, moves []roles.Order) {
 	next := spec.Assign{Epoch: b.assign.Epoch + 1, Endpoints: make(map[string]spec.Assignment)}
 	for name, l := range b.assign.Endpoints {
 		next.Endpoints[name] = l
@@ -186,7 +186,7 @@
 // isPending reports whether an endpoint has yet to follow the assignment.
 func isPending(model string, b *assignment, endpoints []roles.Endpoint) bool {
 	for _, e := range endpoints {
-		if l, ok := b.assign.Endpoints[e.Name]; ok && e.WantModel == model && e.Version != l.Version {
+		if l, ok := b.assign.Endpoints[e.Name]; ok && e.OrderedModel == model && e.Version != l.Version {
 			return true
 		}
 	}
@@ -195,13 +195,13 @@
 
 // planState collects the input of a plan.
 func (p *Planner) planState(now time.Duration, models []spec.Model) roles.State {
-	s := roles.State{Loads: maxConcurrentLoads}
+	s := roles.State{MaxLoads: maxConcurrentLoads}
 	known := make(map[string]*roles.Endpoint)
 	orderedAt := make(map[assignmentKey]time.Duration)
 	for _, m := range models {
 		b := p.assignmentOf(m.Name)
 		b.refresh()
-		s.Wants = append(s.Wants, roles.Want{Model: m.Name, Version: m.Version, Endpoints: m.Endpoints})
+		s.Requirements = append(s.Requirements, roles.Requirement{Model: m.Name, Version: m.Version, Selector: m.Endpoints})
 		members := p.cfg.Members(m.Name)
 		if members == nil {
 			continue
@@ -244,7 +244,7 @@
 		at = now
 	}
 	orderedAt[key] = at
-	if e.WantModel == "" || at >= e.Ordered {
-		e.WantModel, e.WantVersion, e.Ordered = model, l.Version, at
+	if e.OrderedModel == "" || at >= e.OrderedAt {
+		e.OrderedModel, e.OrderedVersion, e.OrderedAt = model, l.Version, at
 	}
 }
--- a/entry/sched/admit.go
+++ b/entry/sched/admit.go
@@ -14,15 +14,15 @@
 	j := f.job
 	tier := j.Class.Tier
 	view := p.shedView()
-	view.LowerServed = hasLowerTier(view.Served, tier)
+	view.LowerServed = hasLowerTier(view.ServedTiers, tier)
 	if e := p.checkReachable(now, f, view.LowerServed); e != nil {
 		return 0, e
 	}
-	v := p.shed.Decide(now, shed.Ask{Tier: tier, Customer: j.Customer, Work: f.estimate.Work, Target: timeToTarget(f, now)}, view)
+	v := p.shed.Decide(now, shed.Request{Tier: tier, Customer: j.Customer, Work: f.estimate.Work, MaxWait: timeToTarget(f, now)}, view)
 	if v.Admit || !p.levelConfirmed(tier) {
 		return v.Wait, nil
 	}
-	e := fault.New(fault.Overloaded, "the pool "+p.name+" has no room for class "+j.Class.Name+" now ("+v.Why.String()+"): ask again after the time in Retry-After")
+	e := fault.New(fault.Overloaded, "the pool "+p.name+" has no room for class "+j.Class.Name+" now ("+v.Reason.String()+"): ask again after the time in Retry-After")
 	return 0, e.WithRetryAfter(max(v.RetryAfter, time.Millisecond))
 }
 
@@ -122,7 +122,7 @@
 
 // shedView returns the state of the whole pool for a shed decision.
 func (p *pool) shedView() shed.View {
-	v := shed.View{Served: p.servedTiers(), Peers: p.cfg.EntryCount()}
+	v := shed.View{ServedTiers: p.servedTiers(), Entries: p.cfg.EntryCount()}
 	m := p.cfg.Pool(p.name)
 	if m == nil {
 		return v
@@ -132,8 +132,8 @@
 		if !ok || peer.IsLeaving() {
 			continue
 		}
-		v.Places += int(l.InFlightBound)
-		v.Free += max(0, int(l.InFlightBound)-int(l.InFlight)-int(l.Queued)-peer.UncountedOffers())
+		v.Slots += int(l.InFlightBound)
+		v.FreeSlots += max(0, int(l.InFlightBound)-int(l.InFlight)-int(l.Queued)-peer.UncountedOffers())
 	}
 	return v
 }
--- a/entry/sched/books.go
+++ b/entry/sched/books.go
@@ -16,8 +16,8 @@
 	t := f.job.Class.Tier
 	p.waiting[t]--
 	p.running[t]++
-	p.shed.Started(now, t, f.job.Customer, f.estimate.Work)
-	st.expectedCached = p.placer.Sent(now, agent, f.trace.prefix)
+	p.shed.RecordStart(now, t, f.job.Customer, f.estimate.Work)
+	st.expectedCached = p.placer.RecordSent(now, agent, f.trace.prefix)
 	p.updateFigures()
 }
 
@@ -31,7 +31,7 @@
 	t := f.job.Class.Tier
 	p.running[t]--
 	p.waiting[t]++
-	p.shed.Arrived(now, t, f.job.Customer, f.estimate.Work)
+	p.shed.RecordArrival(now, t, f.job.Customer, f.estimate.Work)
 }
 
 // recordEnd removes a request that has ended from the pool's state and updates the
@@ -46,12 +46,12 @@
 	switch {
 	case st.isGranted:
 		p.running[t]--
-		p.shed.Ended(now, t, res.MetTarget(j.Class.Target))
+		p.shed.RecordEnd(now, t, res.MetTarget(j.Class.Target))
 	case st.isRefused:
 		p.waiting[t]--
 	default:
 		p.waiting[t]--
-		p.shed.Left(now, t, j.Customer, f.estimate.Work)
+		p.shed.RecordWithdrawal(now, t, j.Customer, f.estimate.Work)
 	}
 	if st.isGranted && res.Fault == nil {
 		p.updateEstimates(now, f, st, &res.Usage)
@@ -68,10 +68,10 @@
 		work = now - f.grantedAt
 	}
 	p.cost.Learn(j.Class.Name, j.Customer, len(j.Prompt), cost.Usage{
-		Prompt: int(u.PromptTokens), Cached: int(u.CachedTokens), Output: int(u.OutputTokens), Max: j.MaxTokens, Work: work,
+		PromptTokens: int(u.PromptTokens), CachedTokens: int(u.CachedTokens), OutputTokens: int(u.OutputTokens), MaxTokens: j.MaxTokens, Work: work,
 	})
 	if j.Model != "" {
-		p.placer.Cached(st.agent, st.expectedCached, int(u.CachedTokens))
+		p.placer.RecordCached(st.agent, st.expectedCached, int(u.CachedTokens))
 	}
 }
 
--- a/entry/sched/level.go
+++ b/entry/sched/level.go
@@ -27,7 +27,7 @@
 	}
 	for _, peer := range m.Peers {
 		if l, ok := peer.Load(); ok && l.ShedLevel < p.level {
-			p.shed.Peer(now, l.ShedLevel, tickInterval*2)
+			p.shed.SetPeerLevel(now, l.ShedLevel, tickInterval*2)
 		}
 	}
 }
--- a/entry/sched/offer.go
+++ b/entry/sched/offer.go
@@ -94,7 +94,7 @@
 		return
 	}
 	if p.Send(f.offerMessage(epoch)) != nil {
-		f.once.Drop(a)
+		f.once.DropOffer(a)
 		return
 	}
 	f.timerReason = timerNone
@@ -148,13 +148,13 @@
 // denial.
 func (f *flight) handleClaim(p *agents.Peer, a once.Agent, m *wire.Claim) {
 	if p.IsLeaving() && f.once.State() == once.Offered {
-		f.once.Drop(a)
+		f.once.DropOffer(a)
 		p.Send(&wire.Deny{ID: m.ID})
 		f.removeOffer(p)
 		f.placeIfNotOffered()
 		return
 	}
-	switch f.once.Claim(m.ID, a) {
+	switch f.once.HandleClaim(m.ID, a) {
 	case once.Deny:
 		p.Send(&wire.Deny{ID: m.ID})
 	case once.Grant:
@@ -166,7 +166,7 @@
 	j := f.job
 	err := p.Send(&wire.Grant{ID: f.once.ID(), Method: j.Method, Path: j.Path, Header: j.Header, Body: j.Body, Stream: j.Stream})
 	if err != nil {
-		f.once.Unwritten()
+		f.once.RevokeUnsentGrant()
 		f.removeOffer(p)
 		f.placeIfNotOffered()
 		return
@@ -181,7 +181,7 @@
 // withdrawOffers withdraws the offers that no agent needs to claim any more.
 func (f *flight) withdrawOffers() {
 	for _, p := range f.offeredTo.clear() {
-		if p != f.holder && f.once.Drop(p.Agent()) {
+		if p != f.holder && f.once.DropOffer(p.Agent()) {
 			p.Send(&wire.Withdraw{ID: f.once.ID()})
 		}
 	}
@@ -202,7 +202,7 @@
 	if m.Reason == wire.ReasonFull {
 		p.MarkFull(f.now())
 	}
-	if !f.once.Return(m.ID, a) {
+	if !f.once.HandleReturn(m.ID, a) {
 		return
 	}
 	f.recordStep("returned", p.Name(), m.Reason.String())
@@ -220,7 +220,7 @@
 
 // startNextAttempt starts another attempt of a request, if it may have one.
 func (f *flight) startNextAttempt(reason string) {
-	if !f.once.MayRenew() {
+	if !f.once.MayRetry() {
 		f.finish(fault.New(fault.UnknownOutcome, "the answer is lost and the request may have run ("+reason+"): find out before asking again"))
 		return
 	}
@@ -250,7 +250,7 @@
 		return false
 	}
 	f.s.table.drop(f.once.ID())
-	if err := f.once.Renew(id); err != nil {
+	if err := f.once.Retry(id); err != nil {
 		f.finish(fault.New(fault.UnknownOutcome, err.Error()))
 		return false
 	}
--- a/entry/sched/pick.go
+++ b/entry/sched/pick.go
@@ -54,8 +54,8 @@
 		if st.isGranted || f.job.Key != nil {
 			continue
 		}
-		p.longWaits = append(p.longWaits, place.Waiting{
-			Tier: f.job.Class.Tier, Offered: st.offeredAt, Due: targetDeadline(f.job), Agents: f.offeredTo.len(),
+		p.longWaits = append(p.longWaits, place.UnclaimedOffer{
+			Tier: f.job.Class.Tier, OfferedAt: st.offeredAt, Due: targetDeadline(f.job), AgentCount: f.offeredTo.len(),
 			PromptTokens: f.estimate.PromptTokens, Prefix: f.trace.prefix,
 		})
 		p.longWaitFlights = append(p.longWaitFlights, f)
@@ -63,7 +63,7 @@
 	if len(p.longWaits) == 0 {
 		return
 	}
-	p.picks = p.placer.Wider(now, p.longWaits, p.picks[:0])
+	p.picks = p.placer.OffersToExtend(now, p.longWaits, p.picks[:0])
 	picks := append([]int(nil), p.picks...)
 	for _, i := range picks {
 		f := p.longWaitFlights[i]
--- a/entry/sched/pool.go
+++ b/entry/sched/pool.go
@@ -99,7 +99,7 @@
 	candidates      []place.Agent
 	members         []*agents.Peer
 	picks           []int
-	longWaits       []place.Waiting
+	longWaits       []place.UnclaimedOffer
 	longWaitFlights []*flight
 }
 
@@ -149,7 +149,7 @@
 	case opEnd:
 		p.recordEnd(now, n.f, n.res)
 	case opAgentRestarted:
-		p.placer.Forget(n.agent)
+		p.placer.ForgetAgent(n.agent)
 	}
 }
 
@@ -162,10 +162,10 @@
 	if e != nil {
 		return decision{fault: e}
 	}
-	p.budget.Earn(1)
+	p.budget.Credit(1)
 	p.requests[f] = &requestState{offeredAt: now}
 	p.waiting[j.Class.Tier]++
-	p.shed.Arrived(now, j.Class.Tier, j.Customer, est.Work)
+	p.shed.RecordArrival(now, j.Class.Tier, j.Customer, est.Work)
 	p.updateFigures()
 	return decision{peers: p.pickAgents(now, f, firstOffers), wait: wait}
 }
@@ -195,13 +195,13 @@
 		return e
 	}
 	j := f.job
-	p.shed.Left(now, j.Class.Tier, j.Customer, f.estimate.Work)
+	p.shed.RecordWithdrawal(now, j.Class.Tier, j.Customer, f.estimate.Work)
 	_, e := p.checkAdmission(now, f)
 	if e != nil {
 		st.isRefused = true
 		return e
 	}
-	p.shed.Arrived(now, j.Class.Tier, j.Customer, f.estimate.Work)
+	p.shed.RecordArrival(now, j.Class.Tier, j.Customer, f.estimate.Work)
 	return nil
 }
 
--- a/entry/sched/relay.go
+++ b/entry/sched/relay.go
@@ -26,7 +26,7 @@
 	if f.timerReason == timerAttach {
 		f.timerReason = timerNone
 	}
-	f.once.Begin()
+	f.once.RecordAnswerStart()
 	return true
 }
 
@@ -104,10 +104,10 @@
 
 // sendHead sends the head to the caller. After that the answer can't be retracted.
 func (f *flight) sendHead() {
-	if f.once.Given() {
+	if f.once.AnswerDelivered() {
 		return
 	}
-	f.once.Give()
+	f.once.RecordDelivery()
 	f.sink.Head(f.status, f.header)
 }
 
@@ -175,7 +175,7 @@
 
 // holderTimeout returns how long to wait for a holder that is away.
 func (f *flight) holderTimeout() time.Duration {
-	if f.job.Repeatable && !f.once.Given() {
+	if f.job.Repeatable && !f.once.AnswerDelivered() {
 		return repeatableAttachTimeout
 	}
 	return attachTimeout
@@ -192,7 +192,7 @@
 func (f *flight) handleLinkDown(p *agents.Peer, a once.Agent) {
 	switch f.once.State() {
 	case once.Offered:
-		if f.once.Drop(a) {
+		if f.once.DropOffer(a) {
 			f.recordStep("link-lost", p.Name(), "offer dropped")
 			f.removeOffer(p)
 			f.placeIfNotOffered()
@@ -230,17 +230,17 @@
 	f.recordStep("known", p.Name(), "")
 	switch m.State {
 	case wire.KeyJoined:
-		if f.once.Join(m.ID, a) {
+		if f.once.JoinAnswer(m.ID, a) {
 			f.removeOffer(p)
 			f.holder = p
 		}
 	case wire.KeyMismatch:
 		f.finish(fault.New(fault.KeyMismatch, "this idempotency key was used with another request: use a new key for each request"))
 	case wire.KeyAnswerDropped:
-		f.once.Taint()
+		f.once.MarkMayHaveRun()
 		f.finish(fault.New(fault.UnknownOutcome, "a request with this idempotency key has run to its end and its answer is no longer kept: look up its effect"))
 	default:
-		f.once.Taint()
+		f.once.MarkMayHaveRun()
 		f.finish(fault.New(fault.UnknownOutcome, "a request with this idempotency key may have run and its record is lost: look up its effect before using a new key"))
 	}
 }
--- a/entry/sched/room_test.go
+++ b/entry/sched/room_test.go
@@ -61,7 +61,7 @@
 	f := newFlight(s, &Job{ID: s.NewID(), Pool: "p", Deadline: time.Minute}, &Sink{})
 	a := p.cfg.Pool("p").Peers[0].Agent()
 	f.once.Offer(a)
-	f.once.Claim(f.once.ID(), a)
+	f.once.HandleClaim(f.once.ID(), a)
 	f.handleEviction()
 	if f.done {
 		t.Fatal("a granted request ended as not run")
--- a/entry/sched/sched.go
+++ b/entry/sched/sched.go
@@ -149,7 +149,7 @@
 	for _, pool := range s.pools {
 		// If the ring is full, some prefix reuse is lost; waiting would block the
 		// link.
-		_ = pool.messages.Offer(poolMessage{op: opAgentRestarted, agent: a.Name})
+		_ = pool.messages.TryPut(poolMessage{op: opAgentRestarted, agent: a.Name})
 	}
 }
 
--- a/trial/capac/sizes.go
+++ b/trial/capac/sizes.go
@@ -116,7 +116,7 @@
 	for i, a := range newNodes("endpoint", targetAgents/targetModels) {
 		t.Owners = append(t.Owners, spec.HomeOwner{Name: a.Name, Incarnation: 1<<63 + uint64(i)})
 	}
-	for i := range homes.Slots {
+	for i := range homes.DefaultSlots {
 		t.Slots = append(t.Slots, spec.HomeSlot{Owner: i, LostBefore: t.ConfirmedAtMS, OwnedSinceEpoch: t.Epoch})
 	}
 	return t
