--- a/core/admit/admit.go
+++ b/core/admit/admit.go
@@ -9,7 +9,7 @@
 // It admits a request only if that time is within the request's target and the wait for a
 // slot is within a share of the target. Higher tiers have a larger share, so as queues
 // grow, the lowest tier is refused first and leaves its room to the higher ones. A request
-// refused only because of the wait may be queued at the entry (package await).
+// refused only because of the wait may be queued at the entry (package waitq).
 //
 // The package uses no network, clock or random source.
 package admit
--- a/core/spread/spread.go
+++ b/core/bitmix/spread.go
@@ -1,6 +1,6 @@
-// Package spread distributes the bits of hashes evenly. FNV gives names that differ only in
+// Package bitmix distributes the bits of hashes evenly. FNV gives names that differ only in
 // their last letter nearly the same high bits.
-package spread
+package bitmix
 
 // Mix distributes the bits of a hash with the first steps of MurmurHash3's finalizer.
 func Mix(x uint64) uint64 {
--- a/core/trust/trust.go
+++ b/core/health/trust.go
@@ -1,4 +1,4 @@
-// Package trust decides from the results of requests which endpoints are usable.
+// Package health decides from the results of requests which endpoints are usable.
 //
 // An endpoint may pass its health check and still fail half of its requests, or may be gone
 // while the instance list still names it. Without this package, entries would go on sending
@@ -7,7 +7,7 @@
 // checks: they cost nothing extra and show what callers get.
 //
 // The package uses no network, clock or random source. A Tracker is owned by one goroutine.
-package trust
+package health
 
 import "time"
 
--- a/core/trust/trust_test.go
+++ b/core/health/trust_test.go
@@ -1,4 +1,4 @@
-package trust
+package health
 
 import (
 	"testing"
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -23,7 +23,7 @@
 	"hash/fnv"
 	"slices"
 
-	"lycheepond/core/spread"
+	"lycheepond/core/bitmix"
 )
 
 const (
@@ -103,7 +103,7 @@
 		h.Write([]byte(name))
 		h.Write([]byte{0})
 		h.Write([]byte(e.Name))
-		if score := spread.Mix(h.Sum64()); hub == "" || score > maxScore {
+		if score := bitmix.Mix(h.Sum64()); hub == "" || score > maxScore {
 			hub, maxScore = name, score
 		}
 	}
--- a/core/shard/shard.go
+++ b/core/shard/shard.go
@@ -19,8 +19,8 @@
 	"hash/fnv"
 	"math"
 
+	"lycheepond/core/bitmix"
 	"lycheepond/core/relay"
-	"lycheepond/core/spread"
 )
 
 const (
@@ -209,6 +209,6 @@
 		h.Write([]byte(n))
 		h.Write([]byte{0})
 	}
-	x := spread.Mix(h.Sum64()) * 0xc4ceb9fe1a85ec53
+	x := bitmix.Mix(h.Sum64()) * 0xc4ceb9fe1a85ec53
 	return x ^ x>>33
 }
--- a/core/await/await.go
+++ b/core/waitq/await.go
@@ -1,4 +1,4 @@
-// Package await keeps the requests that wait at an entry for a free slot of an endpoint, in
+// Package waitq keeps the requests that wait at an entry for a free slot of an endpoint, in
 // the order in which they are to be sent.
 //
 // Queuing at the entry is needed when a burst takes every slot. Engines serve in order of
@@ -9,7 +9,7 @@
 // request is refused as soon as its target can no longer be met.
 //
 // The package uses no network, clock or random source. A Queue is owned by one goroutine.
-package await
+package waitq
 
 import (
 	"cmp"
--- a/core/await/await_test.go
+++ b/core/waitq/await_test.go
@@ -1,4 +1,4 @@
-package await_test
+package waitq_test
 
 import (
 	"fmt"
@@ -8,20 +8,20 @@
 
 	"pgregory.net/rapid"
 
-	"lycheepond/core/await"
 	"lycheepond/core/route"
+	"lycheepond/core/waitq"
 )
 
-func priority(tier int, targetAt time.Duration) await.Priority {
-	return await.Priority{Tier: route.Tier{Route: tier}, TargetAt: targetAt}
+func priority(tier int, targetAt time.Duration) waitq.Priority {
+	return waitq.Priority{Tier: route.Tier{Route: tier}, TargetAt: targetAt}
 }
 
 func ExampleQueue() {
-	var q await.Queue[string]
+	var q waitq.Queue[string]
 	q.Add("status", priority(2, 100*time.Millisecond))
 	q.Add("brief", priority(0, 400*time.Millisecond))
 	q.Add("brief due sooner", priority(0, 300*time.Millisecond))
-	q.SendInOrder(func(r *await.Request[string]) (sent, more bool) {
+	q.SendInOrder(func(r *waitq.Request[string]) (sent, more bool) {
 		fmt.Println(r.Value)
 		return true, true
 	})
@@ -34,13 +34,13 @@
 // The first request in the queue needs more time for its prompt than it has left. It must
 // neither block the requests behind it from free slots nor lose its position.
 func TestSendInOrderSkipsRequestsThatCannotBeSent(t *testing.T) {
-	var q await.Queue[string]
+	var q waitq.Queue[string]
 	q.Add("long", priority(0, 1))
 	q.Add("short", priority(0, 2))
 	q.Add("later", priority(1, 1))
-	q.SendInOrder(func(r *await.Request[string]) (sent, more bool) { return r.Value == "short", r.Value != "short" })
+	q.SendInOrder(func(r *waitq.Request[string]) (sent, more bool) { return r.Value == "short", r.Value != "short" })
 	var left []string
-	q.SendInOrder(func(r *await.Request[string]) (sent, more bool) {
+	q.SendInOrder(func(r *waitq.Request[string]) (sent, more bool) {
 		left = append(left, r.Value)
 		return false, true
 	})
@@ -53,8 +53,8 @@
 // lower tier, and none may be lost.
 func TestQueueKeepsOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var q await.Queue[int]
-		queued := make(map[int]*await.Request[int])
+		var q waitq.Queue[int]
+		queued := make(map[int]*waitq.Request[int])
 		t.Repeat(map[string]func(*rapid.T){
 			"add": func(t *rapid.T) {
 				n := len(queued)
@@ -74,9 +74,9 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				var previous *await.Request[int]
+				var previous *waitq.Request[int]
 				seen := 0
-				q.SendInOrder(func(r *await.Request[int]) (sent, more bool) {
+				q.SendInOrder(func(r *waitq.Request[int]) (sent, more bool) {
 					if previous != nil && previous.Priority().Compare(r.Priority()) > 0 {
 						t.Fatalf("%v is ahead of %v", previous.Priority(), r.Priority())
 					}
@@ -100,8 +100,8 @@
 	taken := 0
 	for round := range rounds {
 		for e := range entries {
-			c := await.Contention{OwnSameTier: 1, SameTier: entries - 1, FreeSlots: 1}
-			if await.Draw(fmt.Sprint("entry-", e), "endpoint-7", time.Duration(round)*await.DrawInterval) < c.Share() {
+			c := waitq.Contention{OwnSameTier: 1, SameTier: entries - 1, FreeSlots: 1}
+			if waitq.Draw(fmt.Sprint("entry-", e), "endpoint-7", time.Duration(round)*waitq.DrawInterval) < c.Share() {
 				taken++
 			}
 		}
@@ -114,15 +114,15 @@
 func TestContention(t *testing.T) {
 	for _, tt := range []struct {
 		name       string
-		contention await.Contention
+		contention waitq.Contention
 		blocked    bool
 		share      float64
 	}{
-		{"alone", await.Contention{OwnSameTier: 1, FreeSlots: 2}, false, 1},
-		{"nothing free, no other requests", await.Contention{OwnSameTier: 1}, false, 1},
-		{"others of the same tier", await.Contention{OwnSameTier: 1, SameTier: 3, FreeSlots: 1}, false, 0.25},
-		{"higher tiers need all free slots", await.Contention{HigherTier: 3, OwnSameTier: 1, FreeSlots: 2}, true, 0},
-		{"higher tiers leave half of the slots", await.Contention{HigherTier: 2, OwnSameTier: 1, FreeSlots: 4}, false, 0.5},
+		{"alone", waitq.Contention{OwnSameTier: 1, FreeSlots: 2}, false, 1},
+		{"nothing free, no other requests", waitq.Contention{OwnSameTier: 1}, false, 1},
+		{"others of the same tier", waitq.Contention{OwnSameTier: 1, SameTier: 3, FreeSlots: 1}, false, 0.25},
+		{"higher tiers need all free slots", waitq.Contention{HigherTier: 3, OwnSameTier: 1, FreeSlots: 2}, true, 0},
+		{"higher tiers leave half of the slots", waitq.Contention{HigherTier: 2, OwnSameTier: 1, FreeSlots: 4}, false, 0.5},
 	} {
 		if got := tt.contention.Blocked(); got != tt.blocked {
 			t.Errorf("%s: blocked %v", tt.name, got)
@@ -137,13 +137,13 @@
 // waiting. It must be refused at once.
 func TestMaxWaitIsBoundedByTarget(t *testing.T) {
 	const target = 400 * time.Millisecond
-	if got := await.MaxWait(target, target, 50*time.Millisecond); got != 40*time.Millisecond {
+	if got := waitq.MaxWait(target, target, 50*time.Millisecond); got != 40*time.Millisecond {
 		t.Errorf("with the whole target left: %v", got)
 	}
-	if got := await.MaxWait(target, 70*time.Millisecond, 50*time.Millisecond); got != 20*time.Millisecond {
+	if got := waitq.MaxWait(target, 70*time.Millisecond, 50*time.Millisecond); got != 20*time.Millisecond {
 		t.Errorf("with little of the target left: %v", got)
 	}
-	if got := await.MaxWait(target, 30*time.Millisecond, 50*time.Millisecond); got > 0 {
+	if got := waitq.MaxWait(target, 30*time.Millisecond, 50*time.Millisecond); got > 0 {
 		t.Errorf("with less than the service time left: %v", got)
 	}
 }
@@ -151,7 +151,7 @@
 // In an overload, a few long answers hold the slots that many short ones could use. Within
 // a tier, a short request must go before a long one with a slightly earlier target.
 func TestShortRequestsGoFirstWithinTier(t *testing.T) {
-	var q await.Queue[string]
+	var q waitq.Queue[string]
 	add := func(name string, tier int, targetAt, holdTime time.Duration) {
 		p := priority(tier, targetAt)
 		p.HoldTime = holdTime
@@ -162,7 +162,7 @@
 	add("long of a higher tier", 0, 600*time.Millisecond, 4*time.Second)
 	add("long, due long before", 1, -9*time.Second, 4*time.Second)
 	var got []string
-	q.SendInOrder(func(r *await.Request[string]) (sent, more bool) {
+	q.SendInOrder(func(r *waitq.Request[string]) (sent, more bool) {
 		got = append(got, r.Value)
 		return true, true
 	})
--- a/core/await/share.go
+++ b/core/waitq/share.go
@@ -1,11 +1,11 @@
-package await
+package waitq
 
 import (
 	"encoding/binary"
 	"hash/fnv"
 	"time"
 
-	"lycheepond/core/spread"
+	"lycheepond/core/bitmix"
 )
 
 const (
@@ -68,5 +68,5 @@
 	h.Write([]byte(entry))
 	h.Write([]byte(endpoint))
 	h.Write(round)
-	return float64(spread.Mix(h.Sum64())>>11) / (1 << 53)
+	return float64(bitmix.Mix(h.Sum64())>>11) / (1 << 53)
 }
--- a/core/wire/place.go
+++ b/core/wire/place.go
@@ -52,7 +52,7 @@
 }
 
 // The values of PlaceReport.Outcome. Values from PlaceResult on are the sum of
-// PlaceResult and a trust.Result.
+// PlaceResult and a health.Result.
 const (
 	// PlaceOpen means that the request is still running.
 	PlaceOpen uint8 = iota
@@ -62,7 +62,7 @@
 	PlaceDeclined
 	// PlaceMoved means that the endpoint's address now belongs to another endpoint.
 	PlaceMoved
-	// PlaceResult is added to the trust.Result of a finished request.
+	// PlaceResult is added to the health.Result of a finished request.
 	PlaceResult
 )
 
--- a/entry/caller/accept.go
+++ b/entry/caller/accept.go
@@ -15,7 +15,7 @@
 	"lycheepond/core/spec"
 	"lycheepond/core/wire"
 	"lycheepond/entry/fault"
-	"lycheepond/entry/heads"
+	"lycheepond/entry/hdrs"
 	"lycheepond/entry/sched"
 )
 
@@ -200,7 +200,7 @@
 // forwardedHeaders returns the headers to pass on.
 func forwardedHeaders(h http.Header) []wire.Field {
 	out := make([]wire.Field, 0, len(h))
-	for name, values := range heads.EndToEnd(h) {
+	for name, values := range hdrs.EndToEnd(h) {
 		if droppedHeaders[name] {
 			continue
 		}
--- a/entry/caller/reply.go
+++ b/entry/caller/reply.go
@@ -12,7 +12,7 @@
 	"lycheepond/core/ident"
 	"lycheepond/core/wire"
 	"lycheepond/entry/fault"
-	"lycheepond/entry/heads"
+	"lycheepond/entry/hdrs"
 	"lycheepond/entry/sched"
 )
 
@@ -55,7 +55,7 @@
 	h := r.w.Header()
 	for _, f := range header {
 		name := http.CanonicalHeaderKey(f.Name)
-		if !droppedHeaders[name] && !heads.IsHopByHop(name) {
+		if !droppedHeaders[name] && !hdrs.IsHopByHop(name) {
 			h.Add(name, f.Value)
 		}
 	}
--- a/entry/direct/beside.go
+++ b/entry/direct/beside.go
@@ -9,8 +9,8 @@
 
 	"go.uber.org/zap"
 
+	"lycheepond/core/health"
 	"lycheepond/core/logs"
-	"lycheepond/core/trust"
 	"lycheepond/entry/hop"
 )
 
@@ -188,9 +188,9 @@
 		}
 		return attemptResult{wasReceived: true, result: Result{Reason: "endpoint did not run it"}}
 	}
-	result := trust.Broken
+	result := health.Broken
 	if x.answer.Status >= http.StatusInternalServerError {
-		result = trust.ServerError
+		result = health.ServerError
 	}
 	x.attempt.finish(result)
 	return attemptResult{wasReceived: true, mayHaveRun: true, result: Result{Reason: fmt.Sprintf("endpoint answered with status %d", x.answer.Status)}}
--- a/entry/direct/canary.go
+++ b/entry/direct/canary.go
@@ -8,9 +8,9 @@
 
 	"lycheepond/core/admit"
 	"lycheepond/core/canary"
+	"lycheepond/core/health"
 	"lycheepond/core/logs"
 	"lycheepond/core/meter"
-	"lycheepond/core/trust"
 	"lycheepond/core/wire"
 )
 
@@ -159,9 +159,9 @@
 
 // observeResult adds the result of the attempt to the statistics of its version. The caller
 // holds d.mu.
-func (a *attempt) observeResult(now time.Time, r trust.Result) {
+func (a *attempt) observeResult(now time.Time, r health.Result) {
 	switch r {
-	case trust.Success:
+	case health.Success:
 		a.observeSample(now, canary.Sample{Kind: canary.Succeeded})
 		if a.firstAt.IsZero() {
 			a.observeSample(now, canary.Sample{Kind: canary.FirstEvent, Elapsed: now.Sub(a.sentAt)})
@@ -169,7 +169,7 @@
 		if a.laterTokens >= minPacedTokens {
 			a.observeSample(now, canary.Sample{Kind: canary.TokenTime, Elapsed: a.lastAt.Sub(a.firstAt) / time.Duration(a.laterTokens)})
 		}
-	case trust.ServerError, trust.Broken:
+	case health.ServerError, health.Broken:
 		a.observeSample(now, canary.Sample{Kind: canary.Failed})
 	}
 }
--- a/entry/direct/crowd_test.go
+++ b/entry/direct/crowd_test.go
@@ -11,9 +11,9 @@
 
 	"go.uber.org/zap"
 
+	"lycheepond/core/health"
 	"lycheepond/core/meter"
 	"lycheepond/core/route"
-	"lycheepond/core/trust"
 	"lycheepond/core/wire"
 )
 
@@ -28,7 +28,7 @@
 	time.Sleep(time.Duration(output-5) * 4 * time.Millisecond)
 	a.recordProgress(output - 5)
 	<-e.slots
-	a.finish(trust.Success)
+	a.finish(health.Success)
 }
 
 // requestKind is a kind of request of the replayed workload.
--- a/entry/direct/direct.go
+++ b/entry/direct/direct.go
@@ -1,7 +1,7 @@
 // Package direct serves requests by calling endpoints from the entry itself. It is for
 // endpoints without an agent and for platforms on which any other process may be missing.
 //
-// The decisions are made by core/admit (admission and placement), core/trust (trust in
+// The decisions are made by core/admit (admission and placement), core/health (trust in
 // endpoints) and core/quota (customer limits). This package keeps their state in one place,
 // carries requests and answers, and decides what a failure means: whether the request may be
 // sent again, and what the caller may be told.
@@ -16,11 +16,11 @@
 	"go.uber.org/zap"
 
 	"lycheepond/core/canary"
+	"lycheepond/core/health"
 	"lycheepond/core/meter"
 	"lycheepond/core/poison"
 	"lycheepond/core/quota"
 	"lycheepond/core/route"
-	"lycheepond/core/trust"
 	"lycheepond/core/wire"
 	"lycheepond/entry/hop"
 )
@@ -324,7 +324,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if now := d.sinceStart(time.Now()); err != nil {
-		d.view.trust.RecordResult(now, id, trust.Unreachable)
+		d.view.trust.RecordResult(now, id, health.Unreachable)
 		if e := d.view.endpoints[id]; e != nil && e.Addr == addr && hop.IsRefused(err) {
 			d.recordCrash(e)
 		}
--- a/entry/direct/place.go
+++ b/entry/direct/place.go
@@ -8,12 +8,12 @@
 	"go.uber.org/zap"
 
 	"lycheepond/core/admit"
-	"lycheepond/core/await"
 	"lycheepond/core/canary"
 	"lycheepond/core/logs"
 	"lycheepond/core/relay"
 	"lycheepond/core/route"
 	"lycheepond/core/shard"
+	"lycheepond/core/waitq"
 	"lycheepond/core/wire"
 )
 
@@ -214,7 +214,7 @@
 	d.pendingPlacements[id] = pending
 	wait := ownerAnswerTimeout
 	if mayWait {
-		wait += await.MaxWait(j.Route.Target, j.firstEventDue().Sub(now), 0)
+		wait += waitq.MaxWait(j.Route.Target, j.firstEventDue().Sub(now), 0)
 	}
 	d.mu.Unlock()
 	timer := time.NewTimer(wait)
--- a/entry/direct/place_test.go
+++ b/entry/direct/place_test.go
@@ -9,10 +9,10 @@
 
 	"go.uber.org/zap"
 
+	"lycheepond/core/health"
 	"lycheepond/core/meter"
 	"lycheepond/core/relay"
 	"lycheepond/core/route"
-	"lycheepond/core/trust"
 	"lycheepond/core/wire"
 	"lycheepond/entry/hop"
 )
@@ -109,7 +109,7 @@
 			t.Error("a second request was placed at an engine with one slot")
 		}
 		a.recordProgress(10)
-		a.finish(trust.Success)
+		a.finish(health.Success)
 		synctest.Wait()
 		if ownRequests(p.owner, "a") != 0 {
 			t.Errorf("the owner counts %d requests after the end", ownRequests(p.owner, "a"))
@@ -125,7 +125,7 @@
 		first, _ := p.requester.admitJob(t.Context(), p.job())
 		time.AfterFunc(50*time.Millisecond, func() {
 			first.recordProgress(20)
-			first.finish(trust.Success)
+			first.finish(health.Success)
 		})
 		// The lowest tier has no share of an engine's queue.
 		p.route = 1
@@ -152,7 +152,7 @@
 			t.Fatal("placed")
 		}
 		synctest.Wait()
-		first.finish(trust.Success)
+		first.finish(health.Success)
 		synctest.Wait()
 		if n := ownRequests(p.owner, "a"); n != 0 {
 			t.Errorf("the owner counts %d requests", n)
@@ -205,7 +205,7 @@
 		if ownRequests(p.owner, "a") != 0 {
 			t.Errorf("the owner still counts %d requests", ownRequests(p.owner, "a"))
 		}
-		a.finish(trust.Success)
+		a.finish(health.Success)
 		if ownRequests(p.requester, "a") != 0 {
 			t.Errorf("the requester counts %d requests after the end", ownRequests(p.requester, "a"))
 		}
--- a/entry/direct/plain.go
+++ b/entry/direct/plain.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"lycheepond/core/trust"
+	"lycheepond/core/health"
 	"lycheepond/entry/hop"
 )
 
@@ -30,7 +30,7 @@
 		if t.ctx.Err() != nil {
 			return attemptResult{wasReceived: true, mayHaveRun: true, result: Result{Reason: "time is up"}}
 		}
-		a.finish(trust.Broken)
+		a.finish(health.Broken)
 		return attemptResult{wasReceived: true, mayHaveRun: true, result: Result{Reason: breakReason("answer broke off", err)}}
 	}
 	a.recordAnswer(answer)
@@ -86,8 +86,8 @@
 		a.recordCompletion()
 	}
 	if answer.Status >= http.StatusInternalServerError {
-		a.finish(trust.ServerError)
+		a.finish(health.ServerError)
 		return
 	}
-	a.finish(trust.Success)
+	a.finish(health.Success)
 }
--- a/entry/direct/relay.go
+++ b/entry/direct/relay.go
@@ -6,7 +6,7 @@
 	"io"
 	"time"
 
-	"lycheepond/core/trust"
+	"lycheepond/core/health"
 	"lycheepond/entry/hop"
 )
 
@@ -62,7 +62,7 @@
 			continue
 		case err == io.EOF:
 			a.recordCompletion()
-			a.finish(trust.Success)
+			a.finish(health.Success)
 			return finalResult(Complete, "")
 		}
 		return t.answerBroke(a, err)
@@ -88,7 +88,7 @@
 		a.handleTimeout()
 		return finalResult(Broken, "time is up")
 	}
-	a.finish(trust.Broken)
+	a.finish(health.Broken)
 	what := "answer broke off"
 	if t.job.Route.Stream {
 		what = "stream broke off"
--- a/entry/direct/send.go
+++ b/entry/direct/send.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"lycheepond/core/trust"
+	"lycheepond/core/health"
 	"lycheepond/entry/hop"
 )
 
@@ -56,7 +56,7 @@
 		return nil, attemptResult{wasReceived: true, result: Result{Reason: "endpoint did not run it"}}
 	case answer.Status < 300 && !m.Signed:
 		answer.Close()
-		a.finish(trust.Broken)
+		a.finish(health.Broken)
 		return nil, attemptResult{wasReceived: true, mayHaveRun: true, result: Result{Reason: "answer without the endpoint's signature"}}
 	case answer.Status >= 500:
 		return t.replaceFailed(answer, a, w)
@@ -80,7 +80,7 @@
 	}
 	io.Copy(io.Discard, io.LimitReader(answer, maxBufferedAnswer))
 	answer.Close()
-	a.finish(trust.ServerError)
+	a.finish(health.ServerError)
 	return nil, attemptResult{wasReceived: true, mayHaveRun: true, next: next, result: Result{Reason: "endpoint answered with an error"}}
 }
 
@@ -93,7 +93,7 @@
 	case errors.Is(err, hop.ErrNotSent):
 		a.returnReservations()
 		if t.ctx.Err() == nil {
-			a.finish(trust.Unreachable)
+			a.finish(health.Unreachable)
 			a.recordRefusedConnection(err)
 		}
 		return attemptResult{result: Result{Reason: "endpoint accepts no connection"}}
@@ -104,7 +104,7 @@
 		a.handleTimeout()
 		return attemptResult{wasReceived: true, mayHaveRun: true, result: Result{Reason: "time is up"}}
 	}
-	a.finish(trust.Broken)
+	a.finish(health.Broken)
 	return attemptResult{wasReceived: true, mayHaveRun: true, result: Result{Reason: breakReason("no answer", err)}}
 }
 
@@ -119,7 +119,7 @@
 		return t.relayStream(answer, a, w)
 	}
 	if t.headSent {
-		a.finish(trust.Broken)
+		a.finish(health.Broken)
 		return attemptResult{wasReceived: true, mayHaveRun: true, result: Result{Reason: "the stream was not resumed"}}
 	}
 	return t.sendWholeAnswer(answer, a)
--- a/entry/direct/session.go
+++ b/entry/direct/session.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"lycheepond/core/admit"
+	"lycheepond/core/health"
 	"lycheepond/core/route"
 	"lycheepond/core/shard"
-	"lycheepond/core/trust"
 	"lycheepond/core/wire"
 )
 
@@ -158,6 +158,6 @@
 	case m.Outcome == wire.PlaceMoved:
 		a.handleMoved()
 	case m.Outcome >= wire.PlaceResult:
-		a.finish(trust.Result(m.Outcome - wire.PlaceResult))
+		a.finish(health.Result(m.Outcome - wire.PlaceResult))
 	}
 }
--- a/entry/direct/size_test.go
+++ b/entry/direct/size_test.go
@@ -12,11 +12,11 @@
 
 	"go.uber.org/zap"
 
+	"lycheepond/core/health"
 	"lycheepond/core/meter"
 	"lycheepond/core/relay"
 	"lycheepond/core/route"
 	"lycheepond/core/shard"
-	"lycheepond/core/trust"
 	"lycheepond/core/wire"
 	"lycheepond/entry/hop"
 )
@@ -87,7 +87,7 @@
 	select {
 	case e.slots <- struct{}{}:
 	case <-e.stopped:
-		a.finish(trust.Broken)
+		a.finish(health.Broken)
 		return
 	}
 	defer func() { <-e.slots }()
@@ -101,11 +101,11 @@
 		case <-time.After(p):
 			a.recordProgress(max(output/(steps+1), 1))
 		case <-e.stopped:
-			a.finish(trust.Broken)
+			a.finish(health.Broken)
 			return
 		}
 		if i == steps {
-			a.finish(trust.Success)
+			a.finish(health.Success)
 		}
 	}
 }
--- a/entry/direct/view.go
+++ b/entry/direct/view.go
@@ -6,15 +6,15 @@
 	"time"
 
 	"lycheepond/core/admit"
-	"lycheepond/core/await"
 	"lycheepond/core/canary"
+	"lycheepond/core/health"
 	"lycheepond/core/limit"
 	"lycheepond/core/poison"
 	"lycheepond/core/quota"
 	"lycheepond/core/retry"
 	"lycheepond/core/route"
 	"lycheepond/core/shard"
-	"lycheepond/core/trust"
+	"lycheepond/core/waitq"
 	"lycheepond/core/wire"
 )
 
@@ -48,7 +48,7 @@
 	roster    route.Roster
 	endpoints map[string]*endpoint
 	pools     map[string]*pool
-	trust     *trust.Tracker
+	trust     *health.Tracker
 	poison    *poison.Tracker
 	limits    *limit.Limiter
 	quota     *quota.Limiter
@@ -84,7 +84,7 @@
 	ownersAt time.Time
 	// scratch is the argument of the last decision, kept to avoid allocation.
 	scratch []admit.Endpoint
-	queue   await.Queue[*waiter]
+	queue   waitq.Queue[*waiter]
 }
 
 // poolShard is a shard of a pool.
@@ -93,7 +93,7 @@
 	endpoints []*endpoint
 	// queue holds the requests that wait for a slot of the shard. It is empty unless
 	// this entry owns the shard.
-	queue await.Queue[*waiter]
+	queue waitq.Queue[*waiter]
 }
 
 // endpoint is an endpoint with the work in flight there.
@@ -171,7 +171,7 @@
 func newView(zone string, rollouts canary.Limit) *view {
 	return &view{
 		zone: zone, table: route.NewTable(route.Config{}), endpoints: make(map[string]*endpoint),
-		pools: make(map[string]*pool), trust: trust.New(), poison: poison.New(), limits: limit.New(), quota: quota.New(), rollouts: canary.New(rollouts),
+		pools: make(map[string]*pool), trust: health.New(), poison: poison.New(), limits: limit.New(), quota: quota.New(), rollouts: canary.New(rollouts),
 		heldByPeer: make(map[string]map[string]wire.EndpointLoad), unreportedWork: make(map[string]bool), unreportedUsage: make(map[string]bool),
 		queueCounts: newQueueCounts(), tallyAt: make(map[string]time.Time),
 	}
--- a/entry/direct/view_test.go
+++ b/entry/direct/view_test.go
@@ -6,9 +6,9 @@
 
 	"lycheepond/core/admit"
 	"lycheepond/core/canary"
+	"lycheepond/core/health"
 	"lycheepond/core/quota"
 	"lycheepond/core/route"
-	"lycheepond/core/trust"
 	"lycheepond/core/wire"
 )
 
@@ -66,7 +66,7 @@
 	v, p := newPoolView("a", "b")
 	v.endpoints["a"].ownWork.add(inFlight{requests: 3}, 1)
 	for range 5 {
-		v.trust.RecordResult(time.Second, "a", trust.Unreachable)
+		v.trust.RecordResult(time.Second, "a", health.Unreachable)
 	}
 	r := newRoster("a", "b")
 	r.Revision, r.Endpoints[0].Incarnation = 2, 2
--- a/entry/direct/visit.go
+++ b/entry/direct/visit.go
@@ -7,13 +7,13 @@
 	"go.uber.org/zap"
 
 	"lycheepond/core/admit"
-	"lycheepond/core/await"
 	"lycheepond/core/canary"
+	"lycheepond/core/health"
 	"lycheepond/core/logs"
 	"lycheepond/core/meter"
 	"lycheepond/core/poison"
 	"lycheepond/core/route"
-	"lycheepond/core/trust"
+	"lycheepond/core/waitq"
 	"lycheepond/core/wire"
 )
 
@@ -24,7 +24,7 @@
 	if entryShare >= 1 || e.ownWork.requests < e.reportedRequests {
 		return false
 	}
-	return await.Draw(d.cfg.Addr, e.ID, d.sinceStart(now)) >= entryShare*float64(max(freeSlots, 1))
+	return waitq.Draw(d.cfg.Addr, e.ID, d.sinceStart(now)) >= entryShare*float64(max(freeSlots, 1))
 }
 
 // placementOptions says how a job is to be placed.
@@ -75,7 +75,7 @@
 	}
 	candidates := d.view.describeEndpoints(p, endpoints, zone, j.Pool, now, d.sinceStart(now))
 	for i, e := range endpoints {
-		candidates[i].Bias = await.FixedDraw(d.cfg.Addr, e.ID)
+		candidates[i].Bias = waitq.FixedDraw(d.cfg.Addr, e.ID)
 		candidates[i].YieldSlots = d.yieldsSlot(e, candidates[i].Slots-candidates[i].Requests, opts.entryShare, now)
 	}
 	dec := admit.Decide(req, candidates)
@@ -296,14 +296,14 @@
 }
 
 // finish ends the attempt with a result. Calls after the first one have no effect.
-func (a *attempt) finish(r trust.Result) {
+func (a *attempt) finish(r health.Result) {
 	if !a.markEnded() {
 		return
 	}
 	switch a.recordResult(r) {
-	case trust.BecameUnusable:
+	case health.BecameUnusable:
 		logs.Warn(a.d.cfg.Log, logs.EventEndpointAway, zap.String("endpoint", a.id), zap.String("result", r.String()))
-	case trust.BecameUsable:
+	case health.BecameUsable:
 		logs.Info(a.d.cfg.Log, logs.EventEndpointBack, zap.String("endpoint", a.id))
 	}
 }
@@ -316,20 +316,20 @@
 }
 
 // recordResult applies a result to everything that is known of the endpoint.
-func (a *attempt) recordResult(r trust.Result) trust.Change {
+func (a *attempt) recordResult(r health.Result) health.Change {
 	now := time.Now()
 	a.d.mu.Lock()
 	defer a.d.mu.Unlock()
 	if a.work.kvTokens > 0 {
 		a.pool.learner.ObserveOutput(a.endpoint.ID, a.laterTokens, a.lastAt.Sub(a.firstAt))
-	} else if a.hadFreeSlot && r == trust.Success {
+	} else if a.hadFreeSlot && r == health.Success {
 		a.pool.learner.ObserveFirstEvent(a.endpoint.ID, 0, now.Sub(a.sentAt))
 	}
 	a.observeResult(now, r)
 	a.releaseWork(a.work)
 	a.notifyOwner(now, 0, wire.PlaceResult+uint8(r))
 	change := a.d.view.trust.RecordResult(a.d.sinceStart(now), a.endpoint.ID, r)
-	if r == trust.Broken {
+	if r == health.Broken {
 		a.recordLostRun()
 	}
 	a.d.dispatchQueued(a.pool)
@@ -400,7 +400,7 @@
 // elapsed time does not show that, because data that has arrived may not have been read yet.
 func (a *attempt) handleTimeout() {
 	if a.wasSilent {
-		a.finish(trust.Broken)
+		a.finish(health.Broken)
 		return
 	}
 	a.abandon()
--- a/entry/direct/wait.go
+++ b/entry/direct/wait.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"lycheepond/core/admit"
-	"lycheepond/core/await"
+	"lycheepond/core/waitq"
 )
 
 // waiter is a job in the queue of its pool or of a shard.
@@ -14,7 +14,7 @@
 	options queueOptions
 	// ticket is the job's place in the queue, queuedAt when it was queued and maxWait how long
 	// it may stay there.
-	ticket   *await.Request[*waiter]
+	ticket   *waitq.Request[*waiter]
 	queuedAt time.Time
 	maxWait  time.Duration
 	// dispatched is closed once the job has left the queue for an endpoint; attempt and
@@ -35,7 +35,7 @@
 }
 
 // queueOf returns the queue of the pool, or of the shard s if it is not nil.
-func (p *pool) queueOf(s *poolShard) *await.Queue[*waiter] {
+func (p *pool) queueOf(s *poolShard) *waitq.Queue[*waiter] {
 	if s != nil {
 		return &s.queue
 	}
@@ -84,7 +84,7 @@
 	if dec.Reason != admit.Full || !opts.mayWait {
 		return a, dec, nil
 	}
-	maxWait := await.MaxWait(j.Route.Target, j.firstEventDue().Sub(now), dec.FirstEvent-dec.SlotWait)
+	maxWait := waitq.MaxWait(j.Route.Target, j.firstEventDue().Sub(now), dec.FirstEvent-dec.SlotWait)
 	if turn := time.Duration(ahead+c.HigherTier+c.SameTier+1) * dec.SlotInterval; turn > maxWait {
 		dec.RetryAfter = max(dec.RetryAfter, turn)
 		return a, dec, nil
@@ -96,8 +96,8 @@
 }
 
 // queuePosition returns the sort key by which a job is queued.
-func (d *Director) queuePosition(j *Job, p *pool) await.Priority {
-	position := await.Priority{Tier: j.Tier, TargetAt: d.sinceStart(j.firstEventDue())}
+func (d *Director) queuePosition(j *Job, p *pool) waitq.Priority {
+	position := waitq.Priority{Tier: j.Tier, TargetAt: d.sinceStart(j.firstEventDue())}
 	if j.Pool.Engine {
 		position.HoldTime = p.learner.Pace("").HoldTime(j.PromptTokens, j.OutputTokens)
 	}
@@ -119,9 +119,9 @@
 // competition returns what competes with a job for free slots. In a shard nothing does,
 // because all requests for it wait in its queue. joining is one if the job is not in the queue
 // yet. The caller holds d.mu.
-func (d *Director) competition(joining int, p *pool, j *Job, opts queueOptions) await.Contention {
+func (d *Director) competition(joining int, p *pool, j *Job, opts queueOptions) waitq.Contention {
 	if opts.shard != nil {
-		return await.Contention{OwnSameTier: 1}
+		return waitq.Contention{OwnSameTier: 1}
 	}
 	now := time.Now()
 	key := poolTier{j.Pool.Name, j.Tier}
@@ -152,8 +152,8 @@
 
 // dispatchFrom dispatches the jobs of a queue for which there is room now. The caller holds
 // d.mu.
-func (d *Director) dispatchFrom(p *pool, queue *await.Queue[*waiter]) {
-	queue.SendInOrder(func(w *await.Request[*waiter]) (sent, more bool) {
+func (d *Director) dispatchFrom(p *pool, queue *waitq.Queue[*waiter]) {
+	queue.SendInOrder(func(w *waitq.Request[*waiter]) (sent, more bool) {
 		j, opts := w.Value.job, w.Value.options
 		c := d.competition(0, p, j, opts)
 		a, dec := d.placeJob(j, placementOptions{outputTokens: j.OutputTokens, isBehind: c.Blocked(), entryShare: c.Share(), shard: opts.shard, zone: opts.zone})
--- a/entry/direct/waits.go
+++ b/entry/direct/waits.go
@@ -1,8 +1,8 @@
 package direct
 
 import (
-	"lycheepond/core/await"
 	"lycheepond/core/route"
+	"lycheepond/core/waitq"
 	"lycheepond/core/wire"
 )
 
@@ -116,8 +116,8 @@
 
 // competition returns what competes with a request of a tier for the free slots. own is how
 // many requests of that tier wait at this entry, including this one.
-func (s *queueCounts) competition(key poolTier, own, free int) await.Contention {
-	c := await.Contention{OwnSameTier: own, FreeSlots: free}
+func (s *queueCounts) competition(key poolTier, own, free int) waitq.Contention {
+	c := waitq.Contention{OwnSameTier: own, FreeSlots: free}
 	for t, n := range s.peerTotals {
 		if t.pool != key.pool {
 			continue
--- a/entry/door/answer.go
+++ b/entry/door/answer.go
@@ -12,7 +12,7 @@
 
 	"lycheepond/core/logs"
 	"lycheepond/entry/direct"
-	"lycheepond/entry/heads"
+	"lycheepond/entry/hdrs"
 )
 
 const (
@@ -200,7 +200,7 @@
 
 func copyHeader(dst, src http.Header) {
 	for name, values := range src {
-		if !heads.IsHopByHop(name) {
+		if !hdrs.IsHopByHop(name) {
 			dst[name] = values
 		}
 	}
--- a/entry/door/door.go
+++ b/entry/door/door.go
@@ -16,7 +16,7 @@
 	"lycheepond/core/meter"
 	"lycheepond/core/route"
 	"lycheepond/entry/direct"
-	"lycheepond/entry/heads"
+	"lycheepond/entry/hdrs"
 	"lycheepond/entry/kept"
 )
 
@@ -219,7 +219,7 @@
 		a.refuse(&Refusal{Status: http.StatusServiceUnavailable, RetryAfter: noConfigRetryAfter, Reason: "no configuration yet"})
 		return
 	}
-	if limit := t.Config().Limits.HeaderBytes; limit > 0 && heads.Size(r.Header) > limit {
+	if limit := t.Config().Limits.HeaderBytes; limit > 0 && hdrs.Size(r.Header) > limit {
 		a.refuse(&Refusal{Status: http.StatusRequestHeaderFieldsTooLarge, Reason: "headers too large"})
 		return
 	}
--- a/entry/heads/heads.go
+++ b/entry/hdrs/heads.go
@@ -1,6 +1,6 @@
-// Package heads distinguishes the headers that concern a single connection from those that are
+// Package hdrs distinguishes the headers that concern a single connection from those that are
 // forwarded between caller and endpoint.
-package heads
+package hdrs
 
 import (
 	"net/http"
--- a/entry/heads/heads_test.go
+++ b/entry/hdrs/heads_test.go
@@ -1,4 +1,4 @@
-package heads
+package hdrs
 
 import (
 	"fmt"
--- a/trial/basel/basel.go
+++ b/trial/basel/basel.go
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"lycheepond/trial/engin"
+	"lycheepond/trial/simeng"
 )
 
 // The policies for picking an engine.
@@ -106,7 +106,7 @@
 }
 
 // readLoad reads the load report of the engine at addr.
-func (d *Dispatcher) readLoad(ctx context.Context, addr string) (l engin.LoadReport, err error) {
+func (d *Dispatcher) readLoad(ctx context.Context, addr string) (l simeng.LoadReport, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/load", nil)
 	if err != nil {
 		return l, err
--- a/trial/basel/basel_test.go
+++ b/trial/basel/basel_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"lycheepond/core/spec"
-	"lycheepond/trial/engin"
 	"lycheepond/trial/load"
+	"lycheepond/trial/simeng"
 )
 
 // Checks that LeastLoad always picks the engine with the least load and that
@@ -37,7 +37,7 @@
 // Checks that the dispatcher forwards a request and copies its answer unchanged,
 // streamed or not.
 func TestForward(t *testing.T) {
-	e := engin.New(engin.DefaultConfig())
+	e := simeng.New(simeng.DefaultConfig())
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- e.Run(ctx) }()
@@ -55,7 +55,7 @@
 	for _, stream := range []bool{true, false} {
 		r := c.Send(ctx, 0, load.Job{
 			Class:        spec.Class{Deadline: spec.Duration(30 * time.Second)},
-			ModelRequest: engin.CompletionRequest{Model: "roster", Prompt: "x", MaxTokens: 8, Stream: stream},
+			ModelRequest: simeng.CompletionRequest{Model: "roster", Prompt: "x", MaxTokens: 8, Stream: stream},
 		})
 		if r.Outcome != load.Complete {
 			t.Errorf("stream %v: %s %s", stream, r.Outcome, r.Detail)
--- a/trial/capac/path.go
+++ b/trial/capac/path.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"lycheepond/core/spec"
-	"lycheepond/trial/engin"
 	"lycheepond/trial/fleet"
 	"lycheepond/trial/load"
 	"lycheepond/trial/procs"
+	"lycheepond/trial/simeng"
 )
 
 // StreamLatency holds the latency of streams over one path to the engines. All times
@@ -83,7 +83,7 @@
 func streamJob(n, outputTokens int) load.Job {
 	return load.Job{
 		Class: spec.Class{Name: batchClassName, Deadline: spec.Duration(time.Minute)}, Bearer: bearer(0),
-		ModelRequest: engin.CompletionRequest{
+		ModelRequest: simeng.CompletionRequest{
 			Model: model, MaxTokens: outputTokens, Stream: true,
 			Prompt: fmt.Sprintf("stream %d ", n) + strings.Repeat("note ", promptWords),
 		},
--- a/trial/capac/phase.go
+++ b/trial/capac/phase.go
@@ -9,8 +9,8 @@
 
 	"lycheepond/core/spec"
 	"lycheepond/trial/fleet"
-	"lycheepond/trial/platf"
 	"lycheepond/trial/serve"
+	"lycheepond/trial/simapi"
 )
 
 // PlatformCalls counts the calls of a deployment to the platform in one phase.
@@ -22,7 +22,7 @@
 	Size    int    `json:"size"`
 	// Seconds is the length of the phase.
 	Seconds float64 `json:"seconds"`
-	platf.Stats
+	simapi.Stats
 }
 
 // ConfigPropagation holds how long a change of a class took to be in force. It covers
@@ -86,13 +86,13 @@
 	if err := report(s); err != nil {
 		return err
 	}
-	if err := f.Platform().SetFault(ctx, platf.Fault{Down: true}); err != nil {
+	if err := f.Platform().SetFault(ctx, simapi.Fault{Down: true}); err != nil {
 		return err
 	}
 	if !serve.Sleep(ctx, outageTime) {
 		return context.Cause(ctx)
 	}
-	if err := f.Platform().SetFault(ctx, platf.Fault{}); err != nil {
+	if err := f.Platform().SetFault(ctx, simapi.Fault{}); err != nil {
 		return err
 	}
 	return countCalls(ctx, f, phaseAfterOutage, p, afterOutageTime, report)
--- a/trial/capac/run.go
+++ b/trial/capac/run.go
@@ -12,11 +12,11 @@
 	"time"
 
 	"lycheepond/core/spec"
-	"lycheepond/trial/engin"
 	"lycheepond/trial/fleet"
 	"lycheepond/trial/load"
 	"lycheepond/trial/procs"
 	"lycheepond/trial/serve"
+	"lycheepond/trial/simeng"
 )
 
 // Config configures the measurements.
@@ -120,7 +120,7 @@
 func deploymentPlan(agents, customers, entries int) fleet.Plan {
 	p := fleet.Plan{Name: "capacity", Zones: []string{"z1", "z2"}, Entries: entries, Objects: platformObjects(customers)}
 	for i := range agents {
-		cfg := engin.DefaultConfig()
+		cfg := simeng.DefaultConfig()
 		cfg.Slots, cfg.DecodeTPS, cfg.KVBlocks = 64, 200, 16384
 		ep := fleet.EngineEndpoint(fmt.Sprintf("engine-%03d", i), p.Zones[i%len(p.Zones)], model, cfg)
 		if i >= sharedEngines {
@@ -274,7 +274,7 @@
 		jobs = append(jobs, load.Job{
 			SendAt: at, Class: spec.Class{Name: tagClassName, Deadline: spec.Duration(10 * time.Second)},
 			Bearer: bearer(0),
-			ModelRequest: engin.CompletionRequest{
+			ModelRequest: simeng.CompletionRequest{
 				Model: model, MaxTokens: outputTokens, Stream: true,
 				Prompt: fmt.Sprintf("job %d ", len(jobs)) + strings.Repeat("note ", promptWords),
 			},
--- a/trial/exper/exper_test.go
+++ b/trial/exper/exper_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"lycheepond/core/spec"
-	"lycheepond/trial/engin"
 	"lycheepond/trial/load"
+	"lycheepond/trial/simeng"
 )
 
 // Checks that a workload is the same each time, is sorted by time and has no two
@@ -40,8 +40,8 @@
 // Checks how results and engine records are counted by tier, and that a refusal
 // while an answer of a lower tier is being streamed counts as an inversion.
 func TestTierSummaries(t *testing.T) {
-	topTierJob := load.Job{Class: spec.Class{Tier: 0}, ModelRequest: engin.CompletionRequest{Prompt: "a"}}
-	lowTierJob := load.Job{Class: spec.Class{Tier: 3}, ModelRequest: engin.CompletionRequest{Prompt: "b", Stream: true}}
+	topTierJob := load.Job{Class: spec.Class{Tier: 0}, ModelRequest: simeng.CompletionRequest{Prompt: "a"}}
+	lowTierJob := load.Job{Class: spec.Class{Tier: 3}, ModelRequest: simeng.CompletionRequest{Prompt: "b", Stream: true}}
 	run := RunResult{
 		Results: []load.Result{
 			{Job: topTierJob, Outcome: load.Complete, TotalTime: time.Second},
@@ -50,7 +50,7 @@
 			{Job: lowTierJob, Outcome: load.Complete, TimeToFirstToken: 500 * time.Millisecond, TotalTime: 2 * time.Second, Tokens: 2},
 			{Job: lowTierJob, Outcome: load.Wrong},
 		},
-		Records: []engin.Record{{PromptDigest: engin.Digest("b"), PromptTokens: 7, WastedPrefillTokens: 3}},
+		Records: []simeng.Record{{PromptDigest: simeng.Digest("b"), PromptTokens: 7, WastedPrefillTokens: 3}},
 	}
 	summaries := run.TierSummaries()
 	want := TierSummary{Tier: 0, Offered: 3, WithinTarget: 1, Late: 1, Refused: 1, P50MS: 1000, P99MS: 1000}
--- a/trial/exper/run.go
+++ b/trial/exper/run.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"lycheepond/trial/basel"
-	"lycheepond/trial/engin"
 	"lycheepond/trial/fleet"
 	"lycheepond/trial/load"
-	"lycheepond/trial/platf"
 	"lycheepond/trial/procs"
 	"lycheepond/trial/serve"
+	"lycheepond/trial/simapi"
+	"lycheepond/trial/simeng"
 )
 
 // Lycheepond is the policy under test. The other policies are those of package
@@ -48,7 +48,7 @@
 	// Results are those of all requests, in the order of SendAt.
 	Results []load.Result
 	// Records are the engines' records of what they ran.
-	Records []engin.Record
+	Records []simeng.Record
 	// CapacityRPS is the highest rate that the engines can serve, in requests per
 	// second.
 	CapacityRPS float64
@@ -211,12 +211,12 @@
 
 // slowFastestEngine slows the fastest engine down. The engine doesn't report it.
 func slowFastestEngine(r *runner) error {
-	return r.fleet.Units()[0].SetFault(r.ctx, engin.Fault{Speed: slowedSpeed})
+	return r.fleet.Units()[0].SetFault(r.ctx, simeng.Fault{Speed: slowedSpeed})
 }
 
 // takePlatformDown makes the platform unreachable.
 func takePlatformDown(r *runner) error {
-	return r.fleet.Platform().SetFault(r.ctx, platf.Fault{Down: true})
+	return r.fleet.Platform().SetFault(r.ctx, simapi.Fault{Down: true})
 }
 
 // killAgent returns an event that kills agent i without warning and starts it
--- a/trial/exper/scene.go
+++ b/trial/exper/scene.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"lycheepond/trial/engin"
 	"lycheepond/trial/fleet"
+	"lycheepond/trial/simeng"
 )
 
 // Scenario is one experiment: a workload and the events during it.
@@ -122,8 +122,8 @@
 var engineSpeeds = []float64{1.6, 1.2, 1.0, 0.8, 0.7}
 
 // engineConfig returns the configuration of an engine with speed 1.
-func engineConfig() engin.Config {
-	c := engin.DefaultConfig()
+func engineConfig() simeng.Config {
+	c := simeng.DefaultConfig()
 	c.DecodeTPS, c.PrefillTPS, c.BatchSlope = 100, 10000, 0.05
 	c.Slots, c.KVBlocks, c.BlockTokens = 16, 1024, 16
 	return c
--- a/trial/exper/sum.go
+++ b/trial/exper/sum.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"lycheepond/core/spec"
-	"lycheepond/trial/engin"
 	"lycheepond/trial/load"
+	"lycheepond/trial/simeng"
 )
 
 // TierSummary holds the figures of one tier in one run.
@@ -55,7 +55,7 @@
 	}
 	for _, r := range run.countedResults() {
 		tier := r.Job.Class.Tier
-		tierOf[engin.Digest(r.Job.ModelRequest.PromptText())] = tier
+		tierOf[simeng.Digest(r.Job.ModelRequest.PromptText())] = tier
 		summaries[tier].addResult(r)
 		if r.Outcome == load.Complete {
 			times[tier] = append(times[tier], r.TotalTime)
--- a/trial/exper/work.go
+++ b/trial/exper/work.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"lycheepond/core/spec"
-	"lycheepond/trial/engin"
 	"lycheepond/trial/load"
+	"lycheepond/trial/simeng"
 )
 
 const model = "roster"
@@ -137,7 +137,7 @@
 		}
 		jobs = append(jobs, load.Job{
 			SendAt: at, Class: s.class, Customer: c.name, Bearer: bearer(c.name),
-			ModelRequest: engin.CompletionRequest{
+			ModelRequest: simeng.CompletionRequest{
 				Model: model, Prompt: newPrompt(rnd, s, c, p, firstNumber+len(jobs)),
 				MaxTokens: s.outputTokens, Stream: s.stream,
 			},
--- a/trial/fleet/plan.go
+++ b/trial/fleet/plan.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"lycheepond/core/spec"
-	"lycheepond/trial/engin"
 	"lycheepond/trial/plain"
+	"lycheepond/trial/simeng"
 )
 
 // Plan describes a deployment.
@@ -44,7 +44,7 @@
 	Name   string
 	Zone   string
 	Labels map[string]string
-	Engine *engin.Config
+	Engine *simeng.Config
 	Plain  *plain.Config
 	// SharesWith is the name of an earlier endpoint whose simulator process this
 	// endpoint uses too, so that many agents need few such processes. Empty means
@@ -63,7 +63,7 @@
 const anyLoopbackPort = "127.0.0.1:0"
 
 // EngineEndpoint returns an endpoint that is an engine for model.
-func EngineEndpoint(name, zone, model string, cfg engin.Config) Endpoint {
+func EngineEndpoint(name, zone, model string, cfg simeng.Config) Endpoint {
 	cfg.Name, cfg.Model = name, model
 	return Endpoint{Name: name, Zone: zone, Labels: map[string]string{"model": model}, Engine: &cfg}
 }
--- a/trial/fleet/plat.go
+++ b/trial/fleet/plat.go
@@ -9,8 +9,8 @@
 	"net/http"
 
 	"lycheepond/core/plat"
-	"lycheepond/trial/engin"
-	"lycheepond/trial/platf"
+	"lycheepond/trial/simapi"
+	"lycheepond/trial/simeng"
 )
 
 // PlatformClient is a client of the simulated platform.
@@ -37,25 +37,25 @@
 }
 
 // SetFault replaces the faults that are injected into the platform.
-func (p *PlatformClient) SetFault(ctx context.Context, f platf.Fault) error {
+func (p *PlatformClient) SetFault(ctx context.Context, f simapi.Fault) error {
 	return CallJSON(ctx, http.MethodPost, "http://"+p.addr+"/admin/fault", p.token, f, nil)
 }
 
 // Stats returns the platform's call counts.
-func (p *PlatformClient) Stats(ctx context.Context) (s platf.Stats, err error) {
+func (p *PlatformClient) Stats(ctx context.Context) (s simapi.Stats, err error) {
 	err = CallJSON(ctx, http.MethodGet, "http://"+p.addr+"/admin/stats", p.token, nil, &s)
 	return s, err
 }
 
 // SetFault replaces the faults that are injected into the endpoint. fault is an
-// engin.Fault or a plain.Fault, according to the kind of endpoint.
+// simeng.Fault or a plain.Fault, according to the kind of endpoint.
 func (u *Unit) SetFault(ctx context.Context, fault any) error {
 	return CallJSON(ctx, http.MethodPost, "http://"+u.Addr+"/admin/fault", "", fault, nil)
 }
 
 // Records returns the executions that the endpoint recorded. For plain services,
 // only the fields that plain.Record has are set.
-func (u *Unit) Records(ctx context.Context) ([]engin.Record, error) {
+func (u *Unit) Records(ctx context.Context) ([]simeng.Record, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+u.Addr+"/record", nil)
 	if err != nil {
 		return nil, err
@@ -65,9 +65,9 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	var records []engin.Record
+	var records []simeng.Record
 	for dec := json.NewDecoder(resp.Body); dec.More(); {
-		var r engin.Record
+		var r simeng.Record
 		if err := dec.Decode(&r); err != nil {
 			return nil, err
 		}
--- a/trial/fleet/sites.go
+++ b/trial/fleet/sites.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"lycheepond/trial/engin"
 	"lycheepond/trial/plain"
+	"lycheepond/trial/simeng"
 )
 
 // Names of the example deployments in examples/.
@@ -55,8 +55,8 @@
 // appCallTime is the time that a call of the plain services takes.
 const appCallTime = 5 * time.Millisecond
 
-func engineWithSpeed(speed float64, checksFence bool) engin.Config {
-	c := engin.DefaultConfig()
+func engineWithSpeed(speed float64, checksFence bool) simeng.Config {
+	c := simeng.DefaultConfig()
 	c.Speed, c.ChecksFence = speed, checksFence
 	return c
 }
--- a/trial/load/job.go
+++ b/trial/load/job.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"lycheepond/core/spec"
-	"lycheepond/trial/engin"
+	"lycheepond/trial/simeng"
 )
 
 // Job is one request to send and when to send it.
@@ -19,7 +19,7 @@
 	Customer string
 	Bearer   string
 	// ModelRequest is a request to a model. It is ignored if Path is set.
-	ModelRequest engin.CompletionRequest
+	ModelRequest simeng.CompletionRequest
 	// Method, Path and Body make up a request to a plain service. It is sent if
 	// Path is set.
 	Method string
@@ -124,5 +124,5 @@
 
 // expectedText returns the text that a complete answer must have.
 func (j Job) expectedText() string {
-	return engin.AnswerText(j.ModelRequest.PromptText(), j.ModelRequest.AnswerTokens())
+	return simeng.AnswerText(j.ModelRequest.PromptText(), j.ModelRequest.AnswerTokens())
 }
--- a/trial/load/load_test.go
+++ b/trial/load/load_test.go
@@ -10,13 +10,13 @@
 	"time"
 
 	"lycheepond/core/spec"
-	"lycheepond/trial/engin"
+	"lycheepond/trial/simeng"
 )
 
 func newJob(stream bool) Job {
 	return Job{
 		Class:        spec.Class{Name: "swap", Deadline: spec.Duration(5 * time.Second)},
-		ModelRequest: engin.CompletionRequest{Model: "roster", Prompt: "who can cover", MaxTokens: 3, Stream: stream},
+		ModelRequest: simeng.CompletionRequest{Model: "roster", Prompt: "who can cover", MaxTokens: 3, Stream: stream},
 	}
 }
 
@@ -25,7 +25,7 @@
 }
 
 func tokenEvents(prompt string) string {
-	return tokenEvent("t0 ") + tokenEvent("t1 ") + tokenEvent(engin.DigestPrefix+engin.Digest(prompt))
+	return tokenEvent("t0 ") + tokenEvent("t1 ") + tokenEvent(simeng.DigestPrefix+simeng.Digest(prompt))
 }
 
 const endEvent = "data: [DONE]\n\n"
@@ -49,9 +49,9 @@
 		{"truncated stream, says unknown", 200, outcomeUnknown, tokenEvent("t0 "), true, Unknown},
 		{"error event", 200, outcomeUnknown, tokenEvent("t0 ") + "event: error\ndata: {}\n\n", true, Unknown},
 		{"stream without outcome", 200, "", own + endEvent, true, Unknown},
-		{"stream with a missing token", 200, outcomeComplete, tokenEvent("t0 ") + tokenEvent(engin.DigestPrefix+engin.Digest("who can cover")) + endEvent, true, Wrong},
-		{"complete answer", 200, outcomeComplete, fmt.Sprintf(`{"choices":[{"text":%q}]}`, engin.AnswerText("who can cover", 3)), false, Complete},
-		{"answer to another request", 200, outcomeComplete, fmt.Sprintf(`{"choices":[{"text":%q}]}`, engin.AnswerText("other", 3)), false, Wrong},
+		{"stream with a missing token", 200, outcomeComplete, tokenEvent("t0 ") + tokenEvent(simeng.DigestPrefix+simeng.Digest("who can cover")) + endEvent, true, Wrong},
+		{"complete answer", 200, outcomeComplete, fmt.Sprintf(`{"choices":[{"text":%q}]}`, simeng.AnswerText("who can cover", 3)), false, Complete},
+		{"answer to another request", 200, outcomeComplete, fmt.Sprintf(`{"choices":[{"text":%q}]}`, simeng.AnswerText("other", 3)), false, Wrong},
 		{"refused", 503, outcomeNotRun, `{"error":{"outcome":"not-run","retry_after_ms":1500}}`, true, Refused},
 		{"error without outcome", 503, "", `busy`, true, Unknown},
 		{"unknown", 502, outcomeUnknown, `{}`, true, Unknown},
--- a/trial/proof/config_test.go
+++ b/trial/proof/config_test.go
@@ -14,10 +14,10 @@
 	"time"
 
 	"lycheepond/core/spec"
-	"lycheepond/trial/engin"
 	"lycheepond/trial/fleet"
 	"lycheepond/trial/load"
-	"lycheepond/trial/platf"
+	"lycheepond/trial/simapi"
+	"lycheepond/trial/simeng"
 )
 
 // customerWithKey returns a customer whose only API key is rotatingKey(n).
@@ -103,13 +103,13 @@
 // the replaced key again.
 func TestReplacedKeyNeverAcceptedAgain(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine()}, entries: 2})
+	r := newRig(t, rigConfig{engines: []simeng.Config{fastEngine()}, entries: 2})
 	r.putCustomerKey(0)
 	r.awaitKeyInForce(0)
 	r.putCustomerKey(1)
 	r.awaitKeyInForce(1)
 	p := r.fleet.Platform()
-	for i, f := range []platf.Fault{
+	for i, f := range []simapi.Fault{
 		{Replay: 50},
 		{StaleReads: spec.Duration(time.Minute)},
 		{Lag: spec.Duration(time.Second)},
@@ -132,7 +132,7 @@
 			}
 		}
 		r.checkKeyStaysAccepted(newest)
-		r.must(p.SetFault(r.ctx, platf.Fault{}))
+		r.must(p.SetFault(r.ctx, simapi.Fault{}))
 		r.putCustomerKey(i + 2)
 		r.awaitKeyInForce(i + 2)
 	}
@@ -143,12 +143,12 @@
 // replaced key. It must get the newest configuration from its peers.
 func TestEntryStartsDuringOutage(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine(), fastEngine()}, entries: 2})
+	r := newRig(t, rigConfig{engines: []simeng.Config{fastEngine(), fastEngine()}, entries: 2})
 	r.putCustomerKey(0)
 	r.awaitKeyInForce(0)
 	r.putCustomerKey(1)
 	r.awaitKeyInForce(1)
-	r.must(r.fleet.Platform().SetFault(r.ctx, platf.Fault{Down: true}))
+	r.must(r.fleet.Platform().SetFault(r.ctx, simapi.Fault{Down: true}))
 	e := r.fleet.Entries()[1]
 	r.must(e.Proc.Kill())
 	ctx, stop := context.WithTimeout(r.ctx, time.Minute)
@@ -171,7 +171,7 @@
 // in force.
 func TestInvalidObjectKeepsLastValidVersion(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine()}, entries: 2})
+	r := newRig(t, rigConfig{engines: []simeng.Config{fastEngine()}, entries: 2})
 	r.putCustomerKey(0)
 	r.awaitKeyInForce(0)
 	invalid := customerWithKey(1)
@@ -192,7 +192,7 @@
 // the tool must report success.
 func TestConcurrentOperators(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine()}, entries: 2})
+	r := newRig(t, rigConfig{engines: []simeng.Config{fastEngine()}, entries: 2})
 	dir := t.TempDir()
 	writeClass := func(name string, target string) string {
 		path := filepath.Join(dir, name+".yaml")
@@ -230,7 +230,7 @@
 	if succeeded == 0 {
 		t.Error("no apply succeeded")
 	}
-	r.must(r.fleet.Platform().SetFault(r.ctx, platf.Fault{LoseReplies: 1}))
+	r.must(r.fleet.Platform().SetFault(r.ctx, simapi.Fault{LoseReplies: 1}))
 	if out, code := apply(writeClass("lost", "9s")); code != 0 {
 		t.Errorf("apply failed although its write took effect: %d %s", code, out)
 	}
@@ -245,7 +245,7 @@
 // engine must not be ordered to the older version after the newer one.
 func TestPausedAgentSendsNoOutdatedOrder(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine(), fastEngine()}, entries: 2})
+	r := newRig(t, rigConfig{engines: []simeng.Config{fastEngine(), fastEngine()}, entries: 2})
 	u := r.fleet.Unit("engine-1")
 	setWantedVersion := func(version string) {
 		r.must(r.fleet.Platform().PutObject(r.ctx, spec.KindModel, model, spec.Model{
@@ -254,7 +254,7 @@
 	}
 	orders := func(u *fleet.Unit) (out []string) {
 		for _, rec := range r.records(u) {
-			if rec.Kind == engin.KindOrder {
+			if rec.Kind == simeng.KindOrder {
 				out = append(out, rec.Version)
 			}
 		}
--- a/trial/proof/judge_test.go
+++ b/trial/proof/judge_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"sync"
 
-	"lycheepond/trial/engin"
 	"lycheepond/trial/load"
+	"lycheepond/trial/simeng"
 )
 
 // modelJob returns a model request of the class of a tier. Its prompt starts
@@ -18,7 +18,7 @@
 func modelJob(tier int, name string, tokens int, stream bool) load.Job {
 	return load.Job{
 		Class: classes[tier], Customer: customer, Bearer: bearer,
-		ModelRequest: engin.CompletionRequest{Model: model, Prompt: name + " " + strings.Repeat("field ", 20), MaxTokens: tokens, Stream: stream},
+		ModelRequest: simeng.CompletionRequest{Model: model, Prompt: name + " " + strings.Repeat("field ", 20), MaxTokens: tokens, Stream: stream},
 	}
 }
 
@@ -62,7 +62,7 @@
 // job.
 func jobDigest(j load.Job) string {
 	if j.Path == "" {
-		return engin.Digest(j.ModelRequest.PromptText())
+		return simeng.Digest(j.ModelRequest.PromptText())
 	}
 	sum := sha256.Sum256([]byte(j.Body))
 	return hex.EncodeToString(sum[:])
@@ -76,7 +76,7 @@
 		records, err := u.Records(r.ctx)
 		r.must(err)
 		for _, rec := range records {
-			if rec.Kind != engin.KindOrder {
+			if rec.Kind != simeng.KindOrder {
 				counts[rec.PromptDigest]++
 			}
 		}
--- a/trial/proof/keys_test.go
+++ b/trial/proof/keys_test.go
@@ -9,10 +9,10 @@
 	"github.com/google/uuid"
 
 	"lycheepond/core/spec"
-	"lycheepond/trial/engin"
 	"lycheepond/trial/load"
 	"lycheepond/trial/plain"
-	"lycheepond/trial/platf"
+	"lycheepond/trial/simapi"
+	"lycheepond/trial/simeng"
 )
 
 // countRuns returns the number of executions of a job at all endpoints.
@@ -63,7 +63,7 @@
 			r.awaitKeyedCalls()
 			r.delayServices(1500 * time.Millisecond)
 			if platformDown {
-				r.must(r.fleet.Platform().SetFault(r.ctx, platf.Fault{Down: true}))
+				r.must(r.fleet.Platform().SetFault(r.ctx, simapi.Fault{Down: true}))
 			}
 			j := serviceJob("submission", newKey(t))
 			var b requestBatch
@@ -214,9 +214,9 @@
 // twice.
 func TestPlatformDownLongerThanLease(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine()}, services: 2, callTime: 10 * time.Millisecond, entries: 2})
+	r := newRig(t, rigConfig{engines: []simeng.Config{fastEngine()}, services: 2, callTime: 10 * time.Millisecond, entries: 2})
 	r.awaitKeyedCalls()
-	r.must(r.fleet.Platform().SetFault(r.ctx, platf.Fault{Down: true}))
+	r.must(r.fleet.Platform().SetFault(r.ctx, simapi.Fault{Down: true}))
 	var results []load.Result
 	n := 0
 	r.await("the lease has run out", func() bool {
@@ -235,7 +235,7 @@
 	if outcomes := r.checkResults(b.wait()); outcomes[load.Complete] != 8 {
 		t.Errorf("requests without a key: outcomes %v", outcomes)
 	}
-	r.must(r.fleet.Platform().SetFault(r.ctx, platf.Fault{}))
+	r.must(r.fleet.Platform().SetFault(r.ctx, simapi.Fault{}))
 	r.awaitKeyedCalls()
 	r.checkResults(results)
 }
--- a/trial/proof/leave_test.go
+++ b/trial/proof/leave_test.go
@@ -8,11 +8,11 @@
 
 	"lycheepond/core/plat"
 	"lycheepond/core/wire"
-	"lycheepond/trial/engin"
 	"lycheepond/trial/fleet"
 	"lycheepond/trial/load"
-	"lycheepond/trial/platf"
 	"lycheepond/trial/proxy"
+	"lycheepond/trial/simapi"
+	"lycheepond/trial/simeng"
 )
 
 // maxLeaveDelay is the time after the announcement from which a leaving endpoint
@@ -66,7 +66,7 @@
 		{"announced by both", true, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t, rigConfig{engines: []engin.Config{fastEngine(), fastEngine()}, entries: 2})
+			r := newRig(t, rigConfig{engines: []simeng.Config{fastEngine(), fastEngine()}, entries: 2})
 			u := r.fleet.Unit("engine-1")
 			var b requestBatch
 			stop := make(chan struct{})
@@ -100,8 +100,8 @@
 // shows it as live. It must get no requests, because it claims none.
 func TestUnresponsiveAgentGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine(), fastEngine()}, entries: 2})
-	r.must(r.fleet.Platform().SetFault(r.ctx, platf.Fault{Lag: 60e9}))
+	r := newRig(t, rigConfig{engines: []simeng.Config{fastEngine(), fastEngine()}, entries: 2})
+	r.must(r.fleet.Platform().SetFault(r.ctx, simapi.Fault{Lag: 60e9}))
 	u := r.fleet.Unit("engine-1")
 	r.must(u.Agent.Pause())
 	var b requestBatch
@@ -119,7 +119,7 @@
 }
 
 // records returns the executions that an endpoint recorded.
-func (r *rig) records(u *fleet.Unit) []engin.Record {
+func (r *rig) records(u *fleet.Unit) []simeng.Record {
 	r.t.Helper()
 	recs, err := u.Records(r.ctx)
 	r.must(err)
@@ -133,7 +133,7 @@
 	t.Parallel()
 	for _, stopped := range []string{"agent", "entry"} {
 		t.Run(stopped, func(t *testing.T) {
-			r := newRig(t, rigConfig{engines: []engin.Config{fastEngine(), fastEngine()}, services: 1, callTime: 700 * time.Millisecond, entries: 2})
+			r := newRig(t, rigConfig{engines: []simeng.Config{fastEngine(), fastEngine()}, services: 1, callTime: 700 * time.Millisecond, entries: 2})
 			proc := r.fleet.Unit("engine-1").Agent
 			if stopped == "entry" {
 				proc = r.fleet.Entries()[0].Proc
--- a/trial/proof/once_test.go
+++ b/trial/proof/once_test.go
@@ -12,10 +12,10 @@
 	"lycheepond/core/logs"
 	"lycheepond/core/spec"
 	"lycheepond/core/wire"
-	"lycheepond/trial/engin"
 	"lycheepond/trial/fleet"
 	"lycheepond/trial/load"
 	"lycheepond/trial/proxy"
+	"lycheepond/trial/simeng"
 )
 
 // The network between entries and agents delivers a frame twice or late, or the
@@ -24,7 +24,7 @@
 // twice, and none that ran may be answered not-run.
 func TestDuplicatedLateAndLostFrames(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine(), fastEngine()}, entries: 2})
+	r := newRig(t, rigConfig{engines: []simeng.Config{fastEngine(), fastEngine()}, entries: 2})
 	steps := []struct {
 		kind wire.Kind
 		dir  proxy.Direction
@@ -61,7 +61,7 @@
 // worst outcome unknown.
 func TestLinkFreezes(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine(), fastEngine()}, entries: 2})
+	r := newRig(t, rigConfig{engines: []simeng.Config{fastEngine(), fastEngine()}, entries: 2})
 	steps := []struct {
 		kind wire.Kind
 		dir  proxy.Direction
@@ -99,7 +99,7 @@
 // engine-1. It returns the deployment, engine-1 and the requests in flight.
 func startAndAwaitStep(t *testing.T, tag string, step protocolStep) (*rig, *fleet.Unit, *requestBatch) {
 	t.Helper()
-	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine(), fastEngine()}, entries: 2})
+	r := newRig(t, rigConfig{engines: []simeng.Config{fastEngine(), fastEngine()}, entries: 2})
 	u := r.fleet.Unit("engine-1")
 	passed := r.proxies[u.Name].FramesForwarded(step.dir, step.kind)
 	b := new(requestBatch)
@@ -167,7 +167,7 @@
 	t.Parallel()
 	for _, pause := range []bool{false, true} {
 		t.Run(fmt.Sprintf("pause=%v", pause), func(t *testing.T) {
-			r := newRig(t, rigConfig{engines: []engin.Config{fastEngine(), fastEngine()}, entries: 2})
+			r := newRig(t, rigConfig{engines: []simeng.Config{fastEngine(), fastEngine()}, entries: 2})
 			e := r.fleet.Entries()[0]
 			var ownBatch, otherBatch requestBatch
 			var jobs []load.Job
@@ -237,8 +237,8 @@
 // must end with an error, unless the answer is completed after all.
 func TestTruncatedAnswers(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, rigConfig{engines: []engin.Config{fastEngine()}, services: 1, entries: 1})
-	r.must(r.fleet.Unit("engine-1").SetFault(r.ctx, engin.Fault{TruncateNext: 4}))
+	r := newRig(t, rigConfig{engines: []simeng.Config{fastEngine()}, services: 1, entries: 1})
+	r.must(r.fleet.Unit("engine-1").SetFault(r.ctx, simeng.Fault{TruncateNext: 4}))
 	var b requestBatch
 	for i := range 4 {
 		r.send(&b, 0, modelJob(1, fmt.Sprintf("cut-%d", i), 20, i%2 == 0))
--- a/trial/proof/rig_test.go
+++ b/trial/proof/rig_test.go
@@ -12,12 +12,12 @@
 	"time"
 
 	"lycheepond/core/spec"
-	"lycheepond/trial/engin"
 	"lycheepond/trial/fleet"
 	"lycheepond/trial/load"
 	"lycheepond/trial/plain"
 	"lycheepond/trial/procs"
 	"lycheepond/trial/proxy"
+	"lycheepond/trial/simeng"
 )
 
 // binDir is the directory into which TestMain builds the programs.
@@ -93,7 +93,7 @@
 type rigConfig struct {
 	// engines holds a configuration for each engine; they are called engine-1 and
 	// so on.
-	engines []engin.Config
+	engines []simeng.Config
 	// services is the number of plain services, called service-1 and so on.
 	// callTime is the time that each of their calls takes.
 	services int
@@ -104,8 +104,8 @@
 }
 
 // fastEngine returns the configuration of a fast engine with few slots.
-func fastEngine() engin.Config {
-	c := engin.DefaultConfig()
+func fastEngine() simeng.Config {
+	c := simeng.DefaultConfig()
 	c.Slots, c.PrefillTPS, c.DecodeTPS = 4, 40000, 200
 	c.LoadLag = 200 * time.Millisecond
 	return c
--- a/trial/proof/tier_test.go
+++ b/trial/proof/tier_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"lycheepond/trial/engin"
 	"lycheepond/trial/load"
+	"lycheepond/trial/simeng"
 )
 
 // checkNoTierInversion reports an error if a request was refused while a
@@ -42,7 +42,7 @@
 	t.Parallel()
 	slowEngine := fastEngine()
 	slowEngine.DecodeTPS = 40
-	r := newRig(t, rigConfig{engines: []engin.Config{slowEngine, slowEngine}, entries: 2})
+	r := newRig(t, rigConfig{engines: []simeng.Config{slowEngine, slowEngine}, entries: 2})
 	sentAt := make(map[string]time.Time)
 	var b requestBatch
 	send := func(entry int, j load.Job) {
@@ -76,7 +76,7 @@
 	t.Parallel()
 	slowEngine := fastEngine()
 	slowEngine.DecodeTPS = 60
-	r := newRig(t, rigConfig{engines: []engin.Config{slowEngine, slowEngine}, entries: 2})
+	r := newRig(t, rigConfig{engines: []simeng.Config{slowEngine, slowEngine}, entries: 2})
 	sentAt := make(map[string]time.Time)
 	var b requestBatch
 	tick := time.NewTicker(35 * time.Millisecond)
--- a/trial/platf/platf.go
+++ b/trial/simapi/platf.go
@@ -1,7 +1,7 @@
-// Package platf simulates the platform: versioned objects with conditional
+// Package simapi simulates the platform: versioned objects with conditional
 // updates and watches, an instance list, and a weight store with limited
 // concurrency. Faults of the real platform can be injected.
-package platf
+package simapi
 
 import (
 	"net/http"
--- a/trial/platf/platf_test.go
+++ b/trial/simapi/platf_test.go
@@ -1,4 +1,4 @@
-package platf
+package simapi
 
 import (
 	"bytes"
--- a/trial/engin/config.go
+++ b/trial/simeng/config.go
@@ -1,7 +1,7 @@
-// Package engin simulates a model engine in real time: continuous batching,
+// Package simeng simulates a model engine in real time: continuous batching,
 // limited KV memory with a prefix cache, admission in order of arrival,
 // preemption with recomputation, and delayed load reports and cache events.
-package engin
+package simeng
 
 import (
 	"time"
--- a/trial/engin/http.go
+++ b/trial/simeng/http.go
@@ -1,4 +1,4 @@
-package engin
+package simeng
 
 import (
 	"encoding/json"
--- a/trial/smoke.go
+++ b/trial/smoke.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"lycheepond/core/spec"
-	"lycheepond/trial/engin"
 	"lycheepond/trial/load"
+	"lycheepond/trial/simeng"
 )
 
 // The parameters of the smoke run. The lengths are those of prompts in words and of
@@ -91,9 +91,9 @@
 		words, outputTokens = longWords, longOutputTokens
 	}
 	prompt := fmt.Sprintf("%s %s %d ", customer, class.Name, n) + strings.Repeat("field ", words)
-	ask := engin.CompletionRequest{Model: s.model(), Prompt: prompt, MaxTokens: outputTokens, Stream: stream}
+	ask := simeng.CompletionRequest{Model: s.model(), Prompt: prompt, MaxTokens: outputTokens, Stream: stream}
 	if isChat {
-		ask.Prompt, ask.Messages = "", []engin.Message{{Role: "user", Content: prompt}}
+		ask.Prompt, ask.Messages = "", []simeng.Message{{Role: "user", Content: prompt}}
 	}
 	return load.Job{Class: class, Customer: customer, Bearer: bearer(customer), ModelRequest: ask}
 }
--- a/trial/stand.go
+++ b/trial/stand.go
@@ -5,10 +5,10 @@
 	"os"
 	"time"
 
-	"lycheepond/trial/engin"
 	"lycheepond/trial/plain"
-	"lycheepond/trial/platf"
 	"lycheepond/trial/serve"
+	"lycheepond/trial/simapi"
+	"lycheepond/trial/simeng"
 )
 
 // anyPort lets the system choose a free port on loopback.
@@ -16,14 +16,14 @@
 
 func platformCommand() command {
 	sub := newSubcommand("platform", "object API, instance list and weight store")
-	listen, cfg := anyPort, platf.Config{WeightReadTime: platf.DefaultWeightReadTime, MaxWeightReads: platf.DefaultMaxWeightReads, MaxEvents: platf.DefaultMaxEvents}
+	listen, cfg := anyPort, simapi.Config{WeightReadTime: simapi.DefaultWeightReadTime, MaxWeightReads: simapi.DefaultMaxWeightReads, MaxEvents: simapi.DefaultMaxEvents}
 	sub.String(&listen, "l", "listen", "address to listen on")
 	sub.String(&cfg.Token, "t", "token", "token that callers must present")
 	sub.Duration(&cfg.WeightReadTime, "w", "weight-time", "time to read one set of weights")
 	sub.Int(&cfg.MaxWeightReads, "r", "weight-rate", "number of sets of weights that can be read at the same time")
 	sub.Int(&cfg.MaxEvents, "k", "retain", "number of past events that a watch can start from")
 	return command{sub: sub, run: func(ctx context.Context) error {
-		return serve.Run(ctx, "platform", listen, platf.New(cfg).Handler(), os.Stdout)
+		return serve.Run(ctx, "platform", listen, simapi.New(cfg).Handler(), os.Stdout)
 	}}
 }
 
@@ -41,7 +41,7 @@
 
 func engineCommand() command {
 	sub := newSubcommand("engine", "model engine")
-	listen, cfg := anyPort, engin.DefaultConfig()
+	listen, cfg := anyPort, simeng.DefaultConfig()
 	sub.String(&listen, "l", "listen", "address to listen on")
 	sub.String(&cfg.Name, "n", "name", "name of the engine")
 	sub.String(&cfg.Model, "m", "model", "model served at the start")
@@ -59,7 +59,7 @@
 	sub.Bool(&cfg.ChecksFence, "", "checks-fence", "refuse orders with an old fencing number")
 	sub.Float64(&cfg.Speed, "", "speed", "factor on all speeds")
 	return command{sub: sub, run: func(ctx context.Context) error {
-		e := engin.New(cfg)
+		e := simeng.New(cfg)
 		ended := make(chan error, 1)
 		go func() { ended <- e.Run(ctx) }()
 		if err := serve.Run(ctx, cfg.Name, listen, e.Handler(), os.Stdout); err != nil {
