--- a/core/bound/bound_test.go
+++ b/core/bound/bound_test.go
@@ -14,7 +14,7 @@
 // Engines of several generations start with a bound that knows nothing about
 // them. If the bound becomes too low, goodput is lost; if it becomes too high,
 // answers are late.
-func TestFindsTheBound(t *testing.T) {
+func TestBoundMatchesEngine(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
 		e              engine
--- a/core/homes/hand_test.go
+++ b/core/homes/hand_test.go
@@ -32,23 +32,23 @@
 	handover Gift
 }
 
-func (s *cluster) draw(name string) *Holder {
-	return s.views[rapid.IntRange(0, len(s.views)-1).Draw(s.t, name)]
+func (c *cluster) draw(name string) *Holder {
+	return c.views[rapid.IntRange(0, len(c.views)-1).Draw(c.t, name)]
 }
 
 // alive returns the newest incarnation of each agent that has not stopped. It
 // may leave out one agent, which an entry considers dead, rightly or wrongly.
-func (s *cluster) alive() []spec.HomeOwner {
+func (c *cluster) alive() []spec.HomeOwner {
 	newest := make(map[string]spec.HomeOwner)
-	for _, h := range s.views {
-		if h.self.Incarnation > newest[h.self.Name].Incarnation {
-			newest[h.self.Name] = h.self
+	for _, v := range c.views {
+		if v.self.Incarnation > newest[v.self.Name].Incarnation {
+			newest[v.self.Name] = v.self
 		}
-		if s.stopped[h] && newest[h.self.Name] == h.self {
-			delete(newest, h.self.Name)
+		if c.stopped[v] && newest[v.self.Name] == v.self {
+			delete(newest, v.self.Name)
 		}
 	}
-	delete(newest, rapid.SampledFrom([]string{"a", "b", "c", ""}).Draw(s.t, "thought dead"))
+	delete(newest, rapid.SampledFrom([]string{"a", "b", "c", ""}).Draw(c.t, "considered dead"))
 	var out []spec.HomeOwner
 	for _, o := range newest {
 		out = append(out, o)
@@ -56,36 +56,36 @@
 	return out
 }
 
-func (s *cluster) step() {
-	s.now += rapid.SampledFrom([]time.Duration{0, 0, 0, 200 * time.Millisecond, time.Second, 12 * time.Second}).Draw(s.t, "later")
-	switch rapid.IntRange(0, 7).Draw(s.t, "what") {
+func (c *cluster) step() {
+	c.now += rapid.SampledFrom([]time.Duration{0, 0, 0, 200 * time.Millisecond, time.Second, 12 * time.Second}).Draw(c.t, "elapsed")
+	switch rapid.IntRange(0, 7).Draw(c.t, "action") {
 	case 0:
-		s.confirmed = s.now
+		c.confirmed = c.now
 	case 1:
-		s.table, _ = Takeover(s.table, s.alive(), startMillis+s.now.Milliseconds())
-		s.confirmed = s.now
+		c.table, _ = Takeover(c.table, c.alive(), startMillis+c.now.Milliseconds())
+		c.confirmed = c.now
 	case 2, 3:
-		s.draw("learner").Learn(s.now, s.table)
+		c.draw("receiver of the table").Learn(c.now, c.table)
 	case 4:
-		s.draw("asker").Confirm(s.now, s.now-s.confirmed, s.table.Epoch)
+		c.draw("lease holder").Confirm(c.now, c.now-c.confirmed, c.table.Epoch)
 	case 5:
-		h := s.draw("leaver")
-		if !s.stopped[h] {
-			s.stopped[h] = true
-			s.views = append(s.views, NewHolder(spec.HomeOwner{Name: h.self.Name, Incarnation: h.self.Incarnation + 1}))
+		v := c.draw("stopping agent")
+		if !c.stopped[v] {
+			c.stopped[v] = true
+			c.views = append(c.views, NewHolder(spec.HomeOwner{Name: v.self.Name, Incarnation: v.self.Incarnation + 1}))
 		}
 	case 6:
-		if h := s.draw("giver"); s.stopped[h] {
-			for _, g := range h.Gifts(s.now) {
-				s.inTransit = append(s.inTransit, sentHandover{h.self, g})
+		if v := c.draw("sender"); c.stopped[v] {
+			for _, handover := range v.Gifts(c.now) {
+				c.inTransit = append(c.inTransit, sentHandover{v.self, handover})
 			}
 		}
 	case 7:
-		if len(s.inTransit) > 0 {
-			l := s.inTransit[rapid.IntRange(0, len(s.inTransit)-1).Draw(s.t, "letter")]
-			for _, h := range s.views {
-				if h.self == l.handover.To {
-					h.Receive(l.from, l.handover.Took, l.handover.Shares)
+		if len(c.inTransit) > 0 {
+			sent := c.inTransit[rapid.IntRange(0, len(c.inTransit)-1).Draw(c.t, "handover")]
+			for _, v := range c.views {
+				if v.self == sent.handover.To {
+					v.Receive(sent.from, sent.handover.Took, sent.handover.Shares)
 				}
 			}
 		}
@@ -98,22 +98,22 @@
 func TestNeverTwoOwnersWithHandovers(t *testing.T) {
 	actingAfterHandover := 0
 	rapid.Check(t, func(t *rapid.T) {
-		s := &cluster{t: t, stopped: make(map[*Holder]bool)}
+		c := &cluster{t: t, stopped: make(map[*Holder]bool)}
 		for _, o := range owners("a", "b", "c") {
-			s.views = append(s.views, NewHolder(o))
+			c.views = append(c.views, NewHolder(o))
 		}
-		s.table, _ = Takeover(s.table, owners("a", "b", "c"), startMillis)
-		s.table.Slots = s.table.Slots[:6]
+		c.table, _ = Takeover(c.table, owners("a", "b", "c"), startMillis)
+		c.table.Slots = c.table.Slots[:6]
 		key := make([]byte, 8)
 		for range 300 {
-			s.step()
-			for slot := range s.table.Slots {
+			c.step()
+			for slot := range c.table.Slots {
 				binary.BigEndian.PutUint64(key, uint64(slot))
 				n := 0
-				for _, h := range s.views {
-					if !s.stopped[h] && h.Owns(s.now, key, h.Table().Epoch) == Owned {
+				for _, v := range c.views {
+					if !c.stopped[v] && v.Owns(c.now, key, v.Table().Epoch) == Owned {
 						n++
-						if _, ok := h.receivedSince[slot]; ok {
+						if _, ok := v.receivedSince[slot]; ok {
 							actingAfterHandover++
 						}
 					}
@@ -186,10 +186,10 @@
 // belongs to another change of the table. It must not let any agent act.
 func TestUnexpectedHandoversAreIgnored(t *testing.T) {
 	old, successor, table := viewsBeforeHandover(0)
-	g := old.Gifts(time.Second)[0]
-	successor.Receive(spec.HomeOwner{Name: "a", Incarnation: 2}, g.Took, g.Shares)
-	successor.Receive(old.self, g.Took+1, g.Shares)
-	successor.Receive(old.self, g.Took, []Share{{Slot: -1}, {Slot: Slots}, {Slot: 1}})
+	handover := old.Gifts(time.Second)[0]
+	successor.Receive(spec.HomeOwner{Name: "a", Incarnation: 2}, handover.Took, handover.Shares)
+	successor.Receive(old.self, handover.Took+1, handover.Shares)
+	successor.Receive(old.self, handover.Took, []Share{{Slot: -1}, {Slot: Slots}, {Slot: 1}})
 	if key := make([]byte, 8); successor.Owns(time.Second, key, table.Epoch) != NoLease {
 		t.Fatal("acts because of an unexpected handover")
 	}
@@ -198,15 +198,15 @@
 // The table must name previous owners only for a limited time. Otherwise it
 // would grow with every restart until it exceeds the platform's size limit.
 func TestTableForgetsPreviousOwners(t *testing.T) {
-	tab, _ := Takeover(spec.Homes{}, owners("a", "b", "c"), startMillis)
-	tab, _ = Takeover(tab, owners("b", "c"), startMillis)
-	if len(tab.Left) != 1 {
-		t.Fatalf("previous owners %v", tab.Left)
+	table, _ := Takeover(spec.Homes{}, owners("a", "b", "c"), startMillis)
+	table, _ = Takeover(table, owners("b", "c"), startMillis)
+	if len(table.Left) != 1 {
+		t.Fatalf("previous owners %v", table.Left)
 	}
 	later := startMillis + Margin(DefaultLease).Milliseconds() + keepPreviousMillis + 1
-	tab, _ = Takeover(tab, owners("c"), later)
-	if len(tab.Left) != 1 || tab.Left[0].Name != "b" {
-		t.Fatalf("previous owners %v", tab.Left)
+	table, _ = Takeover(table, owners("c"), later)
+	if len(table.Left) != 1 || table.Left[0].Name != "b" {
+		t.Fatalf("previous owners %v", table.Left)
 	}
 }
 
@@ -216,25 +216,25 @@
 // because of it.
 func TestNoHandoverBeforeOwnerMayAct(t *testing.T) {
 	names := owners("a", "b", "c")
-	tab, _ := Takeover(spec.Homes{}, names, startMillis)
+	table, _ := Takeover(spec.Homes{}, names, startMillis)
 	first, second, third := NewHolder(names[0]), NewHolder(names[1]), NewHolder(names[2])
-	for _, h := range []*Holder{first, second, third} {
-		h.Learn(0, tab)
-		h.Confirm(0, 0, tab.Epoch)
-	}
-	tab, _ = Takeover(tab, names[1:], startMillis)
-	second.Learn(time.Second, tab)
-	tab, _ = Takeover(tab, names[2:], startMillis)
-	second.Learn(2*time.Second, tab)
-	third.Learn(2*time.Second, tab)
-	third.Confirm(2*time.Second, 0, tab.Epoch)
+	for _, v := range []*Holder{first, second, third} {
+		v.Learn(0, table)
+		v.Confirm(0, 0, table.Epoch)
+	}
+	table, _ = Takeover(table, names[1:], startMillis)
+	second.Learn(time.Second, table)
+	table, _ = Takeover(table, names[2:], startMillis)
+	second.Learn(2*time.Second, table)
+	third.Learn(2*time.Second, table)
+	third.Confirm(2*time.Second, 0, table.Epoch)
 	for _, g := range second.Gifts(2 * time.Second) {
 		third.Receive(names[1], g.Took, g.Shares)
 	}
 	key := make([]byte, 8)
 	for slot := range Slots {
 		binary.BigEndian.PutUint64(key, uint64(slot))
-		if first.Owns(2*time.Second, key, 1) == Owned && third.Owns(2*time.Second, key, tab.Epoch) == Owned {
+		if first.Owns(2*time.Second, key, 1) == Owned && third.Owns(2*time.Second, key, table.Epoch) == Owned {
 			t.Fatalf("two owners of slot %d", slot)
 		}
 	}
--- a/core/homes/homes_test.go
+++ b/core/homes/homes_test.go
@@ -24,12 +24,12 @@
 // A new table must spread its slots evenly and report no lost records. A new
 // agent must not move any slot.
 func TestNewTableSpreadsSlots(t *testing.T) {
-	tab, changed := Takeover(spec.Homes{}, owners("b", "a", "c"), startMillis)
-	if !changed || tab.Epoch != 1 || len(tab.Slots) != Slots {
-		t.Fatalf("epoch %d, %d slots", tab.Epoch, len(tab.Slots))
+	table, changed := Takeover(spec.Homes{}, owners("b", "a", "c"), startMillis)
+	if !changed || table.Epoch != 1 || len(table.Slots) != Slots {
+		t.Fatalf("epoch %d, %d slots", table.Epoch, len(table.Slots))
 	}
 	counts := make([]int, 3)
-	for _, s := range tab.Slots {
+	for _, s := range table.Slots {
 		counts[s.Owner]++
 		if s.Since != 0 {
 			t.Fatal("a new table reports lost records")
@@ -40,7 +40,7 @@
 			t.Fatalf("counts %v", counts)
 		}
 	}
-	if _, changed := Takeover(tab, owners("a", "b", "c", "d"), startMillis); changed {
+	if _, changed := Takeover(table, owners("a", "b", "c", "d"), startMillis); changed {
 		t.Fatal("slots moved to a new agent")
 	}
 }
@@ -53,26 +53,26 @@
 		for i := range all {
 			all[i] = spec.HomeOwner{Name: fmt.Sprintf("a%02d", i), Incarnation: 1}
 		}
-		tab, _ := Takeover(spec.Homes{}, all, startMillis)
+		table, _ := Takeover(spec.Homes{}, all, startMillis)
 		now := startMillis
 		for range rapid.IntRange(1, 6).Draw(t, "changes") {
-			now += rapid.Int64Range(1, 100_000).Draw(t, "later")
+			now += rapid.Int64Range(1, 100_000).Draw(t, "elapsed")
 			i := rapid.IntRange(0, len(all)-1).Draw(t, "lost")
 			all[i].Incarnation++
-			next, changed := Takeover(tab, all, now)
-			if changed != (next.Epoch == tab.Epoch+1) {
-				t.Fatalf("changed %v from epoch %d to %d", changed, tab.Epoch, next.Epoch)
+			next, changed := Takeover(table, all, now)
+			if changed != (next.Epoch == table.Epoch+1) {
+				t.Fatalf("changed %v from epoch %d to %d", changed, table.Epoch, next.Epoch)
 			}
-			for s := range tab.Slots {
-				before, after := tab.Owners[tab.Slots[s].Owner], next.Owners[next.Slots[s].Owner]
-				if before.Name != all[i].Name && (before != after || tab.Slots[s] != next.Slots[s] && tab.Slots[s].Since != next.Slots[s].Since) {
+			for s := range table.Slots {
+				before, after := table.Owners[table.Slots[s].Owner], next.Owners[next.Slots[s].Owner]
+				if before.Name != all[i].Name && (before != after || table.Slots[s] != next.Slots[s] && table.Slots[s].Since != next.Slots[s].Since) {
 					t.Fatalf("slot %d moved from %v to %v", s, before, after)
 				}
-				if before != after && next.Slots[s].Since < now+tab.Lease.Std().Milliseconds() {
+				if before != after && next.Slots[s].Since < now+table.Lease.Std().Milliseconds() {
 					t.Fatalf("slot %d may be used before the old lease expired", s)
 				}
 			}
-			tab = next
+			table = next
 		}
 	})
 }
@@ -81,9 +81,9 @@
 // One write succeeds; the other entry must not find a reason to change the
 // table again.
 func TestReassignSlotsIsDeterministic(t *testing.T) {
-	tab, _ := Takeover(spec.Homes{}, owners("a", "b", "c"), startMillis)
-	one, _ := Takeover(tab, owners("c", "a"), startMillis)
-	two, _ := Takeover(tab, owners("a", "c"), startMillis)
+	table, _ := Takeover(spec.Homes{}, owners("a", "b", "c"), startMillis)
+	one, _ := Takeover(table, owners("c", "a"), startMillis)
+	two, _ := Takeover(table, owners("a", "c"), startMillis)
 	for i := range one.Slots {
 		if one.Slots[i] != two.Slots[i] {
 			t.Fatalf("slot %d differs", i)
@@ -92,7 +92,7 @@
 	if _, changed := Takeover(one, owners("c", "a"), startMillis+1); changed {
 		t.Fatal("the result was changed again")
 	}
-	if same, changed := Takeover(tab, nil, startMillis); changed || same.Epoch != 1 {
+	if same, changed := Takeover(table, nil, startMillis); changed || same.Epoch != 1 {
 		t.Fatal("a table without live agents was changed")
 	}
 }
@@ -102,32 +102,32 @@
 func TestNeverTwoOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := owners("a", "b", "c")
-		tab, _ := Takeover(spec.Homes{}, names, startMillis)
-		holders := []*Holder{NewHolder(names[0]), NewHolder(names[1]), NewHolder(names[2])}
+		table, _ := Takeover(spec.Homes{}, names, startMillis)
+		views := []*Holder{NewHolder(names[0]), NewHolder(names[1]), NewHolder(names[2])}
 		// confirmed is the last time at which an entry confirmed the epoch at
 		// the platform. All clocks agree.
 		now, confirmed := time.Duration(0), time.Duration(0)
 		key := make([]byte, 8)
 		for range 60 {
-			now += time.Duration(rapid.Int64Range(0, int64(8*time.Second)).Draw(t, "later"))
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			now += time.Duration(rapid.Int64Range(0, int64(8*time.Second)).Draw(t, "elapsed"))
+			switch rapid.IntRange(0, 3).Draw(t, "action") {
 			case 0:
 				confirmed = now
 			case 1:
 				alive := owners("a", "b", "c")
-				i := rapid.IntRange(0, 2).Draw(t, "thought dead")
-				tab, _ = Takeover(tab, append(alive[:i], alive[i+1:]...), startMillis+now.Milliseconds())
+				i := rapid.IntRange(0, 2).Draw(t, "considered dead")
+				table, _ = Takeover(table, append(alive[:i], alive[i+1:]...), startMillis+now.Milliseconds())
 				confirmed = now
 			case 2:
-				holders[rapid.IntRange(0, 2).Draw(t, "learner")].Learn(now, tab)
+				views[rapid.IntRange(0, 2).Draw(t, "receiver of the table")].Learn(now, table)
 			case 3:
-				h := holders[rapid.IntRange(0, 2).Draw(t, "asker")]
-				h.Confirm(now, now-confirmed, tab.Epoch)
+				v := views[rapid.IntRange(0, 2).Draw(t, "lease holder")]
+				v.Confirm(now, now-confirmed, table.Epoch)
 			}
 			binary.BigEndian.PutUint64(key, rapid.Uint64Range(0, Slots-1).Draw(t, "slot"))
 			n := 0
-			for _, h := range holders {
-				if h.Owns(now, key, h.Table().Epoch) == Owned {
+			for _, v := range views {
+				if v.Owns(now, key, v.Table().Epoch) == Owned {
 					n++
 				}
 			}
@@ -142,27 +142,27 @@
 // confirmation. The lease must count from the request, less the age of that
 // confirmation.
 func TestLeaseCountsFromRequest(t *testing.T) {
-	tab, _ := Takeover(spec.Homes{}, owners("a"), startMillis)
-	h := NewHolder(tab.Owners[0])
-	h.Learn(0, tab)
+	table, _ := Takeover(spec.Homes{}, owners("a"), startMillis)
+	v := NewHolder(table.Owners[0])
+	v.Learn(0, table)
 	key := []byte("k")
-	if v := h.Owns(0, key, 1); v != NoLease {
-		t.Fatalf("ownership %d without a lease", v)
+	if got := v.Owns(0, key, 1); got != NoLease {
+		t.Fatalf("ownership %d without a lease", got)
 	}
-	h.Confirm(time.Second, 3*time.Second, 1)
+	v.Confirm(time.Second, 3*time.Second, 1)
 	until := DefaultLease - 2*time.Second
-	if h.Owns(until-1, key, 1) != Owned || h.Owns(until, key, 1) != NoLease {
-		t.Fatalf("lease until %v", h.Lease())
+	if v.Owns(until-1, key, 1) != Owned || v.Owns(until, key, 1) != NoLease {
+		t.Fatalf("lease until %v", v.Lease())
 	}
-	resized := spec.Homes{Epoch: 2, Lease: tab.Lease, Owners: tab.Owners, Slots: tab.Slots[1:]}
-	if h.Learn(4*time.Second, resized) {
+	resized := spec.Homes{Epoch: 2, Lease: table.Lease, Owners: table.Owners, Slots: table.Slots[1:]}
+	if v.Learn(4*time.Second, resized) {
 		t.Fatal("a table with a different number of slots was accepted")
 	}
-	h.Confirm(5*time.Second, 0, 2)
-	if h.Lease() != until {
+	v.Confirm(5*time.Second, 0, 2)
+	if v.Lease() != until {
 		t.Fatal("the confirmation of another epoch extended the lease")
 	}
-	if h.Owns(0, key, 2) != NotHome {
+	if v.Owns(0, key, 2) != NotHome {
 		t.Fatal("acts under an unknown epoch")
 	}
 }
@@ -170,22 +170,22 @@
 // A restarted agent has no records of its previous process, so it must not act
 // for its slots until they are assigned to it again.
 func TestRestartedAgentOwnsNothing(t *testing.T) {
-	tab, _ := Takeover(spec.Homes{}, owners("a"), startMillis)
+	table, _ := Takeover(spec.Homes{}, owners("a"), startMillis)
 	self := spec.HomeOwner{Name: "a", Incarnation: 2}
-	h := NewHolder(self)
-	h.Learn(0, tab)
-	h.Confirm(0, 0, 1)
-	if h.Owns(0, []byte("k"), 1) != NotHome {
+	v := NewHolder(self)
+	v.Learn(0, table)
+	v.Confirm(0, 0, 1)
+	if v.Owns(0, []byte("k"), 1) != NotHome {
 		t.Fatal("acts for the slots of its previous process")
 	}
-	next, _ := Takeover(tab, []spec.HomeOwner{self}, startMillis)
-	h.Learn(time.Second, next)
+	next, _ := Takeover(table, []spec.HomeOwner{self}, startMillis)
+	v.Learn(time.Second, next)
 	begin := time.Second + Margin(DefaultLease)
-	h.Confirm(begin-time.Second, 0, 2)
-	if h.Owns(begin-1, []byte("k"), 2) != NoLease || h.Owns(begin, []byte("k"), 2) != Owned {
+	v.Confirm(begin-time.Second, 0, 2)
+	if v.Owns(begin-1, []byte("k"), 2) != NoLease || v.Owns(begin, []byte("k"), 2) != Owned {
 		t.Fatal("does not wait until the previous lease has expired")
 	}
-	if h.Since([]byte("k")) == 0 {
+	if v.Since([]byte("k")) == 0 {
 		t.Fatal("the table does not show that records were lost")
 	}
 }
--- a/core/once/once_test.go
+++ b/core/once/once_test.go
@@ -36,9 +36,9 @@
 	lastID      uint64
 }
 
-func (w *simulation) newID() ident.ID {
-	w.lastID++
-	return ident.Make(1, w.lastID)
+func (s *simulation) newID() ident.ID {
+	s.lastID++
+	return ident.Make(1, s.lastID)
 }
 
 // Two agents claim the same offer, frames arrive twice or with a long delay,
@@ -49,76 +49,76 @@
 	agents := []Agent{{"a", 1}, {"a", 2}}
 	rapid.Check(t, func(t *rapid.T) {
 		repeatable := rapid.Bool().Draw(t, "repeatable")
-		w := &simulation{offered: map[returnFrame]bool{}, grantHolders: map[ident.ID]Agent{}, grantCounts: map[ident.ID]int{}}
-		w.r = New(w.newID(), repeatable)
+		sim := &simulation{offered: map[returnFrame]bool{}, grantHolders: map[ident.ID]Agent{}, grantCounts: map[ident.ID]int{}}
+		sim.r = New(sim.newID(), repeatable)
 		agent := rapid.SampledFrom(agents)
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": func(t *rapid.T) {
 				a := agent.Draw(t, "agent")
-				if w.r.Offer(a) {
-					w.offered[returnFrame{w.r.ID(), a}] = true
+				if sim.r.Offer(a) {
+					sim.offered[returnFrame{sim.r.ID(), a}] = true
 				}
 			},
 			"claim": func(t *rapid.T) {
 				a := agent.Draw(t, "agent")
-				id := w.r.ID()
-				if w.r.Claim(id, a) == Grant {
-					w.grantCounts[id]++
-					w.grantHolders[id] = a
+				id := sim.r.ID()
+				if sim.r.Claim(id, a) == Grant {
+					sim.grantCounts[id]++
+					sim.grantHolders[id] = a
 				}
 			},
 			"return": func(t *rapid.T) {
-				f := returnFrame{w.r.ID(), agent.Draw(t, "agent")}
-				if !w.offered[f] {
+				f := returnFrame{sim.r.ID(), agent.Draw(t, "agent")}
+				if !sim.offered[f] {
 					t.Skip("not offered")
 				}
-				if holder, ok := w.grantHolders[f.id]; ok && holder != f.agent {
+				if holder, ok := sim.grantHolders[f.id]; ok && holder != f.agent {
 					t.Skip("another agent's grant")
 				}
-				delete(w.offered, f)
-				delete(w.grantHolders, f.id)
-				w.sentReturns = append(w.sentReturns, f)
-				w.r.Return(f.id, f.agent)
+				delete(sim.offered, f)
+				delete(sim.grantHolders, f.id)
+				sim.sentReturns = append(sim.sentReturns, f)
+				sim.r.Return(f.id, f.agent)
 			},
 			"stale return": func(t *rapid.T) {
-				if len(w.sentReturns) == 0 {
+				if len(sim.sentReturns) == 0 {
 					t.Skip("none sent")
 				}
-				f := rapid.SampledFrom(w.sentReturns).Draw(t, "frame")
-				w.r.Return(f.id, f.agent)
+				f := rapid.SampledFrom(sim.sentReturns).Draw(t, "frame")
+				sim.r.Return(f.id, f.agent)
 			},
 			"run": func(_ *rapid.T) {
-				for id := range w.grantHolders {
-					delete(w.grantHolders, id)
-					delete(w.offered, returnFrame{id, w.r.Holder()})
-					w.runs++
+				for id := range sim.grantHolders {
+					delete(sim.grantHolders, id)
+					delete(sim.offered, returnFrame{id, sim.r.Holder()})
+					sim.runs++
 				}
 			},
-			"link lost": func(t *rapid.T) { w.r.Drop(agent.Draw(t, "agent")) },
-			"broken":    func(*rapid.T) { w.r.Fail() },
+			"link lost": func(t *rapid.T) { sim.r.Drop(agent.Draw(t, "agent")) },
+			"broken":    func(*rapid.T) { sim.r.Fail() },
 			"renew": func(*rapid.T) {
-				id := w.newID()
-				before := w.r.State()
-				if w.r.Renew(id) == nil && before == Failed && !repeatable {
+				id := sim.newID()
+				before := sim.r.State()
+				if sim.r.Renew(id) == nil && before == Failed && !repeatable {
 					t.Fatal("retried a request that may not be repeated")
 				}
 			},
-			"": func(t *rapid.T) { w.check(t, repeatable) },
+			"": func(t *rapid.T) { sim.check(t, repeatable) },
 		})
 	})
 }
 
-func (w *simulation) check(t *rapid.T, repeatable bool) {
-	for id, n := range w.grantCounts {
+func (s *simulation) check(t *rapid.T, repeatable bool) {
+	for id, n := range s.grantCounts {
 		if n > 1 {
 			t.Fatalf("%d grants of %s", n, id)
 		}
 	}
-	if w.r.Outcome() == NotRun && w.runs+len(w.grantHolders) > 0 {
+	if s.r.Outcome() == NotRun && s.runs+len(s.grantHolders) > 0 {
 		t.Fatalf("not-run of a request that ran or may run")
 	}
-	if !repeatable && w.runs+len(w.grantHolders) > 1 {
-		t.Fatalf("ran or may run %d times", w.runs+len(w.grantHolders))
+	if !repeatable && s.runs+len(s.grantHolders) > 1 {
+		t.Fatalf("ran or may run %d times", s.runs+len(s.grantHolders))
 	}
 }
 
