--- a/core/homes/homes_test.go
+++ b/core/homes/homes_test.go
@@ -24,12 +24,12 @@
 // A new table must spread its slots evenly and report no lost records. A new
 // agent must not move any slot.
 func TestNewTableSpreadsSlots(t *testing.T) {
-	tab, changed := ReassignSlots(spec.Homes{}, owners("b", "a", "c"), startMillis)
-	if !changed || tab.Epoch != 1 || len(tab.Slots) != DefaultSlots {
-		t.Fatalf("epoch %d, %d slots", tab.Epoch, len(tab.Slots))
+	table, changed := ReassignSlots(spec.Homes{}, owners("b", "a", "c"), startMillis)
+	if !changed || table.Epoch != 1 || len(table.Slots) != DefaultSlots {
+		t.Fatalf("epoch %d, %d slots", table.Epoch, len(table.Slots))
 	}
 	counts := make([]int, 3)
-	for _, s := range tab.Slots {
+	for _, s := range table.Slots {
 		counts[s.Owner]++
 		if s.LostBefore != 0 {
 			t.Fatal("a new table reports lost records")
@@ -40,7 +40,7 @@
 			t.Fatalf("counts %v", counts)
 		}
 	}
-	if _, changed := ReassignSlots(tab, owners("a", "b", "c", "d"), startMillis); changed {
+	if _, changed := ReassignSlots(table, owners("a", "b", "c", "d"), startMillis); changed {
 		t.Fatal("slots moved to a new agent")
 	}
 }
@@ -53,26 +53,26 @@
 		for i := range all {
 			all[i] = spec.HomeOwner{Name: fmt.Sprintf("a%02d", i), Incarnation: 1}
 		}
-		tab, _ := ReassignSlots(spec.Homes{}, all, startMillis)
+		table, _ := ReassignSlots(spec.Homes{}, all, startMillis)
 		now := startMillis
 		for range rapid.IntRange(1, 6).Draw(t, "changes") {
-			now += rapid.Int64Range(1, 100_000).Draw(t, "later")
+			now += rapid.Int64Range(1, 100_000).Draw(t, "elapsed")
 			i := rapid.IntRange(0, len(all)-1).Draw(t, "lost")
 			all[i].Incarnation++
-			next, changed := ReassignSlots(tab, all, now)
-			if changed != (next.Epoch == tab.Epoch+1) {
-				t.Fatalf("changed %v from epoch %d to %d", changed, tab.Epoch, next.Epoch)
+			next, changed := ReassignSlots(table, all, now)
+			if changed != (next.Epoch == table.Epoch+1) {
+				t.Fatalf("changed %v from epoch %d to %d", changed, table.Epoch, next.Epoch)
 			}
-			for s := range tab.Slots {
-				before, after := tab.Owners[tab.Slots[s].Owner], next.Owners[next.Slots[s].Owner]
-				if before.Name != all[i].Name && (before != after || tab.Slots[s] != next.Slots[s] && tab.Slots[s].LostBefore != next.Slots[s].LostBefore) {
+			for s := range table.Slots {
+				before, after := table.Owners[table.Slots[s].Owner], next.Owners[next.Slots[s].Owner]
+				if before.Name != all[i].Name && (before != after || table.Slots[s] != next.Slots[s] && table.Slots[s].LostBefore != next.Slots[s].LostBefore) {
 					t.Fatalf("slot %d moved from %v to %v", s, before, after)
 				}
-				if before != after && next.Slots[s].LostBefore < now+tab.Lease.Std().Milliseconds() {
+				if before != after && next.Slots[s].LostBefore < now+table.Lease.Std().Milliseconds() {
 					t.Fatalf("slot %d may be used before the old lease expired", s)
 				}
 			}
-			tab = next
+			table = next
 		}
 	})
 }
@@ -81,9 +81,9 @@
 // One write succeeds; the other entry must not find a reason to change the
 // table again.
 func TestReassignSlotsIsDeterministic(t *testing.T) {
-	tab, _ := ReassignSlots(spec.Homes{}, owners("a", "b", "c"), startMillis)
-	one, _ := ReassignSlots(tab, owners("c", "a"), startMillis)
-	two, _ := ReassignSlots(tab, owners("a", "c"), startMillis)
+	table, _ := ReassignSlots(spec.Homes{}, owners("a", "b", "c"), startMillis)
+	one, _ := ReassignSlots(table, owners("c", "a"), startMillis)
+	two, _ := ReassignSlots(table, owners("a", "c"), startMillis)
 	for i := range one.Slots {
 		if one.Slots[i] != two.Slots[i] {
 			t.Fatalf("slot %d differs", i)
@@ -92,7 +92,7 @@
 	if _, changed := ReassignSlots(one, owners("c", "a"), startMillis+1); changed {
 		t.Fatal("the result was changed again")
 	}
-	if same, changed := ReassignSlots(tab, nil, startMillis); changed || same.Epoch != 1 {
+	if same, changed := ReassignSlots(table, nil, startMillis); changed || same.Epoch != 1 {
 		t.Fatal("a table without live agents was changed")
 	}
 }
@@ -102,32 +102,32 @@
 func TestNeverTwoOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := owners("a", "b", "c")
-		tab, _ := ReassignSlots(spec.Homes{}, names, startMillis)
-		holders := []*View{NewView(names[0]), NewView(names[1]), NewView(names[2])}
+		table, _ := ReassignSlots(spec.Homes{}, names, startMillis)
+		views := []*View{NewView(names[0]), NewView(names[1]), NewView(names[2])}
 		// confirmed is the last time at which an entry confirmed the epoch at
 		// the platform. All clocks agree.
 		now, confirmed := time.Duration(0), time.Duration(0)
 		key := make([]byte, 8)
 		for range 60 {
-			now += time.Duration(rapid.Int64Range(0, int64(8*time.Second)).Draw(t, "later"))
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			now += time.Duration(rapid.Int64Range(0, int64(8*time.Second)).Draw(t, "elapsed"))
+			switch rapid.IntRange(0, 3).Draw(t, "action") {
 			case 0:
 				confirmed = now
 			case 1:
 				alive := owners("a", "b", "c")
-				i := rapid.IntRange(0, 2).Draw(t, "thought dead")
-				tab, _ = ReassignSlots(tab, append(alive[:i], alive[i+1:]...), startMillis+now.Milliseconds())
+				i := rapid.IntRange(0, 2).Draw(t, "considered dead")
+				table, _ = ReassignSlots(table, append(alive[:i], alive[i+1:]...), startMillis+now.Milliseconds())
 				confirmed = now
 			case 2:
-				holders[rapid.IntRange(0, 2).Draw(t, "learner")].Update(now, tab)
+				views[rapid.IntRange(0, 2).Draw(t, "receiver of the table")].Update(now, table)
 			case 3:
-				h := holders[rapid.IntRange(0, 2).Draw(t, "asker")]
-				h.ExtendLease(now, now-confirmed, tab.Epoch)
+				v := views[rapid.IntRange(0, 2).Draw(t, "lease holder")]
+				v.ExtendLease(now, now-confirmed, table.Epoch)
 			}
 			binary.BigEndian.PutUint64(key, rapid.Uint64Range(0, DefaultSlots-1).Draw(t, "slot"))
 			n := 0
-			for _, h := range holders {
-				if h.CheckOwnership(now, key, h.Table().Epoch) == Owned {
+			for _, v := range views {
+				if v.CheckOwnership(now, key, v.Table().Epoch) == Owned {
 					n++
 				}
 			}
@@ -142,27 +142,27 @@
 // confirmation. The lease must count from the request, less the age of that
 // confirmation.
 func TestLeaseCountsFromRequest(t *testing.T) {
-	tab, _ := ReassignSlots(spec.Homes{}, owners("a"), startMillis)
-	h := NewView(tab.Owners[0])
-	h.Update(0, tab)
+	table, _ := ReassignSlots(spec.Homes{}, owners("a"), startMillis)
+	v := NewView(table.Owners[0])
+	v.Update(0, table)
 	key := []byte("k")
-	if v := h.CheckOwnership(0, key, 1); v != NoLease {
-		t.Fatalf("ownership %d without a lease", v)
+	if got := v.CheckOwnership(0, key, 1); got != NoLease {
+		t.Fatalf("ownership %d without a lease", got)
 	}
-	h.ExtendLease(time.Second, 3*time.Second, 1)
+	v.ExtendLease(time.Second, 3*time.Second, 1)
 	until := DefaultLease - 2*time.Second
-	if h.CheckOwnership(until-1, key, 1) != Owned || h.CheckOwnership(until, key, 1) != NoLease {
-		t.Fatalf("lease until %v", h.LeaseEnd())
+	if v.CheckOwnership(until-1, key, 1) != Owned || v.CheckOwnership(until, key, 1) != NoLease {
+		t.Fatalf("lease until %v", v.LeaseEnd())
 	}
-	resized := spec.Homes{Epoch: 2, Lease: tab.Lease, Owners: tab.Owners, Slots: tab.Slots[1:]}
-	if h.Update(4*time.Second, resized) {
+	resized := spec.Homes{Epoch: 2, Lease: table.Lease, Owners: table.Owners, Slots: table.Slots[1:]}
+	if v.Update(4*time.Second, resized) {
 		t.Fatal("a table with a different number of slots was accepted")
 	}
-	h.ExtendLease(5*time.Second, 0, 2)
-	if h.LeaseEnd() != until {
+	v.ExtendLease(5*time.Second, 0, 2)
+	if v.LeaseEnd() != until {
 		t.Fatal("the confirmation of another epoch extended the lease")
 	}
-	if h.CheckOwnership(0, key, 2) != NotHome {
+	if v.CheckOwnership(0, key, 2) != NotHome {
 		t.Fatal("acts under an unknown epoch")
 	}
 }
@@ -170,22 +170,22 @@
 // A restarted agent has no records of its previous process, so it must not act
 // for its slots until they are assigned to it again.
 func TestRestartedAgentOwnsNothing(t *testing.T) {
-	tab, _ := ReassignSlots(spec.Homes{}, owners("a"), startMillis)
+	table, _ := ReassignSlots(spec.Homes{}, owners("a"), startMillis)
 	self := spec.HomeOwner{Name: "a", Incarnation: 2}
-	h := NewView(self)
-	h.Update(0, tab)
-	h.ExtendLease(0, 0, 1)
-	if h.CheckOwnership(0, []byte("k"), 1) != NotHome {
+	v := NewView(self)
+	v.Update(0, table)
+	v.ExtendLease(0, 0, 1)
+	if v.CheckOwnership(0, []byte("k"), 1) != NotHome {
 		t.Fatal("acts for the slots of its previous process")
 	}
-	next, _ := ReassignSlots(tab, []spec.HomeOwner{self}, startMillis)
-	h.Update(time.Second, next)
+	next, _ := ReassignSlots(table, []spec.HomeOwner{self}, startMillis)
+	v.Update(time.Second, next)
 	begin := time.Second + TakeoverDelay(DefaultLease)
-	h.ExtendLease(begin-time.Second, 0, 2)
-	if h.CheckOwnership(begin-1, []byte("k"), 2) != NoLease || h.CheckOwnership(begin, []byte("k"), 2) != Owned {
+	v.ExtendLease(begin-time.Second, 0, 2)
+	if v.CheckOwnership(begin-1, []byte("k"), 2) != NoLease || v.CheckOwnership(begin, []byte("k"), 2) != Owned {
 		t.Fatal("does not wait until the previous lease has expired")
 	}
-	if h.RecordsSince([]byte("k")) == 0 {
+	if v.RecordsSince([]byte("k")) == 0 {
 		t.Fatal("the table does not show that records were lost")
 	}
 }
