--- a/core/admit/admit.go
+++ b/core/admit/admit.go
@@ -84,8 +84,8 @@
 	AvoidEndpoint int
 	// OthersFirst is set if other queued requests must be served before this one.
 	OthersFirst bool
-	// ExactCounts is set if the decider counts all requests at the endpoints as they start
-	// and end, and knows all requests that wait for them.
+	// ExactCounts is set if the caller of Decide counts all requests at the endpoints as
+	// they start and end, and knows all requests that wait for them.
 	ExactCounts bool
 }
 
@@ -112,7 +112,8 @@
 	Admitted Reason = iota
 	// NoEndpoint means that no endpoint is known or usable.
 	NoEndpoint
-	// Full means that the wait for a slot would be too long.
+	// Full means that the request would wait too long for a slot or because of the rate
+	// limit, or that it has to leave free slots to other requests.
 	Full
 	// Late means that the first event would come too late.
 	Late
@@ -152,9 +153,10 @@
 	// crossZoneCost is added for endpoints in other availability zones, because traffic
 	// between zones is billed. It decides between endpoints that are otherwise about equal.
 	crossZoneCost = 30 * time.Millisecond
-	// maxBiasCost is the largest wait that an entry's bias may outweigh once half of the
-	// slots are taken. All entries learn of a free slot at the same time, and without a
-	// bias all of them would send a request there.
+	// maxBiasCost, scaled by the entry's bias, is added once half of an endpoint's slots
+	// are taken. It is the largest wait that a bias can outweigh. All entries learn of a
+	// free slot at the same time, and without a bias all of them would send a request
+	// there.
 	maxBiasCost = 60 * time.Millisecond
 	// minRetryAfter is several times the delay with which entries learn of each other's
 	// state, and only a part of the usual targets, so a caller refused during a short peak
--- a/core/admit/admit_test.go
+++ b/core/admit/admit_test.go
@@ -96,8 +96,9 @@
 	}
 }
 
-// At a busy endpoint's average pace, a long answer would end just after the deadline.
-// Refusing it would refuse it on every retry, although most such answers end in time.
+// At a busy endpoint's average pace, a long answer would end just after the deadline. If it
+// were refused, every retry would be refused as well, although most such answers end in
+// time.
 func TestAnswerThatMayEndInTimeIsAdmitted(t *testing.T) {
 	r := testRequest()
 	r.OutputTokens = 3500
@@ -139,8 +140,8 @@
 	}
 }
 
-// A prompt takes longer to prefill than its target allows while most slots are free.
-// Refusing it would refuse it on every retry although there is room.
+// A prompt takes longer to prefill than its target allows while most slots are free. If it
+// were refused, every retry would be refused as well, although there is room.
 func TestLongPromptIsAdmittedWhenMostSlotsAreFree(t *testing.T) {
 	r := testRequest()
 	r.PromptTokens = 80000
--- a/core/admit/learn.go
+++ b/core/admit/learn.go
@@ -21,7 +21,7 @@
 	// observations, a few seconds at its usual load, determine its pace.
 	endpointWeight = 0.15
 	// poolWeight is the weight of one observation of any endpoint in the pace of the pool,
-	// with which new endpoints start.
+	// which is the initial pace of new endpoints.
 	poolWeight = 0.05
 	// longPromptTokens is the prompt length from which the time to the first event shows
 	// the prefill pace. For shorter prompts, the fixed part dominates.
@@ -105,7 +105,8 @@
 func (l *Learner) Forget(id string) { delete(l.paces, id) }
 
 // ObserveFirstEvent records the time to the first event of a request that found a free
-// slot. promptTokens counts all prompt tokens that were to be read, including its own.
+// slot. promptTokens counts all prompt tokens that the engine had to process by then,
+// including those of the request.
 func (l *Learner) ObserveFirstEvent(id string, promptTokens int, took time.Duration) {
 	p := l.paceOf(id)
 	if promptTokens < longPromptTokens {
@@ -139,7 +140,8 @@
 	return p
 }
 
-// updateAverage moves an average towards a new value.
+// updateAverage moves an average towards a new value by the given weight. A value that
+// differs from the average by more than maxDeviationFactor times is limited to that.
 func updateAverage(avg *time.Duration, v time.Duration, weight float64) {
 	v = min(max(v, *avg/maxDeviationFactor), *avg*maxDeviationFactor)
 	*avg += time.Duration(weight * float64(v-*avg))
