--- a/core/waitq/share.go
+++ b/core/waitq/share.go
@@ -21,6 +21,7 @@
 
 // MaxWait returns the longest time that a request may wait in a queue. serviceTime is the
 // time from sending it to its first event, and untilTarget is what is left of its target.
+// The result is negative if the target can no longer be met.
 func MaxWait(target, untilTarget, serviceTime time.Duration) time.Duration {
 	return min(untilTarget-serviceTime, time.Duration(maxWaitShare*float64(target)))
 }
@@ -28,10 +29,10 @@
 // Contention describes the requests that compete for the free slots of a pool at all
 // entries, as far as they have reported them.
 type Contention struct {
-	// HigherTier and SameTier count the requests of higher tiers and of the same tier that
-	// wait at other entries.
+	// HigherTierRequests and SameTierRequests count the requests of higher tiers and of the
+	// same tier that wait at other entries.
 	HigherTier, SameTier int
-	// OwnSameTier counts the requests of the same tier that wait at this entry, including
+	// OwnRequests counts the requests of the same tier that wait at this entry, including
 	// the one to be sent.
 	OwnSameTier int
 	// FreeSlots is the number of slots that appear to be free.
