--- a/core/shard/shard.go
+++ b/core/shard/shard.go
@@ -37,9 +37,9 @@
 	// minOwnerCapacityShare is the smallest capacity of an owner as a share of the largest
 	// capacity. Smaller entries would answer slowly.
 	minOwnerCapacityShare = 0.5
-	// crowdedShare determines when the own zone is crowded, as a share of its slots: if no
-	// more slots than this are free or, when no shard has a free slot, if more requests
-	// than this wait.
+	// crowdedShare is a share of the slots of a zone. The zone is crowded if at most this
+	// share is free. If no shard has a free slot, it is crowded if more requests than this
+	// share wait.
 	crowdedShare = 1.0 / 16
 )
 
@@ -55,11 +55,12 @@
 
 // Layout assigns the endpoints of a pool to shards. The zero Layout has one shard.
 type Layout struct {
+	// perZone is set if each zone has its own shards.
 	perZone bool
-	// shards is the number of shards per zone, or of the whole pool if perZone is not set.
-	// It is a power of two, so that it rarely changes as endpoints come and go. Zero means
-	// one.
-	shards uint32
+	// shardCount is the number of shards per zone, or of the whole pool if perZone is not
+	// set. It is a power of two, so that it rarely changes as endpoints come and go. Zero
+	// means one.
+	shardCount uint32
 }
 
 // NewLayout returns the layout of a pool with the given number of endpoints in each zone.
@@ -71,13 +72,13 @@
 			zones++
 		}
 	}
-	l := Layout{shards: 1}
+	l := Layout{shardCount: 1}
 	if total > maxMeanShardEndpoints && zones > 1 && total >= zones*minMeanZoneEndpoints {
 		l.perZone = true
 		total /= zones
 	}
-	for int(l.shards)*maxMeanShardEndpoints < total {
-		l.shards *= 2
+	for int(l.shardCount)*maxMeanShardEndpoints < total {
+		l.shardCount *= 2
 	}
 	return l
 }
@@ -88,15 +89,15 @@
 	if l.perZone {
 		k.Zone = zone
 	}
-	if l.shards > 1 {
-		k.Index = uint16(hashNames(id) % uint64(l.shards))
+	if l.shardCount > 1 {
+		k.Index = uint16(hashNames(id) % uint64(l.shardCount))
 	}
 	return k
 }
 
 // Owner returns the entry that places requests at the endpoints of a shard, or an empty
-// string if no entry can. The owner changes only if it leaves or if the new owner has just
-// joined.
+// string if no entry can. While capacities stay the same, the owner changes only if it
+// leaves or if the new owner has just joined.
 func Owner(pool string, k Key, entries []relay.Entry) string {
 	zone := k.Zone
 	maxCapacity := maxCapacityIn(zone, entries)
@@ -160,11 +161,12 @@
 	return float64(l.Slots) / (1 + crowdedShare*float64(l.Slots) + float64(l.RequestsAhead))
 }
 
-// Choose returns the index of the shard whose owner to ask for a placement, for an entry of
-// the given zone, and whether the request may wait there because no other shard has a free
-// slot. Shards of the own zone are preferred while they have free slots or short queues.
-// draw, a number from 0 to 1, selects among the candidates in proportion to their free
-// slots or, if there are none, by the lengths of their queues. loads must not be empty.
+// Choose returns the index of the shard from whose owner an entry of the given zone
+// requests a placement. mayWait is set if no other shard has a free slot, so that the
+// request may wait there. Shards of the own zone are preferred while they have free slots
+// or short queues. draw, a number from 0 to 1, selects among the candidates in proportion
+// to their free slots or, if there are none, by the lengths of their queues. loads must not
+// be empty.
 func Choose(loads []Load, zone string, draw float64) (i int, mayWait bool) {
 	var sameZone, all Load
 	for _, l := range loads {
