--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -90,8 +90,8 @@
 	return n
 }
 
-// hubOf returns the hub of an entry, or an empty string if its zone has none. The hub of an
-// entry changes only if it leaves or if the new hub has just joined.
+// hubOf returns the hub of an entry, or an empty string if its zone has none. The hub
+// changes only if it leaves or if the new hub has just joined.
 func (p Plan) hubOf(e Entry) string {
 	var hub string
 	var maxScore uint64
@@ -149,7 +149,7 @@
 
 // Forwards reports whether this entry, as a hub, forwards a tally of origin, which it
 // received from the given source, to another entry. Tallies received from a hub are
-// forwarded only within the own group, so that none goes round in a circle.
+// forwarded only within the own group, so that none is forwarded in a loop.
 func (p Plan) Forwards(origin Entry, from Source, to Entry) bool {
 	if !p.IsHub() || from == OwnHub || origin.Name == to.Name || !p.HasLink(p.self, to) {
 		return false
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -57,8 +57,8 @@
 }
 
 // For any fleet and any set of unreachable entries, all entries that agree on who is
-// reachable must receive each other's tallies exactly once, and no message may go round in
-// a circle.
+// reachable must receive each other's tallies exactly once, and no message may be forwarded
+// in a loop.
 func TestEveryEntryReceivesEachTallyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := fleet(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 20).Draw(t, "entries per zone"))
