--- a/core/route/route.go
+++ b/core/route/route.go
@@ -108,8 +108,8 @@
 	Slots int
 	// Leaving is set if the endpoint finishes its running requests and accepts no new ones.
 	Leaving bool
-	// Version is the version of its software. ColdFor is how much longer the endpoint is
-	// slow after its start.
+	// Version is the version of the endpoint's software. ColdFor is the remaining time for
+	// which the endpoint is slow after its start.
 	Version string
 	ColdFor time.Duration
 }
