--- a/core/health/trust.go
+++ b/core/health/trust.go
@@ -58,7 +58,7 @@
 type health struct {
 	// failureRate is the average share of failures, from 0 to 1.
 	failureRate float64
-	// pauseCount is the number of pauses, less one for each success.
+	// pauseCount counts the pauses. Each success reduces it by one.
 	pauseCount int
 	// pausedUntil is the end of the pause, or zero if there is none.
 	pausedUntil time.Duration
