--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -74,17 +74,17 @@
 // limit changed. An answer without a limit ends the limit only if its request was sent
 // after the last answer that stated one, because answers may overtake each other.
 func (l *Limiter) Observe(now time.Duration, id string, sentAt time.Duration, rate float64, limited bool) (changed bool) {
-	k := l.endpoints[id]
-	if !limited && (k == nil || !k.limited || sentAt <= k.observedAt) {
+	b := l.endpoints[id]
+	if !limited && (b == nil || !b.limited || sentAt <= b.observedAt) {
 		return false
 	}
-	if k == nil {
-		if k = l.addEndpoint(now, id); k == nil {
+	if b == nil {
+		if b = l.addEndpoint(now, id); b == nil {
 			return false
 		}
 	}
-	changed = k.setLimit(now, now, rate, limited)
-	k.dirty = k.dirty || changed
+	changed = b.setLimit(now, now, rate, limited)
+	b.dirty = b.dirty || changed
 	return changed
 }
 
@@ -93,18 +93,18 @@
 	if len(l.endpoints) >= maxEndpoints {
 		return nil
 	}
-	k := &bucket{filledAt: now, peers: make(map[string]float64)}
-	l.endpoints[id] = k
-	return k
+	b := &bucket{filledAt: now, peers: make(map[string]float64)}
+	l.endpoints[id] = b
+	return b
 }
 
-func (k *bucket) setLimit(now, observedAt time.Duration, rate float64, limited bool) (changed bool) {
+func (b *bucket) setLimit(now, observedAt time.Duration, rate float64, limited bool) (changed bool) {
 	rate = max(rate, minRate)
-	changed = limited != k.limited || limited && rate != k.rate
-	if limited && !k.limited {
-		k.tokens, k.filledAt = min(k.tokens, 0), now
+	changed = limited != b.limited || limited && rate != b.rate
+	if limited && !b.limited {
+		b.tokens, b.filledAt = min(b.tokens, 0), now
 	}
-	k.rate, k.limited, k.observedAt = rate, limited, observedAt
+	b.rate, b.limited, b.observedAt = rate, limited, observedAt
 	return changed
 }
 
@@ -113,52 +113,52 @@
 
 // Rate returns the limit of an endpoint in requests per second and whether it has one.
 func (l *Limiter) Rate(id string) (rate float64, ok bool) {
-	k := l.endpoints[id]
-	if k == nil || !k.limited {
+	b := l.endpoints[id]
+	if b == nil || !b.limited {
 		return 0, false
 	}
-	return k.rate, true
+	return b.rate, true
 }
 
 // Available returns the number of requests that may be sent to an endpoint now and, if it
 // is zero, the time until one may be sent.
 func (l *Limiter) Available(now time.Duration, id string, s Share) (n int, wait time.Duration) {
-	k := l.endpoints[id]
-	if k == nil || !k.limited {
+	b := l.endpoints[id]
+	if b == nil || !b.limited {
 		return math.MaxInt, 0
 	}
-	k.refill(now, s)
-	tokens := k.tokens - float64(s.Rank)*levelStep
+	b.refill(now, s)
+	tokens := b.tokens - float64(s.Rank)*levelStep
 	if tokens >= 1 {
 		return int(tokens), 0
 	}
-	return 0, time.Duration((1 - tokens) / s.fillRate(k) * float64(time.Second))
+	return 0, time.Duration((1 - tokens) / s.fillRate(b) * float64(time.Second))
 }
 
 // fillRate returns the rate at which this entry fills a bucket, in tokens per second.
-func (s Share) fillRate(k *bucket) float64 { return k.rate * max(s.RateShare, 1e-3) }
+func (s Share) fillRate(b *bucket) float64 { return b.rate * max(s.RateShare, 1e-3) }
 
-func (k *bucket) refill(now time.Duration, s Share) {
-	if elapsed := now - k.filledAt; elapsed > 0 {
-		k.tokens += elapsed.Seconds() * s.fillRate(k)
+func (b *bucket) refill(now time.Duration, s Share) {
+	if elapsed := now - b.filledAt; elapsed > 0 {
+		b.tokens += elapsed.Seconds() * s.fillRate(b)
 	}
-	k.filledAt = now
+	b.filledAt = now
 	peers := float64(max(s.Entries, 1) - 1)
-	k.tokens = min(k.tokens, extraTokens+peers*levelStep)
-	k.tokens = max(k.tokens, -peers-maxDebt*k.rate)
+	b.tokens = min(b.tokens, extraTokens+peers*levelStep)
+	b.tokens = max(b.tokens, -peers-maxDebt*b.rate)
 }
 
-// Take records that a request is sent to an endpoint.
+// Take takes a token for a request that is sent to an endpoint.
 func (l *Limiter) Take(id string) { l.spend(id, 1) }
 
 // Return returns the token of a request that did not reach its endpoint.
 func (l *Limiter) Return(id string) { l.spend(id, -1) }
 
 func (l *Limiter) spend(id string, n float64) {
-	if k := l.endpoints[id]; k != nil && k.limited {
-		k.sent += n
-		k.tokens -= n
-		k.dirty = true
+	if b := l.endpoints[id]; b != nil && b.limited {
+		b.sent += n
+		b.tokens -= n
+		b.dirty = true
 	}
 }
 
@@ -184,17 +184,17 @@
 }
 
 // Reports returns reports on the endpoints that changed since they were last reported, at
-// most maxReports. If resend is set, for a new peer, it also marks the limits under which
-// this entry has sent requests for reporting, over several calls if needed.
+// most maxReports. If resend is set, for a new peer, it also returns the limits under which
+// this entry has sent requests, over several calls if needed.
 func (l *Limiter) Reports(now time.Duration, resend bool) []Report {
 	var out []Report
-	for id, k := range l.endpoints {
-		k.dirty = k.dirty || resend && k.limited && k.sent > 0
-		if !k.dirty || len(out) >= maxReports {
+	for id, b := range l.endpoints {
+		b.dirty = b.dirty || resend && b.limited && b.sent > 0
+		if !b.dirty || len(out) >= maxReports {
 			continue
 		}
-		k.dirty = false
-		out = append(out, Report{Endpoint: id, Rate: k.rate, Limited: k.limited, Age: max(now-k.observedAt, 0), Sent: k.sent})
+		b.dirty = false
+		out = append(out, Report{Endpoint: id, Rate: b.rate, Limited: b.limited, Age: max(now-b.observedAt, 0), Sent: b.sent})
 	}
 	return out
 }
@@ -202,33 +202,33 @@
 // Merge merges a peer's report and reports whether the limit changed. The latest answer
 // determines the limit, whichever entry observed it.
 func (l *Limiter) Merge(now time.Duration, peer string, r Report) (changed bool) {
-	k := l.endpoints[r.Endpoint]
-	added := k == nil
+	b := l.endpoints[r.Endpoint]
+	added := b == nil
 	if added {
 		if !r.Limited {
 			return false
 		}
-		if k = l.addEndpoint(now, r.Endpoint); k == nil {
+		if b = l.addEndpoint(now, r.Endpoint); b == nil {
 			return false
 		}
 	}
-	if observedAt := now - r.Age; added || observedAt > k.observedAt {
-		changed = k.setLimit(now, observedAt, r.Rate, r.Limited)
+	if observedAt := now - r.Age; added || observedAt > b.observedAt {
+		changed = b.setLimit(now, observedAt, r.Rate, r.Limited)
 	}
-	previous, known := k.peers[peer]
-	k.peers[peer] = r.Sent
+	previous, known := b.peers[peer]
+	b.peers[peer] = r.Sent
 	if known {
-		k.tokens -= r.Sent - previous
+		b.tokens -= r.Sent - previous
 	} else {
 		// Most requests counted in a peer's first report were sent long ago.
-		k.tokens -= min(r.Sent, 1)
+		b.tokens -= min(r.Sent, 1)
 	}
 	return changed
 }
 
 // Forget drops the counts of a peer that was restarted.
 func (l *Limiter) Forget(peer string) {
-	for _, k := range l.endpoints {
-		delete(k.peers, peer)
+	for _, b := range l.endpoints {
+		delete(b.peers, peer)
 	}
 }
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -58,7 +58,8 @@
 const (
 	simStep     = time.Millisecond
 	simDuration = 40 * time.Second
-	simSpan     = 4 * time.Second
+	// countWindow is the time over which requests are counted against the limit.
+	countWindow = 4 * time.Second
 )
 
 // sim simulates entries that send requests to one endpoint.
@@ -71,8 +72,9 @@
 	cutUntil  []time.Duration
 	inTransit []simReport
 	sentAt    []time.Duration
-	rate      float64
-	demand    float64
+	// limitRate is the limit of the endpoint, and entryDemand the rate of the requests that
+	// callers send to each entry, both in requests per second.
+	limitRate, entryDemand float64
 	// hasOwner is set if one entry places nearly all requests. The owner changes from time
 	// to time, and two entries then act as the owner for a while.
 	hasOwner bool
@@ -99,18 +101,19 @@
 	return n
 }
 
-// share returns an entry's share of the limit and its demand in requests per second.
+// share returns an entry's share of the limit and the rate of its callers' requests, per
+// second.
 func (s *sim) share(now time.Duration, i int) (Share, float64) {
 	n := len(s.limiters)
 	if !s.hasOwner {
-		return Share{RateShare: float64(s.reachable(now, i)) / float64(n), Rank: i, Entries: n}, s.demand
+		return Share{RateShare: float64(s.reachable(now, i)) / float64(n), Rank: i, Entries: n}, s.entryDemand
 	}
 	const term, overlap = 13 * time.Second, 1500 * time.Millisecond
 	owner := int(now/term) % n
 	if i == owner || now%term < overlap && i == (owner+n-1)%n {
-		return Share{RateShare: 1, Entries: 1}, s.demand * float64(n)
+		return Share{RateShare: 1, Entries: 1}, s.entryDemand * float64(n)
 	}
-	return Share{RateShare: 1 / float64(n), Entries: 1}, s.demand / 20
+	return Share{RateShare: 1 / float64(n), Entries: 1}, s.entryDemand / 20
 }
 
 func (s *sim) run() {
@@ -122,7 +125,7 @@
 				if n, _ := l.Available(now, "e", share); n > 0 {
 					l.Take("e")
 					s.sentAt = append(s.sentAt, now)
-					l.Observe(now, "e", now, s.rate, true)
+					l.Observe(now, "e", now, s.limitRate, true)
 				}
 			}
 			if now-reportedAt[i] >= s.reportInterval {
@@ -162,16 +165,16 @@
 	}
 }
 
-// maxInSpan returns the largest number of requests sent within simSpan.
-func (s *sim) maxInSpan() int {
-	most, from := 0, 0
+// maxInWindow returns the largest number of requests sent within countWindow.
+func (s *sim) maxInWindow() int {
+	highest, from := 0, 0
 	for i, at := range s.sentAt {
-		for s.sentAt[from] <= at-simSpan {
+		for s.sentAt[from] <= at-countWindow {
 			from++
 		}
-		most = max(most, i-from+1)
+		highest = max(highest, i-from+1)
 	}
-	return most
+	return highest
 }
 
 // Entries must not exceed a limit together while reports are in transit, during partitions
@@ -192,8 +195,8 @@
 		for _, rate := range []float64{0.3, 1, 2.2, 3.3, 10, 60} {
 			for _, demand := range []float64{0.5, 3} {
 				s := &sim{
-					rnd: rand.New(rand.NewPCG(uint64(tc.entries), uint64(10*rate))), delay: tc.delay, reportInterval: tc.reportInterval, cutUntil: make([]time.Duration, tc.entries), rate: rate,
-					demand: demand * max(rate, 1), hasOwner: tc.hasOwner,
+					rnd: rand.New(rand.NewPCG(uint64(tc.entries), uint64(10*rate))), delay: tc.delay, reportInterval: tc.reportInterval, cutUntil: make([]time.Duration, tc.entries), limitRate: rate,
+					entryDemand: demand * max(rate, 1), hasOwner: tc.hasOwner,
 				}
 				for range tc.entries {
 					l := New()
@@ -201,12 +204,12 @@
 					s.limiters = append(s.limiters, l)
 				}
 				s.run()
-				if most, allowed := s.maxInSpan(), 1.5*rate*simSpan.Seconds()+5; float64(most) > allowed {
-					t.Errorf("%d entries, limit %v, demand %v: %d requests in %v, %.0f allowed", tc.entries, rate, s.demand, most, simSpan, allowed)
+				if highest, allowed := s.maxInWindow(), 1.5*rate*countWindow.Seconds()+5; float64(highest) > allowed {
+					t.Errorf("%d entries, limit %v, demand %v: %d requests in %v, %.0f allowed", tc.entries, rate, s.entryDemand, highest, countWindow, allowed)
 				}
 				used := float64(len(s.sentAt)) / simDuration.Seconds()
-				if used < 0.7*min(rate, s.demand*float64(tc.entries)) {
-					t.Errorf("%d entries, limit %v, demand %v: %.2f requests per second sent", tc.entries, rate, s.demand, used)
+				if used < 0.7*min(rate, s.entryDemand*float64(tc.entries)) {
+					t.Errorf("%d entries, limit %v, demand %v: %.2f requests per second sent", tc.entries, rate, s.entryDemand, used)
 				}
 			}
 		}
