--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -19,9 +19,10 @@
 // start at once, and with full buckets a customer would get several whole bursts each time.
 const initialBurstShare = 0.5
 
-// minWait is the shortest time that a refused caller is told to wait, the time in which
-// entries receive each other's totals. It is the same for all callers. Longer waits for
-// later callers would leave unused 2 to 4 in 100 of the units that the callers could use.
+// minWait is the shortest wait that Take returns with a refusal. It is the time in which
+// entries receive each other's totals, and it is the same for all callers. If later callers
+// were given longer waits, 2 to 4 in 100 of the units that callers could use would remain
+// unused.
 const minWait = 30 * time.Millisecond
 
 // Limit is what one customer may use.
@@ -86,22 +87,22 @@
 // Take admits a request of n units for a customer or refuses it. If it is refused, wait is
 // the time after which it would be admitted if no other request came.
 func (q *Limiter) Take(now time.Duration, customer string, l Limit, n float64) (wait time.Duration, ok bool) {
-	k := q.bucket(now, customer, l)
+	b := q.bucket(now, customer, l)
 	if l.Rate <= 0 {
-		k.used += n
+		b.used += n
 		return 0, true
 	}
 	share := q.reachableShare()
-	k.refill(now, share)
+	b.refill(now, share)
 	// A request of any size is admitted while units are left. The excess is paid back
-	// before the next one is admitted. If a request had to wait for its full size, the
-	// small requests of a customer at its limit would use up each unit, and its large
-	// requests would never be admitted.
-	if k.level <= 0 {
-		return minWait + time.Duration(-k.level/(l.Rate*share)*float64(time.Second)), false
+	// before the next one is admitted. If a request had to wait until its full size is
+	// available, the small requests of a customer at its limit would use up each unit, and
+	// its large requests would never be admitted.
+	if b.level <= 0 {
+		return minWait + time.Duration(-b.level/(l.Rate*share)*float64(time.Second)), false
 	}
-	k.level -= n
-	k.used += n
+	b.level -= n
+	b.used += n
 	return 0, true
 }
 
@@ -109,9 +110,9 @@
 // other entries learn of it with the next total. Otherwise they would treat a customer
 // whose requests are refused for lack of capacity as one over its limit.
 func (q *Limiter) Return(customer string, n float64) {
-	if k := q.buckets[customer]; k != nil {
-		k.level = min(k.level+n, k.limit.Burst)
-		k.used -= n
+	if b := q.buckets[customer]; b != nil {
+		b.level = min(b.level+n, b.limit.Burst)
+		b.used -= n
 	}
 }
 
@@ -125,16 +126,16 @@
 	}
 	previous, known := totals[customer]
 	totals[customer] = total
-	k := q.buckets[customer]
-	if k == nil {
+	b := q.buckets[customer]
+	if b == nil {
 		return
 	}
-	if !known && total > k.limit.Burst {
+	if !known && total > b.limit.Burst {
 		// The total of a peer without earlier reports includes use from long ago. At most
 		// the burst of it still matters.
-		total, previous = k.limit.Burst, 0
+		total, previous = b.limit.Burst, 0
 	}
-	k.level = min(k.level-(total-previous), k.limit.Burst)
+	b.level = min(b.level-(total-previous), b.limit.Burst)
 }
 
 // Forget drops the totals of a peer that is gone.
@@ -149,8 +150,8 @@
 
 // OwnTotals calls f with this entry's total for each customer that has sent requests to it.
 func (q *Limiter) OwnTotals(f func(customer string, total float64)) {
-	for name, k := range q.buckets {
-		f(name, k.used)
+	for name, b := range q.buckets {
+		f(name, b.used)
 	}
 }
 
@@ -160,23 +161,23 @@
 
 // bucket returns the bucket of a customer and sets its current limit.
 func (q *Limiter) bucket(now time.Duration, customer string, l Limit) *bucket {
-	k := q.buckets[customer]
-	if k == nil {
-		k = &bucket{level: l.Burst * initialBurstShare, filledAt: now}
-		q.buckets[customer] = k
+	b := q.buckets[customer]
+	if b == nil {
+		b = &bucket{level: l.Burst * initialBurstShare, filledAt: now}
+		q.buckets[customer] = b
 	}
-	k.limit = l
-	return k
+	b.limit = l
+	return b
 }
 
-func (k *bucket) refill(now time.Duration, share float64) {
-	elapsed := now - k.filledAt
-	k.filledAt = now
+func (b *bucket) refill(now time.Duration, share float64) {
+	elapsed := now - b.filledAt
+	b.filledAt = now
 	if elapsed > 0 {
-		k.level += k.limit.Rate * share * elapsed.Seconds()
+		b.level += b.limit.Rate * share * elapsed.Seconds()
 	}
-	k.level = min(k.level, k.limit.Burst*share)
-	// Use beyond the limit counts against the customer no longer than it takes to earn a
-	// whole burst.
-	k.level = max(k.level, -k.limit.Burst)
+	b.level = min(b.level, b.limit.Burst*share)
+	// Use beyond the limit counts against the customer for no longer than it takes to
+	// refill a whole burst.
+	b.level = max(b.level, -b.limit.Burst)
 }
