--- a/core/poison/fingerprint_test.go
+++ b/core/poison/fingerprint_test.go
@@ -25,7 +25,7 @@
 	if got, ok := ParseFingerprint(same.String()); !ok || got != same {
 		t.Errorf("%v was parsed as %v", same, got)
 	}
-	if _, ok := ParseFingerprint("no digest"); ok {
-		t.Error("a malformed digest was accepted")
+	if _, ok := ParseFingerprint("no fingerprint"); ok {
+		t.Error("a malformed fingerprint was accepted")
 	}
 }
--- a/core/poison/fleet_test.go
+++ b/core/poison/fleet_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-var simSeeds = flag.Int("fleet.seeds", 4, "number of simulated fleets, one per seed")
+var seedCount = flag.Int("fleet.seeds", 4, "number of simulated fleets, one per seed")
 
 // simFleet simulates entries and endpoints.
 type simFleet struct {
@@ -161,7 +161,7 @@
 	}
 }
 
-// kill crashes an endpoint and all requests that run there.
+// kill crashes an endpoint and breaks off all requests that run there.
 func (f *simFleet) kill(i int) {
 	if f.restartAt[i] > 0 {
 		return
@@ -202,7 +202,7 @@
 	f.inTransit = f.inTransit[:n]
 }
 
-// exchangeAllReports has an entry and all others send each other their complete state.
+// exchangeAllReports makes an entry and all others send each other their complete state.
 func (f *simFleet) exchangeAllReports(entry int) {
 	for i, tracker := range f.trackers {
 		for _, r := range tracker.Reports(f.now, true) {
@@ -275,7 +275,7 @@
 	} {
 		t.Run(fmt.Sprint(tc.entries), func(t *testing.T) {
 			maxCrashes, sent, served := 0, 0, 0
-			for seed := range uint64(*simSeeds) {
+			for seed := range uint64(*seedCount) {
 				f := newSimFleet(seed, tc.entries, tc.endpoints, tc.delay)
 				f.run(tc.rate)
 				if f.lateSends > 3 {
--- a/core/poison/gossip.go
+++ b/core/poison/gossip.go
@@ -6,8 +6,8 @@
 // quarantine.
 const clockSkew = time.Second
 
-// maxReports bounds the number of reports returned by one call, because when links are
-// re-established, suspects are reported to all entries.
+// maxReports bounds the number of reports returned by one call. When links are
+// re-established, all suspects are reported to all entries.
 const maxReports = 32
 
 // Report is the state of a suspect at one entry. Times are sent as ages because clocks
@@ -35,8 +35,8 @@
 }
 
 // Reports returns reports on the suspects that changed since they were last reported, at
-// most maxReports. If resend is set, for a new peer, it also marks quarantined requests and
-// this entry's suspects with several crashes for reporting, over several calls if needed.
+// most maxReports. If resend is set, for a new peer, it also returns reports on quarantined
+// requests and on this entry's suspects with several crashes, over several calls if needed.
 func (t *Tracker) Reports(now time.Duration, resend bool) []Report {
 	if resend {
 		for _, s := range t.suspects {
--- a/core/poison/poison.go
+++ b/core/poison/poison.go
@@ -88,7 +88,8 @@
 	// while probing is set, until the probe has a result.
 	probedAt time.Duration
 	probing  bool
-	// probeAborted is set until peers have been told that the last probe was not executed.
+	// probeAborted is set if the last probe was not executed, until that has been reported
+	// to peers.
 	probeAborted bool
 	// local is set if this entry has lost a run of the request.
 	local bool
@@ -107,13 +108,14 @@
 	// lostRequests holds the requests whose runs broke off, until it is known whether the
 	// endpoint has crashed.
 	lostRequests []Fingerprint
-	lostAt       time.Duration
+	// lostAt is the time at which a run was last lost.
+	lostAt time.Duration
 	// crashed is set once the endpoint is known to have crashed.
 	crashed   bool
 	crashedAt time.Duration
-	// verified is set once a check whether the endpoint accepts connections has been
-	// started.
-	verified bool
+	// checkStarted is set once a check of whether the endpoint accepts connections has been
+	// started for these runs.
+	checkStarted bool
 	// culprit is the quarantined request to which the crash is attributed, valid if
 	// explained is set.
 	culprit   Fingerprint
@@ -184,7 +186,7 @@
 		e.lostRequests = nil
 	}
 	if now-e.lostAt > crashSpread {
-		e.verified = false
+		e.checkStarted = false
 	}
 	e.lostAt = now
 	if len(e.lostRequests) < maxLostRuns && !slices.Contains(e.lostRequests, f) {
@@ -226,8 +228,8 @@
 // whether it accepts connections. It does so once for all runs lost at the same time.
 func (t *Tracker) TakeUnverified(now time.Duration, f func(id string)) {
 	t.endpoints.Each(func(id string, e *endpoint) {
-		if !e.verified && e.mayHaveCrashed(now) {
-			e.verified = true
+		if !e.checkStarted && e.mayHaveCrashed(now) {
+			e.checkStarted = true
 			f(id)
 		}
 	})
--- a/core/poison/poison_test.go
+++ b/core/poison/poison_test.go
@@ -164,7 +164,7 @@
 		f := fingerprint(fmt.Sprint("invented", i))
 		tracker.RecordCompleted(time.Second, f, "e")
 		crashDuring(tracker, time.Second, fmt.Sprint("f", i%(4*maxEndpoints)), f)
-		tracker.Merge(time.Second, Report{Fingerprint: fingerprint(fmt.Sprint("told", i)), CompletedAge: -1, ProbeAge: -1, Crashes: []CrashReport{{Endpoint: fmt.Sprint("g", i)}}})
+		tracker.Merge(time.Second, Report{Fingerprint: fingerprint(fmt.Sprint("reported", i)), CompletedAge: -1, ProbeAge: -1, Crashes: []CrashReport{{Endpoint: fmt.Sprint("g", i)}}})
 	}
 	if len(tracker.suspects) > maxSuspects || tracker.completed.Len() > maxCompleted || tracker.endpoints.Len() > maxEndpoints {
 		t.Errorf("%d suspects, %d completed, %d endpoints", len(tracker.suspects), tracker.completed.Len(), tracker.endpoints.Len())
