--- a/core/canary/canary.go
+++ b/core/canary/canary.go
@@ -6,8 +6,8 @@
 // load or on one route only, while some endpoints have faults that are unrelated to the
 // version. If it received all requests at once, all of them could fail; if it were judged
 // by few answers, a good version could be blamed for unrelated faults. Each entry therefore
-// sends a bounded share of its own requests to the new version, so that the share holds
-// over all entries whatever they know about each other. The results of all entries are
+// sends a bounded share of its own requests to the new version, so that the limit holds
+// over all entries, whatever they know about each other. The results of all entries are
 // added up and compared with those of the old version on the same routes at the same time.
 //
 // The package uses no network, clock or random source. A Controller is owned by one
@@ -338,8 +338,9 @@
 	c.rolesChanged = true
 }
 
-// MergeStored records the state that the platform has stored for an order at a revision, or
-// zero if it has none that can be read. A stored end of an order is final.
+// MergeStored records the state that the platform has stored for an order at a revision. s
+// is zero if it has stored none or one that cannot be read. A stored end of an order is
+// final.
 func (c *Controller) MergeStored(now time.Duration, pool, target string, s State, revision int64) {
 	p := c.pools[pool]
 	if p == nil || p.rollout == nil {
--- a/core/canary/evidence.go
+++ b/core/canary/evidence.go
@@ -204,8 +204,8 @@
 	// inDoubt is set while the target's answers are worse than the old version's, but not
 	// certainly enough to roll back.
 	inDoubt bool
-	// judgedAnswers is the number of the target's answers at the last judgement.
-	judgedAnswers int
+	// evaluatedAnswers is the number of the target's answers at the last evaluation.
+	evaluatedAnswers int
 	// targetRequests counts this entry's requests to the target, oldRequests those to the
 	// old version, and oldByRoute the latter by route.
 	targetRequests, oldRequests int
@@ -218,10 +218,11 @@
 	unreportedCells    map[CellKey]bool
 	// movedPeers holds the peers that have moved.
 	movedPeers map[string]bool
-	// judgedAt is the time of the last judgement, and writtenAt the time at which a state
-	// was last returned for writing.
-	judgedAt, writtenAt time.Duration
-	orderUnreported     bool
+	// evaluatedAt is the time of the last evaluation, and writtenAt the time at which a
+	// state was last returned for writing.
+	evaluatedAt, writtenAt time.Duration
+	// orderUnreported is set until the order has been reported to peers.
+	orderUnreported bool
 }
 
 func newRollout(o Order, now, age time.Duration) *rollout {
--- a/core/canary/model_test.go
+++ b/core/canary/model_test.go
@@ -21,7 +21,7 @@
 	orderDuration      = 12 * time.Second
 	modelStep          = 10 * time.Millisecond
 	reportDelay        = 100 * time.Millisecond
-	maxReaction        = 5 * time.Second
+	maxReactionTime    = 5 * time.Second
 	reactionBadAnswers = 50
 	maxModelTime       = 60 * time.Second
 	orderAt            = 6 * time.Second
@@ -174,7 +174,7 @@
 		delete(f.events, f.now)
 		n := f.rate * modelStep.Seconds()
 		for range int(n) + chance(f.rnd, n-math.Floor(n)) {
-			f.request(f.rnd.IntN(len(f.controllers)))
+			f.sendRequest(f.rnd.IntN(len(f.controllers)))
 		}
 		for i, c := range f.controllers {
 			if f.now%(250*time.Millisecond) == time.Duration(i)*modelStep%(250*time.Millisecond) {
@@ -252,7 +252,7 @@
 		if f.storedState != Complete && f.storedState != RolledBack {
 			f.storedState = w.State
 			if w.State != Running {
-				f.endedAt, f.endDetails = f.now, fmt.Sprintf("%+v moved %v answers %d left %d", c.pools["p"].rollout.judge(len(f.targetEndpoints), f.spread), c.pools["p"].rollout.movedAt-orderAt, c.pools["p"].rollout.targetAnswers(), f.running["v1"])
+				f.endedAt, f.endDetails = f.now, fmt.Sprintf("%+v moved %v answers %d left %d", c.pools["p"].rollout.strongestFinding(len(f.targetEndpoints), f.spread), c.pools["p"].rollout.movedAt-orderAt, c.pools["p"].rollout.targetAnswers(), f.running["v1"])
 			}
 		}
 		s := f.storedState
@@ -267,7 +267,7 @@
 	}
 }
 
-func (f *modelFleet) request(i int) {
+func (f *modelFleet) sendRequest(i int) {
 	c := f.controllers[i]
 	draw, route := f.rnd.Float64(), 0
 	for route < len(modelRoutes)-1 && draw > modelRoutes[route].share {
@@ -483,7 +483,7 @@
 // A version must not receive requests long after its 50th bad answer.
 func TestBadVersionGetsNothingMore(t *testing.T) {
 	runModels(func(s modelRun) {
-		if !s.kind.fault.isNone() && s.reactionTime() > maxReaction {
+		if !s.kind.fault.isNone() && s.reactionTime() > maxReactionTime {
 			t.Errorf("seed %d, %s: a request %v after the 50th bad answer", s.seed, s.name, s.reactionTime())
 		}
 	})
--- a/core/canary/share.go
+++ b/core/canary/share.go
@@ -11,8 +11,9 @@
 	maxTrialShare      = 0.6
 	// minPauseAnswers is the number of answers of the target needed to pause the trial.
 	minPauseAnswers = 40
-	// usedShare is the part of the share, and usedSlack the part of the slack, that is used
-	// at all, because entries may count a request on the wrong side of a time limit.
+	// usedShare is the part of the share, and usedSlack the part of the slack, that is
+	// used. The rest is a margin, because entries may count a request on the wrong side of
+	// a time limit.
 	usedShare = 0.9
 	usedSlack = 0.5
 	// maxRouteShare bounds the share of a route's requests that are sent to the target.
@@ -24,8 +25,8 @@
 	// order's duration, which leaves the rest for a verdict.
 	maxMoveLead      = 4 * time.Second
 	maxMoveLeadShare = 0.5
-	// reservedTime is the time before the deadline for which the share is reserved, enough
-	// for all requests to go to the target.
+	// reservedTime is the time before the deadline for which a part of the share is
+	// reserved, so that all requests of that time can go to the target.
 	reservedTime = 450 * time.Millisecond
 )
 
@@ -55,11 +56,14 @@
 	return true
 }
 
-// isAllowed reports whether the given number of additional requests may go to the target.
+// isAllowed reports whether the limit allows this entry to send the given number of
+// additional requests to the target.
 func (c *Controller) isAllowed(r *rollout, entries int, added float64) bool {
 	return float64(r.targetRequests)+added <= c.allowance(r, entries)
 }
 
+// allowance returns the number of requests that this entry may have sent to the target,
+// given the number of all its requests so far.
 func (c *Controller) allowance(r *rollout, entries int) float64 {
 	return usedShare*c.limit.Share*float64(r.oldRequests+r.targetRequests) + r.ownSlack(c.limit, entries)
 }
@@ -72,6 +76,9 @@
 	return usedSlack * limit.Slack / float64(max(entries, 1))
 }
 
+// isWanted reports whether one more request should go to the target now. During the move,
+// requests that would outlast the deadline go there. Otherwise a random share of each
+// route's requests does.
 func (p *pool) isWanted(now time.Duration, limit Limit, q Request) bool {
 	r := p.rollout
 	rate := r.requestRate(now)
@@ -107,14 +114,14 @@
 
 // isPaused reports whether the target receives no requests until its answers look better. A
 // version that is still in doubt after minPauseAnswers answers is usually bad.
-func (r *rollout) isPaused() bool { return r.inDoubt && r.judgedAnswers >= minPauseAnswers }
+func (r *rollout) isPaused() bool { return r.inDoubt && r.evaluatedAnswers >= minPauseAnswers }
 
 func (r *rollout) deadline() time.Duration { return r.orderedAt + r.Duration }
 
 // isMoving reports whether requests that would outlast the deadline go to the target.
 func (r *rollout) isMoving(now time.Duration) bool {
 	lead := min(maxMoveLead, time.Duration(maxMoveLeadShare*float64(r.Duration)))
-	return now >= r.deadline()-lead && r.judgedAnswers >= minTargetAnswers && !r.inDoubt
+	return now >= r.deadline()-lead && r.evaluatedAnswers >= minTargetAnswers && !r.inDoubt
 }
 
 // shareCoversRest reports whether the share allows all requests until the deadline to go to
--- a/core/canary/verdict.go
+++ b/core/canary/verdict.go
@@ -18,12 +18,12 @@
 	// minOldSamples is the number of samples of the old version needed for a comparison on
 	// a route.
 	minOldSamples = 20
-	// judgeInterval is the time between two judgements. It is added once more for every
-	// cellsPerJudgeInterval cells of evidence. rewriteInterval is the time after which an
-	// end is written again if it has not been seen in the store.
-	judgeInterval         = 200 * time.Millisecond
-	cellsPerJudgeInterval = 1000
-	rewriteInterval       = time.Second
+	// evaluationInterval is the time between two evaluations of an order. It is added once
+	// more for every cellsPerEvaluationInterval cells of evidence. rewriteInterval is the
+	// time after which an end is written again if it has not been seen in the store.
+	evaluationInterval         = 200 * time.Millisecond
+	cellsPerEvaluationInterval = 1000
+	rewriteInterval            = time.Second
 	// writeDelayPerRank is how much later an entry writes than the entry before it.
 	writeDelayPerRank = 150 * time.Millisecond
 	// expectedMargin is the factor by which the failures expected from the old version are
@@ -60,9 +60,9 @@
 	measureTokenTime  = "time for each token"
 )
 
-// judge returns the strongest evidence against the target, which has the given number of
+// strongestFinding returns the strongest evidence against the target, which has targets
 // endpoints.
-func (r *rollout) judge(targets int, spread Spread) Finding {
+func (r *rollout) strongestFinding(targets int, spread Spread) Finding {
 	var worst Finding
 	lastEpoch := 0
 	routes := map[string]bool{"": true}
@@ -261,7 +261,8 @@
 	State State
 }
 
-// Tick judges the orders and returns the states that are to be written now.
+// Tick evaluates the orders, updates their states and returns the states that are to be
+// written now.
 func (c *Controller) Tick(now time.Duration, f Fleet) []StateWrite {
 	var out []StateWrite
 	for _, p := range c.pools {
@@ -296,13 +297,13 @@
 	return StateWrite{r.Order, r.state}, true
 }
 
-// advanceOrder judges one order and updates its state.
+// advanceOrder evaluates one order and updates its state.
 func (c *Controller) advanceOrder(now time.Duration, p *pool, f Fleet) {
 	r := p.rollout
-	if now-r.judgedAt >= judgeInterval*time.Duration(1+len(r.allCells)/cellsPerJudgeInterval) {
-		r.judgedAt = now
-		finding := r.judge(p.endpointCounts[r.Target], f.Spread(p.name))
-		r.inDoubt, r.judgedAnswers = finding.Nats >= doubtNats, r.targetAnswers()
+	if now-r.evaluatedAt >= evaluationInterval*time.Duration(1+len(r.allCells)/cellsPerEvaluationInterval) {
+		r.evaluatedAt = now
+		finding := r.strongestFinding(p.endpointCounts[r.Target], f.Spread(p.name))
+		r.inDoubt, r.evaluatedAnswers = finding.Nats >= doubtNats, r.targetAnswers()
 		if finding.Nats >= rollbackNats {
 			c.endOrder(now, p, RolledBack, "bad", finding)
 			return
