--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -72,9 +72,10 @@
 	cutUntil  []time.Duration
 	inTransit []simReport
 	sentAt    []time.Duration
-	// limitRate is the limit of the endpoint, and entryDemand the rate of the requests that
-	// callers send to each entry, both in requests per second.
-	limitRate, entryDemand float64
+	// limitRate is the limit of the endpoint, in requests per second.
+	limitRate float64
+	// entryDemand is the rate of the requests that callers send to each entry, per second.
+	entryDemand float64
 	// hasOwner is set if one entry places nearly all requests. The owner changes from time
 	// to time, and two entries then act as the owner for a while.
 	hasOwner bool
