--- a/core/fresh/entry_test.go
+++ b/core/fresh/entry_test.go
@@ -61,7 +61,7 @@
 	w := e.w
 	*e = entry{w: w, index: e.index, id: e.id, incarnation: e.incarnation + 1, planKey: "none", tallySentAt: w.now - w.randomUpTo(w.heartbeatInterval())}
 	for range w.entries {
-		e.peers = append(e.peers, &peer{linkBrokenAt: never, reportedLackAt: never, behindSince: never, lastTally: tally{incarnation: -1}})
+		e.peers = append(e.peers, &peer{linkBrokenAt: never, reportedMissingAt: never, laggingSince: never, lastTally: tally{incarnation: -1}})
 	}
 	w.strategy.follow(e)
 	e.scheduleTick(w.randomUpTo(minTickInterval))
--- a/core/fresh/figures_test.go
+++ b/core/fresh/figures_test.go
@@ -8,8 +8,8 @@
 
 // BenchmarkFigures measures, for fleets of several sizes, the figures in
 // docs/design/platform.md for one list: calls to the store per second, the largest age of
-// an entry's knowledge, and the time until a change is in use that the store reported to
-// none of the waiting calls.
+// an entry's knowledge, and the time until a change that the store reported to none of the
+// waiting calls is in use at all entries.
 func BenchmarkFigures(b *testing.B) {
 	for _, n := range []int{5, 30, 100, 300} {
 		for name, s := range map[string]strategy{"waits": waitingOnly(maxAge), "checks": withChecks(maxAge)} {
@@ -17,9 +17,9 @@
 				b.Run(fmt.Sprintf("entries=%d/%s/outage=%v", n, name, outage), func(b *testing.B) {
 					zones := max(1, n/10)
 					for range b.N {
-						calls, worst := s.measureCalls(zones, n/zones, outage)
+						calls, maxKnowledgeAge := s.measureCalls(zones, n/zones, outage)
 						b.ReportMetric(calls, "calls/s")
-						b.ReportMetric(worst.Seconds(), "s-age")
+						b.ReportMetric(maxKnowledgeAge.Seconds(), "s-age")
 						b.ReportMetric(s.measureMissedChange(zones, n/zones, outage).Seconds(), "s-missed")
 					}
 				})
@@ -47,24 +47,24 @@
 	return w
 }
 
-// measureCalls returns the number of calls per second from then on, and the largest age of
-// an entry's knowledge after the first second.
-func (s strategy) measureCalls(zones, entriesPerZone int, outage bool) (calls float64, worst time.Duration) {
+// measureCalls returns the number of calls per second in a settled world, and the largest
+// age of an entry's knowledge after the first second.
+func (s strategy) measureCalls(zones, entriesPerZone int, outage bool) (calls float64, maxKnowledgeAge time.Duration) {
 	w := s.settledWorld(zones, entriesPerZone, outage)
 	begin, callsBefore := w.now, w.store.callCount
 	for w.now < begin+countTime {
 		w.runUntil(w.now + propertyInterval)
 		for _, e := range w.entries {
 			if c, ok := e.tracker.LatestClaim(int64(e.revision)); ok && w.now > begin+time.Second {
-				worst = max(worst, w.now-c.At)
+				maxKnowledgeAge = max(maxKnowledgeAge, w.now-c.At)
 			}
 		}
 	}
-	return float64(w.store.callCount-callsBefore) / countTime.Seconds(), worst
+	return float64(w.store.callCount-callsBefore) / countTime.Seconds(), maxKnowledgeAge
 }
 
-// measureMissedChange returns the time until a change is in use at all entries that the
-// store reported to none of the waiting calls.
+// measureMissedChange returns the time until a change that the store reported to none of
+// the waiting calls is in use at all entries.
 func (s strategy) measureMissedChange(zones, entriesPerZone int, outage bool) time.Duration {
 	w := s.settledWorld(zones, entriesPerZone, outage)
 	w.runUntil(w.now + time.Second)
--- a/core/fresh/fresh.go
+++ b/core/fresh/fresh.go
@@ -112,9 +112,9 @@
 	return t.claims[0], true
 }
 
-// LatestClaim returns the claim of BestClaim or, if that is later, of the entry's own last
-// check. The result of the check has been received but need not be in use, for example
-// while removals are deferred.
+// LatestClaim returns the later one of BestClaim's claim and that of the entry's own last
+// check. The entry has received the result of its check but need not have it in use, for
+// example while removals are deferred.
 func (t *Tracker) LatestClaim(revision int64) (c Claim, ok bool) {
 	c, ok = t.BestClaim(revision)
 	if t.hasChecked && (!ok || t.ownCheck.At > c.At) {
@@ -130,12 +130,12 @@
 	firstCheckShare = 0.2
 	stepShare       = 0.1
 	// sequentialChecks is the number of entries that check one after the other before all
-	// others do so within one further step. No entry that can call the platform then has
-	// knowledge older than 0.6 of the maximum age, which is firstCheckShare +
-	// (sequentialChecks+1)*stepShare, and the time of a call.
+	// others do so within one further step. The knowledge of an entry that can call the
+	// platform is then no older than 0.6 of the maximum age, which is firstCheckShare +
+	// (sequentialChecks+1)*stepShare, plus the time of a call.
 	sequentialChecks = 3
-	// soloCheckShare is the share of the maximum age after which an entry checks that
-	// reaches no other entry, as no other one checks before or after it.
+	// soloCheckShare is the share of the maximum age after which an entry that reaches no
+	// other entry checks again. No other entry checks before or after it.
 	soloCheckShare = 0.5
 )
 
--- a/core/fresh/fresh_test.go
+++ b/core/fresh/fresh_test.go
@@ -50,14 +50,14 @@
 		at       time.Duration
 	}{{7, 100 * ms}, {8, 600 * ms}, {9, 900 * ms}, {12, 900 * ms}} {
 		if c, ok := tracker.BestClaim(tc.revision); !ok || c.At != tc.at {
-			t.Errorf("with revision %d in force: %v, %v, want %v", tc.revision, c.At, ok, tc.at)
+			t.Errorf("with revision %d in use: %v, %v, want %v", tc.revision, c.At, ok, tc.at)
 		}
 	}
 }
 
 // The list changes faster than it is passed on, so an entry is always one revision behind
 // the claims of others. It must keep those for revisions that it does reach.
-func TestEntryOneRevisionBehindKeepsClaims(t *testing.T) {
+func TestEntryLaggingOneRevisionKeepsClaims(t *testing.T) {
 	var tracker Tracker
 	for n := range 100 {
 		at := time.Duration(n) * 50 * ms
@@ -88,8 +88,8 @@
 }
 
 // After an outage, the platform's new list is not used for a while. The entry knows the
-// newest revision but must not tell peers that the revision in use is the newest one.
-func TestCheckOfRevisionNotInForce(t *testing.T) {
+// newest revision but must not claim to peers that the revision in use is the newest one.
+func TestClaimOfUnusedRevisionIsNotSent(t *testing.T) {
 	var tracker Tracker
 	tracker.RecordCheck(Claim{Revision: 5, At: 100 * ms})
 	tracker.RecordCheck(Claim{Revision: 8, At: 700 * ms})
@@ -152,14 +152,14 @@
 // buffers look recent but are seconds old.
 func TestLateTallyIsDetected(t *testing.T) {
 	d := newTestEstimator(10 * time.Second)
-	if late, ok := d.ExtraDelay(11*time.Second+30*ms, time.Second); !ok || late < 25*ms || late > 30*ms {
-		t.Errorf("30 ms late: %v, %v", late, ok)
+	if extraDelay, ok := d.ExtraDelay(11*time.Second+30*ms, time.Second); !ok || extraDelay < 25*ms || extraDelay > 30*ms {
+		t.Errorf("30 ms late: %v, %v", extraDelay, ok)
 	}
-	late, _ := d.ExtraDelay(16*time.Second, 2*time.Second)
-	if late < 3900*ms || late > 4*time.Second {
-		t.Errorf("4 s late: %v", late)
+	extraDelay, _ := d.ExtraDelay(16*time.Second, 2*time.Second)
+	if extraDelay < 3900*ms || extraDelay > 4*time.Second {
+		t.Errorf("4 s late: %v", extraDelay)
 	}
-	if c := PeerClaim(16*time.Second, late, 20*ms, 7, 1); c.At > 12*time.Second {
+	if c := PeerClaim(16*time.Second, extraDelay, 20*ms, 7, 1); c.At > 12*time.Second {
 		t.Errorf("taken as of %v, sent at about 12s", c.At)
 	}
 }
@@ -169,8 +169,8 @@
 func newTestEstimator(now time.Duration) *DelayEstimator {
 	d := new(DelayEstimator)
 	for n := minTallies - 1; n >= 0; n-- {
-		back := time.Duration(n) * 250 * ms
-		d.ExtraDelay(now-back, -back)
+		beforeNow := time.Duration(n) * 250 * ms
+		d.ExtraDelay(now-beforeNow, -beforeNow)
 	}
 	return d
 }
@@ -181,8 +181,8 @@
 	d := newTestEstimator(0)
 	for n := range 3600 {
 		now := time.Duration(n) * time.Second
-		if late, _ := d.ExtraDelay(now, time.Duration(0.9995*float64(now))); late > ms {
-			t.Fatalf("after %v: %v late", now, late)
+		if extraDelay, _ := d.ExtraDelay(now, time.Duration(0.9995*float64(now))); extraDelay > ms {
+			t.Fatalf("after %v: %v late", now, extraDelay)
 		}
 	}
 }
--- a/core/fresh/model_test.go
+++ b/core/fresh/model_test.go
@@ -17,9 +17,9 @@
 	// been able to reach the store without a break, or has been connected to an entry that
 	// could. A store that is silent, refuses all calls or loses answers cannot be reached.
 	// A store that forgets or holds back calls for changes, drops its history, is slow or
-	// cuts off some entries can be reached, so these faults excuse nothing. With its own
-	// checks an entry's knowledge is no older than 0.6 of the maximum age and a call; the
-	// rest is left for the distribution to others.
+	// cuts off some entries can be reached, so these faults do not extend the time. With
+	// its own checks an entry's knowledge is no older than 0.6 of the maximum age plus the
+	// time of a call; the rest is left for the distribution to others.
 	maxAge = 2 * time.Second
 	// propertyInterval is the interval at which the property is tested.
 	propertyInterval = 20 * time.Millisecond
@@ -27,7 +27,7 @@
 
 var seeds = flag.Int("seeds", 3, "number of seeds with which each of the shortest schedules is run")
 
-// A plain run plays a few schedules that are always the same. Command-line flags can select
+// By default, a few schedules are run, always the same ones. Command-line flags can select
 // more and others.
 func init() {
 	for name, value := range map[string]string{"rapid.checks": "20", "rapid.seed": "1", "rapid.nofailfile": "true"} {
@@ -37,7 +37,7 @@
 	}
 }
 
-// findViolation plays a schedule and describes the first violation of the property, if any.
+// findViolation runs a schedule and describes the first violation of the property, if any.
 func findViolation(s schedule, strategy strategy) string {
 	w := newWorld(s.Zones, s.EntriesPerZone, s.Seed, strategy)
 	last := 0
--- a/core/fresh/net_test.go
+++ b/core/fresh/net_test.go
@@ -14,10 +14,15 @@
 	tickTimePerLink       = 5 * time.Millisecond
 	heartbeatTimePerEntry = 2500 * time.Microsecond
 	maxMissedHeartbeats   = 4
-	muteMargin            = 200 * time.Millisecond
-	brokenLinkTime        = 2 * time.Second
-	lackReportTime        = 3 * time.Second
-	idleLinkTimeout       = 3 * time.Second
+	// A peer is mute if nothing has arrived over its own link for muteMargin longer than the
+	// heartbeat interval, or if that link was closed within brokenLinkTime. For
+	// missingReportTime after a peer reported that it does not receive this entry's tallies,
+	// they are sent to it directly. A link that has not been needed for idleLinkTimeout is
+	// closed.
+	muteMargin        = 200 * time.Millisecond
+	brokenLinkTime    = 2 * time.Second
+	missingReportTime = 3 * time.Second
+	idleLinkTimeout   = 3 * time.Second
 	// linkTimeout is the time after which a silent link is closed, and maxRedialTime the
 	// longest time until it is dialed again.
 	linkTimeout       = 900 * time.Millisecond
@@ -28,8 +33,14 @@
 
 // peer is an entry's state of another entry and of the link to it.
 type peer struct {
-	heardAt, heardDirectlyAt, linkBrokenAt, reportedLackAt, behindSince time.Duration
-	delay                                                               DelayEstimator
+	// receivedAt is the time at which a tally of the peer last arrived, and
+	// directlyReceivedAt the time at which the peer last sent something over its own link.
+	// linkBrokenAt is the time at which that link was closed. reportedMissingAt is the time
+	// at which the peer last reported that it does not receive this entry's tallies.
+	// laggingSince is the time since which the peer has lagged behind this entry's
+	// revision; after a revision was sent to it, it is later than now.
+	receivedAt, directlyReceivedAt, linkBrokenAt, reportedMissingAt, laggingSince time.Duration
+	delay                                                                         DelayEstimator
 	// reachable is set while tallies of the peer arrive. hasInboundLink is set while the
 	// peer has a link to this entry.
 	reachable, hasInboundLink bool
@@ -116,7 +127,7 @@
 
 func (e *entry) expirePeers() {
 	for _, p := range e.peers {
-		if p.reachable && e.w.now-p.heardAt > maxMissedHeartbeats*e.w.heartbeatInterval() {
+		if p.reachable && e.w.now-p.receivedAt > maxMissedHeartbeats*e.w.heartbeatInterval() {
 			p.reachable = false
 		}
 	}
@@ -125,7 +136,7 @@
 // isMute reports whether the peer sends nothing over its own link.
 func (e *entry) isMute(p *peer) bool {
 	if p.hasInboundLink {
-		return e.w.now-p.heardDirectlyAt > e.w.heartbeatInterval()+muteMargin
+		return e.w.now-p.directlyReceivedAt > e.w.heartbeatInterval()+muteMargin
 	}
 	return p.linkBrokenAt != never && e.w.now-p.linkBrokenAt < brokenLinkTime
 }
@@ -155,7 +166,7 @@
 		if i == e.index {
 			continue
 		}
-		if !p.reachable || p.linkPlanned || p.reportedLackAt != never && w.now-p.reportedLackAt < lackReportTime {
+		if !p.reachable || p.linkPlanned || p.reportedMissingAt != never && w.now-p.reportedMissingAt < missingReportTime {
 			p.linkNeededAt = w.now
 			e.dial(w.entries[i], p)
 		} else if p.linkUp && w.now-p.linkNeededAt > idleLinkTimeout {
@@ -180,7 +191,7 @@
 		if w.connected(e, to) {
 			p.linkUp, p.linkNew, p.allForwarded = true, true, false
 			other := to.peers[e.index]
-			other.hasInboundLink, other.heardDirectlyAt = true, w.now
+			other.hasInboundLink, other.directlyReceivedAt = true, w.now
 		}
 	})
 }
@@ -227,11 +238,11 @@
 		return
 	}
 	if from == relay.Direct {
-		p.heardDirectlyAt = now
+		p.directlyReceivedAt = now
 	}
 	for _, n := range t.unreachable {
 		if n == e.index {
-			p.reportedLackAt = now
+			p.reportedMissingAt = now
 		}
 	}
 	if p.reachable && p.lastTally.incarnation == t.incarnation && t.seq <= p.lastTally.seq || t.incarnation < p.lastTally.incarnation {
@@ -240,7 +251,7 @@
 	if p.lastTally.incarnation != t.incarnation {
 		p.delay = DelayEstimator{}
 	}
-	p.heardAt, p.reachable, p.lastTally = now, true, t
+	p.receivedAt, p.reachable, p.lastTally = now, true, t
 	e.mergeClaim(p, &t)
 	if e.plan.IsHub() && from != relay.OwnHub {
 		e.toForward = append(e.toForward, forwardedTally{t, from})
@@ -293,7 +304,7 @@
 }
 
 func (e *entry) receiveForwarded(hub *entry, tallies []tally) {
-	e.peers[hub.index].heardDirectlyAt = e.w.now
+	e.peers[hub.index].directlyReceivedAt = e.w.now
 	from := relay.OtherHub
 	if e.plan.SameGroup(hub.id) {
 		from = relay.OwnHub
--- a/core/fresh/pass_test.go
+++ b/core/fresh/pass_test.go
@@ -8,16 +8,16 @@
 	w := e.w
 	for i, p := range e.peers {
 		if !p.reachable || p.lastTally.revision >= e.revision {
-			p.behindSince = never
+			p.laggingSince = never
 			continue
 		}
-		if p.behindSince == never {
-			p.behindSince = w.now
+		if p.laggingSince == never {
+			p.laggingSince = w.now
 		}
-		if !p.linkUp || w.now-p.behindSince < e.sendRevisionAfter(i, p) {
+		if !p.linkUp || w.now-p.laggingSince < e.sendRevisionAfter(i, p) {
 			continue
 		}
-		p.behindSince = w.now + 2*w.heartbeatInterval()
+		p.laggingSince = w.now + 2*w.heartbeatInterval()
 		to, revision := w.entries[i], e.revision
 		w.send(e, to, func() { to.learnRevision(revision) })
 	}
--- a/core/fresh/way.go
+++ b/core/fresh/way.go
@@ -14,8 +14,8 @@
 const (
 	// minTallies is the number of tallies needed for an estimate. The first ones may all
 	// have been delayed, for example when they were held up and then arrived together. All
-	// tallies of a peer count, so at the usual four per second the estimate takes two
-	// seconds.
+	// tallies of a peer count, so at the usual four per second an estimate is available
+	// after two seconds.
 	minTallies = 8
 	// minTallyGap is the time within which only one tally counts, because tallies read
 	// within it arrived together.
--- a/core/fresh/world_test.go
+++ b/core/fresh/world_test.go
@@ -81,7 +81,7 @@
 	return time.Duration(w.rnd.Int64N(int64(d) + 1))
 }
 
-// store simulates the platform's store. Each fault has a count of its causes.
+// store simulates the platform's store.
 type store struct {
 	// revision counts changes, and changedAt holds the time at which each was acknowledged.
 	revision  int
@@ -92,6 +92,7 @@
 	// callCount counts all calls.
 	callCount int
 
+	// The following fields count, for each kind of fault, the faults that are active.
 	down, silent, slow, lossy, forgets, cuts, drops, holds int
 	// refuses and ignores count, by entry, the faults that make the store refuse it or not
 	// answer it.
