--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -25,8 +25,9 @@
 	// removal is of an endpoint that left after the outage, and requests sent to it would
 	// fail when it stops.
 	deferWindow = 500 * time.Millisecond
-	// deferTime is the time after an outage until which removals are deferred. According to
-	// the platform, living endpoints are listed again within about two seconds.
+	// deferTime is the time after an outage at which deferred removals are applied.
+	// According to the platform, living endpoints are listed again within about two
+	// seconds.
 	deferTime = 2200 * time.Millisecond
 	// maxHarmlessOutage is the longest outage in which no items of living endpoints expire.
 	// Items outlive two lost heartbeats.
