--- a/core/queue/model_test.go
+++ b/core/queue/model_test.go
@@ -90,7 +90,7 @@
 // arrival, long requests would sooner or later occupy all slots, and short
 // requests, which often have a user waiting at a screen, would wait until a
 // long one ends.
-func TestLongAmongShort(t *testing.T) {
+func TestShortRequestsStartInTimeAmongLongOnes(t *testing.T) {
 	short, long := simulateMixedLengths(false)
 	fifoShort, fifoLong := simulateMixedLengths(true)
 	percentOnTime := func(o outcome) float64 { return 100 * float64(o.onTime) / float64(o.offered) }
--- a/core/queue/next.go
+++ b/core/queue/next.go
@@ -25,8 +25,8 @@
 	// maxSkips is the number of items that may run before one for which fit
 	// returns SkipLimited.
 	maxSkips = 16
-	// maxScanned is the number of items of one tier that PopFitting examines.
-	maxScanned = 32
+	// maxExamined is the number of items of one tier that PopFitting examines.
+	maxExamined = 32
 )
 
 // PopFitting removes and returns the first item, in the order of Pop, for which
@@ -54,7 +54,7 @@
 func (q *Queue) findFitting(now time.Duration, fit func(Item) Fit) *node {
 	for i := range q.tiers {
 		t := &q.tiers[i]
-		for examined := 0; t.count > 0 && examined < maxScanned; examined++ {
+		for examined := 0; t.count > 0 && examined < maxExamined; examined++ {
 			n := t.head(now)
 			switch fit(n.Item) {
 			case Fits:
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -22,7 +22,8 @@
 //
 // With latePopEvery at 16, more than nine tenths of the endpoint is left to
 // work that can still meet its target, which is the goodput required under
-// overload. maxSkips and the scan limits bound the cost of PopFitting.
+// overload. maxSkips and maxExamined bound the cost of PopFitting, and
+// evictionScan bounds that of an eviction.
 package queue
 
 import (
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -39,7 +39,7 @@
 
 // Pop must return items in order of tier, then of the customers' fair shares,
 // then of lateness, urgency and arrival.
-func TestOrder(t *testing.T) {
+func TestPopOrder(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		now   time.Duration
@@ -203,7 +203,7 @@
 // tier. Short items of a lower tier must still get the remaining slots.
 func TestPopFittingReachesLowerTiers(t *testing.T) {
 	q := New(Config{})
-	for n := range 3 * maxScanned {
+	for n := range 3 * maxExamined {
 		fill(t, q, item(n, 1, "a", 100*second, 0))
 	}
 	fill(t, q, item(1000, 2, "b", second, 0))
@@ -213,7 +213,7 @@
 		}
 		return Fits
 	})
-	if !ok || it.Tier != 2 || q.Len() != 3*maxScanned {
+	if !ok || it.Tier != 2 || q.Len() != 3*maxExamined {
 		t.Fatalf("got %+v, %d left", it, q.Len())
 	}
 }
