--- a/core/shed/model_test.go
+++ b/core/shed/model_test.go
@@ -147,10 +147,10 @@
 	c.offered += work.Seconds()
 	mask := m.served()
 	lower := mask>>(s.tier+1) != 0
-	v := e.Decide(m.now, Request{Tier: s.tier, Customer: s.customer, Work: estimate, MaxWait: s.target},
+	d := e.Decide(m.now, Request{Tier: s.tier, Customer: s.customer, Work: estimate, MaxWait: s.target},
 		View{LowerServed: lower, ServedTiers: mask, FreeSlots: m.freeSlots(), Slots: m.slots, Entries: len(m.entries)})
-	if !v.Admit {
-		m.refuse(c, s, work, v.RetryAfter)
+	if !d.Admit {
+		m.refuse(c, s, work, d.RetryAfter)
 		return
 	}
 	m.lastID++
--- a/core/shed/shed.go
+++ b/core/shed/shed.go
@@ -52,8 +52,8 @@
 )
 
 // String returns the reason as it appears in logs and refusals.
-func (w Reason) String() string {
-	switch w {
+func (r Reason) String() string {
+	switch r {
 	case Admitted:
 		return "admitted"
 	case TierShed:
@@ -300,7 +300,7 @@
 // SetPeerLevel records the level that another entry of the pool has in force.
 // It is valid for validFor. It limits which requests are admitted here but does
 // not change what Level returns: otherwise two entries would keep each other's
-// level down for ever.
+// level down forever.
 func (p *Pool) SetPeerLevel(now time.Duration, level uint8, validFor time.Duration) {
 	p.level.setPeerLevel(now, clampTier(level), validFor)
 }
--- a/core/shed/shed_test.go
+++ b/core/shed/shed_test.go
@@ -40,10 +40,10 @@
 // every answer would be late; if too little, endpoints would be idle.
 func TestOverload(t *testing.T) {
 	for _, tc := range []struct {
-		name            string
-		places, entries int
-		mean, target    time.Duration
-		estimateFactor  float64
+		name           string
+		slots, entries int
+		mean, target   time.Duration
+		estimateFactor float64
 	}{
 		{"small pool", 12, 1, second, 3 * second, 1},
 		{"two entries", 48, 2, second, 3 * second, 1},
@@ -53,15 +53,15 @@
 		{"estimates ten times too low", 48, 2, second, 3 * second, 0.1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			m := newModel(tc.places, tc.entries)
-			streams := mixedStreams(tc.places, 2, tc.mean, tc.target)
+			m := newModel(tc.slots, tc.entries)
+			streams := mixedStreams(tc.slots, 2, tc.mean, tc.target)
 			for i := range streams {
 				streams[i].estimateFactor = tc.estimateFactor
 			}
 			const d = 2 * time.Minute
 			m.run(d, streams)
 			logReport(t, m, d)
-			if goodput := m.total(-1).onTime / (float64(tc.places) * d.Seconds()); goodput < 0.9 {
+			if goodput := m.total(-1).onTime / (float64(tc.slots) * d.Seconds()); goodput < 0.9 {
 				t.Errorf("goodput is %.1f%% of capacity", 100*goodput)
 			}
 			if top := m.total(0); top.onTime < 0.99*top.offered {
@@ -152,12 +152,12 @@
 	p, seen := m.entries[0], map[time.Duration]bool{}
 	first, last := maxRetryAfter, time.Duration(0)
 	for i := range 50 {
-		v := p.Decide(m.now, Request{Tier: 3, Customer: fmt.Sprint(i), Work: second, MaxWait: 3 * second}, View{})
-		if v.Admit || v.RetryAfter < minRetryAfter || v.RetryAfter > maxRetryAfter {
-			t.Fatalf("decision %d: %+v", i, v)
+		d := p.Decide(m.now, Request{Tier: 3, Customer: fmt.Sprint(i), Work: second, MaxWait: 3 * second}, View{})
+		if d.Admit || d.RetryAfter < minRetryAfter || d.RetryAfter > maxRetryAfter {
+			t.Fatalf("decision %d: %+v", i, d)
 		}
-		seen[v.RetryAfter] = true
-		first, last = min(first, v.RetryAfter), max(last, v.RetryAfter)
+		seen[d.RetryAfter] = true
+		first, last = min(first, d.RetryAfter), max(last, d.RetryAfter)
 	}
 	if last-first < 4*second || len(seen) < 50 {
 		t.Fatalf("50 seconds of work for 12 slots got %d different times within %v", len(seen), last-first)
@@ -169,8 +169,8 @@
 func TestColdStartAdmits(t *testing.T) {
 	p := New(Config{})
 	for i := range 1000 {
-		if v := p.Decide(0, Request{Tier: 3, Customer: "a", Work: second, MaxWait: second}, View{}); !v.Admit {
-			t.Fatalf("request %d: %+v", i, v)
+		if d := p.Decide(0, Request{Tier: 3, Customer: "a", Work: second, MaxWait: second}, View{}); !d.Admit {
+			t.Fatalf("request %d: %+v", i, d)
 		}
 		p.RecordArrival(0, 3, "a", second)
 	}
@@ -188,8 +188,8 @@
 		p.RecordStart(now+time.Millisecond, 1, "a", second)
 	}
 	for i := range 100 {
-		if v := p.Decide(now, Request{Tier: 1, Customer: "a", Work: second, MaxWait: 20 * second}, View{Slots: 50}); !v.Admit {
-			t.Fatalf("request %d of a burst for 50 slots: %+v", i, v)
+		if d := p.Decide(now, Request{Tier: 1, Customer: "a", Work: second, MaxWait: 20 * second}, View{Slots: 50}); !d.Admit {
+			t.Fatalf("request %d of a burst for 50 slots: %+v", i, d)
 		}
 		p.RecordArrival(now, 1, "a", second)
 	}
@@ -264,7 +264,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"decide": func(t *rapid.T) {
 				w := waiting{uint8(rapid.IntRange(0, 3).Draw(t, "tier")), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer"), time.Duration(rapid.IntRange(0, 100).Draw(t, "work")) * second / 10}
-				v := View{LowerServed: rapid.Bool().Draw(t, "lower") && w.tier < 3, ServedTiers: uint8(rapid.IntRange(0, 15).Draw(t, "served")), Slots: rapid.IntRange(0, 4).Draw(t, "places")}
+				v := View{LowerServed: rapid.Bool().Draw(t, "lower") && w.tier < 3, ServedTiers: uint8(rapid.IntRange(0, 15).Draw(t, "served")), Slots: rapid.IntRange(0, 4).Draw(t, "slots")}
 				got := p.Decide(now, Request{Tier: w.tier, Customer: w.customer, Work: w.work, MaxWait: second}, v)
 				switch {
 				case !got.Admit && (v.LowerServed || v.ServedTiers>>(w.tier+1) != 0):
