--- a/core/admit/admit_test.go
+++ b/core/admit/admit_test.go
@@ -13,6 +13,8 @@
 	return Request{PromptTokens: 6000, OutputTokens: 400, Target: time.Second, UntilTarget: time.Second, UntilDeadline: 15 * time.Second, AvoidEndpoint: -1}
 }
 
+// While an endpoint has free slots, a request must go neither to a full endpoint nor to one
+// that failed.
 func TestDecidePrefersLeastLoaded(t *testing.T) {
 	es := []Endpoint{
 		{Usable: true, Slots: 9, Requests: 9, OutputTokens: 1800, Pace: testPace()},
@@ -88,6 +90,8 @@
 	}
 }
 
+// An answer that cannot be complete by the deadline would only take a slot from other
+// requests.
 func TestAnswerThatCannotEndInTimeIsRefused(t *testing.T) {
 	r := testRequest()
 	r.OutputTokens = 8000
@@ -107,6 +111,8 @@
 	}
 }
 
+// The endpoints of a pool differ in speed. With one pace for all of them, predictions would
+// be too short for the slow ones and too long for the fast ones.
 func TestLearnerLearnsPacePerEndpoint(t *testing.T) {
 	l := NewLearner()
 	for range 60 {
--- a/core/canary/canary_test.go
+++ b/core/canary/canary_test.go
@@ -59,6 +59,7 @@
 
 func neverFails(int) bool { return false }
 
+// A version whose answers never fail must replace the old one.
 func TestGoodVersionCompletes(t *testing.T) {
 	c := newTestController()
 	last, _ := sendLoad(c, second, 12*second, neverFails)
@@ -67,6 +68,7 @@
 	}
 }
 
+// A version that fails a third of its answers must be rolled back after few requests.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	c := newTestController()
 	last, sent := sendLoad(c, second, 12*second, func(n int) bool { return n%3 == 0 })
@@ -136,6 +138,8 @@
 	}
 }
 
+// The target of an order has no endpoints. The order must end, and the old version must
+// stay in service.
 func TestOrderWithoutEndpointsIsRolledBack(t *testing.T) {
 	c := New(Limit{Share: 0.1, Slack: 50})
 	c.RecordOrdersRead(0)
@@ -146,6 +150,8 @@
 	}
 }
 
+// An order of the only version in service must complete at once, as there is no other
+// version to move from.
 func TestOrderOfVersionInServiceCompletes(t *testing.T) {
 	c := New(Limit{Share: 0.1, Slack: 50})
 	c.RecordOrdersRead(0)
@@ -278,6 +284,8 @@
 	}
 }
 
+// Peers report their counts again when asked to resend them. The counts must not be added a
+// second time.
 func TestRepeatedReportsAreCountedOnce(t *testing.T) {
 	sender, receiver := newTestController(), newTestController()
 	for range 30 {
--- a/core/fresh/model_test.go
+++ b/core/fresh/model_test.go
@@ -143,6 +143,7 @@
 	}},
 }
 
+// Knowledge was once too old on these schedules and must not be so again.
 func TestShortestSchedules(t *testing.T) {
 	for _, tc := range shortestSchedules {
 		t.Run(tc.name, func(t *testing.T) {
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -59,10 +59,10 @@
 	// overdrawn the bucket.
 	tokens   float64
 	filledAt time.Duration
-	// sent counts the requests of this entry; peers holds the counts that peers have
-	// reported.
-	sent  float64
-	peers map[string]float64
+	// sentCount is the number of requests that this entry has sent under limits. peerCounts
+	// holds the numbers that peers have reported for themselves.
+	sentCount  float64
+	peerCounts map[string]float64
 	// dirty is set while the latest change has not been reported to peers.
 	dirty bool
 }
@@ -93,7 +93,7 @@
 	if len(l.endpoints) >= maxEndpoints {
 		return nil
 	}
-	b := &bucket{filledAt: now, peers: make(map[string]float64)}
+	b := &bucket{filledAt: now, peerCounts: make(map[string]float64)}
 	l.endpoints[id] = b
 	return b
 }
@@ -156,7 +156,7 @@
 
 func (l *Limiter) spend(id string, n float64) {
 	if b := l.endpoints[id]; b != nil && b.limited {
-		b.sent += n
+		b.sentCount += n
 		b.tokens -= n
 		b.dirty = true
 	}
@@ -189,12 +189,12 @@
 func (l *Limiter) Reports(now time.Duration, resend bool) []Report {
 	var out []Report
 	for id, b := range l.endpoints {
-		b.dirty = b.dirty || resend && b.limited && b.sent > 0
+		b.dirty = b.dirty || resend && b.limited && b.sentCount > 0
 		if !b.dirty || len(out) >= maxReports {
 			continue
 		}
 		b.dirty = false
-		out = append(out, Report{Endpoint: id, Rate: b.rate, Limited: b.limited, Age: max(now-b.observedAt, 0), Sent: b.sent})
+		out = append(out, Report{Endpoint: id, Rate: b.rate, Limited: b.limited, Age: max(now-b.observedAt, 0), Sent: b.sentCount})
 	}
 	return out
 }
@@ -215,8 +215,8 @@
 	if observedAt := now - r.Age; added || observedAt > b.observedAt {
 		changed = b.setLimit(now, observedAt, r.Rate, r.Limited)
 	}
-	previous, known := b.peers[peer]
-	b.peers[peer] = r.Sent
+	previous, known := b.peerCounts[peer]
+	b.peerCounts[peer] = r.Sent
 	if known {
 		b.tokens -= r.Sent - previous
 	} else {
@@ -229,6 +229,6 @@
 // Forget drops the counts of a peer that was restarted.
 func (l *Limiter) Forget(peer string) {
 	for _, b := range l.endpoints {
-		delete(b.peers, peer)
+		delete(b.peerCounts, peer)
 	}
 }
--- a/core/queue/next.go
+++ b/core/queue/next.go
@@ -35,22 +35,22 @@
 // It examines at most maxScanned items of a tier before it goes on to the next
 // tier.
 func (q *Queue) PopFitting(now time.Duration, fit func(Item) Fit) (Item, bool) {
-	q.setAside = q.setAside[:0]
+	q.detachedNodes = q.detachedNodes[:0]
 	found := q.findFitting(now, fit)
-	for _, n := range q.setAside {
+	for _, n := range q.detachedNodes {
 		q.tiers[n.Tier].push(n)
 	}
 	if found == nil {
 		return Item{}, false
 	}
-	for _, n := range q.setAside {
+	for _, n := range q.detachedNodes {
 		n.skips++
 	}
 	return q.removeNode(found, true), true
 }
 
 // findFitting returns the first item that fits, or nil. It detaches the items
-// that do not fit and appends them to q.setAside.
+// that do not fit and appends them to q.detachedNodes.
 func (q *Queue) findFitting(now time.Duration, fit func(Item) Fit) *node {
 	for i := range q.tiers {
 		t := &q.tiers[i]
@@ -67,7 +67,7 @@
 				}
 			}
 			t.detach(n)
-			q.setAside = append(q.setAside, n)
+			q.detachedNodes = append(q.detachedNodes, n)
 		}
 	}
 	return nil
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -99,9 +99,9 @@
 	freeFlows []*flow
 	// removed is the buffer that RemoveExpired and DropAbove return.
 	removed []Item
-	// setAside holds the items that PopFitting has detached because they did
-	// not fit. It puts them back before it returns.
-	setAside []*node
+	// detachedNodes holds the items that PopFitting has detached because they
+	// did not fit. It puts them back before it returns.
+	detachedNodes []*node
 }
 
 // New returns an empty queue.
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -84,9 +84,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			q := New(Config{MaxItems: 2})
 			fill(t, q, tc.waiting...)
-			evicted, did, err := q.Push(0, tc.it)
-			if err != tc.err || did != (tc.want != 0) || int(evicted.ID[ident.Size-1]) != tc.want {
-				t.Fatalf("evicted %v %v, error %v", evicted.ID, did, err)
+			evicted, didEvict, err := q.Push(0, tc.it)
+			if err != tc.err || didEvict != (tc.want != 0) || int(evicted.ID[ident.Size-1]) != tc.want {
+				t.Fatalf("evicted %v %v, error %v", evicted.ID, didEvict, err)
 			}
 		})
 	}
@@ -240,8 +240,8 @@
 				it := item(n, uint8(rapid.IntRange(0, spec.Tiers-1).Draw(t, "tier")), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer"),
 					time.Duration(rapid.IntRange(0, 100).Draw(t, "cost"))*second, time.Duration(rapid.IntRange(0, 50).Draw(t, "due"))*second)
 				it.Deadline = it.StartBy * 2
-				evicted, did, err := q.Push(now, it)
-				if did {
+				evicted, didEvict, err := q.Push(now, it)
+				if didEvict {
 					if evicted.Tier < it.Tier {
 						t.Fatal("an item of a higher tier was evicted")
 					}
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -63,13 +63,13 @@
 
 type bucket struct {
 	limit Limit
-	// level is the number of units left, at most the burst. It is negative if requests or
-	// peers used more than was left.
-	level float64
-	// used is the total number of units that this entry admitted and that were not
+	// unitsLeft is at most the burst. It is negative if requests or peers used more than
+	// was left.
+	unitsLeft float64
+	// usedUnits is the total number of units that this entry admitted and that were not
 	// returned.
-	used     float64
-	filledAt time.Duration
+	usedUnits float64
+	filledAt  time.Duration
 }
 
 // New returns a limiter for an entry that knows no other entry.
@@ -89,7 +89,7 @@
 func (q *Limiter) Take(now time.Duration, customer string, l Limit, n float64) (wait time.Duration, ok bool) {
 	b := q.bucket(now, customer, l)
 	if l.Rate <= 0 {
-		b.used += n
+		b.usedUnits += n
 		return 0, true
 	}
 	share := q.reachableShare()
@@ -98,11 +98,11 @@
 	// before the next one is admitted. If a request had to wait until its full size is
 	// available, the small requests of a customer at its limit would use up each unit, and
 	// its large requests would never be admitted.
-	if b.level <= 0 {
-		return minWait + time.Duration(-b.level/(l.Rate*share)*float64(time.Second)), false
+	if b.unitsLeft <= 0 {
+		return minWait + time.Duration(-b.unitsLeft/(l.Rate*share)*float64(time.Second)), false
 	}
-	b.level -= n
-	b.used += n
+	b.unitsLeft -= n
+	b.usedUnits += n
 	return 0, true
 }
 
@@ -111,8 +111,8 @@
 // whose requests are refused for lack of capacity as one over its limit.
 func (q *Limiter) Return(customer string, n float64) {
 	if b := q.buckets[customer]; b != nil {
-		b.level = min(b.level+n, b.limit.Burst)
-		b.used -= n
+		b.unitsLeft = min(b.unitsLeft+n, b.limit.Burst)
+		b.usedUnits -= n
 	}
 }
 
@@ -135,7 +135,7 @@
 		// the burst of it still matters.
 		total, previous = b.limit.Burst, 0
 	}
-	b.level = min(b.level-(total-previous), b.limit.Burst)
+	b.unitsLeft = min(b.unitsLeft-(total-previous), b.limit.Burst)
 }
 
 // Forget drops the totals of a peer that is gone.
@@ -151,7 +151,7 @@
 // OwnTotals calls f with this entry's total for each customer that has sent requests to it.
 func (q *Limiter) OwnTotals(f func(customer string, total float64)) {
 	for name, b := range q.buckets {
-		f(name, b.used)
+		f(name, b.usedUnits)
 	}
 }
 
@@ -163,7 +163,7 @@
 func (q *Limiter) bucket(now time.Duration, customer string, l Limit) *bucket {
 	b := q.buckets[customer]
 	if b == nil {
-		b = &bucket{level: l.Burst * initialBurstShare, filledAt: now}
+		b = &bucket{unitsLeft: l.Burst * initialBurstShare, filledAt: now}
 		q.buckets[customer] = b
 	}
 	b.limit = l
@@ -174,10 +174,10 @@
 	elapsed := now - b.filledAt
 	b.filledAt = now
 	if elapsed > 0 {
-		b.level += b.limit.Rate * share * elapsed.Seconds()
+		b.unitsLeft += b.limit.Rate * share * elapsed.Seconds()
 	}
-	b.level = min(b.level, b.limit.Burst*share)
+	b.unitsLeft = min(b.unitsLeft, b.limit.Burst*share)
 	// Use beyond the limit counts against the customer for no longer than it takes to
 	// refill a whole burst.
-	b.level = max(b.level, -b.limit.Burst)
+	b.unitsLeft = max(b.unitsLeft, -b.limit.Burst)
 }
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -92,6 +92,7 @@
 	}
 }
 
+// A refused caller that returns after the wait must be admitted if no other request came.
 func TestTakeReturnsWaitUntilAdmission(t *testing.T) {
 	q := New()
 	limit := Limit{Rate: 100, Burst: 100}
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -42,28 +42,28 @@
 	revision     int64
 	// revisionBeforeDeferred is the revision before the first deferred removal.
 	revisionBeforeDeferred int64
-	// platformAway is set while the platform does not answer, since awaySince.
-	platformAway bool
-	awaySince    time.Duration
-	// backAt is the end of the last outage longer than maxHarmlessOutage, valid if
+	// inOutage is set while the platform does not answer. The outage began at outageSince.
+	inOutage    bool
+	outageSince time.Duration
+	// recoveredAt is the end of the last outage longer than maxHarmlessOutage, valid if
 	// hadOutage is set.
-	backAt    time.Duration
-	hadOutage bool
+	recoveredAt time.Duration
+	hadOutage   bool
 }
 
 // RecordOutage records that the platform does not answer.
 func (t *Tracker) RecordOutage(now time.Duration) {
-	if !t.platformAway {
-		t.platformAway, t.awaySince = true, now
+	if !t.inOutage {
+		t.inOutage, t.outageSince = true, now
 	}
 }
 
 // RecordRecovery records that the platform answers.
 func (t *Tracker) RecordRecovery(now time.Duration) {
-	if t.platformAway && now-t.awaySince > maxHarmlessOutage {
-		t.hadOutage, t.backAt = true, now
+	if t.inOutage && now-t.outageSince > maxHarmlessOutage {
+		t.hadOutage, t.recoveredAt = true, now
 	}
-	t.platformAway = false
+	t.inOutage = false
 }
 
 // ReplaceAll replaces the list by the one of the given revision.
@@ -101,7 +101,7 @@
 }
 
 func (t *Tracker) removeOrDefer(now time.Duration, id string) {
-	if !t.hadOutage || now-t.backAt > deferWindow {
+	if !t.hadOutage || now-t.recoveredAt > deferWindow {
 		delete(t.endpoints, id)
 		delete(t.removalDueAt, id)
 		return
@@ -110,7 +110,7 @@
 		t.revisionBeforeDeferred = t.revision
 	}
 	if _, ok := t.removalDueAt[id]; !ok {
-		t.removalDueAt[id] = t.backAt + deferTime
+		t.removalDueAt[id] = t.recoveredAt + deferTime
 	}
 }
 
--- a/core/shard/shard_test.go
+++ b/core/shard/shard_test.go
@@ -56,6 +56,8 @@
 	})
 }
 
+// A small pool must have one shard. Zones must have their own shards only if they have
+// enough endpoints.
 func TestLayout(t *testing.T) {
 	for _, tt := range []struct {
 		zones, each, shards int
@@ -79,6 +81,8 @@
 	}
 }
 
+// Requests must stay in their own zone unless it is crowded, and may wait only if no other
+// shard has a free slot.
 func TestChoose(t *testing.T) {
 	key := func(z string) shard.Key { return shard.Key{Zone: z} }
 	for _, tt := range []struct {
--- a/core/waitq/await_test.go
+++ b/core/waitq/await_test.go
@@ -111,6 +111,8 @@
 	}
 }
 
+// Free slots must go to requests of higher tiers first. The entries with requests of the
+// same tier share the rest.
 func TestContention(t *testing.T) {
 	for _, tt := range []struct {
 		name       string
