--- a/core/queue/next.go
+++ b/core/queue/next.go
@@ -25,8 +25,8 @@
 	// maxSkips is the number of items that may run before one for which fit
 	// returns SkipLimited.
 	maxSkips = 16
-	// maxScanned is the number of items of one tier that PopFitting examines.
-	maxScanned = 32
+	// maxExamined is the number of items of one tier that PopFitting examines.
+	maxExamined = 32
 )
 
 // PopFitting removes and returns the first item, in the order of Pop, for which
@@ -35,26 +35,26 @@
 // It examines at most maxScanned items of a tier before it goes on to the next
 // tier.
 func (q *Queue) PopFitting(now time.Duration, fit func(Item) Fit) (Item, bool) {
-	q.setAside = q.setAside[:0]
+	q.detachedNodes = q.detachedNodes[:0]
 	found := q.findFitting(now, fit)
-	for _, n := range q.setAside {
+	for _, n := range q.detachedNodes {
 		q.tiers[n.Tier].push(n)
 	}
 	if found == nil {
 		return Item{}, false
 	}
-	for _, n := range q.setAside {
+	for _, n := range q.detachedNodes {
 		n.skips++
 	}
 	return q.removeNode(found, true), true
 }
 
 // findFitting returns the first item that fits, or nil. It detaches the items
-// that do not fit and appends them to q.setAside.
+// that do not fit and appends them to q.detachedNodes.
 func (q *Queue) findFitting(now time.Duration, fit func(Item) Fit) *node {
 	for i := range q.tiers {
 		t := &q.tiers[i]
-		for examined := 0; t.count > 0 && examined < maxScanned; examined++ {
+		for examined := 0; t.count > 0 && examined < maxExamined; examined++ {
 			n := t.head(now)
 			switch fit(n.Item) {
 			case Fits:
@@ -67,7 +67,7 @@
 				}
 			}
 			t.detach(n)
-			q.setAside = append(q.setAside, n)
+			q.detachedNodes = append(q.detachedNodes, n)
 		}
 	}
 	return nil
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -22,7 +22,8 @@
 //
 // With latePopEvery at 16, more than nine tenths of the endpoint is left to
 // work that can still meet its target, which is the goodput required under
-// overload. maxSkips and the scan limits bound the cost of PopFitting.
+// overload. maxSkips and maxExamined bound the cost of PopFitting, and
+// evictionScan bounds that of an eviction.
 package queue
 
 import (
@@ -98,9 +99,9 @@
 	freeFlows []*flow
 	// removed is the buffer that RemoveExpired and DropAbove return.
 	removed []Item
-	// setAside holds the items that PopFitting has detached because they did
-	// not fit. It puts them back before it returns.
-	setAside []*node
+	// detachedNodes holds the items that PopFitting has detached because they
+	// did not fit. It puts them back before it returns.
+	detachedNodes []*node
 }
 
 // New returns an empty queue.
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -39,7 +39,7 @@
 
 // Pop must return items in order of tier, then of the customers' fair shares,
 // then of lateness, urgency and arrival.
-func TestOrder(t *testing.T) {
+func TestPopOrder(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		now   time.Duration
@@ -84,9 +84,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			q := New(Config{MaxItems: 2})
 			fill(t, q, tc.waiting...)
-			evicted, did, err := q.Push(0, tc.it)
-			if err != tc.err || did != (tc.want != 0) || int(evicted.ID[ident.Size-1]) != tc.want {
-				t.Fatalf("evicted %v %v, error %v", evicted.ID, did, err)
+			evicted, didEvict, err := q.Push(0, tc.it)
+			if err != tc.err || didEvict != (tc.want != 0) || int(evicted.ID[ident.Size-1]) != tc.want {
+				t.Fatalf("evicted %v %v, error %v", evicted.ID, didEvict, err)
 			}
 		})
 	}
@@ -203,7 +203,7 @@
 // tier. Short items of a lower tier must still get the remaining slots.
 func TestPopFittingReachesLowerTiers(t *testing.T) {
 	q := New(Config{})
-	for n := range 3 * maxScanned {
+	for n := range 3 * maxExamined {
 		fill(t, q, item(n, 1, "a", 100*second, 0))
 	}
 	fill(t, q, item(1000, 2, "b", second, 0))
@@ -213,7 +213,7 @@
 		}
 		return Fits
 	})
-	if !ok || it.Tier != 2 || q.Len() != 3*maxScanned {
+	if !ok || it.Tier != 2 || q.Len() != 3*maxExamined {
 		t.Fatalf("got %+v, %d left", it, q.Len())
 	}
 }
@@ -240,8 +240,8 @@
 				it := item(n, uint8(rapid.IntRange(0, spec.Tiers-1).Draw(t, "tier")), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer"),
 					time.Duration(rapid.IntRange(0, 100).Draw(t, "cost"))*second, time.Duration(rapid.IntRange(0, 50).Draw(t, "due"))*second)
 				it.Deadline = it.StartBy * 2
-				evicted, did, err := q.Push(now, it)
-				if did {
+				evicted, didEvict, err := q.Push(now, it)
+				if didEvict {
 					if evicted.Tier < it.Tier {
 						t.Fatal("an item of a higher tier was evicted")
 					}
