--- a/entry/direct/beside.go
+++ b/entry/direct/beside.go
@@ -14,12 +14,12 @@
 	"lycheepond/entry/hop"
 )
 
-// maxOverlap is how long a late attempt continues after its replacement was sent. An endpoint
-// that declines or is gone responds within a round trip. An endpoint that accepts the job must
-// not share it with the late one for longer, because both would work on one answer.
+// maxOverlap is how long a late attempt continues after its replacement was sent. Within a
+// round trip it is known whether the other endpoint declines or accepts no connection. If that
+// endpoint accepts the job, the late one must end soon, because both work on the same answer.
 const maxOverlap = 200 * time.Millisecond
 
-// exchange is the sending of a request to an endpoint, up to the head of the answer.
+// exchange is one request to an endpoint, up to the head of the answer.
 type exchange struct {
 	task    *task
 	attempt *attempt
--- a/entry/direct/canary.go
+++ b/entry/direct/canary.go
@@ -14,15 +14,16 @@
 	"lycheepond/core/wire"
 )
 
-// minPacedTokens is the least number of output tokens from which a time per token is measured.
+// minPacedTokens is the smallest number of output tokens from which a time per token is
+// computed.
 const minPacedTokens = 20
 
-// defaultSpread is how much endpoints are assumed to differ while too few of their paces are
-// known.
+// defaultSpread is how much the paces of endpoints are assumed to differ while too few of them
+// are known.
 var defaultSpread = canary.Spread{Deviation: 0.5}
 
-// SetOrder applies a rollout order as the platform has it, with the state and the target in
-// its status.
+// SetOrder applies a rollout order as the platform stores it, with the state and the target
+// in its status.
 func (d *Director) SetOrder(o canary.Order, s canary.State, target string) {
 	d.updateRollouts(func(now time.Duration) {
 		d.view.rollouts.AddOrder(now, o, 0)
@@ -72,8 +73,8 @@
 	}
 }
 
-// updateVersions tells the rollout book which versions the pools have and at how many
-// endpoints that are not leaving.
+// updateVersions passes to the rollout controller which versions the pools have, and at how
+// many endpoints that are not leaving.
 func (v *view) updateVersions(now time.Duration) {
 	if !v.rollouts.Active() {
 		return
@@ -100,7 +101,7 @@
 	}
 	now := time.Now()
 	e := d.trialEndpoint(j, p, now)
-	if e == nil || d.view.queueCounts.competition(poolTier{p.name, j.Tier}, 0, 0).HigherTier > 0 || p.queue.CountAhead(d.queuePosition(j, p)) > 0 {
+	if e == nil || d.view.queueCounts.contention(poolTier{p.name, j.Tier}, 0, 0).HigherTier > 0 || p.queue.CountAhead(d.queuePosition(j, p)) > 0 {
 		return nil, admit.Decision{}, false
 	}
 	_, knownEntries := d.cfg.EntryCounts()
@@ -133,7 +134,7 @@
 	offset := d.view.rollouts.PreferredEndpoint(since, p.name, len(p.trialEndpoints))
 	for i := range p.trialEndpoints {
 		e := p.trialEndpoints[(offset+i)%len(p.trialEndpoints)]
-		if e.ownWork.requests+e.peerWork.requests < maxRequests && e.warmAt <= since && d.view.trust.Usable(since, e.ID) && !e.hasMoved(now) {
+		if e.ownWork.requests+e.peerWork.requests < maxRequests && e.warmAt <= since && d.view.health.Usable(since, e.ID) && !e.hasMoved(now) {
 			return e
 		}
 	}
@@ -182,8 +183,8 @@
 	}
 }
 
-// evaluateRollouts evaluates the versions on trial and hands over the status writes that
-// follow.
+// evaluateRollouts evaluates the versions on trial and passes the resulting status writes to
+// Config.WriteRollout.
 func (d *Director) evaluateRollouts() {
 	if !d.view.rollouts.Active() {
 		return
--- a/entry/direct/cause.go
+++ b/entry/direct/cause.go
@@ -77,9 +77,9 @@
 	return Result{Outcome: CallerLeft, Reason: "caller left"}
 }
 
-// writeFailed returns the result of an attempt whose answer could not be written to the
+// writeErrorResult returns the result of an attempt whose answer could not be written to the
 // caller.
-func (t *task) writeFailed(err error) attemptResult {
+func (t *task) writeErrorResult(err error) attemptResult {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		t.d.countGivenUp("untaken")
 		return finalResult(ClosedByEntry, "caller did not take the answer in time")
--- a/entry/direct/cause_test.go
+++ b/entry/direct/cause_test.go
@@ -24,28 +24,28 @@
 	beforeHead  = -2
 )
 
-// newPausing returns an endpoint that pauses once in its answer: a stream of four events, n of
-// which come before the pause, or a unary answer. A stream that is resumed after the pause has
-// none.
-func newPausing(t *testing.T, n int, pause time.Duration) *testEndpoint {
-	return newPausingEach(t, n, func() time.Duration { return pause })
+// newPausing returns an endpoint that pauses once in its answer: a stream of four events, of
+// which pauseAfter come before the pause, or a unary answer. A stream that is resumed after the
+// pause has none.
+func newPausing(t *testing.T, pauseAfter int, pause time.Duration) *testEndpoint {
+	return newPausingEach(t, pauseAfter, func() time.Duration { return pause })
 }
 
 // newPausingEach is like newPausing, with a separate pause for each request.
-func newPausingEach(t *testing.T, n int, pause func() time.Duration) *testEndpoint {
+func newPausingEach(t *testing.T, pauseAfter int, pause func() time.Duration) *testEndpoint {
 	return newTestEndpoint(t, func(e *testEndpoint, c net.Conn, req *http.Request) {
-		if n == beforeUnary {
+		if pauseAfter == beforeUnary {
 			if e.pause(c, pause()) {
 				writeWhole(c, http.StatusOK, "answer")
 			}
 			return
 		}
-		if n == beforeHead && !e.pause(c, pause()) {
+		if pauseAfter == beforeHead && !e.pause(c, pause()) {
 			return
 		}
 		writeStreamHead(c)
 		for i := lastEventOf(req) + 1; i <= 4; i++ {
-			if i == n+1 && !e.pause(c, pause()) {
+			if i == pauseAfter+1 && !e.pause(c, pause()) {
 				return
 			}
 			writeChunk(c, streamEvent(i))
@@ -56,8 +56,8 @@
 
 const fourEvents = "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\n"
 
-// Guards against a log that calls every answer that ended early broken. Such a log would not
-// tell an endpoint that broke off from an entry that gave up the attempt.
+// Guards against a log that reports every answer that ended early as broken. Such a log would
+// not distinguish an endpoint that broke off from an entry that gave up the attempt.
 func TestLogNamesCauseOfEndedAttempt(t *testing.T) {
 	newPrompt := func(t *testing.T) *testEndpoint { return newPausing(t, 9, 0) }
 	for _, tt := range []struct {
--- a/entry/direct/crowd_test.go
+++ b/entry/direct/crowd_test.go
@@ -31,7 +31,8 @@
 	a.finish(health.Success)
 }
 
-// requestKind is a kind of request of the replayed workload.
+// requestKind is a kind of request of the replayed workload: its tier, how many arrive per
+// second, and the mean numbers of prompt and output tokens.
 type requestKind struct {
 	tier           int
 	rate           float64
@@ -181,10 +182,10 @@
 	}
 }
 
-// inversions counts the requests of the highest tier, those of them that were refused, and
+// countInversions counts the requests of the highest tier, those of them that were refused, and
 // those refused while a request of a lower tier was admitted. The last two events must be no
 // further apart than within, the time in which entries learn of each other's admissions.
-func inversions(results []requestResult, within time.Duration) (top, refused, inverted int) {
+func countInversions(results []requestResult, within time.Duration) (top, refused, inverted int) {
 	for _, r := range results {
 		if r.tier != 0 {
 			continue
@@ -228,7 +229,7 @@
 			kinds: []requestKind{{0, 50 * tt.scale, 2890, 50}, {1, 59 * tt.scale, 1800, 22}, {2, 21 * tt.scale, 543, 280}},
 		}
 		results := w.replay(t)
-		top, refused, inverted := inversions(results, tallyInterval)
+		top, refused, inverted := countInversions(results, tallyInterval)
 		inTime := 0
 		for _, r := range results {
 			if r.tier == 0 && r.metTarget {
--- a/entry/direct/direct.go
+++ b/entry/direct/direct.go
@@ -1,10 +1,11 @@
 // Package direct serves requests by calling endpoints from the entry itself. It is for
-// endpoints without an agent and for platforms on which any other process may be missing.
+// endpoints without an agent and for platforms on which an entry can't rely on any other
+// process.
 //
-// The decisions are made by core/admit (admission and placement), core/health (trust in
-// endpoints) and core/quota (customer limits). This package keeps their state in one place,
-// carries requests and answers, and decides what a failure means: whether the request may be
-// sent again, and what the caller may be told.
+// The decisions are made by core/admit (admission and placement), core/health (usability of
+// endpoints) and core/quota (customer limits). This package keeps their state, forwards
+// requests and answers, and decides what a failure means: whether the request may be sent
+// again, and which outcome the caller gets.
 package direct
 
 import (
@@ -43,7 +44,7 @@
 	// EntryCounts returns how many entries this one can reach and how many may be running.
 	EntryCounts func() (reachable, known int)
 	Peers       Peers
-	// StampHeaders sets the headers that tell the endpoint about the attempt.
+	// StampHeaders sets the headers that describe the attempt to the endpoint.
 	StampHeaders func(r *hop.Request, o AttemptInfo)
 	// IsAnswerTo reports whether the head of an answer belongs to the request with the given
 	// ID.
@@ -74,9 +75,9 @@
 	view *view
 	// runningJobs counts the jobs without a final answer.
 	runningJobs int
-	// lastPlacementID is the ID of the latest placement request to a shard owner. pendingPlacements
-	// holds the placement requests without an answer. ownerAttempts holds, by owner and ID,
-	// the attempts that owners count.
+	// lastPlacementID is the ID of the latest placement request to a shard owner.
+	// pendingPlacements holds the placement requests without an answer. ownerAttempts holds,
+	// by owner and ID, the attempts that owners count.
 	lastPlacementID   uint64
 	pendingPlacements map[uint64]*pendingPlacement
 	ownerAttempts     map[string]map[uint64]*attempt
@@ -177,7 +178,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	t := new(wire.Tally)
-	for _, h := range d.view.heldByPeer[peer] {
+	for _, h := range d.view.peerLoads[peer] {
 		t.Endpoints = append(t.Endpoints, h)
 	}
 	d.view.quota.PeerTotals(peer, func(customer string, total float64) {
@@ -187,7 +188,7 @@
 	return t
 }
 
-// HandlePeerLoss drops the work of a peer that has fallen silent.
+// HandlePeerLoss drops the work of a peer that is silent.
 func (d *Director) HandlePeerLoss(peer string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -214,7 +215,7 @@
 	})
 	for id, e := range v.endpoints {
 		if full && e.ownWork.requests > 0 || v.unreportedWork[id] {
-			t.Endpoints = append(t.Endpoints, e.heldReport())
+			t.Endpoints = append(t.Endpoints, e.loadReport())
 		}
 	}
 	if full {
@@ -231,7 +232,8 @@
 	return t
 }
 
-func (e *endpoint) heldReport() wire.EndpointLoad {
+// loadReport returns this entry's own work at the endpoint, as reported to the peers.
+func (e *endpoint) loadReport() wire.EndpointLoad {
 	return wire.EndpointLoad{
 		Endpoint: e.ID, Requests: uint32(e.ownWork.requests), PromptTokens: uint32(max(e.ownWork.promptTokens, 0)),
 		OutputTokens: uint32(max(e.ownWork.outputTokens, 0)), MemoryTokens: uint32(max(e.ownWork.kvTokens, 0)),
@@ -298,8 +300,9 @@
 const (
 	// sweepInterval is the time between two sweeps of idle connections.
 	sweepInterval = time.Second
-	// probeInterval is the time between two searches for endpoints to probe: a fraction of the
-	// shortest time for which endpoints are avoided.
+	// probeInterval is the time between two rounds of the other periodic work, which includes
+	// the search for endpoints to probe: a fraction of the shortest time for which endpoints
+	// are avoided.
 	probeInterval = 100 * time.Millisecond
 )
 
@@ -309,7 +312,7 @@
 	defer d.mu.Unlock()
 	out := make(map[string]string)
 	now := d.sinceStart(time.Now())
-	d.view.trust.StartConnectProbes(now, func(id string) {
+	d.view.health.StartConnectProbes(now, func(id string) {
 		if e := d.view.endpoints[id]; e != nil {
 			out[id] = e.Addr
 		}
@@ -324,11 +327,11 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if now := d.sinceStart(time.Now()); err != nil {
-		d.view.trust.RecordResult(now, id, health.Unreachable)
+		d.view.health.RecordResult(now, id, health.Unreachable)
 		if e := d.view.endpoints[id]; e != nil && e.Addr == addr && hop.IsRefused(err) {
 			d.recordCrash(e)
 		}
 	} else {
-		d.view.trust.RecordConnected(now, id)
+		d.view.health.RecordConnected(now, id)
 	}
 }
--- a/entry/direct/ending_test.go
+++ b/entry/direct/ending_test.go
@@ -10,10 +10,10 @@
 	"lycheepond/core/route"
 )
 
-// The entry exits while it holds requests. Nobody can wait for their answers, but as long as
-// an answer has not begun, its caller can still be told the outcome: a request that was not
-// sent is refused and may be sent to another entry, one that was sent may have run. An answer
-// that has begun can only be broken off.
+// The entry exits while it holds requests, so their answers can't be awaited. As long as an
+// answer has not begun, its caller must still get the outcome: a request that was not sent is
+// refused and may be sent to another entry, one that was sent may have run. An answer that has
+// begun can only be broken off.
 func TestOutcomesAtEntryShutdown(t *testing.T) {
 	once := route.Route{Timeout: time.Minute, Attempts: 1}
 	for _, tt := range []struct {
--- a/entry/direct/job.go
+++ b/entry/direct/job.go
@@ -138,8 +138,8 @@
 	Silence, SilenceBound time.Duration
 }
 
-// AttemptInfo is what the endpoint is told about an attempt in addition to the caller's
-// headers.
+// AttemptInfo is what the endpoint gets to know about an attempt in addition to the caller's
+// headers. Config.StampHeaders turns it into headers.
 type AttemptInfo struct {
 	Endpoint    string
 	Customer    *route.Customer
--- a/entry/direct/late_test.go
+++ b/entry/direct/late_test.go
@@ -18,10 +18,10 @@
 }
 
 // An endpoint becomes slow: it sends nothing for longer than an answer may pause, and then
-// goes on. If the entry's timer ends the attempt before the entry has checked for a retry, an
-// attempt and room elsewhere, and one of them is missing, the caller loses an answer that was
-// on its way. Its stream breaks off, or it gets a 502 instead of a late answer, and the
-// entry's log says
+// goes on. A replacement needs a retry in the budget, an attempt that the route still allows,
+// and room at another endpoint. If the entry's timer ends the attempt although one of them is
+// missing, the caller loses an answer that was on its way: its stream breaks off, or it gets a
+// 502 instead of a late answer, and the entry's log says
 //
 //	"outcome":"broken","why":"endpoint silent for 1s; no repeat left in the budget"
 //	"outcome":"unknown","why":"no head of the answer for 50ms; no repeat left in the budget"
@@ -110,10 +110,10 @@
 	}
 }
 
-// Distrust keeps requests away from an endpoint. An endpoint that was slow but answered must
-// keep its trust; one that was silent until the time was up must lose it, also if its request
-// could go nowhere else.
-func TestOnlySilenceReducesTrust(t *testing.T) {
+// An unusable endpoint gets no requests. An endpoint that was slow but answered must stay
+// usable; one that was silent until the time was up must become unusable, even if its request
+// could not be sent to another one.
+func TestOnlySilenceMakesEndpointUnusable(t *testing.T) {
 	for _, tt := range []struct {
 		pause time.Duration
 		away  bool
--- a/entry/direct/long_test.go
+++ b/entry/direct/long_test.go
@@ -11,7 +11,7 @@
 // gets a 502 for an answer that was arriving, the endpoint counts as broken, and the request
 // runs once more with the same result.
 func TestLongAnswerIsForwarded(t *testing.T) {
-	long := strings.Repeat("x", maxBufferedAnswer+1)
+	long := strings.Repeat("x", maxBufferedBytes+1)
 	serve := func(_ *testEndpoint, c net.Conn, _ *http.Request) { writeWhole(c, http.StatusOK, long) }
 	first, second := newTestEndpoint(t, serve), newTestEndpoint(t, serve)
 	r := unaryRoute
@@ -30,18 +30,18 @@
 // and no part of another answer may follow.
 func TestTruncatedLongAnswerIsBroken(t *testing.T) {
 	serve := func(_ *testEndpoint, c net.Conn, _ *http.Request) {
-		writeWhole(c, http.StatusOK, strings.Repeat("x", maxBufferedAnswer+1))
+		writeWhole(c, http.StatusOK, strings.Repeat("x", maxBufferedBytes+1))
 	}
 	cut := func(_ *testEndpoint, c net.Conn, _ *http.Request) {
 		writeStreamHead(c)
-		writeChunk(c, strings.Repeat("x", maxBufferedAnswer+1))
+		writeChunk(c, strings.Repeat("x", maxBufferedBytes+1))
 	}
 	first, second := newTestEndpoint(t, cut), newTestEndpoint(t, serve)
 	r := unaryRoute
 	r.Target = r.Timeout
 	h := newHarness(t, r, first, second)
 	got := h.send(t.Context(), "x", callerAnswer{})
-	if got.Outcome != Broken || got.body.Len() > maxBufferedAnswer+1 || second.runs.Load() > 0 {
+	if got.Outcome != Broken || got.body.Len() > maxBufferedBytes+1 || second.runs.Load() > 0 {
 		t.Errorf("%v, %q: %d bytes", got.Outcome, got.Reason, got.body.Len())
 	}
 }
--- a/entry/direct/place.go
+++ b/entry/direct/place.go
@@ -23,18 +23,20 @@
 	// ownerAnswerTimeout is how long an owner's answer is awaited, in addition to the time for
 	// which the request may be queued there.
 	ownerAnswerTimeout = 60 * time.Millisecond
-	// maxShards is how many shards may be tried in turn for one request, maxShardsTopTier the
-	// same for a request of the highest tier. The next shard is tried only within
-	// immediateRefusal: a request that has waited longer has no time left for another queue.
+	// maxShards bounds the shards in which a placement is requested for one request, one after
+	// the other; maxShardsTopTier is the bound for a request of the highest tier. After a
+	// refusal the next shard follows only if no more than immediateRefusal has passed: a
+	// request that has waited longer has no time left for another queue.
 	maxShards        = 2
 	maxShardsTopTier = 4
 	immediateRefusal = 20 * time.Millisecond
 	// lateOwnerBackoff is how long an owner that did not answer gets no placement requests.
 	lateOwnerBackoff = 500 * time.Millisecond
-	// noteFraction and noteInterval say when an owner is told about further output: once more
-	// than the expected tokens divided by noteFraction have arrived, or after noteInterval.
-	noteFraction = 4
-	noteInterval = 300 * time.Millisecond
+	// reportDivisor and reportInterval determine when further output is reported to an owner:
+	// once more than the expected tokens divided by reportDivisor have arrived, or after
+	// reportInterval.
+	reportDivisor  = 4
+	reportInterval = 300 * time.Millisecond
 )
 
 // Peers is what a Director needs in order to have other entries place its requests. With the
@@ -55,10 +57,11 @@
 	owner string
 	id    uint64
 	// expectedOutput is how many output tokens were expected, unreportedTokens how many have
-	// arrived since notedAt, when the owner was last notified.
+	// arrived since the last report to the owner at reportedAt.
 	expectedOutput, unreportedTokens int
-	notedAt                          time.Time
-	// reportedRequests is how many requests the endpoint said it has.
+	reportedAt                       time.Time
+	// reportedRequests is how many requests the endpoint said it had when it declined the
+	// attempt.
 	reportedRequests int
 }
 
@@ -69,20 +72,20 @@
 	answer chan *wire.PlaceReply
 }
 
-// notifyOwner tells the owner of the attempt's placement, if there is one, about the attempt's
-// output or end. The caller holds d.mu.
-func (a *attempt) notifyOwner(now time.Time, tokens int, end uint8) {
+// reportToOwner reports the attempt's output or end to the owner of its placement, if there is
+// one. end is wire.PlaceOpen unless the attempt has ended. The caller holds d.mu.
+func (a *attempt) reportToOwner(now time.Time, tokens int, end uint8) {
 	p := a.ownerPlacement
 	if p == nil {
 		return
 	}
 	p.unreportedTokens += tokens
-	isFirst := p.notedAt.IsZero()
-	if end == wire.PlaceOpen && !isFirst && p.unreportedTokens*noteFraction <= p.expectedOutput && now.Sub(p.notedAt) < noteInterval {
+	isFirst := p.reportedAt.IsZero()
+	if end == wire.PlaceOpen && !isFirst && p.unreportedTokens*reportDivisor <= p.expectedOutput && now.Sub(p.reportedAt) < reportInterval {
 		return
 	}
 	a.d.cfg.Peers.Send(p.owner, &wire.PlaceReport{ID: p.id, OutputTokens: uint32(p.unreportedTokens), Outcome: end, EndpointRequests: uint32(max(p.reportedRequests, 0))})
-	p.unreportedTokens, p.notedAt = 0, now
+	p.unreportedTokens, p.reportedAt = 0, now
 	if end != wire.PlaceOpen {
 		delete(a.d.ownerAttempts[p.owner], p.id)
 		a.ownerPlacement = nil
@@ -130,8 +133,8 @@
 	return out
 }
 
-// shardLoads returns the known loads of those shards of a job's pool whose owners may be
-// asked. The caller holds d.mu.
+// shardLoads returns the known loads of those shards of a job's pool that have an owner which
+// is not in backoff. The caller holds d.mu.
 func (d *Director) shardLoads(p *pool, j *Job, now time.Time) []shard.Load {
 	out := make([]shard.Load, 0, len(p.shards))
 	for k, s := range p.shards {
@@ -166,8 +169,8 @@
 		if len(loads) == 0 {
 			break
 		}
-		i, mayWait := shard.Choose(loads, d.view.zone, rand.Float64())
-		a, dec, ok = d.placeInShard(ctx, j, p, loads[i].Key, mayWait || round > 0)
+		i, mayQueue := shard.Choose(loads, d.view.zone, rand.Float64())
+		a, dec, ok = d.placeInShard(ctx, j, p, loads[i].Key, mayQueue || round > 0)
 		if !ok || dec.Endpoint >= 0 || dec.Reason != admit.Full || ctx.Err() != nil || time.Since(start) > immediateRefusal {
 			break
 		}
@@ -181,29 +184,29 @@
 }
 
 // placeInShard has a job placed in a shard. The caller holds d.mu.
-func (d *Director) placeInShard(ctx context.Context, j *Job, p *pool, k shard.Key, mayWait bool) (*attempt, admit.Decision, bool) {
+func (d *Director) placeInShard(ctx context.Context, j *Job, p *pool, k shard.Key, mayQueue bool) (*attempt, admit.Decision, bool) {
 	owner := d.shardOwner(j.Pool.Name, p, k, time.Now())
 	if owner != d.cfg.Peers.Self {
-		return d.requestPlacement(ctx, j, p, k, owner, mayWait)
+		return d.requestPlacement(ctx, j, p, k, owner, mayQueue)
 	}
 	s := p.shards[k]
 	if s == nil {
 		return nil, admit.Decision{}, false
 	}
-	a, dec := d.placeOrWait(ctx, j, p, queueOptions{shard: s, zone: d.view.zone, mayWait: mayWait})
+	a, dec := d.placeOrWait(ctx, j, p, queueOptions{shard: s, zone: d.view.zone, mayQueue: mayQueue})
 	return a, dec, true
 }
 
 // requestPlacement requests a placement from the owner of a shard. The caller holds d.mu,
 // which is released while the answer is awaited.
-func (d *Director) requestPlacement(ctx context.Context, j *Job, p *pool, k shard.Key, owner string, mayWait bool) (*attempt, admit.Decision, bool) {
+func (d *Director) requestPlacement(ctx context.Context, j *Job, p *pool, k shard.Key, owner string, mayQueue bool) (*attempt, admit.Decision, bool) {
 	now := time.Now()
 	d.lastPlacementID++
 	id := d.lastPlacementID
 	pending := &pendingPlacement{owner: owner, answer: make(chan *wire.PlaceReply, 1)}
 	m := &wire.PlaceRequest{
 		ID: id, Pool: j.Pool.Name, Zone: k.Zone, ShardIndex: k.Index, CustomerTier: j.Tier.Customer, RouteTier: j.Tier.Route,
-		TargetUS: j.Route.Target.Microseconds(), TargetLeftUS: j.firstEventDue().Sub(now).Microseconds(), DeadlineLeftUS: j.End().Sub(now).Microseconds(), MayQueue: mayWait,
+		TargetUS: j.Route.Target.Microseconds(), TargetLeftUS: j.firstEventDue().Sub(now).Microseconds(), DeadlineLeftUS: j.End().Sub(now).Microseconds(), MayQueue: mayQueue,
 	}
 	if j.Pool.Engine {
 		m.PromptTokens, m.OutputTokens = uint32(max(j.PromptTokens, 0)), uint32(max(j.OutputTokens, 0))
@@ -213,7 +216,7 @@
 	}
 	d.pendingPlacements[id] = pending
 	wait := ownerAnswerTimeout
-	if mayWait {
+	if mayQueue {
 		wait += waitq.MaxWait(j.Route.Target, j.firstEventDue().Sub(now), 0)
 	}
 	d.mu.Unlock()
@@ -232,7 +235,8 @@
 		delete(d.pendingPlacements, id)
 		d.cfg.Peers.Send(owner, &wire.PlaceReport{ID: id, Outcome: wire.PlaceDropped})
 	} else if got == nil {
-		// The answer, or the end of the link, came at the same moment.
+		// The answer, or the end of the link, arrived at the same moment as the end of the
+		// wait.
 		got = <-pending.answer
 	}
 	switch {
@@ -284,8 +288,8 @@
 	return a, dec, true
 }
 
-// HandlePlaceAck processes an owner's answer to a placement request.
-func (d *Director) HandlePlaceAck(owner string, m *wire.PlaceReply) {
+// HandlePlaceReply processes an owner's answer to a placement request.
+func (d *Director) HandlePlaceReply(owner string, m *wire.PlaceReply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	pending := d.pendingPlacements[m.ID]
--- a/entry/direct/place_test.go
+++ b/entry/direct/place_test.go
@@ -24,7 +24,7 @@
 	// linkDown is set while the link carries no messages.
 	linkDown atomic.Bool
 	cfg      route.Config
-	// route and outputTokens are the index of the next job's route and its output.
+	// route is the index of the next job's route, outputTokens its expected output.
 	route, outputTokens int
 }
 
@@ -69,7 +69,7 @@
 	p.requester, p.owner = entry("asker"), entry("owner")
 	p.session = p.owner.NewSession(t.Context(), "z", func(m wire.Message) error {
 		if !p.linkDown.Load() {
-			go p.requester.HandlePlaceAck("owner", m.(*wire.PlaceReply))
+			go p.requester.HandlePlaceReply("owner", m.(*wire.PlaceReply))
 		}
 		return nil
 	})
@@ -212,7 +212,8 @@
 	})
 }
 
-// The link breaks while a placement request is pending.
+// The link to the owner breaks while a placement request is pending. The requester must place
+// the request itself at once.
 func TestLinkLostDuringPlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newEntryPair(t, 2)
@@ -229,8 +230,9 @@
 	})
 }
 
-// An owner with an older instance list grants a placement at an endpoint that this entry knows
-// to be leaving.
+// An owner with an older instance list grants a placement at an endpoint that the requester
+// knows to be leaving. The request must be placed elsewhere, and the owner must stop counting
+// it.
 func TestGrantAtLeavingEndpointIsDeclined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newEntryPair(t, 1)
@@ -256,8 +258,8 @@
 	})
 }
 
-// An endpoint that declines because it is full looks least loaded, since it declines at once.
-// Guards against choosing it again and again.
+// A full endpoint declines at once and so looks least loaded. Guards against choosing it again
+// and again.
 func TestDeclineRaisesLoadEstimate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newEntryPair(t, 1)
@@ -282,7 +284,7 @@
 }
 
 // The address of a crashed endpoint belongs to another one, which declines at once everything
-// that is sent to the crashed one while that is still listed.
+// that is sent to the crashed one. While the crashed one is still listed, it must be skipped.
 func TestMovedEndpointIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newEntryPair(t, 2)
--- a/entry/direct/plain.go
+++ b/entry/direct/plain.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// maxBufferedAnswer bounds how many bytes of an answer are buffered until it is complete.
-	maxBufferedAnswer = 16 << 20
-	// longReadBuffer is how many bytes of a longer answer are read at once: a few packets.
-	longReadBuffer = 32 << 10
+	// maxBufferedBytes bounds how many bytes of an answer are buffered until it is complete.
+	maxBufferedBytes = 16 << 20
+	// longReadBytes is how many bytes of a longer answer are read at once: a few packets.
+	longReadBytes = 32 << 10
 )
 
 // sendWholeAnswer forwards an answer once it is complete, so that a broken one can still be
 // replaced or reported as broken. A very long one is forwarded as it arrives.
 func (t *task) sendWholeAnswer(answer *hop.Answer, a *attempt) attemptResult {
 	start := time.Now()
-	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedAnswer))
+	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedBytes))
 	a.placement.Silence, a.placement.SilenceBound = time.Since(start), 0
 	if err == nil && !answer.Complete() && !impliesNotRun(answer.Status) {
 		return t.sendLongAnswer(answer, a, body)
@@ -40,19 +40,19 @@
 	}
 	t.sink.Head(answer.Status, answer.Header, int64(len(body)))
 	if err := errors.Join(t.sink.Write(body), t.sink.Flush()); err != nil {
-		return t.writeFailed(err)
+		return t.writeErrorResult(err)
 	}
 	return finalResult(Complete, "")
 }
 
-// sendLongAnswer forwards the rest of an answer as it arrives. maxBufferedAnswer bounds the
-// memory and is no reason to end an answer that goes on. From here on a broken answer can't be
-// replaced.
+// sendLongAnswer forwards an answer that exceeds maxBufferedBytes: first the part that was
+// buffered, then the rest as it arrives. The bound limits memory, not the length of answers.
+// From here on a broken answer can't be replaced.
 func (t *task) sendLongAnswer(answer *hop.Answer, a *attempt, first []byte) attemptResult {
 	t.headSent = true
 	t.sink.Head(answer.Status, answer.Header, answer.Length)
 	werr := t.sink.Write(first)
-	buf := make([]byte, longReadBuffer)
+	buf := make([]byte, longReadBytes)
 	for werr == nil {
 		start := time.Now()
 		n, err := answer.Read(buf)
@@ -62,18 +62,19 @@
 			continue
 		}
 		if err != io.EOF {
-			return t.longAnswerBroke(a, err)
+			return t.handleBrokenLongAnswer(a, err)
 		}
 		a.recordAnswer(answer)
 		if werr = t.sink.Flush(); werr == nil {
 			return finalResult(Complete, "")
 		}
 	}
-	return t.writeFailed(werr)
+	return t.writeErrorResult(werr)
 }
 
-func (t *task) longAnswerBroke(a *attempt, err error) attemptResult {
-	got := t.answerBroke(a, err)
+// handleBrokenLongAnswer is like handleBrokenAnswer, but its result is always final.
+func (t *task) handleBrokenLongAnswer(a *attempt, err error) attemptResult {
+	got := t.handleBrokenAnswer(a, err)
 	if got.isFinal {
 		return got
 	}
--- a/entry/direct/poison.go
+++ b/entry/direct/poison.go
@@ -18,8 +18,8 @@
 	return e.ID + "@" + strconv.FormatInt(e.Incarnation, 10)
 }
 
-// probeDelayStep is how much later an entry may send a probe than the entry before it. It is
-// longer than reports take to reach the later entry.
+// probeDelayStep is how much later an entry may send a probe than the entry ranked before it.
+// It is longer than reports take to reach the later entry.
 const probeDelayStep = time.Second
 
 // quarantineWait returns the time after which to retry a job; zero if it may be sent.
@@ -133,7 +133,8 @@
 	}
 }
 
-// RestoreQuarantine restores a quarantine that began before this entry was started.
+// RestoreQuarantine restores a quarantine that began before this entry was started: age ago,
+// with the time left remaining. quarantines is how often the request has been quarantined.
 func (d *Director) RestoreQuarantine(f poison.Fingerprint, age, left time.Duration, quarantines int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/entry/direct/relay.go
+++ b/entry/direct/relay.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// relayBuffer is how many bytes of a stream are read at once.
-	relayBuffer = 8 << 10
-	// maxEventBytes bounds an event, which is buffered until it is complete.
+	// relayReadBytes is how many bytes of a stream are read at once.
+	relayReadBytes = 8 << 10
+	// maxEventBytes bounds an event of a stream, which is buffered until it is complete.
 	maxEventBytes = 1 << 20
-	// maxPauseMultiple limits the silence of a resumable stream: after so many times the
+	// maxPauseMultiple limits the silence of a resumable stream: after this multiple of the
 	// route's MaxPause it is resumed at another endpoint.
 	maxPauseMultiple = 2.5
-	// minSilenceBound is the least silence after which a stream is resumed at another
+	// minSilenceBound is the shortest silence after which a stream is resumed at another
 	// endpoint.
 	minSilenceBound = time.Second
 )
@@ -30,7 +30,7 @@
 		t.sink.Head(answer.Status, answer.Header, answer.Length)
 		t.sink.Flush()
 	}
-	buf, silence := make([]byte, relayBuffer), t.silenceBound(a)
+	buf, silence := make([]byte, relayReadBytes), t.silenceBound(a)
 	var part []byte
 	for {
 		// The time that the caller takes does not count as the endpoint's silence.
@@ -43,11 +43,11 @@
 			if readOK {
 				err = w.silence
 			}
-			return t.answerBroke(a, err)
+			return t.handleBrokenAnswer(a, err)
 		}
 		if n > 0 {
 			part = append(part, buf[:n]...)
-			if err == nil && answer.Buffered() && len(part) < relayBuffer {
+			if err == nil && answer.Buffered() && len(part) < relayReadBytes {
 				continue
 			}
 		}
@@ -55,7 +55,7 @@
 		part = append(part[:0], rest...)
 		if werr != nil {
 			a.abandon()
-			return t.writeFailed(werr)
+			return t.writeErrorResult(werr)
 		}
 		switch {
 		case err == nil && len(part) <= maxEventBytes:
@@ -65,7 +65,7 @@
 			a.finish(health.Success)
 			return finalResult(Complete, "")
 		}
-		return t.answerBroke(a, err)
+		return t.handleBrokenAnswer(a, err)
 	}
 }
 
@@ -79,7 +79,9 @@
 	return max(time.Duration(maxPauseMultiple*float64(r.MaxPause)), minSilenceBound)
 }
 
-func (t *task) answerBroke(a *attempt, err error) attemptResult {
+// handleBrokenAnswer records that an answer ended early, with err, and returns the result of
+// the attempt. err is nil if an event of the stream was too long.
+func (t *task) handleBrokenAnswer(a *attempt, err error) attemptResult {
 	switch {
 	case t.caller.Err() != nil:
 		a.abandon()
--- a/entry/direct/rig_test.go
+++ b/entry/direct/rig_test.go
@@ -100,7 +100,8 @@
 
 func writeStreamEnd(c net.Conn) { io.WriteString(c, "0\r\n\r\n") }
 
-// lastEventOf returns the number of the event after which a stream is wanted.
+// lastEventOf returns the number of the event after which a request resumes a stream; zero if
+// it starts one.
 func lastEventOf(req *http.Request) int {
 	n, _ := strconv.Atoi(req.Header.Get("Last"))
 	return n
--- a/entry/direct/send.go
+++ b/entry/direct/send.go
@@ -18,11 +18,11 @@
 		Method: j.Method, Target: j.Target, Host: j.Host, Header: j.Header.Clone(), Body: j.Body,
 		AtMostOnce: j.Route.AtMostOnce(), IsAnswer: func(status int, h http.Header) bool { return t.d.cfg.IsAnswerTo(j.ID, status, h) },
 	}
-	last := j.LastEventID
+	lastEventID := j.LastEventID
 	if t.lastEventID != "" {
-		last = t.lastEventID
+		lastEventID = t.lastEventID
 	}
-	t.d.cfg.StampHeaders(r, AttemptInfo{Endpoint: a.id, Customer: j.Customer, TimeLeft: time.Until(j.End()), LastEventID: last})
+	t.d.cfg.StampHeaders(r, AttemptInfo{Endpoint: a.id, Customer: j.Customer, TimeLeft: time.Until(j.End()), LastEventID: lastEventID})
 	_, knownEntries := t.d.cfg.EntryCounts()
 	return t.d.cfg.Client.Do(ctx, a.sentAddr, a.connLimit(j.Pool, knownEntries), r)
 }
@@ -45,12 +45,12 @@
 	a.recordHead(m)
 	switch {
 	case m.WrongEndpoint:
-		io.Copy(io.Discard, io.LimitReader(answer, maxBufferedAnswer))
+		io.Copy(io.Discard, io.LimitReader(answer, maxBufferedBytes))
 		answer.Close()
 		a.handleMoved()
 		return nil, attemptResult{wasReceived: true, result: Result{Reason: "another endpoint has the address"}}
 	case m.NotRun:
-		io.Copy(io.Discard, io.LimitReader(answer, maxBufferedAnswer))
+		io.Copy(io.Discard, io.LimitReader(answer, maxBufferedBytes))
 		answer.Close()
 		a.handleDecline(m.Requests)
 		return nil, attemptResult{wasReceived: true, result: Result{Reason: "endpoint did not run it"}}
@@ -78,7 +78,7 @@
 	if next == nil {
 		return answer, attemptResult{}
 	}
-	io.Copy(io.Discard, io.LimitReader(answer, maxBufferedAnswer))
+	io.Copy(io.Discard, io.LimitReader(answer, maxBufferedBytes))
 	answer.Close()
 	a.finish(health.ServerError)
 	return nil, attemptResult{wasReceived: true, mayHaveRun: true, next: next, result: Result{Reason: "endpoint answered with an error"}}
--- a/entry/direct/session.go
+++ b/entry/direct/session.go
@@ -29,7 +29,8 @@
 	// waiters counts the goroutines of queued requests.
 	waiters sync.WaitGroup
 	// placements holds the attempts that are placed for the peer, cancelWaits the functions
-	// that end the wait of its queued requests. Director's mutex guards both.
+	// that end the waits of its queued requests, both by the peer's placement ID. Director's
+	// mutex guards both.
 	placements  map[uint64]*attempt
 	cancelWaits map[uint64]context.CancelFunc
 }
@@ -42,13 +43,13 @@
 	return s
 }
 
-// Handle processes a placement request or a note of the peer.
+// Handle processes a placement request or a placement report of the peer.
 func (s *Session) Handle(m wire.Message) {
 	switch m := m.(type) {
 	case *wire.PlaceRequest:
 		s.handleRequest(m)
 	case *wire.PlaceReport:
-		s.handleNote(m)
+		s.handleReport(m)
 	}
 }
 
@@ -83,7 +84,7 @@
 		return
 	}
 	j := jobFromRequest(m, cfg)
-	a, dec, w := s.d.placeOrEnqueue(j, p, queueOptions{shard: target, zone: s.zone, mayWait: m.MayQueue})
+	a, dec, w := s.d.placeOrEnqueue(j, p, queueOptions{shard: target, zone: s.zone, mayQueue: m.MayQueue})
 	if w == nil {
 		s.sendDecision(m.ID, a, dec)
 		return
@@ -131,8 +132,8 @@
 	_ = s.reply(m)
 }
 
-// handleNote applies what the peer reports about a placement.
-func (s *Session) handleNote(m *wire.PlaceReport) {
+// handleReport applies what the peer reports about a placement.
+func (s *Session) handleReport(m *wire.PlaceReport) {
 	s.d.mu.Lock()
 	a := s.placements[m.ID]
 	if a == nil {
--- a/entry/direct/shards_test.go
+++ b/entry/direct/shards_test.go
@@ -16,7 +16,7 @@
 		},
 		usesOwners: true,
 	}
-	top, refused, inverted := inversions(f.replay(t).requests, tallyInterval)
+	top, refused, inverted := countInversions(f.replay(t).requests, tallyInterval)
 	t.Logf("of %d requests of the highest tier %d refused, %d of them while a lower tier was admitted", top, refused, inverted)
 	if inverted*100 > top*2 {
 		t.Errorf("%d of %d of the highest tier refused while a lower tier was admitted", inverted, top)
--- a/entry/direct/size_test.go
+++ b/entry/direct/size_test.go
@@ -24,41 +24,41 @@
 const (
 	// oneWay is the latency of a message between two entries.
 	oneWay = 1500 * time.Microsecond
-	// sizeZones is how many availability zones a replayed fleet has.
-	sizeZones = 5
+	// fleetZones is how many availability zones a replayed fleet has.
+	fleetZones = 5
 )
 
-// maxFleetEntries bounds the fleets that are replayed; the largest takes minutes with the race
-// detector.
-var maxFleetEntries = flag.Int("size.entries", 103, "replay fleets of up to so many entries")
+// maxFleetEntries bounds the number of entries of the fleets that are replayed; the largest
+// fleet takes minutes with the race detector.
+var maxFleetEntries = flag.Int("size.entries", 103, "largest number of entries of a replayed fleet")
 
 // fleet is a set of entries in several zones, with engines that come and go.
 type fleet struct {
 	workload
 	// usesOwners is set if placements are requested from the owners of shards.
 	usesOwners bool
-	// lostFraction is the fraction of the engines that end when the burst begins. As many
-	// empty ones start replacedAfter later.
+	// lostFraction is the fraction of the engines that end when the burst begins. The same
+	// number of empty ones starts replacedAfter later.
 	lostFraction  float64
 	replacedAfter time.Duration
 }
 
-// tallyTiming returns the time between two tallies of an entry and their latency through a
-// hub, in a fleet of so many entries. hub is set for an entry that forwards tallies or owns a
+// tallyTiming returns the time between two tallies of an entry and their latency, which in a
+// large fleet is that through a hub. isHub is set for an entry that forwards tallies or owns a
 // shard.
-func tallyTiming(entries int, hub bool) (interval, latency time.Duration) {
+func tallyTiming(entries int, isHub bool) (interval, latency time.Duration) {
 	scaled := 2500 * time.Microsecond * time.Duration(entries)
 	switch {
 	case entries <= 8:
 		return 25 * time.Millisecond, oneWay
-	case hub:
+	case isHub:
 		scaled = 5 * time.Millisecond * time.Duration(16+entries/16)
 	}
 	return max(25*time.Millisecond, scaled), 50 * time.Millisecond
 }
 
 // hasLargeCapacity reports whether an entry is one of those with much capacity.
-func hasLargeCapacity(i int) bool { return i/sizeZones%7 == 0 }
+func hasLargeCapacity(i int) bool { return i/fleetZones%7 == 0 }
 
 // countingEngine is an engine that serves in order of arrival and counts its requests.
 type countingEngine struct {
@@ -141,6 +141,7 @@
 	connections map[[2]string]*connection
 }
 
+// connection is the connection of one sender to one receiver.
 type connection struct {
 	outbound, inbound messageLink
 	session           *Session
@@ -153,7 +154,7 @@
 		l = new(connection)
 		n.connections[[2]string{from, to}] = l
 		l.session = n.directors[to].NewSession(n.ctx, n.zones[from], func(m wire.Message) error {
-			l.inbound.send(func() { n.directors[from].HandlePlaceAck(to, m.(*wire.PlaceReply)) })
+			l.inbound.send(func() { n.directors[from].HandlePlaceReply(to, m.(*wire.PlaceReply)) })
 			return nil
 		})
 	}
@@ -172,6 +173,7 @@
 	maxExcess float64
 }
 
+// replay sends the workload through the entries of the fleet and returns the results.
 func (f fleet) replay(t *testing.T) replayResult {
 	var (
 		mu  sync.Mutex
@@ -185,7 +187,7 @@
 		add := func(id string, i int) {
 			engines[id] = newCountingEngine(f.slots)
 			roster.Endpoints = append(roster.Endpoints, route.Endpoint{
-				ID: id, Incarnation: 1, Pool: "p", Addr: id, Zone: fmt.Sprint("z", i%sizeZones), Slots: f.slots,
+				ID: id, Incarnation: 1, Pool: "p", Addr: id, Zone: fmt.Sprint("z", i%fleetZones), Slots: f.slots,
 			})
 		}
 		for i := range f.engines {
@@ -203,7 +205,7 @@
 			peers     []relay.Entry
 		)
 		for i := range f.entries {
-			name, zone := fmt.Sprint("entry-", i), fmt.Sprint("z", i%sizeZones)
+			name, zone := fmt.Sprint("entry-", i), fmt.Sprint("z", i%fleetZones)
 			capacity := uint32(144)
 			if hasLargeCapacity(i) {
 				capacity = 800
@@ -288,7 +290,8 @@
 	return out
 }
 
-// distributeRoster has a new instance list reach the entries, each after a different time.
+// distributeRoster delivers a new instance list to the entries, to each after a random delay of
+// up to a second.
 func (f fleet) distributeRoster(rnd *rand.Rand, r *route.Roster, directors []*Director, running *sync.WaitGroup) {
 	r.Revision++
 	list := *r
@@ -301,8 +304,8 @@
 	}
 }
 
-// broadcastTallies sends the tallies of an entry to the others, as often as entries of such a
-// fleet do.
+// broadcastTallies sends the tallies of an entry to the others, as often as entries of a fleet
+// of this size do.
 func (f fleet) broadcastTallies(ctx context.Context, sender int, directors []*Director) {
 	interval, latency := tallyTiming(f.entries, hasLargeCapacity(sender))
 	time.Sleep(interval * time.Duration(sender) / time.Duration(len(directors)))
@@ -323,8 +326,8 @@
 	}
 }
 
-// burstFleet returns a fleet of so many entries under a burst. The load and the number of
-// engines per entry are the same for every size.
+// burstFleet returns a fleet of the given number of entries under a burst. The load and the
+// number of engines per entry are the same for every size.
 func burstFleet(entries int) fleet {
 	scale := float64(entries) / 4
 	return fleet{
@@ -337,8 +340,8 @@
 	}
 }
 
-// Guards against engines overloaded by many entries, each of which sends to the slots that
-// looked free to all of them a while ago.
+// Guards against engines that are overloaded because many entries send to the same slots, which
+// looked free to all of them a moment ago.
 func TestManyEntriesDoNotOverloadEngines(t *testing.T) {
 	baseMax := 0
 	for _, entries := range []int{5, 30, 103, 420} {
@@ -347,7 +350,7 @@
 		}
 		f := burstFleet(entries)
 		got := f.replay(t)
-		top, refused, inverted := inversions(got.requests, tallyInterval)
+		top, refused, inverted := countInversions(got.requests, tallyInterval)
 		inTime, served := 0, 0
 		for _, r := range got.requests {
 			if r.tier == 0 && r.metTarget {
--- a/entry/direct/stopped_test.go
+++ b/entry/direct/stopped_test.go
@@ -82,10 +82,10 @@
 	})
 }
 
-// The pause lasts until the requests' time is up. Their endpoints are not at fault: what they
-// sent waits to be read. If it costs them trust, they count as away, and the next requests are
-// kept from endpoints that answer: "endpoint a counts as away".
-func TestTimeoutAfterProcessPauseKeepsTrust(t *testing.T) {
+// The process is paused until the requests' time is up. Their endpoints are not at fault: what
+// they sent waits to be read. If the timeouts count against them, they become unusable, and
+// endpoints that answer get no requests: "endpoint a counts as away".
+func TestTimeoutAfterProcessPauseKeepsEndpointUsable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, w := startedWatchdog(t)
 		for range 8 {
--- a/entry/direct/task.go
+++ b/entry/direct/task.go
@@ -13,7 +13,7 @@
 	// maxEndpointsPerJob is how many endpoints one job may be sent to as long as none of them
 	// has run it.
 	maxEndpointsPerJob = 3
-	// minTimeLeft is the least time left that makes another attempt worth its load.
+	// minTimeLeft is the shortest remaining time that justifies the load of another attempt.
 	minTimeLeft = 30 * time.Millisecond
 	// busyRetryAfter is the time after which to retry when endpoints said that they are full.
 	busyRetryAfter = 300 * time.Millisecond
--- a/entry/direct/view.go
+++ b/entry/direct/view.go
@@ -29,32 +29,32 @@
 	// entries that are not known yet.
 	retryRatioShare = 0.85
 	retrySlackShare = 0.6
-	// driftFraction and driftTokens bound how far the outstanding output of an endpoint may
-	// differ from the value last reported to the peers: by an eighth, and by twenty tokens.
-	// Each event of each stream changes the output, but only a difference that changes a
-	// prediction is reported.
-	driftFraction = 8
-	driftTokens   = 20
+	// driftDivisor and driftTokens bound how far the outstanding output of an endpoint may
+	// differ from the value last reported to the peers: by an eighth of that value plus twenty
+	// tokens. Each event of each stream changes the output, but only a difference that changes
+	// a prediction is reported.
+	driftDivisor = 8
+	driftTokens  = 20
 	// minSlackEntries is the least number of entries among which the slack is divided while
 	// not all of them are known.
 	minSlackEntries = 4
 )
 
-// view is what the entry knows of endpoints, customers and the other entries'
-// work. Director's mutex guards it.
+// view is what the entry knows of endpoints, customers and the other entries' work.
+// Director's mutex guards it.
 type view struct {
 	zone      string
 	table     *route.Table
 	roster    route.Roster
 	endpoints map[string]*endpoint
 	pools     map[string]*pool
-	trust     *health.Tracker
+	health    *health.Tracker
 	poison    *poison.Tracker
 	limits    *limit.Limiter
 	quota     *quota.Limiter
 	rollouts  *canary.Controller
-	// heldByPeer holds each peer's work in flight, by peer and endpoint.
-	heldByPeer map[string]map[string]wire.EndpointLoad
+	// peerLoads holds the work in flight that the peers have reported, by peer and endpoint.
+	peerLoads map[string]map[string]wire.EndpointLoad
 	// tallyAt is when each peer's last tally arrived.
 	tallyAt map[string]time.Time
 	// unreportedWork and unreportedUsage are the endpoints and customers whose changes have
@@ -109,7 +109,7 @@
 	// lastByteAt is when the last byte came from the endpoint, waitingSince when own work
 	// began to wait there.
 	lastByteAt, waitingSince time.Time
-	// declineExcess is how many more requests than were counted the endpoint said it had at
+	// declineExcess is how many more requests than were counted the endpoint reported at
 	// declinedAt, when it declined one.
 	declineExcess int
 	declinedAt    time.Time
@@ -152,9 +152,9 @@
 }
 
 // recordDecline records that the endpoint has declined a request, which is no longer counted.
-// load is how many requests it said it has, zero if it did not say.
-func (e *endpoint) recordDecline(now time.Time, load, slots int) {
-	e.declineExcess, e.declinedAt = max(max(load, slots)-e.ownWork.requests-e.peerWork.requests, 0), now
+// endpointRequests is how many requests the endpoint said it has, zero if it did not say.
+func (e *endpoint) recordDecline(now time.Time, endpointRequests, slots int) {
+	e.declineExcess, e.declinedAt = max(max(endpointRequests, slots)-e.ownWork.requests-e.peerWork.requests, 0), now
 }
 
 // inFlight is an amount of work in flight: the requests, the prompt tokens still to be
@@ -168,22 +168,22 @@
 	w.kvTokens += sign * other.kvTokens
 }
 
-func newView(zone string, rollouts canary.Limit) *view {
+func newView(zone string, rule canary.Limit) *view {
 	return &view{
 		zone: zone, table: route.NewTable(route.Config{}), endpoints: make(map[string]*endpoint),
-		pools: make(map[string]*pool), trust: health.New(), poison: poison.New(), limits: limit.New(), quota: quota.New(), rollouts: canary.New(rollouts),
-		heldByPeer: make(map[string]map[string]wire.EndpointLoad), unreportedWork: make(map[string]bool), unreportedUsage: make(map[string]bool),
+		pools: make(map[string]*pool), health: health.New(), poison: poison.New(), limits: limit.New(), quota: quota.New(), rollouts: canary.New(rule),
+		peerLoads: make(map[string]map[string]wire.EndpointLoad), unreportedWork: make(map[string]bool), unreportedUsage: make(map[string]bool),
 		queueCounts: newQueueCounts(), tallyAt: make(map[string]time.Time),
 	}
 }
 
 // pool returns the state of a pool, which is created on first use.
-func (v *view) pool(name string, repeats RetryBudget, entries int) *pool {
+func (v *view) pool(name string, budget RetryBudget, entries int) *pool {
 	p := v.pools[name]
 	if p == nil {
 		p = &pool{name: name, learner: admit.NewLearner(), budget: retry.New(retry.Config{
-			Ratio: repeats.Ratio * retryRatioShare,
-			Burst: max(int(repeats.Slack*retrySlackShare)/max(entries, minSlackEntries), 1),
+			Ratio: budget.Ratio * retryRatioShare,
+			Burst: max(int(budget.Slack*retrySlackShare)/max(entries, minSlackEntries), 1),
 		})}
 		v.pools[name] = p
 		p.tiers = v.table.Tiers(name)
@@ -217,13 +217,13 @@
 	}
 }
 
-// endpointsUsedFor returns the endpoints of a pool that are used for the given purpose and are
-// not leaving.
-func (v *view) endpointsUsedFor(name string, use canary.Role) []*endpoint {
+// endpointsInRole returns the endpoints of a pool whose version has the given role and that
+// are not leaving.
+func (v *view) endpointsInRole(name string, role canary.Role) []*endpoint {
 	var out []*endpoint
 	for i := range v.roster.Endpoints {
 		e := v.endpoints[v.roster.Endpoints[i].ID]
-		if e != nil && e.Pool == name && !e.Leaving && v.rollouts.RoleOf(name, e.Version) == use {
+		if e != nil && e.Pool == name && !e.Leaving && v.rollouts.RoleOf(name, e.Version) == role {
 			out = append(out, e)
 		}
 	}
@@ -232,8 +232,8 @@
 
 // assignEndpoints updates which endpoints of a pool are in service and on trial.
 func (v *view) assignEndpoints(p *pool) {
-	p.setEndpoints(v.endpointsUsedFor(p.name, canary.InService))
-	p.trialEndpoints = v.endpointsUsedFor(p.name, canary.OnTrial)
+	p.setEndpoints(v.endpointsInRole(p.name, canary.InService))
+	p.trialEndpoints = v.endpointsInRole(p.name, canary.OnTrial)
 }
 
 func (v *view) assignAllEndpoints() {
@@ -271,7 +271,7 @@
 		if !e.Leaving && v.poison.MayHaveCrashed(now, e.startID()) {
 			v.poison.RecordCrash(now, e.startID())
 		}
-		v.trust.Forget(id)
+		v.health.Forget(id)
 		if p := v.pools[e.Pool]; p != nil {
 			p.learner.Forget(id)
 		}
@@ -287,8 +287,8 @@
 // requests at an endpoint; zero if no peer has any.
 func (v *view) peerReportAge(endpoint string, now time.Time) time.Duration {
 	var age time.Duration
-	for peer, held := range v.heldByPeer {
-		if _, ok := held[endpoint]; ok {
+	for peer, loads := range v.peerLoads {
+		if _, ok := loads[endpoint]; ok {
 			age = max(age, now.Sub(v.tallyAt[peer]))
 		}
 	}
@@ -309,19 +309,19 @@
 		v.quota.MergeTotal(peer, u.Customer, u.Total)
 	}
 	v.queueCounts.applyReport(peer, t.Queues)
-	held := v.heldByPeer[peer]
-	if held == nil {
-		held = make(map[string]wire.EndpointLoad)
-		v.heldByPeer[peer] = held
+	loads := v.peerLoads[peer]
+	if loads == nil {
+		loads = make(map[string]wire.EndpointLoad)
+		v.peerLoads[peer] = loads
 	}
 	for _, h := range t.Endpoints {
-		v.addPeerWork(held[h.Endpoint], -1)
+		v.addPeerWork(loads[h.Endpoint], -1)
 		v.addPeerWork(h, 1)
 		if h.Requests == 0 {
-			delete(held, h.Endpoint)
+			delete(loads, h.Endpoint)
 			continue
 		}
-		held[h.Endpoint] = h
+		loads[h.Endpoint] = h
 	}
 }
 
@@ -335,10 +335,10 @@
 
 // forgetPeer forgets the work of a peer that is in flight or queued.
 func (v *view) forgetPeer(peer string) {
-	for _, h := range v.heldByPeer[peer] {
+	for _, h := range v.peerLoads[peer] {
 		v.addPeerWork(h, -1)
 	}
-	delete(v.heldByPeer, peer)
+	delete(v.peerLoads, peer)
 	delete(v.tallyAt, peer)
 	v.queueCounts.forgetPeer(peer)
 }
@@ -354,8 +354,8 @@
 	for _, e := range v.endpoints {
 		e.peerWork = inFlight{}
 	}
-	for _, held := range v.heldByPeer {
-		for _, h := range held {
+	for _, loads := range v.peerLoads {
+		for _, h := range loads {
 			v.addPeerWork(h, 1)
 		}
 	}
@@ -380,7 +380,7 @@
 		sum.requests += e.uncountedRequests(now)
 		out = append(out, admit.Endpoint{
 			RateLimit: v.endpointLimit(e, sinceStart),
-			SameZone:  e.Zone == zone, Usable: v.trust.Usable(sinceStart, e.ID) && !e.isSilent(now, silenceBound) && !e.hasMoved(now), Slots: e.slots(cfg),
+			SameZone:  e.Zone == zone, Usable: v.health.Usable(sinceStart, e.ID) && !e.isSilent(now, silenceBound) && !e.hasMoved(now), Slots: e.slots(cfg),
 			Requests: sum.requests, PromptTokens: sum.promptTokens, OutputTokens: sum.outputTokens,
 			KVTokensNeeded: sum.kvTokens, KVTokens: cfg.KVTokens, Pace: p.learner.Pace(e.ID),
 		})
--- a/entry/direct/view_test.go
+++ b/entry/direct/view_test.go
@@ -60,13 +60,13 @@
 	}
 }
 
-// An endpoint starts again under the same ID. Its lost trust and the requests of its previous
+// An endpoint starts again under the same ID. The failures and the requests of its previous
 // start must not count.
 func TestRestartedEndpointHasCleanState(t *testing.T) {
 	v, p := newPoolView("a", "b")
 	v.endpoints["a"].ownWork.add(inFlight{requests: 3}, 1)
 	for range 5 {
-		v.trust.RecordResult(time.Second, "a", health.Unreachable)
+		v.health.RecordResult(time.Second, "a", health.Unreachable)
 	}
 	r := newRoster("a", "b")
 	r.Revision, r.Endpoints[0].Incarnation = 2, 2
@@ -77,7 +77,7 @@
 		t.Errorf("%d requests from before the restart", got)
 	}
 	if !v.describePool(p, &route.Pool{}, time.Unix(100, 0), time.Second)[0].Usable {
-		t.Error("distrusted for failures from before the restart")
+		t.Error("unusable because of failures from before the restart")
 	}
 	if v.endpoints["b"].Incarnation != 1 || len(p.endpoints) != 2 {
 		t.Error("the other endpoint changed")
--- a/entry/direct/visit.go
+++ b/entry/direct/visit.go
@@ -35,9 +35,10 @@
 	outputTokens int
 	// entryShare is this entry's share of the queued requests.
 	entryShare float64
-	// isBehind is set if other requests go first.
-	isBehind bool
-	// needsRoom is set if the job may go only where a new request would be sent.
+	// othersFirst is set if other requests go first.
+	othersFirst bool
+	// needsRoom is set if the job may be placed only at a usable endpoint other than avoidID
+	// that has room for a new request.
 	needsRoom bool
 	// shard is the shard to place the job in, nil for the whole pool.
 	shard *poolShard
@@ -52,7 +53,7 @@
 	reachableEntries, knownEntries := d.cfg.EntryCounts()
 	p := d.view.pool(j.Pool.Name, d.cfg.RetryBudget, knownEntries)
 	req := d.placementRequest(j, p, now)
-	req.OthersFirst, req.ExactCounts = opts.isBehind, opts.shard != nil
+	req.OthersFirst, req.ExactCounts = opts.othersFirst, opts.shard != nil
 	if j.Pool.Engine {
 		req.OutputTokens = opts.outputTokens
 	}
@@ -117,7 +118,7 @@
 	}
 	d.recordPlacement(a, p, chosen)
 	a.countWork(now)
-	d.view.trust.RecordSent(d.sinceStart(now), e.ID)
+	d.view.health.RecordSent(d.sinceStart(now), e.ID)
 	return a
 }
 
@@ -150,7 +151,8 @@
 }
 
 // reserve places a job for an attempt that follows a and takes a retry from the budget for it,
-// unless free is set. It takes both, or neither and returns what is missing.
+// unless free is set. If the placement or the retry is missing, it keeps neither and returns
+// what is missing.
 func (d *Director) reserve(j *Job, a *attempt, opts placementOptions, free bool) (*attempt, string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -197,7 +199,7 @@
 	d    *Director
 	pool *pool
 	// endpoint is accessed only with d.mu held; id and sentAddr are copies of its ID and
-	// address when the attempt was sent.
+	// address from the time of the placement.
 	endpoint     *endpoint
 	id, sentAddr string
 	// isOnlyEndpoint is set if there was no other endpoint to go to.
@@ -257,7 +259,7 @@
 	a.d.mu.Lock()
 	defer a.d.mu.Unlock()
 	a.endpoint.lastByteAt = now
-	defer a.notifyOwner(now, tokens, wire.PlaceOpen)
+	defer a.reportToOwner(now, tokens, wire.PlaceOpen)
 	if a.firstAt.IsZero() {
 		a.firstAt = now
 		a.placement.TimeToFirst = now.Sub(a.sentAt)
@@ -276,7 +278,8 @@
 	a.releaseWork(inFlight{outputTokens: min(tokens, a.work.outputTokens)})
 }
 
-// releaseWork subtracts part from the work of the attempt. The caller holds d.mu.
+// releaseWork subtracts part from the work of the attempt and, unless another entry counts
+// the attempt, from that of its endpoint. The caller holds d.mu.
 func (a *attempt) releaseWork(part inFlight) {
 	a.work.add(part, -1)
 	if a.ownerPlacement != nil {
@@ -292,7 +295,7 @@
 // the value last reported to the peers.
 func (e *endpoint) outputDrifted() bool {
 	drift := e.reportedOutput - e.ownWork.outputTokens
-	return max(drift, -drift) > e.reportedOutput/driftFraction+driftTokens
+	return max(drift, -drift) > e.reportedOutput/driftDivisor+driftTokens
 }
 
 // finish ends the attempt with a result. Calls after the first one have no effect.
@@ -327,8 +330,8 @@
 	}
 	a.observeResult(now, r)
 	a.releaseWork(a.work)
-	a.notifyOwner(now, 0, wire.PlaceResult+uint8(r))
-	change := a.d.view.trust.RecordResult(a.d.sinceStart(now), a.endpoint.ID, r)
+	a.reportToOwner(now, 0, wire.PlaceResult+uint8(r))
+	change := a.d.view.health.RecordResult(a.d.sinceStart(now), a.endpoint.ID, r)
 	if r == health.Broken {
 		a.recordLostRun()
 	}
@@ -356,13 +359,13 @@
 // releaseAll releases the remaining work of the attempt. The caller holds d.mu.
 func (a *attempt) releaseAll() {
 	a.releaseWork(a.work)
-	a.notifyOwner(time.Now(), 0, wire.PlaceDropped)
+	a.reportToOwner(time.Now(), 0, wire.PlaceDropped)
 	a.d.dispatchQueued(a.pool)
 }
 
-// handleDecline ends an attempt that the endpoint did not run. load is how many requests it
-// says it has, zero if it does not say.
-func (a *attempt) handleDecline(load int) {
+// handleDecline ends an attempt that the endpoint did not run. endpointRequests is how many
+// requests the endpoint says it has, zero if it does not say.
+func (a *attempt) handleDecline(endpointRequests int) {
 	if !a.markEnded() {
 		return
 	}
@@ -371,10 +374,10 @@
 	a.d.cfg.Metrics.Counter("tries_declined").Inc(1)
 	a.releaseWork(a.work)
 	if a.ownerPlacement != nil {
-		a.ownerPlacement.reportedRequests = load
+		a.ownerPlacement.reportedRequests = endpointRequests
 	}
-	a.notifyOwner(time.Now(), 0, wire.PlaceDeclined)
-	a.endpoint.recordDecline(time.Now(), load, a.endpoint.Slots)
+	a.reportToOwner(time.Now(), 0, wire.PlaceDeclined)
+	a.endpoint.recordDecline(time.Now(), endpointRequests, a.endpoint.Slots)
 	a.d.dispatchQueued(a.pool)
 }
 
@@ -388,7 +391,7 @@
 	defer a.d.mu.Unlock()
 	now := time.Now()
 	a.releaseWork(a.work)
-	a.notifyOwner(now, 0, wire.PlaceMoved)
+	a.reportToOwner(now, 0, wire.PlaceMoved)
 	a.endpoint.movedAt = now
 	a.d.recordCrash(a.endpoint)
 	logs.Warn(a.d.cfg.Log, logs.EventEndpointMoved, zap.String("endpoint", a.id), zap.String("remote", a.sentAddr))
--- a/entry/direct/wait.go
+++ b/entry/direct/wait.go
@@ -12,26 +12,27 @@
 type waiter struct {
 	job     *Job
 	options queueOptions
-	// ticket is the job's place in the queue, queuedAt when it was queued and maxWait how long
+	// request is the job's item in the queue, queuedAt when it was queued and maxWait how long
 	// it may stay there.
-	ticket   *waitq.Request[*waiter]
+	request  *waitq.Request[*waiter]
 	queuedAt time.Time
 	maxWait  time.Duration
 	// dispatched is closed once the job has left the queue for an endpoint; attempt and
-	// decision are set before. Until then they are the refusal that the job gets.
+	// decision are set before that. Until then they hold the refusal that the job gets if it
+	// is not dispatched.
 	dispatched chan struct{}
 	attempt    *attempt
 	decision   admit.Decision
 }
 
-// queueOptions says where a job is placed and may wait.
+// queueOptions says where a job is placed, and whether it may be queued.
 type queueOptions struct {
 	// shard is nil for the whole pool.
 	shard *poolShard
 	// zone is the zone of the entry that sends the job.
 	zone string
-	// mayWait is set if the job may be queued.
-	mayWait bool
+	// mayQueue is set if the job may be queued.
+	mayQueue bool
 }
 
 // queueOf returns the queue of the pool, or of the shard s if it is not nil.
@@ -56,7 +57,7 @@
 			return a, dec
 		}
 	}
-	return d.placeOrWait(ctx, j, p, queueOptions{mayWait: true})
+	return d.placeOrWait(ctx, j, p, queueOptions{mayQueue: true})
 }
 
 // placeOrWait places a job at once or after it has been queued, or refuses it. The caller
@@ -79,18 +80,18 @@
 	position := d.queuePosition(j, p)
 	queue := p.queueOf(opts.shard)
 	ahead := queue.CountAhead(position)
-	c := d.competition(1, p, j, opts)
-	a, dec := d.placeJob(j, placementOptions{outputTokens: j.OutputTokens, isBehind: ahead > 0 || c.Blocked(), entryShare: c.Share(), shard: opts.shard, zone: opts.zone})
-	if dec.Reason != admit.Full || !opts.mayWait {
+	c := d.contention(1, p, j, opts)
+	a, dec := d.placeJob(j, placementOptions{outputTokens: j.OutputTokens, othersFirst: ahead > 0 || c.Blocked(), entryShare: c.Share(), shard: opts.shard, zone: opts.zone})
+	if dec.Reason != admit.Full || !opts.mayQueue {
 		return a, dec, nil
 	}
 	maxWait := waitq.MaxWait(j.Route.Target, j.firstEventDue().Sub(now), dec.FirstEvent-dec.SlotWait)
-	if turn := time.Duration(ahead+c.HigherTier+c.SameTier+1) * dec.SlotInterval; turn > maxWait {
-		dec.RetryAfter = max(dec.RetryAfter, turn)
+	if expectedWait := time.Duration(ahead+c.HigherTier+c.SameTier+1) * dec.SlotInterval; expectedWait > maxWait {
+		dec.RetryAfter = max(dec.RetryAfter, expectedWait)
 		return a, dec, nil
 	}
 	w := &waiter{job: j, options: opts, queuedAt: now, maxWait: maxWait, dispatched: make(chan struct{}), attempt: a, decision: dec}
-	w.ticket = queue.Add(w, position)
+	w.request = queue.Add(w, position)
 	d.view.queueCounts.addOwn(poolTier{j.Pool.Name, j.Tier}, 1)
 	return nil, admit.Decision{}, w
 }
@@ -107,7 +108,7 @@
 // leaveQueue removes a job from the queue, if it is still there, and returns the outcome of
 // its wait. The caller holds d.mu.
 func (d *Director) leaveQueue(w *waiter, p *pool) (*attempt, admit.Decision) {
-	if p.queueOf(w.options.shard).Remove(w.ticket) {
+	if p.queueOf(w.options.shard).Remove(w.request) {
 		d.view.queueCounts.addOwn(poolTier{w.job.Pool.Name, w.job.Tier}, -1)
 		w.attempt.placement.QueuedFor = time.Since(w.queuedAt)
 	} else {
@@ -116,17 +117,17 @@
 	return w.attempt, w.decision
 }
 
-// competition returns what competes with a job for free slots. In a shard nothing does,
-// because all requests for it wait in its queue. joining is one if the job is not in the queue
-// yet. The caller holds d.mu.
-func (d *Director) competition(joining int, p *pool, j *Job, opts queueOptions) waitq.Contention {
+// contention returns the requests that compete with a job for free slots. In a shard there are
+// none, because all requests for it wait in its queue. joining is one if the job is not in the
+// queue yet, otherwise zero. The caller holds d.mu.
+func (d *Director) contention(joining int, p *pool, j *Job, opts queueOptions) waitq.Contention {
 	if opts.shard != nil {
 		return waitq.Contention{OwnSameTier: 1}
 	}
 	now := time.Now()
 	key := poolTier{j.Pool.Name, j.Tier}
 	free := admit.FreeSlots(d.view.describePool(p, j.Pool, now, d.sinceStart(now)))
-	return d.view.queueCounts.competition(key, d.view.queueCounts.own[key]+joining, free)
+	return d.view.queueCounts.contention(key, d.view.queueCounts.own[key]+joining, free)
 }
 
 // awaitDispatch returns when the job has left the queue, its longest wait is over or ctx has
@@ -153,17 +154,17 @@
 // dispatchFrom dispatches the jobs of a queue for which there is room now. The caller holds
 // d.mu.
 func (d *Director) dispatchFrom(p *pool, queue *waitq.Queue[*waiter]) {
-	queue.SendInOrder(func(w *waitq.Request[*waiter]) (sent, more bool) {
-		j, opts := w.Value.job, w.Value.options
-		c := d.competition(0, p, j, opts)
-		a, dec := d.placeJob(j, placementOptions{outputTokens: j.OutputTokens, isBehind: c.Blocked(), entryShare: c.Share(), shard: opts.shard, zone: opts.zone})
+	queue.SendInOrder(func(r *waitq.Request[*waiter]) (sent, more bool) {
+		j, opts := r.Value.job, r.Value.options
+		c := d.contention(0, p, j, opts)
+		a, dec := d.placeJob(j, placementOptions{outputTokens: j.OutputTokens, othersFirst: c.Blocked(), entryShare: c.Share(), shard: opts.shard, zone: opts.zone})
 		if dec.Endpoint < 0 {
 			// A job that waits because of its prompt does not keep others from a slot.
 			return false, dec.Reason != admit.Full
 		}
-		w.Value.attempt, w.Value.decision = a, dec
+		r.Value.attempt, r.Value.decision = a, dec
 		d.view.queueCounts.addOwn(poolTier{j.Pool.Name, j.Tier}, -1)
-		close(w.Value.dispatched)
+		close(r.Value.dispatched)
 		return true, true
 	})
 }
--- a/entry/direct/waits.go
+++ b/entry/direct/waits.go
@@ -114,9 +114,9 @@
 	return wire.TierQueue{Pool: t.pool, CustomerTier: t.tier.Customer, RouteTier: t.tier.Route, Requests: uint32(n)}
 }
 
-// competition returns what competes with a request of a tier for the free slots. own is how
-// many requests of that tier wait at this entry, including this one.
-func (s *queueCounts) competition(key poolTier, own, free int) waitq.Contention {
+// contention returns the requests that compete with one of a tier for the free slots. own is
+// how many requests of that tier wait at this entry, including that one.
+func (s *queueCounts) contention(key poolTier, own, free int) waitq.Contention {
 	c := waitq.Contention{OwnSameTier: own, FreeSlots: free}
 	for t, n := range s.peerTotals {
 		if t.pool != key.pool {
