--- a/entry/hdrs/heads.go
+++ b/entry/hdrs/heads.go
@@ -8,7 +8,7 @@
 )
 
 // hopByHop holds the hop-by-hop headers of HTTP, by canonical name. Content-Length is among
-// them because whoever writes the message sets it anew.
+// them because the sender of each message sets its own.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Transfer-Encoding": true,
 	"Te": true, "Trailer": true, "Upgrade": true, "Content-Length": true,
@@ -18,8 +18,8 @@
 // connection only.
 func IsHopByHop(name string) bool { return hopByHop[name] }
 
-// EndToEnd returns the headers of a request that are forwarded: all except those that concern
-// the caller's connection, including those that its Connection header names.
+// EndToEnd returns the headers of a request that are forwarded: all except Expect, the
+// hop-by-hop headers and those that the Connection header names.
 func EndToEnd(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
--- a/entry/hop/conn.go
+++ b/entry/hop/conn.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	// maxInlineBody is the size in bytes of the largest body that is written before the answer
-	// is read. It fits the smallest send buffer; writing a larger one could block for as long
-	// as the endpoint answers without reading.
-	maxInlineBody = 8 << 10
+	// maxInlineBodyBytes is the size of the largest body that is written before the answer is
+	// read. It fits the smallest send buffer; writing a larger body could block for as long as
+	// the endpoint answers without reading.
+	maxInlineBodyBytes = 8 << 10
 	// maxForeignAnswers is how many answers to other requests are skipped before the
 	// connection is closed.
 	maxForeignAnswers = 4
-	readBufferSize    = 4 << 10
+	// readBufferBytes is the size of a connection's read buffer.
+	readBufferBytes = 4 << 10
 )
 
 // conn is a connection to an endpoint. It carries one request at a time.
@@ -38,7 +39,7 @@
 }
 
 func newConn(c *Client, addr string, nc net.Conn) *conn {
-	return &conn{client: c, addr: addr, net: nc, r: bufio.NewReaderSize(nc, readBufferSize), idleTimeout: defaultIdleTimeout}
+	return &conn{client: c, addr: addr, net: nc, r: bufio.NewReaderSize(nc, readBufferBytes), idleTimeout: defaultIdleTimeout}
 }
 
 func (k *conn) close() {
@@ -47,8 +48,8 @@
 }
 
 // isQuiet reports whether an idle connection is open and nothing has arrived on it. Bytes that
-// arrive without a request are not an answer, and on a connection that the endpoint has closed
-// the next request would be lost.
+// arrive without a request are not an answer, and a request sent on a connection that the
+// endpoint has closed would be lost.
 func (k *conn) isQuiet() bool {
 	if k.r.Buffered() > 0 {
 		return false
@@ -71,7 +72,7 @@
 func (k *conn) exchange(ctx context.Context, r *Request) (*Answer, error) {
 	stopCancel := context.AfterFunc(ctx, func() { k.net.SetDeadline(time.Unix(1, 0)) })
 	head := r.encodeHead()
-	isInline := len(r.Body) <= maxInlineBody
+	isInline := len(r.Body) <= maxInlineBodyBytes
 	if isInline {
 		head = append(head, r.Body...)
 	}
@@ -103,8 +104,8 @@
 }
 
 // cancelCause returns the cause of ctx if the end of ctx made an exchange fail with err, and
-// otherwise err. Cancelled reads and dials fail like timeouts; without the cause they could
-// not be told from those of an endpoint that failed.
+// otherwise err. Cancelled reads and dials fail like timeouts; without the cause they would
+// look like failures of the endpoint.
 func cancelCause(ctx context.Context, err error) error {
 	var netErr net.Error
 	if ctx.Err() != nil && errors.As(err, &netErr) && (netErr.Timeout() || errors.Is(err, context.Canceled)) {
@@ -166,8 +167,8 @@
 	// written before the answer was read.
 	bodyWritten chan error
 	stopCancel  func() bool
-	// replaceErr replaces an error of the connection by the cause of the request's context if
-	// that has ended.
+	// replaceErr returns the cause of the request's context in place of an error of the
+	// connection if that context has ended.
 	replaceErr func(error) error
 }
 
@@ -190,7 +191,7 @@
 func (a *Answer) Complete() bool { return a.isComplete }
 
 // Close ends the request. The connection is kept if the answer was complete and nothing else
-// came with it. Otherwise it is closed, which makes the endpoint stop its work.
+// has arrived after it. Otherwise it is closed, which makes the endpoint stop its work.
 func (a *Answer) Close() {
 	stopped := a.stopCancel()
 	k := a.conn
@@ -207,7 +208,7 @@
 }
 
 // isBodySent reports whether the request's body has been written. An endpoint that answered
-// before reading the body would take what is still to come for the next request.
+// before reading the body would take the rest of it for the next request.
 func (a *Answer) isBodySent() bool {
 	if a.bodyWritten == nil {
 		return true
--- a/entry/hop/hop_test.go
+++ b/entry/hop/hop_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-func readBody(t *testing.T, c *Client, addr string, r *Request) (string, error) {
+// sendAndRead sends a request and returns the body of its answer.
+func sendAndRead(t *testing.T, c *Client, addr string, r *Request) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -60,6 +61,7 @@
 	io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\nContent-Length: "+twoDigits(len(body))+"\r\n\r\n"+body)
 }
 
+// twoDigits formats a number below 100.
 func twoDigits(n int) string { return string(rune('0'+n/10)) + string(rune('0'+n%10)) }
 
 // An endpoint answers the first request twice. The second answer is already on the kept
@@ -88,7 +90,7 @@
 		})
 		c := New()
 		for _, id := range []string{"a", "b"} {
-			if got, err := readBody(t, c, addr, newRequest(id)); got != "answer to "+id || err != nil {
+			if got, err := sendAndRead(t, c, addr, newRequest(id)); got != "answer to "+id || err != nil {
 				t.Errorf("late %v, request %s: %q, %v", late, id, got, err)
 			}
 		}
@@ -108,7 +110,7 @@
 		}
 		reply(c, "a", "answer")
 	})
-	if got, err := readBody(t, New(), addr, newRequest("a")); got != "answer" || err != nil {
+	if got, err := sendAndRead(t, New(), addr, newRequest("a")); got != "answer" || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
 }
@@ -122,7 +124,7 @@
 		time.Sleep(50 * time.Millisecond)
 		c.(*net.TCPConn).SetLinger(0)
 	})
-	if got, err := readBody(t, New(), addr, newRequest("a")); err == nil {
+	if got, err := sendAndRead(t, New(), addr, newRequest("a")); err == nil {
 		t.Errorf("%q counts as complete", got)
 	}
 }
@@ -143,20 +145,20 @@
 		}
 	})
 	c := New()
-	if _, err := readBody(t, c, addr, newRequest("a")); err != nil {
+	if _, err := sendAndRead(t, c, addr, newRequest("a")); err != nil {
 		t.Fatal(err)
 	}
 	<-closed
 	time.Sleep(20 * time.Millisecond)
 	r := newRequest("b")
 	r.AtMostOnce = true
-	if got, err := readBody(t, c, addr, r); got != "ok" || err != nil {
+	if got, err := sendAndRead(t, c, addr, r); got != "ok" || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
 }
 
-// An endpoint answers before it has read a long body and keeps the connection open. It would
-// take the next request for the rest of that body.
+// An endpoint answers before it has read a long body and keeps the connection open. If the
+// connection were reused, the endpoint would take the next request for the rest of that body.
 func TestConnectionWithUnsentBodyIsNotReused(t *testing.T) {
 	conns := make(chan int, 10)
 	addr := startEndpoint(t, func(n int, c net.Conn, r *bufio.Reader) {
@@ -171,10 +173,10 @@
 	c := New()
 	long := newRequest("a")
 	long.Method, long.Body = "POST", []byte(strings.Repeat("x", 32<<20))
-	if got, err := readBody(t, c, addr, long); got != "no" || err != nil {
+	if got, err := sendAndRead(t, c, addr, long); got != "no" || err != nil {
 		t.Fatalf("%q, %v", got, err)
 	}
-	if got, err := readBody(t, c, addr, newRequest("b")); got != "no" || err != nil {
+	if got, err := sendAndRead(t, c, addr, newRequest("b")); got != "no" || err != nil {
 		t.Fatalf("%q, %v", got, err)
 	}
 	if first, second := <-conns, <-conns; first == second {
@@ -182,14 +184,16 @@
 	}
 }
 
+// A request may be sent again safely only if it was not sent. A connection that is closed after
+// the request was sent must not be reported like one that was refused.
 func TestErrorsDistinguishNotSentFromUnknown(t *testing.T) {
 	addr := startEndpoint(t, func(_ int, _ net.Conn, r *bufio.Reader) { http.ReadRequest(r) })
-	if _, err := readBody(t, New(), addr, newRequest("a")); !errors.Is(err, ErrUnknown) {
+	if _, err := sendAndRead(t, New(), addr, newRequest("a")); !errors.Is(err, ErrUnknown) {
 		t.Errorf("closed after the request: %v", err)
 	}
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
 	ln.Close()
-	if _, err := readBody(t, New(), ln.Addr().String(), newRequest("a")); !errors.Is(err, ErrNotSent) {
+	if _, err := sendAndRead(t, New(), ln.Addr().String(), newRequest("a")); !errors.Is(err, ErrNotSent) {
 		t.Errorf("nothing listens: %v", err)
 	}
 }
@@ -214,9 +218,9 @@
 	}
 }
 
-// A cancelled exchange fails like one that timed out. Without the cause in its error, an entry
-// that gave up could not be told from an endpoint that failed, neither before the head of the
-// answer nor after it.
+// A cancelled exchange fails like one that timed out. Without the cause in its error, an
+// exchange that the entry gave up would look like a failure of the endpoint, before the head of
+// the answer as well as after it.
 func TestCancelledExchangeReturnsCause(t *testing.T) {
 	cause := errors.New("given up")
 	for _, headSent := range []bool{false, true} {
