--- a/entry/kept/bench_test.go
+++ b/entry/kept/bench_test.go
@@ -13,6 +13,8 @@
 	"lycheepond/core/meter"
 )
 
+// BenchmarkRequest measures a request over a kept connection, on a plain listener and on that of
+// a Set.
 func BenchmarkRequest(b *testing.B) {
 	for _, plain := range []bool{true, false} {
 		b.Run(fmt.Sprint("plain=", plain), func(b *testing.B) {
--- a/entry/kept/conn.go
+++ b/entry/kept/conn.go
@@ -28,15 +28,16 @@
 
 // conn is an accepted connection.
 //
-// A byte is read from the kernel and the phase becomes phaseReading in one step under mu.
-// Bytes that were read together with the previous request count once the server waits for more
-// of them. In a planned stop, or when it is idle for too long, a connection is closed only
-// while it is new or idle, the server waits with an empty buffer and the kernel holds no byte,
-// also in one step under mu. So neither interrupts a request of which a byte was read.
+// Reading the first byte of a request from the kernel and setting phaseReading are one step
+// under mu. If the beginning of a request was read together with the previous request, the
+// phase becomes phaseReading when the server waits for the rest. A connection that is idle for
+// too long, or idle or new in a planned stop, is closed only while the server waits with an
+// empty buffer and the kernel holds no byte, also in one step under mu. So neither interrupts a
+// request of which a byte was read.
 //
-// A slow head and the end of the grace may interrupt one. Moreover, an answer that is sent
-// during a planned stop ends its connection, and requests that were pipelined after it are not
-// handed to the handler.
+// Closing because of a slow head or at the end of the grace may interrupt a request. Moreover,
+// an answer that is sent during a planned stop ends its connection, and requests that were
+// pipelined after it are not handed to the handler.
 type conn struct {
 	*net.TCPConn
 	set *Set
@@ -47,9 +48,9 @@
 	readBuf  []byte
 	readLen  int
 	readErr  error
-	// serverBufSize is the size of the server's buffer, which is empty at the first read, so
-	// that the first read asks for all of it. Later reads may read a body past the buffer and
-	// ask for more.
+	// serverBufSize is the size in bytes of the server's buffer. It is the size of the first
+	// read, for which the buffer is empty. Later reads of a body may bypass the buffer and be
+	// larger.
 	serverBufSize int
 
 	mu    sync.Mutex
@@ -58,8 +59,8 @@
 	// last answer.
 	phaseSince time.Time
 	idleBound  time.Duration
-	// serverWaiting is set while the server waits for more than it holds. Before that, a
-	// connection may look idle while a request is in the server's buffer.
+	// serverWaiting is set while the server waits for more data than its buffer holds. While
+	// it is not set, a connection that looks idle may have a request in the server's buffer.
 	serverWaiting bool
 	// readAhead is set when the server has read a byte after the request that it serves.
 	readAhead bool
@@ -136,6 +137,7 @@
 	return true
 }
 
+// readFD reads from a file descriptor and repeats reads that a signal interrupted.
 func readFD(fd int, p []byte) (int, error) {
 	for {
 		n, err := syscall.Read(fd, p)
@@ -200,13 +202,13 @@
 	return true
 }
 
-// isQuiet reports whether the server waits for more and nothing has arrived. What arrived
-// while the process did not run is still in the kernel. The caller holds mu.
-func (c *conn) isQuiet() bool { return c.serverWaiting && c.hasNoUnread() }
+// isQuiet reports whether the server waits for data and none has arrived. Data that arrived
+// while the process was paused is still in the kernel. The caller holds mu.
+func (c *conn) isQuiet() bool { return c.serverWaiting && c.isReceiveBufferEmpty() }
 
-// hasNoUnread reports whether nothing has arrived that the server has not read. The caller
-// holds mu.
-func (c *conn) hasNoUnread() bool {
+// isReceiveBufferEmpty reports whether the kernel holds no data that the server has not read.
+// The caller holds mu.
+func (c *conn) isReceiveBufferEmpty() bool {
 	arrived := false
 	err := c.raw.Control(func(fd uintptr) {
 		var b [1]byte
--- a/entry/kept/drain.go
+++ b/entry/kept/drain.go
@@ -15,7 +15,7 @@
 	// lost packet, which is sent again after 200 ms.
 	newConnGrace = 300 * time.Millisecond
 	// acceptTimeout is how long a stop waits until the server has noticed that its listener is
-	// closed. The server notices at once, unless the process hardly gets any CPU time.
+	// closed. The server notices at once unless the process gets hardly any CPU time.
 	acceptTimeout = time.Second
 	// drainInterval is the time between two checks of the connections.
 	drainInterval = 20 * time.Millisecond
@@ -80,9 +80,9 @@
 	return out
 }
 
-// CloseExpired closes the connections that have been idle for longer than the bound. For each
-// connection the largest bound counts that was in force since it became idle, as its caller
-// may rely on that: lowering the bound does not affect it.
+// CloseExpired closes the connections that have been idle for longer than the bound. The bound
+// of a connection is the largest one in force since it became idle, because its caller may
+// rely on that one: lowering the bound does not affect it.
 func (s *Set) CloseExpired() {
 	bound := s.cfg.IdleBound()
 	for _, c := range s.connections() {
@@ -94,7 +94,7 @@
 	}
 }
 
-// closeIfSlow closes a connection on which only a part of a request has arrived in
+// closeIfSlow closes a connection on which only a part of a request's head has arrived within
 // maxHeadTime.
 func (c *conn) closeIfSlow() {
 	c.closeIf(SlowHead, func(age time.Duration) (time.Duration, bool) {
--- a/entry/kept/kept.go
+++ b/entry/kept/kept.go
@@ -1,5 +1,5 @@
-// Package kept tracks the connections of a server between requests and closes those that have
-// been idle for too long or are ended by a planned stop.
+// Package kept tracks the connections of a server between requests. It closes those that have
+// been idle for too long, and in a planned stop those that are idle.
 //
 // net/http calls a connection idle until it has read the whole head of the next request.
 // Closing a connection on that basis may interrupt a request that has been read in part. In
@@ -87,7 +87,8 @@
 	}
 	switch state {
 	case http.StateClosed, http.StateHijacked:
-		// The handler has returned only now.
+		// Only now has the handler returned, so the connection is removed here and not when
+		// this process closes it.
 		s.removeConn(c)
 	case http.StateActive:
 		c.beginServing()
@@ -98,12 +99,12 @@
 }
 
 // closeAfterAnswer closes a connection after its answer if a planned stop has begun in the
-// meantime: the answer's head may have been sent before that without saying that the
-// connection ends. A request that the caller has already sent is refused by means of
-// ArrivedDuringStop.
+// meantime: the head of the answer may have been sent before that, without Connection: close.
+// If the caller has already sent the next request, the connection stays open, and the handler
+// refuses that request because of ArrivedDuringStop.
 func (s *Set) closeAfterAnswer(c *conn) {
 	if s.stopping.Load() {
-		c.closeIf(PlannedStop, func(time.Duration) (time.Duration, bool) { return 0, c.phase == phaseIdle && c.hasNoUnread() })
+		c.closeIf(PlannedStop, func(time.Duration) (time.Duration, bool) { return 0, c.phase == phaseIdle && c.isReceiveBufferEmpty() })
 	}
 }
 
@@ -145,7 +146,7 @@
 	c.setPhase(phaseIdle)
 }
 
-// Admit reports whether a request may be handed on. If not, this process has closed its
+// Admit reports whether a request may be processed. If not, this process has closed its
 // connection and the caller would not get an answer: the handler must panic with
 // http.ErrAbortHandler.
 func (s *Set) Admit(r *http.Request) bool {
--- a/entry/kept/kept_test.go
+++ b/entry/kept/kept_test.go
@@ -15,8 +15,8 @@
 	"lycheepond/core/meter"
 )
 
-// Requests arrive at the moment in which their connections are checked. Each of them must
-// either be answered or never be handed on.
+// Requests arrive at the moment at which their connections are checked. Each of them must
+// either be answered or never reach the handler.
 func TestCloseExpiredInterruptsNoRequest(t *testing.T) {
 	const clients, bound, rounds = 200, 20 * time.Millisecond, 40
 	srv := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -85,8 +85,8 @@
 	}
 }
 
-// The process did not run for a while, and what callers sent in the meantime is in the kernel
-// when CloseExpired runs first.
+// The process was paused, and after it resumes, CloseExpired runs before the server reads what
+// callers have sent in the meantime. It must not close their connections.
 func TestUnreadBytesKeepConnectionOpen(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -130,8 +130,8 @@
 	}
 }
 
-// A lower bound comes into force. The older one still applies to connections that became idle
-// under it.
+// A lower bound comes into force. The older one must still apply to connections that became
+// idle under it, until their next answer.
 func TestLowerBoundAppliesAfterNextAnswer(t *testing.T) {
 	srv := newTestServer(t, answerOK)
 	c := dial(t, srv.addr)
@@ -190,7 +190,8 @@
 	}
 }
 
-// A caller sends its next requests before it has received the last answer.
+// A caller sends its next requests before it has received the last answer. The connection must
+// not be closed as idle between them.
 func TestPipelinedRequests(t *testing.T) {
 	srv := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(5 * time.Millisecond)
--- a/entry/kept/stand_test.go
+++ b/entry/kept/stand_test.go
@@ -20,8 +20,8 @@
 	set   *Set
 	addr  string
 	bound atomic.Int64
-	// admitted counts requests that were handed on, interrupted those whose connection was
-	// then closed by the set.
+	// admitted counts the requests that Admit allowed, interrupted those of them whose
+	// connection the set closed before the handler returned.
 	admitted, interrupted atomic.Int64
 	serveErr              chan error
 }
