--- a/entry/door/answer.go
+++ b/entry/door/answer.go
@@ -18,8 +18,8 @@
 const (
 	// writeGrace is how long after its deadline a caller may still read.
 	writeGrace = time.Second
-	// minWriteTime is the least time that a caller gets to read a refusal or the end of an
-	// answer. Both fit the send buffer, so writing them waits only for a caller that reads
+	// minWriteTime is the shortest time that a caller gets to read a refusal or the end of an
+	// answer. Both fit the send buffer, so writing them blocks only if the caller reads
 	// nothing.
 	minWriteTime = 2 * time.Second
 	// maxDiscardBytes is how much of an unread body is read in order to keep the connection:
@@ -40,8 +40,8 @@
 	// bodyRead is set once the body was read, either to its end or until a read deadline that
 	// stays in force.
 	bodyRead bool
-	// loggedNotTaken is set once the log says that the caller did not read the answer.
-	loggedNotTaken bool
+	// loggedNotRead is set once the log says that the caller did not read the answer.
+	loggedNotRead bool
 }
 
 // newAnswer returns the answer to a request. Until its job is known, the request may only be
@@ -107,35 +107,35 @@
 
 func (a *answer) write(p []byte) error {
 	_, err := a.w.Write(p)
-	a.logNotTaken(err)
+	a.logNotRead(err)
 	return err
 }
 
 func (a *answer) flush() error {
 	err := a.rc.Flush()
-	a.logNotTaken(err)
+	a.logNotRead(err)
 	return err
 }
 
-// finish flushes the answer, to find out whether the caller reads it. An answer without a
-// length is left to the server, which may still set one. The deadline is extended, because a
-// process that could not run for a while owes the caller the time to read.
+// finish flushes the answer to find out whether the caller reads it. It does not flush an
+// answer without a length, because the server may still set one. It extends the deadline to
+// give the caller time to read even if the process was paused.
 func (a *answer) finish() {
 	if t := time.Now().Add(minWriteTime); t.After(a.deadline) {
 		a.setDeadline(t)
 	}
 	if a.w.Header().Get("Content-Length") != "" {
-		a.logNotTaken(a.rc.Flush())
+		a.logNotRead(a.rc.Flush())
 	}
 }
 
-// logNotTaken records in the log and the metrics that the caller did not read in time, if err
-// says so.
-func (a *answer) logNotTaken(err error) {
-	if a.loggedNotTaken || !errors.Is(err, os.ErrDeadlineExceeded) {
+// logNotRead records in the log and the metrics that the caller did not read in time, if that
+// caused err.
+func (a *answer) logNotRead(err error) {
+	if a.loggedNotRead || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return
 	}
-	a.loggedNotTaken = true
+	a.loggedNotRead = true
 	s := a.server
 	s.cfg.Metrics.Counter("answers_not_taken").Inc(1)
 	logs.Warn(s.cfg.Log, logs.EventAnswerNotRead, zap.String("request_id", s.cfg.RequestID(a.r)), zap.Duration("took", time.Since(a.startedAt)),
@@ -184,7 +184,8 @@
 	a.w.Header().Set("Connection", "close")
 }
 
-// handlePanic answers a request whose handler panicked with v.
+// handlePanic answers a request whose handler panicked with v. If the answer has begun, it
+// aborts the connection instead.
 func (a *answer) handlePanic(v any) {
 	if v == http.ErrAbortHandler {
 		panic(v)
@@ -198,6 +199,7 @@
 	a.writeRefusal(&Refusal{Status: http.StatusBadGateway, Reason: "fault of the program"})
 }
 
+// copyHeader copies an endpoint's headers, except the hop-by-hop ones, to the answer.
 func copyHeader(dst, src http.Header) {
 	for name, values := range src {
 		if !hdrs.IsHopByHop(name) {
--- a/entry/door/body.go
+++ b/entry/door/body.go
@@ -16,15 +16,15 @@
 	// bodyIdleTimeout is how long a caller may send nothing of the body. No connection pauses
 	// for that long because of lost packets.
 	bodyIdleTimeout = 15 * time.Second
-	// minBodyTime is the least time for which a body is read, even if the request has less
-	// time left. Most bodies arrive together with the head, and package direct then reports
-	// that the time is too short.
+	// minBodyTime is the shortest time for which a body is read, even if the request has less
+	// time left. Most bodies arrive together with the head, and package direct then refuses
+	// the request because its time is too short.
 	minBodyTime = time.Second
-	// defaultBodyLimit bounds a body in bytes if the operator sets no limit.
-	defaultBodyLimit = 4 << 20
-	// smallBodySize is the size in bytes up to which a body is read regardless of the memory
-	// in use. Such a body costs no more than the head of the request.
-	smallBodySize = 16 << 10
+	// defaultMaxBodyBytes bounds a body in bytes if the operator sets no limit.
+	defaultMaxBodyBytes = 4 << 20
+	// smallBodyBytes is the size up to which a body is read regardless of the memory in use.
+	// Such a body costs no more than the head of the request.
+	smallBodyBytes = 16 << 10
 	// memoryRetryAfter is the delay after which a caller should retry if too many bodies are
 	// held. Most bodies are sent on within about ten milliseconds.
 	memoryRetryAfter = 200 * time.Millisecond
@@ -49,7 +49,7 @@
 
 // Read reads the body and fails if too much is held. A small body is read in any case.
 func (m *meteredBody) Read(p []byte) (int, error) {
-	if m.ownBytes > smallBodySize && m.totalHeld.Load() > m.limit {
+	if m.ownBytes > smallBodyBytes && m.totalHeld.Load() > m.limit {
 		return 0, errBodyMemory
 	}
 	n, err := m.ReadCloser.Read(p)
@@ -61,37 +61,38 @@
 // release subtracts the body from the total.
 func (m *meteredBody) release() { m.totalHeld.Add(-m.ownBytes) }
 
-func bodyLimit(t *route.Table) int64 {
+// maxBodyBytes returns the operator's limit of a body in bytes, or the default.
+func maxBodyBytes(t *route.Table) int64 {
 	if limit := t.Config().Limits.BodyBytes; limit > 0 {
 		return int64(limit)
 	}
-	return defaultBodyLimit
+	return defaultMaxBodyBytes
 }
 
-// idleTimeoutReader reads a body for as long as its caller sends and the request lasts. Since
-// the size of a body does not show whether its caller is still sending, the time between two
-// parts is limited and not the total time.
+// idleTimeoutReader reads a body for as long as its caller sends and the request lasts. It
+// limits the time between two parts instead of the total time, because a large body that its
+// caller still sends may take long.
 type idleTimeoutReader struct {
 	body io.Reader
 	rc   *http.ResponseController
-	// deadline is when nobody waits for the body any more.
+	// deadline is when the request ends, so that its body is not needed any more.
 	deadline time.Time
 }
 
 // Read implements io.Reader.
-func (r *idleTimeoutReader) Read(b []byte) (int, error) {
+func (r *idleTimeoutReader) Read(p []byte) (int, error) {
 	deadline := time.Now().Add(bodyIdleTimeout)
 	if r.deadline.Before(deadline) {
 		deadline = r.deadline
 	}
 	r.rc.SetReadDeadline(deadline)
-	return r.body.Read(b)
+	return r.body.Read(p)
 }
 
 // readBody reads the body of a request into j. It returns a refusal if the body could not be
 // read to its end.
 func readBody(w http.ResponseWriter, r *http.Request, t *route.Table, j *direct.Job) *Refusal {
-	body := &idleTimeoutReader{body: http.MaxBytesReader(w, r.Body, bodyLimit(t)), rc: http.NewResponseController(w), deadline: j.End()}
+	body := &idleTimeoutReader{body: http.MaxBytesReader(w, r.Body, maxBodyBytes(t)), rc: http.NewResponseController(w), deadline: j.End()}
 	if earliest := time.Now().Add(minBodyTime); body.deadline.Before(earliest) {
 		body.deadline = earliest
 	}
--- a/entry/door/body_test.go
+++ b/entry/door/body_test.go
@@ -37,22 +37,23 @@
 	return nil
 }
 
-// bodySize is the size in bytes of the body that the callers in these tests announce.
-const bodySize = 1 << 20
+// bodyBytes is the size in bytes of the body that the callers in these tests announce.
+const bodyBytes = 1 << 20
 
-// sendBody has a caller send a body, with a fake clock. timeout is the route's timeout. write
-// sends the body or a part of it. The results are the status of the answer, when it arrived
-// and when the connection had ended.
+// sendBody sends a request with a body to a server, with a fake clock. timeout is the route's
+// timeout. write sends the body or a part of it. The results are the status of the answer and
+// the times from the start to the answer and to the end of the connection, which is measured
+// only after a refusal.
 func sendBody(t *testing.T, timeout time.Duration, write func(c net.Conn)) (status int, answered, ended time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &route.Route{Name: "r", Timeout: timeout}
 		s := New(Config{
-			BodyMemory: 2 * bodySize, RequestID: func(*http.Request) string { return "x" }, Log: zap.NewNop(),
+			BodyMemory: 2 * bodyBytes, RequestID: func(*http.Request) string { return "x" }, Log: zap.NewNop(),
 			ParseHead: func(*http.Request, *route.Table) (*direct.Job, *Refusal) { return &direct.Job{Route: r}, nil },
 			Table:     func() *route.Table { return route.NewTable(route.Config{}) },
 			HasSynced: func() bool { return true },
 			Serve: func(_ context.Context, j *direct.Job, s direct.Sink) direct.Result {
-				if len(j.Body) != bodySize {
+				if len(j.Body) != bodyBytes {
 					t.Errorf("a body of %d bytes was served", len(j.Body))
 				}
 				s.Head(http.StatusOK, nil, 0)
@@ -67,7 +68,7 @@
 		go func() { done <- server.Serve(ln) }()
 		start := time.Now()
 		go func() {
-			fmt.Fprintf(clientConn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", bodySize)
+			fmt.Fprintf(clientConn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", bodyBytes)
 			write(clientConn)
 			done <- nil
 		}()
@@ -98,8 +99,8 @@
 func steadySender(duration time.Duration) func(c net.Conn) {
 	return func(c net.Conn) {
 		n := int(duration / time.Second)
-		piece := make([]byte, bodySize/n+1)
-		for remaining := bodySize; remaining > 0; remaining -= len(piece) {
+		piece := make([]byte, bodyBytes/n+1)
+		for remaining := bodyBytes; remaining > 0; remaining -= len(piece) {
 			time.Sleep(time.Second)
 			if _, err := c.Write(piece[:min(remaining, len(piece))]); err != nil {
 				return
@@ -123,14 +124,14 @@
 // the deadline is removed when the reading fails, the test reports "no answer: read pipe: i/o
 // timeout", because the server reads the rest of the body before it answers.
 func TestSilentSenderIsRefused(t *testing.T) {
-	status, answered, ended := sendBody(t, 10*bodyIdleTimeout, func(c net.Conn) { c.Write(make([]byte, bodySize/2)) })
+	status, answered, ended := sendBody(t, 10*bodyIdleTimeout, func(c net.Conn) { c.Write(make([]byte, bodyBytes/2)) })
 	if status != http.StatusRequestTimeout || answered > bodyIdleTimeout+time.Second || ended > bodyIdleTimeout+2*time.Second {
 		t.Errorf("status %d after %v, connection ended after %v", status, answered, ended)
 	}
 }
 
-// A caller sends steadily, but its request ends before the body is complete. It must be told
-// then that the request has not run.
+// A caller sends steadily, but its request ends before the body is complete. It must then get
+// a refusal, which says that the request has not run.
 func TestBodyReadEndsAtDeadline(t *testing.T) {
 	const timeout = 2 * bodyIdleTimeout
 	status, answered, ended := sendBody(t, timeout, steadySender(3*bodyIdleTimeout))
@@ -139,10 +140,10 @@
 	}
 }
 
-// A request arrives with its body and has no time left. It must be handed on, so that its
+// A request arrives with its body and has no time left. It must still reach Serve, so that its
 // caller gets the reason and the request does not look like one whose caller has left.
 func TestBodyOfExpiredRequestIsRead(t *testing.T) {
-	status, answered, _ := sendBody(t, 0, func(c net.Conn) { c.Write(make([]byte, bodySize)) })
+	status, answered, _ := sendBody(t, 0, func(c net.Conn) { c.Write(make([]byte, bodyBytes)) })
 	if status != http.StatusOK {
 		t.Errorf("status %d after %v", status, answered)
 	}
--- a/entry/door/door.go
+++ b/entry/door/door.go
@@ -21,20 +21,20 @@
 )
 
 const (
-	// headerTimeout is how long a caller may take to send the headers. Any caller that wants
-	// to be served is faster.
+	// headerTimeout is how long a caller may take to send the headers, much longer than any
+	// caller needs.
 	headerTimeout = 10 * time.Second
-	// maxHeaderBytes bounds the headers. Operators set lower limits, which callers keep to.
+	// maxHeaderBytes bounds the headers. The limits that operators set are lower.
 	maxHeaderBytes = 64 << 10
 	// defaultIdleTimeout is how long a connection may be idle if the operator sets no limit.
 	defaultIdleTimeout = 75 * time.Second
 	// noConfigRetryAfter is the delay after which a caller should retry at an entry without a
-	// configuration. After its start an entry reads it within about ten milliseconds, and
-	// takes longer only while the platform and all peers are unreachable.
+	// configuration. After its start an entry reads the configuration within about ten
+	// milliseconds, and takes longer only while the platform and all peers are unreachable.
 	noConfigRetryAfter = 150 * time.Millisecond
 	// leavingRetryAfter is the delay after which a caller should retry at another entry when
-	// this one is stopping. A retry at once would do; the delay is for callers that would
-	// otherwise not wait at all between two attempts.
+	// this one is stopping. An immediate retry would succeed too; the delay keeps callers from
+	// retrying without any pause.
 	leavingRetryAfter = 10 * time.Millisecond
 	// balancerNoticeTime is how long a balancer that checks every second may take to miss two
 	// answers, with a margin.
@@ -42,8 +42,8 @@
 	// closeReserve is how much of the grace is reserved for ending the requests and
 	// connections that remain.
 	closeReserve = 700 * time.Millisecond
-	// cancelGrace is the part of closeReserve in which callers are told the outcome of
-	// requests that have not ended. A lost packet is sent again within this time.
+	// cancelGrace is the part of closeReserve in which callers get the outcome of requests
+	// that have not ended. A lost packet is sent again within this time.
 	cancelGrace = 400 * time.Millisecond
 )
 
@@ -130,7 +130,7 @@
 	for {
 		select {
 		case err := <-serveErrs:
-			// Requests that were read are answered all the same.
+			// Requests that have been read are still answered.
 			s.stop()
 			return err
 		case <-tick.C:
@@ -198,6 +198,7 @@
 	}
 }
 
+// serve reads one request, and serves or refuses it.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	if !s.conns.Admit(r) {
 		panic(http.ErrAbortHandler)
@@ -215,7 +216,8 @@
 		return
 	}
 	if !s.cfg.HasSynced() {
-		// No routes and keys are known yet, so none of them may be called unknown.
+		// Without a configuration the entry can't tell whether a route or key exists, so it
+		// must not refuse them as unknown.
 		a.refuse(&Refusal{Status: http.StatusServiceUnavailable, RetryAfter: noConfigRetryAfter, Reason: "no configuration yet"})
 		return
 	}
--- a/entry/door/grace_test.go
+++ b/entry/door/grace_test.go
@@ -12,8 +12,8 @@
 )
 
 // A request is queued, or waits for the head of an answer, when the grace of a planned stop is
-// over. It was read completely and nothing of an answer was written, so its caller can still
-// be told the outcome. A closed connection would tell it nothing.
+// over. It was read completely and nothing of an answer was written, so its caller must still
+// get the outcome. A closed connection would not show it.
 func TestRequestIsAnsweredAtEndOfGrace(t *testing.T) {
 	t.Parallel()
 	began := make(chan bool, 1)
--- a/entry/door/idle_test.go
+++ b/entry/door/idle_test.go
@@ -17,8 +17,9 @@
 const (
 	// idleCheckInterval is the time between two checks for idle connections, with a margin.
 	idleCheckInterval = 1500 * time.Millisecond
-	// longGrace is long enough not to end any stop, even if the process hardly gets to run.
-	// Requests interrupted by its end would hide other interrupted requests.
+	// longGrace is long enough that no stop reaches its end, even if the process gets hardly
+	// any CPU time. Requests interrupted by the end of the grace would hide other interrupted
+	// requests.
 	longGrace = time.Minute
 )
 
@@ -65,10 +66,10 @@
 }
 
 // The operator lowers the idle bound while many connections are kept, and requests arrive at
-// the moment in which their connections are checked. If the check relies on what net/http
-// calls idle, it closes connections whose request was read and is about to be handed on: the
-// work is done, and the caller finds a closed connection instead of an answer ("7025 handed
-// on, 42 of these interrupted"). Each request that is handed on must be answered.
+// the moment at which their connections are checked. If the check relies on what net/http
+// calls idle, it closes connections whose request was read and is about to be served: the work
+// is done, and the caller finds a closed connection instead of an answer ("7025 handed on, 42
+// of these interrupted"). Each request that is served must be answered.
 func TestIdleCloseUnderLoad(t *testing.T) {
 	const callers, pause = 2000, 2500 * time.Millisecond
 	srv := newTestServer(t, longGrace, answerSlowly)
@@ -84,9 +85,9 @@
 }
 
 // The check is blocked at the first connection that it closes, and meanwhile a request arrives
-// on the other one, which would be closed next. The server reads the request. If reading waits
-// only for a lock that the check holds, the connection is closed and the request is handed on
-// all the same ("got 0; 1 requests handed on, 1 of these interrupted").
+// on the other one, which would be closed next. The server reads the request. If reading only
+// waits for a lock that the check holds, the connection is closed and the request is served
+// nevertheless ("got 0; 1 requests handed on, 1 of these interrupted").
 func TestRequestDuringIdleClose(t *testing.T) {
 	t.Parallel()
 	srv := newTestServer(t, longGrace, answerOK)
@@ -100,7 +101,7 @@
 	}
 	admittedBefore := srv.admitted.Load()
 	other.sendRequest("/other")
-	// Let the server read the request, which may be answered meanwhile or not.
+	// Let the server read the request. It may or may not be answered in this time.
 	time.Sleep(200 * time.Millisecond)
 	blocked <- true
 	got := other.readStatus()
@@ -119,8 +120,8 @@
 
 // Half of a request has arrived, directly after the previous one, when its connection would be
 // closed as idle. net/http calls that connection idle until the head is complete. But the
-// request has begun, and its caller would find a closed connection although it was allowed to
-// send.
+// request has begun, and its caller would find a closed connection although it sent within the
+// idle bound.
 func TestPartialRequestDuringIdleClose(t *testing.T) {
 	t.Parallel()
 	srv := newTestServer(t, longGrace, answerOK)
@@ -167,8 +168,8 @@
 	}
 }
 
-// A planned stop with many callers: each request that is handed on must be answered, and no
-// request may be left when the server ends.
+// A planned stop with many callers: each request that is served must be answered, and no
+// request may be running when the server ends.
 func TestStopUnderLoad(t *testing.T) {
 	const callers, pause = 1000, time.Second
 	srv := newTestServer(t, longGrace, answerSlowly)
--- a/entry/door/slow_body_test.go
+++ b/entry/door/slow_body_test.go
@@ -37,7 +37,7 @@
 func TestIncompleteBodyIsRefused(t *testing.T) {
 	t.Parallel()
 	for _, synced := range []bool{true, false} {
-		t.Run(fmt.Sprintf("informed %v", synced), func(t *testing.T) {
+		t.Run(fmt.Sprintf("synced %v", synced), func(t *testing.T) {
 			t.Parallel()
 			srv := newTestServer(t, longGrace, answerOK)
 			srv.hasSynced.Store(synced)
@@ -80,8 +80,8 @@
 	}
 }
 
-// A body is too large to be read in order to keep its connection. The caller, which waits for
-// a refusal before it sends more, must get it at once.
+// A body is too large for the rest of it to be read in order to keep the connection. The
+// caller, which waits for a refusal before it sends more, must get it at once.
 func TestLargeBodyIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	srv := newTestServer(t, longGrace, answerOK)
--- a/entry/door/stand_test.go
+++ b/entry/door/stand_test.go
@@ -31,7 +31,7 @@
 	idleBound, routeTimeout atomic.Int64
 	hasSynced               atomic.Bool
 	// admitted counts the requests that reached Serve, interrupted those whose connection the
-	// process had closed when Serve returned.
+	// process had closed when Serve returned, running those that are in Serve.
 	admitted, interrupted, running atomic.Int64
 	stop                           context.CancelFunc
 	// readyLn is the listener for the balancer's readiness check.
@@ -47,7 +47,7 @@
 	blocked      chan bool
 }
 
-// Write keeps a line. The first line of the blocked event waits.
+// Write keeps a line. It blocks on the first line of the event given to blockOn.
 func (o *logBuffer) Write(line []byte) (int, error) {
 	o.mu.Lock()
 	o.lines.Write(line)
@@ -63,8 +63,8 @@
 	return len(line), nil
 }
 
-// blockOn returns a channel that delivers a value once a line of the event waits. Sending a
-// value to it lets the line continue.
+// blockOn blocks the first write of a line of the event. The returned channel delivers a value
+// once the write is blocked; sending a value to it unblocks the write.
 func (o *logBuffer) blockOn(event string) chan bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
