--- a/entry/direct/cause.go
+++ b/entry/direct/cause.go
@@ -13,7 +13,7 @@
 var errTimeUp = errors.New("time is up")
 
 // ErrEnding is the cause with which a server cancels the contexts of requests when the entry
-// is about to exit and their callers can still be answered.
+// is about to exit but their callers can still get an answer.
 var ErrEnding = errors.New("direct: the entry ends: send the request again, to another entry")
 
 // isEnding reports whether the context of a request was cancelled with ErrEnding.
--- a/entry/direct/direct.go
+++ b/entry/direct/direct.go
@@ -147,7 +147,7 @@
 }
 
 // HasSynced reports whether a configuration, an instance list and the rollout orders are
-// known.
+// known, so that requests can be served.
 func (d *Director) HasSynced() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/entry/direct/send.go
+++ b/entry/direct/send.go
@@ -64,8 +64,8 @@
 	return answer, attemptResult{}
 }
 
-// replaceFailed drops an endpoint's error in favor of another attempt. It does so only once
-// that attempt has its placement and its retry: otherwise the caller would lose the error
+// replaceFailed drops an endpoint's error answer in favor of another attempt, but only if that
+// attempt has its placement and its retry. Otherwise the caller would lose the endpoint's answer
 // without getting anything better.
 func (t *task) replaceFailed(answer *hop.Answer, a *attempt, w *watchdog) (*hop.Answer, attemptResult) {
 	if t.headSent || t.job.Route.AtMostOnce() {
--- a/entry/direct/view.go
+++ b/entry/direct/view.go
@@ -366,8 +366,8 @@
 	return v.describeEndpoints(p, p.endpoints, v.zone, cfg, now, sinceStart)
 }
 
-// describeEndpoints does the same for some of the endpoints, as an entry in the given zone
-// sees them. The result is valid until the next call for the pool.
+// describeEndpoints is like describePool for the given endpoints of the pool, as an entry in the
+// given zone sees them. The result is valid until the next call for the pool.
 func (v *view) describeEndpoints(p *pool, endpoints []*endpoint, zone string, cfg *route.Pool, now time.Time, sinceStart time.Duration) []admit.Endpoint {
 	out := p.scratch[:0]
 	silenceBound := serviceSilenceBound
--- a/entry/door/door.go
+++ b/entry/door/door.go
@@ -32,10 +32,10 @@
 	// configuration. After its start an entry reads the configuration within about ten
 	// milliseconds, and takes longer only while the platform and all peers are unreachable.
 	noConfigRetryAfter = 150 * time.Millisecond
-	// leavingRetryAfter is the delay after which a caller should retry at another entry when
+	// stoppingRetryAfter is the delay after which a caller should retry at another entry when
 	// this one is stopping. An immediate retry would succeed too; the delay keeps callers from
 	// retrying without any pause.
-	leavingRetryAfter = 10 * time.Millisecond
+	stoppingRetryAfter = 10 * time.Millisecond
 	// balancerNoticeTime is how long a balancer that checks every second may take to miss two
 	// answers, with a margin.
 	balancerNoticeTime = 2600 * time.Millisecond
@@ -212,7 +212,7 @@
 	}()
 	t := s.cfg.Table()
 	if s.conns.ArrivedDuringStop(r) {
-		a.refuse(&Refusal{Status: http.StatusServiceUnavailable, RetryAfter: leavingRetryAfter, Reason: "leaving"})
+		a.refuse(&Refusal{Status: http.StatusServiceUnavailable, RetryAfter: stoppingRetryAfter, Reason: "leaving"})
 		return
 	}
 	if !s.cfg.HasSynced() {
