--- a/entry/direct/job.go
+++ b/entry/direct/job.go
@@ -45,7 +45,8 @@
 	j.fingerprint = poison.NewFingerprint(j.Method, j.Host, j.Target, customer, j.Body)
 }
 
-// firstEventDue returns the time by which the first event is wanted.
+// firstEventDue returns the time by which the first event should arrive to meet the route's
+// target.
 func (j *Job) firstEventDue() time.Time { return j.AcceptedAt.Add(j.Route.Target) }
 
 // End returns the time by which the request must have its final answer: the caller's deadline
--- a/entry/direct/place.go
+++ b/entry/direct/place.go
@@ -221,10 +221,10 @@
 	}
 	d.mu.Unlock()
 	timer := time.NewTimer(wait)
-	var got *wire.PlaceReply
+	var reply *wire.PlaceReply
 	timedOut := false
 	select {
-	case got = <-pending.answer:
+	case reply = <-pending.answer:
 	case <-ctx.Done():
 	case <-timer.C:
 		timedOut = true
@@ -234,14 +234,14 @@
 	if d.pendingPlacements[id] == pending {
 		delete(d.pendingPlacements, id)
 		d.cfg.Peers.Send(owner, &wire.PlaceReport{ID: id, Outcome: wire.PlaceDropped})
-	} else if got == nil {
+	} else if reply == nil {
 		// The answer, or the end of the link, arrived at the same moment as the end of the
 		// wait.
-		got = <-pending.answer
+		reply = <-pending.answer
 	}
 	switch {
-	case got != nil:
-		return d.applyGrant(j, p, owner, got)
+	case reply != nil:
+		return d.applyGrant(j, p, owner, reply)
 	case ctx.Err() != nil:
 		return &attempt{}, admit.Decision{Endpoint: -1, Reason: admit.Full}, true
 	case timedOut:
@@ -254,37 +254,37 @@
 // applyGrant turns an owner's answer into an attempt or a refusal. It returns false if the
 // owner could not decide or does not know yet that the endpoint is leaving. The caller holds
 // d.mu.
-func (d *Director) applyGrant(j *Job, p *pool, owner string, m *wire.PlaceReply) (*attempt, admit.Decision, bool) {
-	if !m.Decided {
+func (d *Director) applyGrant(j *Job, p *pool, owner string, reply *wire.PlaceReply) (*attempt, admit.Decision, bool) {
+	if !reply.Decided {
 		return nil, admit.Decision{}, false
 	}
 	reachableEntries, knownEntries := d.cfg.EntryCounts()
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
-	dec := admit.Decision{Endpoint: -1, FirstEvent: us(m.FirstEventUS), SlotWait: us(m.WaitUS), RetryAfter: us(m.RetryAfterUS), SlotInterval: us(m.SlotIntervalUS), Reason: admit.Reason(m.RefusalReason)}
+	dec := admit.Decision{Endpoint: -1, FirstEvent: us(reply.FirstEventUS), SlotWait: us(reply.WaitUS), RetryAfter: us(reply.RetryAfterUS), SlotInterval: us(reply.SlotIntervalUS), Reason: admit.Reason(reply.RefusalReason)}
 	a := &attempt{placement: Placement{
-		Endpoint: m.Endpoint, PredictedFirst: dec.FirstEvent, PredictedWait: dec.SlotWait, RequestsAhead: int(m.RequestsAhead), PromptTokensAhead: int(m.PromptTokens), ReachableEntries: reachableEntries, KnownEntries: knownEntries, Owner: owner,
+		Endpoint: reply.Endpoint, PredictedFirst: dec.FirstEvent, PredictedWait: dec.SlotWait, RequestsAhead: int(reply.RequestsAhead), PromptTokensAhead: int(reply.PromptTokens), ReachableEntries: reachableEntries, KnownEntries: knownEntries, Owner: owner,
 	}}
-	if m.Endpoint == "" {
+	if reply.Endpoint == "" {
 		return a, dec, true
 	}
-	e := d.view.endpoints[m.Endpoint]
+	e := d.view.endpoints[reply.Endpoint]
 	switch {
 	case e != nil && !e.Leaving && e.Pool == j.Pool.Name && d.view.rollouts.RoleOf(e.Pool, e.Version) == canary.InService:
-	case e == nil && m.RosterRevision > d.view.roster.Revision && !d.view.rollouts.HasOpenOrder(j.Pool.Name):
-		e = &endpoint{Endpoint: route.Endpoint{ID: m.Endpoint, Addr: m.Addr, Pool: j.Pool.Name, Slots: m.Slots}}
+	case e == nil && reply.RosterRevision > d.view.roster.Revision && !d.view.rollouts.HasOpenOrder(j.Pool.Name):
+		e = &endpoint{Endpoint: route.Endpoint{ID: reply.Endpoint, Addr: reply.Addr, Pool: j.Pool.Name, Slots: reply.Slots}}
 	default:
-		d.cfg.Peers.Send(owner, &wire.PlaceReport{ID: m.ID, Outcome: wire.PlaceDropped})
+		d.cfg.Peers.Send(owner, &wire.PlaceReport{ID: reply.ID, Outcome: wire.PlaceDropped})
 		return nil, admit.Decision{}, false
 	}
 	dec.Endpoint, dec.Reason = 0, admit.Admitted
 	a.d, a.pool, a.endpoint, a.id, a.sentAddr = d, p, e, e.ID, e.Addr
-	a.isOnlyEndpoint, a.sentAt, a.hadFreeSlot, a.promptAhead, a.predictedWait, a.predictedService = len(p.endpoints) < 2, time.Now(), m.HadFreeSlot, int(m.PromptTokens), dec.SlotWait, dec.FirstEvent-dec.SlotWait
+	a.isOnlyEndpoint, a.sentAt, a.hadFreeSlot, a.promptAhead, a.predictedWait, a.predictedService = len(p.endpoints) < 2, time.Now(), reply.HadFreeSlot, int(reply.PromptTokens), dec.SlotWait, dec.FirstEvent-dec.SlotWait
 	a.work, a.fingerprint, a.route, a.version = jobWork(j, j.OutputTokens), j.fingerprint, j.Route.Name, e.Version
-	a.ownerPlacement = &ownerPlacement{owner: owner, id: m.ID, expectedOutput: a.work.outputTokens}
+	a.ownerPlacement = &ownerPlacement{owner: owner, id: reply.ID, expectedOutput: a.work.outputTokens}
 	if d.ownerAttempts[owner] == nil {
 		d.ownerAttempts[owner] = make(map[uint64]*attempt)
 	}
-	d.ownerAttempts[owner][m.ID] = a
+	d.ownerAttempts[owner][reply.ID] = a
 	return a, dec, true
 }
 
--- a/entry/direct/rig_test.go
+++ b/entry/direct/rig_test.go
@@ -71,7 +71,7 @@
 	return e
 }
 
-// pause waits for d and reports whether the request is still wanted then.
+// pause waits for d and reports whether the request has not been cancelled in that time.
 func (e *testEndpoint) pause(c net.Conn, d time.Duration) bool {
 	c.SetReadDeadline(time.Now().Add(d))
 	if _, err := c.Read(make([]byte, 1)); err != nil && !isTimeout(err) {
--- a/entry/direct/size_test.go
+++ b/entry/direct/size_test.go
@@ -247,19 +247,19 @@
 		}
 		running.Go(func() {
 			rnd := rand.New(rand.NewPCG(f.seed, 1<<40))
-			lost := int(f.lostFraction * float64(f.engines))
+			lostEngines := int(f.lostFraction * float64(f.engines))
 			time.Sleep(f.burstAt)
 			mu.Lock()
-			for _, e := range roster.Endpoints[:lost] {
+			for _, e := range roster.Endpoints[:lostEngines] {
 				close(engines[e.ID].stopped)
 			}
-			roster.Endpoints = append([]route.Endpoint(nil), roster.Endpoints[lost:]...)
+			roster.Endpoints = append([]route.Endpoint(nil), roster.Endpoints[lostEngines:]...)
 			mu.Unlock()
 			f.distributeRoster(rnd, &roster, directors, &running)
 			time.Sleep(f.replacedAfter)
 			mu.Lock()
 			roster.Endpoints = append([]route.Endpoint(nil), roster.Endpoints...)
-			for i := range lost {
+			for i := range lostEngines {
 				add(fmt.Sprint("new-", i), i)
 			}
 			mu.Unlock()
@@ -349,10 +349,10 @@
 			continue
 		}
 		f := burstFleet(entries)
-		got := f.replay(t)
-		top, refused, inverted := countInversions(got.requests, tallyInterval)
+		result := f.replay(t)
+		top, refused, inverted := countInversions(result.requests, tallyInterval)
 		inTime, served := 0, 0
-		for _, r := range got.requests {
+		for _, r := range result.requests {
 			if r.tier == 0 && r.metTarget {
 				inTime++
 			}
@@ -361,7 +361,7 @@
 			}
 		}
 		t.Logf("%d entries: at most %d requests at an engine of %d slots, %.2f of all slots in excess; of %d of the highest tier %d in time, %d refused, %d of them while a lower tier was admitted; %d of %d served",
-			entries, got.maxRequests, f.slots, got.maxExcess, top, inTime, refused, inverted, served, len(got.requests))
+			entries, result.maxRequests, f.slots, result.maxExcess, top, inTime, refused, inverted, served, len(result.requests))
 		if refused*20 > top {
 			t.Errorf("%d entries: %d of %d of the highest tier refused", entries, refused, top)
 		}
@@ -369,13 +369,13 @@
 			continue
 		}
 		if baseMax == 0 {
-			baseMax = got.maxRequests
+			baseMax = result.maxRequests
 		}
-		if got.maxRequests > baseMax+f.slots {
-			t.Errorf("%d entries: %d requests at an engine of %d slots, %d with fewer entries", entries, got.maxRequests, f.slots, baseMax)
+		if result.maxRequests > baseMax+f.slots {
+			t.Errorf("%d entries: %d requests at an engine of %d slots, %d with fewer entries", entries, result.maxRequests, f.slots, baseMax)
 		}
-		if got.maxExcess > 0.5 {
-			t.Errorf("%d entries: %.2f of all slots in excess", entries, got.maxExcess)
+		if result.maxExcess > 0.5 {
+			t.Errorf("%d entries: %.2f of all slots in excess", entries, result.maxExcess)
 		}
 		if inTime*20 < top*19 {
 			t.Errorf("%d entries: %d of %d of the highest tier in time", entries, inTime, top)
--- a/entry/direct/view.go
+++ b/entry/direct/view.go
@@ -35,8 +35,8 @@
 	// a prediction is reported.
 	driftDivisor = 8
 	driftTokens  = 20
-	// minSlackEntries is the least number of entries among which the slack is divided while
-	// not all of them are known.
+	// minSlackEntries is the minimum number of entries among which the slack is divided,
+	// because not all entries may be known yet.
 	minSlackEntries = 4
 )
 
@@ -403,11 +403,11 @@
 	if e.ownWork.requests == 0 {
 		return false
 	}
-	last := e.waitingSince
-	if e.lastByteAt.After(last) {
-		last = e.lastByteAt
+	silentSince := e.waitingSince
+	if e.lastByteAt.After(silentSince) {
+		silentSince = e.lastByteAt
 	}
-	return now.Sub(last) > limit
+	return now.Sub(silentSince) > limit
 }
 
 // tierRank returns the position of a tier among those in use in the pool; zero is the highest.
--- a/entry/direct/wait.go
+++ b/entry/direct/wait.go
@@ -79,14 +79,14 @@
 	now := time.Now()
 	position := d.queuePosition(j, p)
 	queue := p.queueOf(opts.shard)
-	ahead := queue.CountAhead(position)
+	requestsAhead := queue.CountAhead(position)
 	c := d.contention(1, p, j, opts)
-	a, dec := d.placeJob(j, placementOptions{outputTokens: j.OutputTokens, othersFirst: ahead > 0 || c.Blocked(), entryShare: c.Share(), shard: opts.shard, zone: opts.zone})
+	a, dec := d.placeJob(j, placementOptions{outputTokens: j.OutputTokens, othersFirst: requestsAhead > 0 || c.Blocked(), entryShare: c.Share(), shard: opts.shard, zone: opts.zone})
 	if dec.Reason != admit.Full || !opts.mayQueue {
 		return a, dec, nil
 	}
 	maxWait := waitq.MaxWait(j.Route.Target, j.firstEventDue().Sub(now), dec.FirstEvent-dec.SlotWait)
-	if expectedWait := time.Duration(ahead+c.HigherTier+c.SameTier+1) * dec.SlotInterval; expectedWait > maxWait {
+	if expectedWait := time.Duration(requestsAhead+c.HigherTier+c.SameTier+1) * dec.SlotInterval; expectedWait > maxWait {
 		dec.RetryAfter = max(dec.RetryAfter, expectedWait)
 		return a, dec, nil
 	}
--- a/entry/direct/waits.go
+++ b/entry/direct/waits.go
@@ -48,15 +48,15 @@
 	if len(report) == 0 {
 		return
 	}
-	last := s.byPeer[peer]
-	if last == nil {
-		last = make(map[poolTier]int)
-		s.byPeer[peer] = last
+	lastCounts := s.byPeer[peer]
+	if lastCounts == nil {
+		lastCounts = make(map[poolTier]int)
+		s.byPeer[peer] = lastCounts
 	}
 	for _, w := range report {
 		t := poolTier{w.Pool, route.Tier{Customer: w.CustomerTier, Route: w.RouteTier}}
-		addCount(s.peerTotals, t, int(w.Requests)-last[t])
-		addCount(last, t, int(w.Requests)-last[t])
+		addCount(s.peerTotals, t, int(w.Requests)-lastCounts[t])
+		addCount(lastCounts, t, int(w.Requests)-lastCounts[t])
 	}
 }
 
--- a/entry/kept/ahead_test.go
+++ b/entry/kept/ahead_test.go
@@ -10,7 +10,7 @@
 
 // The first bytes of a request arrive in one packet with the previous request, and are fewer
 // than the four that the server waits for. They are read together with the previous request, so
-// nothing more arrives after its answer. The connection must not count as idle all the same.
+// nothing more arrives after its answer. The connection must not count as idle.
 func TestPartialNextRequestIsNotIdle(t *testing.T) {
 	for _, stop := range []bool{false, true} {
 		srv := newTestServer(t, answerOK)
