--- a/entry/direct/rig_test.go
+++ b/entry/direct/rig_test.go
@@ -71,7 +71,7 @@
 	return e
 }
 
-// pause waits for d and reports whether the request is still wanted then.
+// pause waits for d and reports whether the request has not been cancelled in that time.
 func (e *testEndpoint) pause(c net.Conn, d time.Duration) bool {
 	c.SetReadDeadline(time.Now().Add(d))
 	if _, err := c.Read(make([]byte, 1)); err != nil && !isTimeout(err) {
@@ -100,7 +100,8 @@
 
 func writeStreamEnd(c net.Conn) { io.WriteString(c, "0\r\n\r\n") }
 
-// lastEventOf returns the number of the event after which a stream is wanted.
+// lastEventOf returns the number of the event after which a request resumes a stream; zero if
+// it starts one.
 func lastEventOf(req *http.Request) int {
 	n, _ := strconv.Atoi(req.Header.Get("Last"))
 	return n
--- a/entry/direct/waits.go
+++ b/entry/direct/waits.go
@@ -48,15 +48,15 @@
 	if len(report) == 0 {
 		return
 	}
-	last := s.byPeer[peer]
-	if last == nil {
-		last = make(map[poolTier]int)
-		s.byPeer[peer] = last
+	lastCounts := s.byPeer[peer]
+	if lastCounts == nil {
+		lastCounts = make(map[poolTier]int)
+		s.byPeer[peer] = lastCounts
 	}
 	for _, w := range report {
 		t := poolTier{w.Pool, route.Tier{Customer: w.CustomerTier, Route: w.RouteTier}}
-		addCount(s.peerTotals, t, int(w.Requests)-last[t])
-		addCount(last, t, int(w.Requests)-last[t])
+		addCount(s.peerTotals, t, int(w.Requests)-lastCounts[t])
+		addCount(lastCounts, t, int(w.Requests)-lastCounts[t])
 	}
 }
 
@@ -114,9 +114,9 @@
 	return wire.TierQueue{Pool: t.pool, CustomerTier: t.tier.Customer, RouteTier: t.tier.Route, Requests: uint32(n)}
 }
 
-// competition returns what competes with a request of a tier for the free slots. own is how
-// many requests of that tier wait at this entry, including this one.
-func (s *queueCounts) competition(key poolTier, own, free int) waitq.Contention {
+// contention returns the requests that compete with one of a tier for the free slots. own is
+// how many requests of that tier wait at this entry, including that one.
+func (s *queueCounts) contention(key poolTier, own, free int) waitq.Contention {
 	c := waitq.Contention{OwnSameTier: own, FreeSlots: free}
 	for t, n := range s.peerTotals {
 		if t.pool != key.pool {
