--- a/entry/mesh/accept.go
+++ b/entry/mesh/accept.go
@@ -14,10 +14,10 @@
 	"lycheepond/core/wire"
 )
 
-// maxLinks bounds the accepted links.
+// maxLinks bounds the number of accepted links.
 const maxLinks = 1024
 
-// errTooManyLinks reports a link beyond maxLinks.
+// errTooManyLinks is logged for a link beyond maxLinks.
 var errTooManyLinks = errors.New("mesh: too many links: look for processes that should not dial this entry")
 
 // accept accepts links from other entries until ctx ends.
@@ -49,7 +49,8 @@
 	}
 }
 
-// serveLink runs one link that another entry dialled.
+// serveLink runs one link that another entry dialled. The service of the peer's
+// placement requests begins with the first of them.
 func (m *Mesh) serveLink(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	hello, err := wire.Handshake(ctx, conn, m.cfg.Self, m.cfg.Keys)
@@ -115,7 +116,7 @@
 }
 
 // noteHub records that a hub relayed tallies to this entry, and returns the source
-// that these tallies have.
+// of these tallies.
 func (m *Mesh) noteHub(hello wire.Hello) relay.Source {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -164,7 +165,7 @@
 }
 
 // recordTally updates the peer from a tally. ok reports whether the tally is new
-// and complete enough to use, newProcess whether it is the first one of its process.
+// and can be used, newProcess whether it is the first one of its process.
 func (m *Mesh) recordTally(o origin, from relay.Source, t *wire.Tally) (newProcess, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -174,7 +175,7 @@
 		p.directAt = now
 	}
 	if slices.Contains(t.MissingFrom, m.cfg.Self.Name) {
-		p.lacksUsAt = now
+		p.gapReportedAt = now
 	}
 	newProcess = p.incarnation != o.incarnation
 	switch {
@@ -208,7 +209,7 @@
 	return newProcess, true
 }
 
-// noteNamed records that a peer knows an entry. It is called with mu held.
+// noteNamed records that a peer named an entry. It is called with mu held.
 func (m *Mesh) noteNamed(e wire.EntryAddr, now time.Time) {
 	if e.Name == m.cfg.Self.Name {
 		return
--- a/entry/mesh/dial.go
+++ b/entry/mesh/dial.go
@@ -18,7 +18,8 @@
 	// heartbeat is the heartbeat interval of the links. A link that is silent for
 	// three of them is closed and dialled again.
 	heartbeat = 300 * time.Millisecond
-	// dialTimeout and dialPause bound how often an unreachable peer is dialled.
+	// dialTimeout bounds one attempt to connect, and dialPause is the time between
+	// two attempts. Together they bound how often an unreachable peer is dialled.
 	dialTimeout = 500 * time.Millisecond
 	dialPause   = 300 * time.Millisecond
 	// hubMargin is added to the longest time between two tallies. A hub that sends
@@ -29,11 +30,12 @@
 	// After that it has either come back or counts as silent.
 	lostLinkPeriod = 2 * time.Second
 	// unusedLinkTTL is how long an unused link is kept, so that a peer that is
-	// needed on and off doesn't cost a new link each time.
+	// needed intermittently isn't dialled each time.
 	unusedLinkTTL = 3 * time.Second
-	// lackPeriod is how long tallies are sent directly to a peer that reported that
-	// it lacks tallies of this entry. It covers several tallies of the peer.
-	lackPeriod = 3 * time.Second
+	// gapReportPeriod is how long tallies are sent directly to a peer after it
+	// reported that it lacks tallies of this entry. It covers several tallies of the
+	// peer.
+	gapReportPeriod = 3 * time.Second
 	// maxExtraLinks is how many links an entry keeps at a time to peers that are
 	// unreachable or lack its tallies. After extraLinkPeriod it moves on to the
 	// next such peers. When a whole fleet starts, the first peers that answer name
@@ -49,7 +51,7 @@
 	// link.
 	peer string
 	// needsFull is set until a full tally has been sent over the link. fullSentAt
-	// is when that last happened.
+	// is when the last full tally was sent.
 	needsFull  bool
 	fullSentAt time.Time
 	// isRelayTarget is set once this entry, as a hub, has sent the full tallies
@@ -82,14 +84,14 @@
 	m.plan = relay.New(m.self(), known, reachable, func(e relay.Entry) bool { return !m.peers[e.Name].isMute(m.maxIntervalLocked()) })
 }
 
+// self returns what relay.New needs to know about this entry.
 func (m *Mesh) self() relay.Entry {
 	return relay.Entry{Name: m.cfg.Self.Name, Zone: m.cfg.Self.Zone, Capacity: m.cfg.Capacity}
 }
 
 // isMute reports whether a peer has stopped sending over its own link because it is
-// paused, cut off or dead. The entries that depend on it as a hub must not wait
-// until it counts as silent. Time that this process itself was paused doesn't
-// count.
+// paused, cut off or dead. Such a peer is not used as a hub, even before it counts
+// as silent. Time during which this process itself was paused doesn't count.
 func (p *peer) isMute(maxInterval time.Duration) bool {
 	if p.links > 0 {
 		return min(time.Since(p.directAt), time.Since(p.graceAt)) > maxInterval+hubMargin
@@ -142,7 +144,7 @@
 		}
 		if p.isReachable && m.plan.HasLink(m.self(), p.entry(name)) {
 			out = append(out, p.addr)
-		} else if !p.isReachable || now.Sub(p.lacksUsAt) < lackPeriod {
+		} else if !p.isReachable || now.Sub(p.gapReportedAt) < gapReportPeriod {
 			extra = append(extra, p.addr)
 		}
 	}
@@ -186,7 +188,7 @@
 		if err == nil {
 			err = m.runLink(ctx, conn, addr, d)
 		}
-		if errors.Is(err, errOwnAddress) || !m.worthDialling(addr, began) {
+		if errors.Is(err, errOwnAddress) || !m.shouldRedial(addr, began) {
 			return
 		}
 		select {
@@ -196,8 +198,9 @@
 	}
 }
 
-// worthDialling reports whether an address should be dialled again.
-func (m *Mesh) worthDialling(addr string, began time.Time) bool {
+// shouldRedial reports whether to dial an address again. A seed is always dialled
+// again, any other address for knownPeriod after began and while a known peer has it.
+func (m *Mesh) shouldRedial(addr string, began time.Time) bool {
 	if time.Since(began) < knownPeriod || slices.Contains(m.cfg.Seeds, addr) {
 		return true
 	}
@@ -211,6 +214,7 @@
 	return false
 }
 
+// errOwnAddress reports that a dialled address belongs to this entry.
 var errOwnAddress = errors.New("mesh: the address is this entry's own")
 
 // runLink runs one link that this entry dialled.
--- a/entry/mesh/mesh.go
+++ b/entry/mesh/mesh.go
@@ -24,16 +24,17 @@
 )
 
 const (
-	// silentIntervals is how many of the longest intervals between two tallies a
-	// reachable peer may send nothing. This is one second in fleets of up to a
-	// hundred entries.
+	// silentIntervals is the number of longest tally intervals after which a peer
+	// that sends nothing counts as unreachable. They amount to one second in fleets
+	// of up to a hundred entries.
 	silentIntervals = 4
-	// pauseIntervals is how many such intervals may pass between two checks for
-	// silent peers before this process counts as paused itself. Usually at most one
-	// interval passes, and with two a peer still has half of silentIntervals left.
+	// pauseIntervals is the number of longest tally intervals between two checks
+	// for silent peers after which this process counts as paused itself. Usually at
+	// most one interval passes, and after two a peer still has half of
+	// silentIntervals left.
 	pauseIntervals = 2
-	// knownPeriod is how long a silent peer that the platform doesn't list still
-	// counts as an entry that may admit requests.
+	// knownPeriod is how long a silent peer that the platform doesn't list is still
+	// counted as an entry that may admit requests.
 	knownPeriod = 20 * time.Second
 )
 
@@ -47,26 +48,27 @@
 	// Seeds are the addresses of entries that are dialled at the start.
 	Seeds []string
 	Keys  wire.Keys
-	// Capacity is how much work this entry can carry, in thousandths of a core;
+	// Capacity is the processing capacity of this entry in thousandths of a core,
 	// zero if unknown. The entries with the largest capacity become hubs.
 	Capacity uint32
 	// Tally returns the changes since the last call, or the full state if all is
 	// set. It is called by one goroutine only.
 	Tally func(all bool) *wire.Tally
 	// Freshness returns the evidence of how current the versions in force are, for
-	// the next tally, and for how many milliseconds this entry has run. If nil, no
+	// the next tally, and the uptime of this entry in milliseconds. If nil, no
 	// evidence is sent.
-	Freshness func() (evidence []wire.Freshness, clock uint64)
+	Freshness func() (evidence []wire.Freshness, uptimeMS uint64)
 	// Extend adds the fields to a tally that peers of older versions cannot read:
-	// what has changed since the last call, and if again is set also the state that
-	// a new peer needs. It may be nil.
-	Extend func(t *wire.Tally, again bool)
+	// what has changed since the last call, and if all is set also the state that a
+	// new peer needs. It may be nil.
+	Extend func(t *wire.Tally, all bool)
 	// Revisions returns the revisions in force, zero where there is none.
 	Revisions func() (config, roster int64)
-	// Snapshot returns the encoded version in force.
-	Snapshot func(what uint8) (*wire.Snapshot, error)
+	// Snapshot returns the encoded version in force of the given content, such as
+	// wire.SnapshotConfig.
+	Snapshot func(content uint8) (*wire.Snapshot, error)
 	// OnTally handles a peer's tally.
-	OnTally func(h PeerTally)
+	OnTally func(t PeerTally)
 	// FullTally returns the full state of a peer, put together from the tallies
 	// that were passed to OnTally.
 	FullTally func(peer string) *wire.Tally
@@ -77,7 +79,7 @@
 	// one that ends the service. Both are called by the goroutine of the link. If
 	// nil, such messages are ignored.
 	ServePlacements func(ctx context.Context, zone string, reply func(m wire.Message) error) (handle func(m wire.Message), end func())
-	// OnPlaceAck handles a peer's answer to a placement message of this entry.
+	// OnPlaceReply handles a peer's reply to a placement message of this entry.
 	// OnLinkClosed is called when the link over which such messages were sent has
 	// ended. Both may be nil.
 	OnPlaceAck   func(peer string, m *wire.PlaceReply)
@@ -125,19 +127,19 @@
 	// seq is the sequence number of the last tally of this entry. The first tally
 	// has number two.
 	seq uint64
-	// silenceCheckedAt is when silent peers were last looked for.
+	// silenceCheckedAt is when the last check for silent peers was made.
 	silenceCheckedAt time.Time
-	// sendSoon holds a value while the next tally is to be sent as soon as
-	// possible, relaySoon while received tallies are to be relayed as soon as
-	// possible.
+	// sendSoon holds one value while a call of SendTallySoon is pending, relaySoon
+	// while one of RelaySoon is.
 	sendSoon, relaySoon chan struct{}
-	// extendAll is set if Config.Extend is to add the full state to the next tally,
+	// extendAll is set if Config.Extend must add the full state to the next tally,
 	// for a new peer. Only the sendTallies goroutine uses it.
 	extendAll bool
-	// snapshots holds the version of each kind that was encoded last. Only the
+	// snapshots holds the version that was encoded last, by content. Only the
 	// sendTallies goroutine uses it.
 	snapshots map[uint8]*wire.Snapshot
-	// ended receives one value from each goroutine that has returned.
+	// ended receives one value from each goroutine that has returned. running
+	// counts the goroutines whose value wait has not yet received.
 	ended   chan struct{}
 	running int
 }
@@ -147,15 +149,16 @@
 	addr, zone string
 	// listed is set while the platform lists the entry.
 	listed bool
-	// incarnation is that of the process whose tallies were last accepted. seq is
-	// the sequence number of the last tally before which none is missing.
+	// incarnation identifies the process whose tallies were last accepted. seq is
+	// the sequence number of the last of its tallies before which none is missing.
 	incarnation, seq uint64
 	// tallyAt is when the last tally arrived, directAt when the last message
 	// arrived over the peer's own link, linkLostAt when that link broke, and
 	// namedAt when another entry last named the peer.
 	tallyAt, directAt, linkLostAt, namedAt time.Time
-	// graceAt is when the peer was given one more of the longest tally intervals
-	// because this process had been paused. This happens once for each silence.
+	// graceAt is when the peer was given one more longest tally interval to send a
+	// tally because this process had been paused. This happens once for each period
+	// of silence.
 	graceAt time.Time
 	// links counts the links that the peer has to this entry.
 	links int
@@ -164,14 +167,14 @@
 	// readsExtensions is set if the peer reads tallies with fields that older
 	// versions lack.
 	readsExtensions bool
-	// isReachable is set while the peer's tallies arrive, hasGap while one of its
-	// tallies is missing.
+	// isReachable is set while the peer's tallies arrive. hasGap is set while one
+	// of its tallies is missing.
 	isReachable, hasGap bool
-	// lacksUsAt is when the peer last reported that it lacks tallies of this entry.
-	lacksUsAt time.Time
+	// gapReportedAt is when the peer last reported that it lacks tallies of this entry.
+	gapReportedAt time.Time
 	// config and roster are the revisions that the peer last reported. staleSince
-	// is the time from which they count as older than ours, zero if they are
-	// current.
+	// is the time from which they count as older than this entry's, zero if they
+	// are current.
 	config, roster int64
 	staleSince     time.Time
 }
@@ -201,6 +204,7 @@
 	return ctx.Err()
 }
 
+// open opens the listener for links.
 func (m *Mesh) open() (net.Listener, error) {
 	if m.cfg.Open != nil {
 		return m.cfg.Open(m.cfg.Listen)
@@ -208,6 +212,7 @@
 	return net.Listen("tcp", m.cfg.Listen)
 }
 
+// spawn runs f in a goroutine that wait waits for.
 func (m *Mesh) spawn(f func()) {
 	m.mu.Lock()
 	m.running++
@@ -289,7 +294,7 @@
 	return reachable, known
 }
 
-// ReachablePeers returns the names of the reachable entries without this one.
+// ReachablePeers returns the names of the reachable entries except this one.
 func (m *Mesh) ReachablePeers() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -309,6 +314,7 @@
 // entry is a hub.
 func (m *Mesh) RelaySoon() { signal(m.relaySoon) }
 
+// signal puts a value into c unless c already holds one.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -323,9 +329,9 @@
 	return m.plan.FollowsHub()
 }
 
-// SilentPeers returns the listed peers that have been silent for d. After a pause
-// of this process only the time since the pause counts, and no peer is returned
-// before silent peers have been looked for again.
+// SilentPeers returns the names of the listed peers that have been silent for longer
+// than d. After a pause of this process only the time since the pause counts, and
+// no peer is returned before the next check for silent peers.
 func (m *Mesh) SilentPeers(d time.Duration) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/entry/mesh/mesh_test.go
+++ b/entry/mesh/mesh_test.go
@@ -21,19 +21,19 @@
 	stop func()
 
 	mu sync.Mutex
-	// usedTotal is the total that the entry reports for customer c. changed is set
-	// until it has been sent.
+	// usedTotal is the usage that the entry reports for customer c. changed is set
+	// until usedTotal has been sent.
 	usedTotal float64
 	changed   bool
-	// peerTotals holds the totals that peers reported, config the newest revision
-	// known.
+	// peerTotals holds the usage that each peer reported, lost the peers reported to
+	// OnPeerLost, and config the newest known revision.
 	peerTotals map[string]float64
 	lost       map[string]bool
 	config     int64
-	// fresh is the evidence for the next tally, receivedMarks the marks of the
-	// evidence that peers sent.
-	fresh         []wire.Freshness
-	receivedMarks map[uint32]bool
+	// fresh is the evidence for the next tally. receivedRefreshIDs holds the refresh
+	// IDs of the evidence that peers sent.
+	fresh              []wire.Freshness
+	receivedRefreshIDs map[uint32]bool
 }
 
 func (e *entry) with(f func()) {
@@ -55,22 +55,22 @@
 		t.Fatal(err)
 	}
 	addr := ln.Addr().String()
-	e := &entry{addr: addr, peerTotals: make(map[string]float64), lost: make(map[string]bool), receivedMarks: make(map[uint32]bool)}
+	e := &entry{addr: addr, peerTotals: make(map[string]float64), lost: make(map[string]bool), receivedRefreshIDs: make(map[uint32]bool)}
 	e.mesh = New(Config{
 		Self: wire.Hello{Role: wire.RoleEntry, Name: name, Zone: zone, Incarnation: rand.Uint64()}, Listen: addr, Seeds: seeds, Open: func(string) (net.Listener, error) { return ln, nil }, Keys: wire.OneKey([]byte("a key for tests")),
 		Tally: e.tally, Freshness: e.evidence, Revisions: func() (int64, int64) { e.mu.Lock(); defer e.mu.Unlock(); return e.config, 0 },
-		Snapshot: func(what uint8) (*wire.Snapshot, error) {
+		Snapshot: func(content uint8) (*wire.Snapshot, error) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			return &wire.Snapshot{Content: what, Revision: e.config}, nil
+			return &wire.Snapshot{Content: content, Revision: e.config}, nil
 		},
-		OnTally: func(h PeerTally) {
+		OnTally: func(received PeerTally) {
 			e.with(func() {
-				for _, u := range h.Tally.Customers {
-					e.peerTotals[h.Peer] = u.Total
+				for _, u := range received.Tally.Customers {
+					e.peerTotals[received.Peer] = u.Total
 				}
-				for _, f := range h.Tally.Freshness {
-					e.receivedMarks[f.RefreshID] = true
+				for _, f := range received.Tally.Freshness {
+					e.receivedRefreshIDs[f.RefreshID] = true
 					e.mesh.RelaySoon()
 				}
 			})
@@ -198,7 +198,7 @@
 		}
 		stale := &peer{isReachable: true, config: 3, roster: 7}
 		wait := m.snapshotWait("e0", stale, 7, 7)
-		if before, taken := entryByWait[wait]; taken {
+		if before, isTaken := entryByWait[wait]; isTaken {
 			t.Errorf("%s and %s both send after %v", before, self, wait)
 		}
 		entryByWait[wait] = self
@@ -221,8 +221,8 @@
 	}
 }
 
-// An entry dies. Its requests in flight must no longer count, and it may come back
-// under the same name.
+// An entry dies and comes back under the same name. While it is away, its requests
+// in flight must not count. After its return, its tallies must be accepted.
 func TestSilentPeerIsLostAndReturns(t *testing.T) {
 	a := start(t, "a")
 	b := start(t, "b", a.addr)
@@ -231,15 +231,15 @@
 	b.stop()
 	await(t, "the loss", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.lost["b"] })
 	if reachable, known := a.mesh.EntryCounts(); reachable != 1 || known != 2 {
-		t.Errorf("%d of %d entries reachable, want 1 of 2: the lost one may still admit requests", reachable, known)
+		t.Errorf("%d of %d entries are reachable, want 1 of 2: the lost one may still admit requests", reachable, known)
 	}
-	again := start(t, "b", a.addr)
-	again.use(3)
+	returned := start(t, "b", a.addr)
+	returned.use(3)
 	await(t, "the returned peer", func() bool { return a.hasTotal("b", 3) })
 }
 
-// Listed entries that were never reachable count as known, so that each side of a
-// network partition doesn't give out a customer's whole limit.
+// Listed entries that were never reachable must count as known. Otherwise each side
+// of a network partition would give out a customer's whole limit.
 func TestListedEntriesCountAsKnown(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	a := start(t, "a")
--- a/entry/mesh/pass.go
+++ b/entry/mesh/pass.go
@@ -8,8 +8,8 @@
 	"lycheepond/core/wire"
 )
 
-// maxRelayQueue bounds the tallies that wait to be relayed: about twenty from each
-// of 400 entries. A peer that misses one requests a full tally.
+// maxRelayQueue bounds the number of tallies that wait to be relayed: about twenty
+// from each of 400 entries. A peer that misses one requests a full tally.
 const maxRelayQueue = 1 << 13
 
 // queuedTally is a tally that waits to be relayed by this hub.
@@ -33,7 +33,7 @@
 	}
 }
 
-// encode returns the encoded tally, or nil after an error, which it logs.
+// encode returns the encoded tally. It logs an error and returns nil then.
 func (m *Mesh) encode(t *wire.Tally) []byte {
 	body, err := t.Encode()
 	if err != nil {
@@ -43,6 +43,7 @@
 	return body
 }
 
+// relayed returns the form in which a hub sends an encoded tally of o.
 func (o origin) relayed(body []byte) wire.RelayedTally {
 	return wire.RelayedTally{Name: o.name, Zone: o.zone, Incarnation: o.incarnation, Body: body}
 }
@@ -64,9 +65,9 @@
 	for _, l := range m.selectLinks(func(d *dial) bool { return d.isRelayTarget }) {
 		to := m.entry(l.peer)
 		var out wire.Relay
-		for _, p := range queued {
-			if plan.Forwards(p.origin, p.from, to) {
-				out.Tallies = append(out.Tallies, p.tally)
+		for _, q := range queued {
+			if plan.Forwards(q.origin, q.from, to) {
+				out.Tallies = append(out.Tallies, q.tally)
 			}
 		}
 		if len(out.Tallies) > 0 {
@@ -75,10 +76,10 @@
 	}
 }
 
-// becomesRelayTarget reports whether this entry has just become the hub that relays
-// tallies to the other end of a link. Such a peer needs full tallies first, because
-// it cannot use a change of an entry that it doesn't know. It is called with mu
-// held.
+// becomesRelayTarget updates isRelayTarget of a link, and reports whether this entry
+// has just become the hub that relays tallies over it. The peer then needs full
+// tallies first, because it cannot use a change of an entry that it doesn't know.
+// becomesRelayTarget is called with mu held.
 func (m *Mesh) becomesRelayTarget(d *dial) bool {
 	relays := m.plan.IsHub() && d.sendsTallies && !d.needsFull && m.plan.HasLink(m.self(), m.peer(d.peer).entry(d.peer))
 	begins := relays && !d.isRelayTarget
@@ -86,6 +87,7 @@
 	return begins
 }
 
+// entry returns what relay.New needs to know about the named peer.
 func (m *Mesh) entry(name string) relay.Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -96,8 +98,8 @@
 // relays to the peer.
 func (m *Mesh) relayFull(l target) {
 	to := m.entry(l.peer)
-	// No tally is processed meanwhile, so the state matches the sequence number
-	// sent with it.
+	// While tallyMu is held no tally is processed, so the state matches the
+	// sequence number sent with it.
 	m.tallyMu.Lock()
 	defer m.tallyMu.Unlock()
 	var out wire.Relay
@@ -119,8 +121,8 @@
 	}
 }
 
-// relayedOrigins returns the processes whose tallies this entry relays to a peer
-// and of which it lacks no tally.
+// relayedOrigins returns the processes whose tallies this entry relays to a peer.
+// It omits those of which a tally is missing here.
 func (m *Mesh) relayedOrigins(to relay.Entry) []origin {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/entry/mesh/relay_test.go
+++ b/entry/mesh/relay_test.go
@@ -11,13 +11,13 @@
 	"lycheepond/core/wire"
 )
 
-// startFleet starts entries in several availability zones, too many for all to send
-// tallies to all.
-func startFleet(t *testing.T, zones, each int) []*entry {
+// startFleet starts perZone entries in each of several availability zones, too many
+// for all to send tallies to all.
+func startFleet(t *testing.T, zones, perZone int) []*entry {
 	t.Helper()
 	var all []*entry
 	for z := range zones {
-		for i := range each {
+		for i := range perZone {
 			var seeds []string
 			if len(all) > 0 {
 				seeds = []string{all[0].addr}
@@ -46,10 +46,10 @@
 
 func awaitTotals(t *testing.T, what string, all []*entry, total func(i int) float64) {
 	t.Helper()
-	for i, of := range all {
-		for _, e := range all {
-			if e != of {
-				await(t, fmt.Sprintf("%s of %s at %s", what, of.name(), e.name()), func() bool { return e.hasTotal(of.name(), total(i)) })
+	for i, sender := range all {
+		for _, receiver := range all {
+			if receiver != sender {
+				await(t, fmt.Sprintf("%s of %s at %s", what, sender.name(), receiver.name()), func() bool { return receiver.hasTotal(sender.name(), total(i)) })
 			}
 		}
 	}
@@ -58,9 +58,9 @@
 // startSettledFleet starts a fleet and waits until every entry has received the
 // total of every other one, which is its number, and none keeps more than maxLinks
 // links.
-func startSettledFleet(t *testing.T, zones, each, maxLinks int) []*entry {
+func startSettledFleet(t *testing.T, zones, perZone, maxLinks int) []*entry {
 	t.Helper()
-	all := startFleet(t, zones, each)
+	all := startFleet(t, zones, perZone)
 	for i, e := range all {
 		e.use(float64(i + 1))
 	}
@@ -69,8 +69,8 @@
 	return all
 }
 
-// awaitNextTotals raises the totals of all entries and waits until they have
-// spread.
+// awaitNextTotals raises the totals of all entries and waits until every other entry
+// has received them.
 func awaitNextTotals(t *testing.T, all []*entry) {
 	t.Helper()
 	for _, e := range all {
@@ -100,26 +100,25 @@
 	awaitNextTotals(t, all)
 }
 
-// The hub of a zone dies. The totals of its zone must reach all other entries
-// another way and the zone must receive theirs, otherwise customers' limits are
-// given out twice.
+// The hub of a zone dies. The totals of its zone must still reach all other entries,
+// and theirs must reach the zone. Otherwise customers' limits are given out twice.
 func TestHubDies(t *testing.T) {
 	t.Parallel()
 	all := startSettledFleet(t, 3, 4, 5)
 	all[4].stop()
-	rest := append(append([]*entry(nil), all[:4]...), all[5:]...)
+	survivors := append(append([]*entry(nil), all[:4]...), all[5:]...)
 	began := time.Now()
-	for _, e := range rest {
+	for _, e := range survivors {
 		e.use(1000)
 	}
-	awaitTotals(t, "the total after the death", rest, func(i int) float64 {
+	awaitTotals(t, "the total after the death", survivors, func(i int) float64 {
 		if i >= 4 {
 			i++
 		}
 		return float64(i + 1001)
 	})
-	t.Logf("all totals have spread again after %v", time.Since(began))
-	awaitAll(t, "the loss of the hub", rest, func(e *entry) bool {
+	t.Logf("all totals have arrived again after %v", time.Since(began))
+	awaitAll(t, "the loss of the hub", survivors, func(e *entry) bool {
 		reachable, known := e.mesh.EntryCounts()
 		return reachable == 11 && known == 12
 	})
@@ -131,15 +130,15 @@
 	var tallies []PeerTally
 	m := New(Config{
 		Self: wire.Hello{Name: "me", Zone: "z"}, Log: zap.NewNop(),
-		OnTally: func(h PeerTally) { tallies = append(tallies, h) }, OnPeerLost: func(string) {},
+		OnTally: func(received PeerTally) { tallies = append(tallies, received) }, OnPeerLost: func(string) {},
 	})
 	return m, &tallies
 }
 
-func (m *Mesh) lackedNow() []string {
+func (m *Mesh) gapsNow() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.lackedEntries()
+	return m.entriesWithGaps()
 }
 
 // While a hub changes, a tally may be lost or arrive twice. A duplicate must not
@@ -148,8 +147,8 @@
 func TestLostAndDuplicateTallies(t *testing.T) {
 	m, tallies := receiver()
 	from := origin{"other", "z2", 7}
-	receive := func(seq uint64, whole bool) {
-		m.handleTally(from, relay.OtherHub, &wire.Tally{Seq: seq, Full: whole}, nil)
+	receive := func(seq uint64, full bool) {
+		m.handleTally(from, relay.OtherHub, &wire.Tally{Seq: seq, Full: full}, nil)
 	}
 	receive(3, true)
 	receive(4, false)
@@ -158,30 +157,30 @@
 	if len(*tallies) != 2 || !(*tallies)[0].NewProcess || (*tallies)[1].NewProcess {
 		t.Fatalf("accepted %+v, want tally 3 of a new process and tally 4", *tallies)
 	}
-	if l := m.lackedNow(); len(l) != 0 {
+	if l := m.gapsNow(); len(l) != 0 {
 		t.Errorf("lacks %v though nothing is missing", l)
 	}
 	receive(6, false)
-	if l := m.lackedNow(); len(l) != 1 {
+	if l := m.gapsNow(); len(l) != 1 {
 		t.Error("tally 5 is missing and not requested")
 	}
 	receive(7, false)
-	if l := m.lackedNow(); len(l) != 1 {
+	if l := m.gapsNow(); len(l) != 1 {
 		t.Error("the missing tally 5 is forgotten after the next one")
 	}
 	receive(7, true)
-	if l := m.lackedNow(); len(l) != 0 {
+	if l := m.gapsNow(); len(l) != 0 {
 		t.Error("a full tally does not fill the gap")
 	}
 	receive(8, false)
-	if l := m.lackedNow(); len(l) != 0 {
+	if l := m.gapsNow(); len(l) != 0 {
 		t.Error("reports a gap where there is none")
 	}
 }
 
-// A process ends and another one starts under its name. A late tally of the first
-// process arrives by way of a hub. If it were attributed to the new process, its
-// totals would count as new usage.
+// A process ends and another one starts under its name. Then a late tally of the
+// first process arrives through a hub. If it were attributed to the new process,
+// its totals would count as new usage.
 func TestTallyOfAnEndedProcess(t *testing.T) {
 	m, tallies := receiver()
 	m.handleTally(origin{"other", "z2", 7}, relay.OtherHub, &wire.Tally{Seq: 3, Full: true}, nil)
@@ -192,9 +191,9 @@
 	}
 }
 
-// A paused entry resumes. Meanwhile it counted as gone and its requests in flight
-// were forgotten, but its next tally holds only changes, so a full tally must be
-// requested.
+// An entry resumes after a pause during which it counted as lost and its requests
+// in flight were forgotten. Its next tally holds only changes, so a full tally must
+// be requested.
 func TestReturningPeerMustSendAFullTally(t *testing.T) {
 	m, _ := receiver()
 	from := origin{"other", "z", 7}
@@ -203,28 +202,27 @@
 	m.peers["other"].tallyAt = time.Now().Add(-2 * silentIntervals * maxTallyInterval)
 	m.expireSilentPeers()
 	m.handleTally(from, relay.Direct, &wire.Tally{Seq: 3}, nil)
-	if l := m.lackedNow(); len(l) != 1 {
+	if l := m.gapsNow(); len(l) != 1 {
 		t.Error("the requests that it had in flight before stay unknown")
 	}
 	m.handleTally(from, relay.Direct, &wire.Tally{Seq: 3, Full: true}, nil)
-	if l := m.lackedNow(); len(l) != 0 {
+	if l := m.gapsNow(); len(l) != 0 {
 		t.Errorf("lacks %v after a full tally", l)
 	}
 }
 
-// A hub that has just taken over relays a change of an entry that this one doesn't
-// know. The change alone is useless, and unless a full tally is requested the entry
-// stays unknown.
+// A new hub relays a change of an entry that this one doesn't know. The change alone
+// is useless, and unless a full tally is requested the entry stays unknown.
 func TestFullTallyOfAnUnknownEntryIsRequested(t *testing.T) {
 	m, tallies := receiver()
 	m.handleTally(origin{"other", "z2", 7}, relay.OtherHub, &wire.Tally{Seq: 5, MissingFrom: []string{"me"}}, nil)
 	if len(*tallies) != 0 {
 		t.Errorf("accepted %+v of a process that it does not know", *tallies)
 	}
-	if l := m.lackedNow(); len(l) != 1 || l[0] != "other" {
+	if l := m.gapsNow(); len(l) != 1 || l[0] != "other" {
 		t.Errorf("lacks %v, want the unknown entry", l)
 	}
-	if m.peers["other"].lacksUsAt.IsZero() {
+	if m.peers["other"].gapReportedAt.IsZero() {
 		t.Error("does not record that the other entry lacks it")
 	}
 }
--- a/entry/mesh/stopped_test.go
+++ b/entry/mesh/stopped_test.go
@@ -21,10 +21,10 @@
 }
 
 // A process is paused for longer than its peers may be silent. When it resumes, it
-// looks for silent peers before it reads the tallies that arrived meanwhile. If all
-// peers counted as gone, it would forget their requests at the endpoints and send
-// its own into queues that it believes to be empty. When its pause counted as the
-// peers' silence, this test reported 1 entry reachable and 3 losses.
+// looks for silent peers before it reads the tallies that arrived during the pause.
+// If all peers counted as lost, it would forget their requests at the endpoints and
+// send its own into queues that it believes to be empty. When its pause counted as
+// the peers' silence, this test reported 1 entry reachable and 3 losses.
 func TestProcessPauseIsNotPeerSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, _ := receiver()
@@ -43,8 +43,9 @@
 	})
 }
 
-// A dead peer must count as gone also in a process that is paused again and again.
-// If it counted for ever, its requests would keep others away from the endpoints.
+// A dead peer must be detected even by a process that is paused again and again.
+// Otherwise the peer's requests would count for ever, and this entry would avoid the
+// endpoints that they occupied.
 func TestDeadPeerIsDetectedBetweenPauses(t *testing.T) {
 	for _, pause := range []time.Duration{0, silenceLimit / 2, silenceLimit, 2 * silenceLimit} {
 		synctest.Test(t, func(t *testing.T) {
@@ -65,9 +66,9 @@
 	}
 }
 
-// Peers that have been silent for long are removed from the platform's list of
-// entries. A process that resumes after a long pause has received nothing
-// meanwhile. If it took its own pause for the peers' silence, it would have running
+// Peers that have been silent for a long time are removed from the platform's list
+// of entries. A process that resumes after a long pause has received nothing during
+// it. If it counted its own pause as the peers' silence, it would have running
 // entries removed, before it even looked for silent peers.
 func TestProcessPauseReportsNoSilentPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -91,9 +92,9 @@
 	})
 }
 
-// A hub that stops sending is replaced at once. To a process that resumes after a
-// pause all hubs look like this. If it replaced them before it has read their
-// tallies, tallies would take other paths and needless links would be dialled.
+// A hub that stops sending is replaced at once. A process that resumes after a pause
+// has received nothing from any hub. If it replaced the hubs before it has read
+// their tallies, tallies would take other paths and needless links would be dialled.
 func TestProcessPauseKeepsHubs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, _ := receiver()
--- a/entry/mesh/tell.go
+++ b/entry/mesh/tell.go
@@ -11,33 +11,34 @@
 )
 
 const (
-	// minTallyInterval is the shortest time between two tallies. Requests arrive
-	// tens of milliseconds apart at one entry, and information that is 25 ms old
-	// costs less than one position in a queue.
+	// minTallyInterval is the shortest time between two tallies. Requests arrive at
+	// one entry tens of milliseconds apart, so within 25 ms the state of a queue
+	// changes by less than one request.
 	minTallyInterval = 25 * time.Millisecond
-	// tallyIntervalPerLink is the shortest time between two tallies for each link
-	// over which they are sent. It bounds the rate to 200 messages a second.
+	// tallyIntervalPerLink, times the number of links over which tallies are sent,
+	// is the shortest time between two tallies. It bounds the rate of all links
+	// together to 200 messages a second.
 	tallyIntervalPerLink = 5 * time.Millisecond
-	// tallyIntervalPerEntry is the shortest time between two tallies for each known
-	// entry. It applies to entries that send only to a hub, because each of their
-	// tallies reaches every entry.
+	// tallyIntervalPerEntry, times the number of known entries, is the shortest
+	// time between two tallies of an entry that sends only to a hub, because each
+	// of its tallies reaches every entry.
 	tallyIntervalPerEntry = 2500 * time.Microsecond
-	// maxTallyInterval is the longest time between two tallies, also without
-	// changes, because peers use tallies as heartbeats. In a large fleet
-	// tallyIntervalPerEntry times the number of entries replaces it, if that is
+	// maxTallyInterval is the longest time between two tallies, even if nothing has
+	// changed, because peers use tallies as heartbeats. In a large fleet it is
+	// replaced by tallyIntervalPerEntry times the number of entries, if that is
 	// longer.
 	maxTallyInterval = 250 * time.Millisecond
 	// fullTallyMargin is added to the longest tally interval. A peer that reports a
 	// gap gets no second full tally before the sum has passed, as the first one may
 	// still be on its way.
 	fullTallyMargin = 50 * time.Millisecond
-	// maxLacks bounds how many lacked entries one tally names. The others are named
-	// once these are reachable or forgotten.
-	maxLacks = 16
+	// maxMissingFrom bounds how many entries one tally names as those whose tallies
+	// are missing. The others are named once these are reachable or forgotten.
+	maxMissingFrom = 16
 )
 
-// sendTallies sends tallies until ctx ends. It is the only goroutine that calls
-// Config.Tally, so a link over which a full tally was sent misses no later change.
+// sendTallies sends tallies until ctx ends. Only its goroutine calls Config.Tally, so
+// a link over which a full tally was sent misses no later change.
 func (m *Mesh) sendTallies(ctx context.Context) {
 	last := time.Now()
 	m.mu.Lock()
@@ -117,7 +118,7 @@
 
 // freshness returns the evidence for the next tally of how current the versions in
 // force are. It returns none while a reachable peer could not read it.
-func (m *Mesh) freshness() (evidence []wire.Freshness, clock uint64) {
+func (m *Mesh) freshness() (evidence []wire.Freshness, uptimeMS uint64) {
 	if m.cfg.Freshness == nil || !m.allReadExtensions() {
 		return nil, 0
 	}
@@ -131,8 +132,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	wait := max(minTallyInterval, time.Duration(len(m.dials))*tallyIntervalPerLink)
-	// Other entries decide by the tallies of a shard's owner where to request
-	// placements.
+	// An entry that owns shards doesn't wait that long, because the others choose
+	// by its tallies where to request placements.
 	if !m.plan.IsHub() && m.placementLinks == 0 {
 		wait = max(wait, time.Duration(m.known)*tallyIntervalPerEntry)
 	}
@@ -145,6 +146,7 @@
 	return max(maxTallyInterval, time.Duration(m.known)*tallyIntervalPerEntry)
 }
 
+// maxInterval is maxIntervalLocked for callers that don't hold mu.
 func (m *Mesh) maxInterval() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -155,7 +157,7 @@
 func (m *Mesh) sendTally(t *wire.Tally) {
 	m.mu.Lock()
 	m.seq++
-	t.Seq, t.MissingFrom = m.seq, m.lackedEntries()
+	t.Seq, t.MissingFrom = m.seq, m.entriesWithGaps()
 	m.mu.Unlock()
 	for _, l := range m.selectLinks(func(d *dial) bool { return d.sendsTallies && !d.needsFull }) {
 		// A link that cannot accept the tally closes itself and is dialled again.
@@ -163,12 +165,12 @@
 	}
 }
 
-// lackedEntries names entries of which tallies are missing. It is called with mu
-// held.
-func (m *Mesh) lackedEntries() []string {
+// entriesWithGaps returns the names of up to maxMissingFrom entries whose tallies
+// are missing here. It is called with mu held.
+func (m *Mesh) entriesWithGaps() []string {
 	var out []string
 	for name, p := range m.peers {
-		if len(out) < maxLacks && (!p.isReachable || p.hasGap) && p.isPossible() {
+		if len(out) < maxMissingFrom && (!p.isReachable || p.hasGap) && p.isPossible() {
 			out = append(out, name)
 		}
 	}
@@ -180,25 +182,25 @@
 func (m *Mesh) sendFullTallies() {
 	now := time.Now()
 	newLinks := m.selectLinks(func(d *dial) bool { return d.sendsTallies && d.needsFull })
-	lackingLinks := m.selectLinks(func(d *dial) bool { return d.sendsTallies && !d.needsFull && m.lacksTallies(d) })
-	if len(newLinks)+len(lackingLinks) == 0 {
+	gapLinks := m.selectLinks(func(d *dial) bool { return d.sendsTallies && !d.needsFull && m.hasReportedGap(d) })
+	if len(newLinks)+len(gapLinks) == 0 {
 		return
 	}
 	m.extendAll = true
 	t := m.cfg.Tally(true)
 	t.Full = true
 	m.mu.Lock()
-	t.Seq, t.MissingFrom = m.seq, m.lackedEntries()
+	t.Seq, t.MissingFrom = m.seq, m.entriesWithGaps()
 	m.mu.Unlock()
 	t.SetAcceptsMoreFields()
-	m.sendFull(lackingLinks, t, now)
+	m.sendFull(gapLinks, t, now)
 	// A peer that has just connected may know no other entry.
 	known := *t
-	known.Entries = m.entries()
+	known.Entries = m.reachableAddrs()
 	m.sendFull(newLinks, &known, now)
 }
 
-// sendFull sends a full tally over links and records when.
+// sendFull sends a full tally over links and records the time.
 func (m *Mesh) sendFull(links []target, t *wire.Tally, now time.Time) {
 	for _, l := range links {
 		m.mu.Lock()
@@ -210,14 +212,16 @@
 	}
 }
 
-// lacksTallies reports whether the peer of a link reported that it lacks tallies of
-// this entry, late enough after the last full tally. It is called with mu held.
-func (m *Mesh) lacksTallies(d *dial) bool {
+// hasReportedGap reports whether the peer of a link reported that it lacks tallies
+// of this entry, and did so long enough after the last full tally was sent. It is
+// called with mu held.
+func (m *Mesh) hasReportedGap(d *dial) bool {
 	p := m.peers[d.peer]
-	return p != nil && p.lacksUsAt.After(d.fullSentAt.Add(m.maxIntervalLocked()+fullTallyMargin))
+	return p != nil && p.gapReportedAt.After(d.fullSentAt.Add(m.maxIntervalLocked()+fullTallyMargin))
 }
 
-func (m *Mesh) entries() []wire.EntryAddr {
+// reachableAddrs returns the names and addresses of the reachable peers.
+func (m *Mesh) reachableAddrs() []wire.EntryAddr {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []wire.EntryAddr
@@ -229,7 +233,7 @@
 	return out
 }
 
-// target is a link to send over and the entry at its other end.
+// target is an open link and the entry at its other end.
 type target struct {
 	link *wire.Link
 	peer string
@@ -260,14 +264,14 @@
 	pause := now.Sub(m.silenceCheckedAt)
 	m.silenceCheckedAt = now
 	for name, p := range m.peers {
-		// After a pause of this process the tallies that peers sent meanwhile are
+		// After a pause of this process, the tallies that peers sent during it are
 		// still unread.
 		if pause > pauseIntervals*grace && !p.graceAt.After(p.tallyAt) {
 			p.graceAt = now
 		}
 		if p.isReachable && now.Sub(p.tallyAt) > silenceLimit && now.Sub(p.graceAt) > grace {
-			// Its requests in flight are forgotten, so its next changes have
-			// nothing to build on and a full tally is needed.
+			// OnPeerLost drops the state that the peer's next changes would build
+			// on, so a full tally is needed.
 			p.isReachable, p.hasGap, p.seq = false, true, 0
 			lost = append(lost, name)
 		}
--- a/entry/mesh/version.go
+++ b/entry/mesh/version.go
@@ -11,72 +11,74 @@
 )
 
 const (
-	// snapshotDelay is how long a peer may have an older revision before it is sent
-	// a newer version. Usually it gets it earlier from the platform, at no cost to
-	// the peers.
+	// snapshotDelay is how long a peer may have an older revision before peers send
+	// it the newer version. Usually it gets that from the platform earlier, at no
+	// cost to the peers.
 	snapshotDelay = 150 * time.Millisecond
-	// turnIntervals is how many of the longest tally intervals pass before the next
-	// entry in order sends the version if the one before did not: time for the
-	// version to arrive and for the tally that reports it.
+	// turnIntervals is the length of a turn in longest tally intervals. After a
+	// turn the next entry sends the version, if the one before did not. The time
+	// suffices for the version to arrive and for the tally that reports it.
 	turnIntervals = 2
-	// snapshotBytesPerSecond is how many bytes of versions a peer is sent each
-	// second, and maxTransferTime the longest extra wait that follows from it. A
-	// list of 3,000 endpoints has 240 KB. It changes all the time while they start,
-	// and a hub of sixteen entries would send 4 MB of lists a second although the
-	// platform sends just the differences.
+	// snapshotBytesPerSecond is the rate in bytes per second at which versions are
+	// sent to a peer, and maxTransferTime the longest extra wait that follows from
+	// it. A list of 3,000 endpoints has 240 KB and changes all the time while they
+	// start. Without the limit a hub of sixteen entries would send 4 MB of lists a
+	// second, although the platform sends just the differences.
 	snapshotBytesPerSecond = 200 << 10
 	maxTransferTime        = 1200 * time.Millisecond
 	// startDelay replaces maxTransferTime for a peer that has just started, which
 	// usually reads the list from the platform within this time.
 	startDelay = 300 * time.Millisecond
-	// extraLinkTurns is how many turns later an entry sends a version over a link
-	// that exists only because one of the two lacks tallies of the other.
-	// extraLinkTurnSpread is over how many further turns such entries are spread.
-	// After the start of a large fleet a peer has up to 32 such links, and each of
-	// these entries may have a list that the peer has not read yet.
+	// extraLinkTurns is how many turns later an entry sends a version over an extra
+	// link, which exists only because one of the two lacks tallies of the other.
+	// extraLinkTurnSpread is the number of further turns over which these sends are
+	// spread. After the start of a large fleet a peer has up to 32 extra links, and
+	// each of these entries may have a list that the peer has not read yet.
 	extraLinkTurns      = 2
 	extraLinkTurnSpread = 4
-	// startSlots and startSlotTime spread the entries that send versions to a peer
-	// that has just started. Of 32 linked entries about four send within a second.
-	// The others find that the peer already has the version.
+	// startSlots is the number of times, startSlotTime apart, over which the
+	// entries with an extra link spread the versions that they send to a peer that
+	// has just started. Of 32 linked entries about four send within a second. The
+	// others find that the peer already has the version.
 	startSlots    = 16
 	startSlotTime = 500 * time.Millisecond
 )
 
+// turnDuration returns the length of a turn. It is called with mu held.
 func (m *Mesh) turnDuration() time.Duration { return turnIntervals * m.maxIntervalLocked() }
 
-// snapshotSend is a kind of version to be sent over a link.
+// snapshotSend is a version to be sent over a link: the configuration or the roster.
 type snapshotSend struct {
-	link *wire.Link
-	what uint8
+	link    *wire.Link
+	content uint8
 }
 
 // sendSnapshots sends newer versions to the peers whose revisions are stale.
 func (m *Mesh) sendSnapshots() {
-	for _, o := range m.dueSnapshots() {
-		s, err := m.snapshot(o.what)
+	for _, due := range m.dueSnapshots() {
+		s, err := m.snapshot(due.content)
 		if err != nil {
 			logs.Error(m.cfg.Log, logs.EventFailed, zap.String("what", "encoding a version for a peer"), zap.Error(err))
 			continue
 		}
-		_ = o.link.Send(s)
+		_ = due.link.Send(s)
 	}
 }
 
-// snapshot returns the version in force, encoded once for all peers. Only the
-// sendTallies goroutine calls it.
-func (m *Mesh) snapshot(what uint8) (*wire.Snapshot, error) {
+// snapshot returns the version in force of a content, encoded once for all peers.
+// Only the sendTallies goroutine calls it.
+func (m *Mesh) snapshot(content uint8) (*wire.Snapshot, error) {
 	config, roster := m.cfg.Revisions()
 	revision := config
-	if what == wire.SnapshotRoster {
+	if content == wire.SnapshotRoster {
 		revision = roster
 	}
-	if s := m.snapshots[what]; s != nil && s.Revision == revision {
+	if s := m.snapshots[content]; s != nil && s.Revision == revision {
 		return s, nil
 	}
-	s, err := m.cfg.Snapshot(what)
+	s, err := m.cfg.Snapshot(content)
 	if err == nil {
-		m.snapshots[what] = s
+		m.snapshots[content] = s
 	}
 	return s, err
 }
@@ -84,8 +86,8 @@
 // transferTime estimates how long sending a version takes, from the size of the one
 // encoded last. A peer without any revision serves no requests until it has one, so
 // its limit is startDelay.
-func (m *Mesh) transferTime(what uint8, peerRevision int64) time.Duration {
-	s := m.snapshots[what]
+func (m *Mesh) transferTime(content uint8, peerRevision int64) time.Duration {
+	s := m.snapshots[content]
 	if s == nil {
 		return 0
 	}
@@ -96,6 +98,8 @@
 	return min(time.Duration(len(s.Body))*time.Second/snapshotBytesPerSecond, limit)
 }
 
+// dueSnapshots returns the versions to send now to peers whose revisions are stale,
+// and schedules when they may be sent again.
 func (m *Mesh) dueSnapshots() []snapshotSend {
 	config, roster := m.cfg.Revisions()
 	var out []snapshotSend
@@ -141,11 +145,11 @@
 // with mu held.
 func (m *Mesh) snapshotWait(name string, p *peer, config, roster int64) time.Duration {
 	to := p.entry(name)
-	ownOrder, ahead := turnOrder(name, m.cfg.Self.Name), 0
+	ownOrder, turnsAhead := turnOrder(name, m.cfg.Self.Name), 0
 	for other, o := range m.peers {
 		isCurrent := o.isReachable && o.config >= config && o.roster >= roster
 		if other != name && isCurrent && m.plan.HasLink(o.entry(other), to) && turnOrder(name, other) < ownOrder {
-			ahead++
+			turnsAhead++
 		}
 	}
 	isExtraLink := !m.plan.HasLink(m.self(), to)
@@ -155,9 +159,9 @@
 		return startDelay + time.Duration(ownOrder%startSlots)*startSlotTime
 	}
 	if isExtraLink {
-		ahead += extraLinkTurns + int(ownOrder%extraLinkTurnSpread)
+		turnsAhead += extraLinkTurns + int(ownOrder%extraLinkTurnSpread)
 	}
-	wait := time.Duration(ahead) * m.turnDuration()
+	wait := time.Duration(turnsAhead) * m.turnDuration()
 	if p.config != 0 {
 		wait += snapshotDelay
 	}
@@ -165,7 +169,7 @@
 }
 
 // turnOrder returns the sort key of an entry among those that send versions to a
-// peer.
+// peer: a hash, so that the order differs for each peer.
 func turnOrder(peer, entry string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(peer + "\x00" + entry))
--- a/entry/mesh/version_test.go
+++ b/entry/mesh/version_test.go
@@ -24,7 +24,7 @@
 	}
 	m.snapshots[wire.SnapshotRoster] = &wire.Snapshot{Body: make([]byte, 240<<10)}
 	if got := m.transferTime(wire.SnapshotRoster, 7); got < time.Second || got > maxTransferTime {
-		t.Errorf("waits %v for 240 KB, want more than the entry's own call takes and at most %v", got, maxTransferTime)
+		t.Errorf("waits %v for 240 KB, want longer than the peer's own call to the platform takes and at most %v", got, maxTransferTime)
 	}
 	if got := m.transferTime(wire.SnapshotRoster, 0); got > startDelay {
 		t.Errorf("a peer without a list waits %v", got)
