--- a/entry/follow/age.go
+++ b/entry/follow/age.go
@@ -11,11 +11,11 @@
 	"lycheepond/core/wire"
 )
 
-// sampleInterval is how often the age of the knowledge is sampled. It is a tenth of
-// the shortest usual freshness bound.
+// sampleInterval is the interval between samples of the age of the knowledge. It is
+// a tenth of the shortest usual freshness bound.
 const sampleInterval = 200 * time.Millisecond
 
-// Run samples the age of the knowledge until ctx ends.
+// Run samples the age of both lists until ctx ends.
 func (k *Knowledge) Run(ctx context.Context) error {
 	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
@@ -29,14 +29,15 @@
 	}
 }
 
+// sample records the age of each list for which there is evidence.
 func (k *Knowledge) sample() {
 	config, roster := k.cfg.Revisions()
 	now := k.now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for what, l := range k.lists {
+	for content, l := range k.lists {
 		revision := config
-		if what == wire.SnapshotRoster {
+		if content == wire.SnapshotRoster {
 			revision = roster
 		}
 		k.update(l, revision)
@@ -46,10 +47,10 @@
 	}
 }
 
-// recordAge records the age of a list in the metrics and logs when the list becomes
-// old or fresh. It is called with mu held.
+// recordAge records the age of a list in the metrics, and logs when the list becomes
+// too old or fresh again. It is called with mu held.
 func (k *Knowledge) recordAge(l *listKnowledge, age time.Duration, revision int64) {
-	meter.UpdateMS(l.age, age)
+	meter.UpdateMS(l.ageHistogram, age)
 	isOld := k.cfg.Rule.IsTooOld(age)
 	if isOld {
 		l.worstAge = max(l.worstAge, age)
--- a/entry/follow/calls.go
+++ b/entry/follow/calls.go
@@ -13,23 +13,22 @@
 	maxIdle = time.Second
 )
 
-// calls is the state of the calls that have no answer yet. There are two kinds: a
-// watch is a long poll that waits for changes, a check reads the whole list and is
-// answered at once.
+// calls is the state of the calls to the platform. There are two kinds: a watch is a
+// long poll that waits for changes, a check reads the whole list and is answered at
+// once.
 type calls[T any] struct {
 	answers chan answer[T]
-	// pending counts all calls without an answer, also cancelled ones. isChecking
-	// is set while one of them is a check.
+	// pending counts all calls without an answer, including cancelled ones.
+	// isChecking is set while one of them is a check.
 	pending    int
 	isChecking bool
-	// nextCheckIn is how long until the next check is due, or until
-	// Config.NextCheck is to be called again.
+	// nextCheckIn is the last result of Config.NextCheck.
 	nextCheckIn time.Duration
 	// historyLost is set while the platform no longer has the changes since
 	// f.since, so that only a check can find what changed.
 	historyLost bool
-	// cancelWatch cancels the pending watch; nil if there is none. nextWatchAt is
-	// when the next one is sent, and watches counts the watches.
+	// cancelWatch cancels the pending watch; it is nil if there is none.
+	// nextWatchAt is when the next one is due. watches counts the watches sent.
 	cancelWatch context.CancelFunc
 	nextWatchAt time.Time
 	watches     int
@@ -37,8 +36,8 @@
 
 // answer is the answer to one call.
 type answer[T any] struct {
-	// watch is the number of the watch, zero for a check. For a check, changes
-	// holds all items.
+	// watch is the number of the watch, from one on, or zero for a check. For a
+	// check, changes holds all items.
 	watch    int
 	since    int64
 	sentAt   time.Time
@@ -82,18 +81,18 @@
 	if f.failures == 0 && !f.historyLost && f.cancelWatch == nil && !now.Before(f.nextWatchAt) {
 		f.startWatch(ctx)
 	}
-	if f.checkDue(now) {
+	if f.isCheckDue(now) {
 		f.isChecking = true
 		f.startCall(ctx, answer[T]{}, 0, f.checkTimeout())
 	}
 }
 
-// checkDue reports whether to send a check, because it is this entry's turn or
-// because the last call failed. After a failure a check finds sooner than a watch
+// isCheckDue reports whether to send a check, because it is this entry's turn or
+// because the last call failed. After a failure, a check shows sooner than a watch
 // that the platform is back, and its answer is evidence. Only one check is pending
-// at a time, and its timeout is short, because whatever delays its answer may not
-// affect the next one.
-func (f *Follower[T]) checkDue(now time.Time) bool {
+// at a time. Its timeout is short, because a second check may be answered although
+// the answer to the first is delayed.
+func (f *Follower[T]) isCheckDue(now time.Time) bool {
 	if f.isChecking {
 		return false
 	}
@@ -106,7 +105,7 @@
 	return f.historyLost || f.cfg.NextCheck != nil && f.nextCheckIn <= 0
 }
 
-// checkTimeout returns how long a check may take.
+// checkTimeout returns the timeout of a check of the local copy's size.
 func (f *Follower[T]) checkTimeout() time.Duration {
 	return CheckTimeout(len(f.items), f.cfg.FreshnessBound)
 }
@@ -129,9 +128,9 @@
 	f.nextWatchAt = time.Now().Add(pause)
 }
 
-// startCall sends the call described by a. A check reads the whole list instead of
-// asking for changes, because the platform may hold back calls for changes, even
-// those that don't wait.
+// startCall sends the call described by a, with a timeout of limit. A check reads
+// the whole list instead of requesting changes, because the platform may hold back
+// calls for changes, even those that don't wait.
 func (f *Follower[T]) startCall(ctx context.Context, a answer[T], wait, limit time.Duration) {
 	a.since, a.sentAt = f.since, time.Now()
 	f.pending++
@@ -147,8 +146,8 @@
 	}()
 }
 
-// idleTime returns how long the follower has nothing to send unless an answer
-// arrives.
+// idleTime returns how long to wait for an answer before checking again whether a
+// call is due.
 func (f *Follower[T]) idleTime() time.Duration {
 	now, idle := time.Now(), maxIdle
 	switch {
@@ -192,10 +191,10 @@
 	}
 }
 
-// handleFailure handles a failed call. A check that timed out counts too, because
-// that makes removals safer: the platform then counts as away from early on in a
-// silence rather than only near its end. If just one check is lost, the answer to
-// the next one ends the outage before it is long enough to put removals in doubt.
+// handleFailure handles a failed call. A check that timed out counts as a failure,
+// because that makes removals safer: the platform then counts as away from an early
+// point of a period without answers. If only one check is lost, the answer to the
+// next one ends the outage before it is long enough to put removals in doubt.
 func (f *Follower[T]) handleFailure(ctx context.Context, a answer[T]) {
 	switch {
 	case errors.Is(a.err, ErrHistory):
--- a/entry/follow/first.go
+++ b/entry/follow/first.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// maxFirstReads bounds the concurrent first reads of a list: one that may take
-// long, and one more in case the platform never answers the first.
+// maxFirstReads bounds the concurrent first reads of a list: one that may take a
+// long time, and another in case the platform never answers that one.
 const maxFirstReads = 2
 
 // readFirst reads the list for the first time. Its only error is that of ctx. The
 // list may be long and all entries may have started at once, so a read isn't
-// cancelled as early as a check. Instead, another one is sent after that time.
+// cancelled after the timeout of a check. Instead, another one is sent then.
 func (f *Follower[T]) readFirst(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer f.drain()
--- a/entry/follow/follow.go
+++ b/entry/follow/follow.go
@@ -23,14 +23,15 @@
 var ErrHistory = errors.New("follow: the platform has dropped these changes: read the whole list")
 
 const (
-	// watchGrace is how much longer than its wait a watch may take. The platform's
-	// answers may take sixty times their usual few milliseconds.
+	// watchGrace is added to the wait of a watch to obtain its timeout. The
+	// platform's answers may take sixty times their usual few milliseconds.
 	watchGrace = 1500 * time.Millisecond
-	// listTimeout bounds all calls for a whole list together. It allows for 3,000
-	// items read page by page by 300 entries at once.
+	// listTimeout bounds the first read of a list, with all its pages. It allows
+	// for 3,000 items that 300 entries read page by page at once.
 	listTimeout = 5 * CallTimeout
-	// minRetryPause and maxRetryPause bound how often a failing platform is called.
-	// Every entry calls it, and the first second after its return matters.
+	// minRetryPause and maxRetryPause bound the pause between calls to a failing
+	// platform. It is long enough for all entries to call, and short enough for
+	// them to notice the platform's return within a second.
 	minRetryPause = 100 * time.Millisecond
 	maxRetryPause = 800 * time.Millisecond
 )
@@ -70,9 +71,9 @@
 	Watch func(ctx context.Context, since int64, wait time.Duration) ([]Change[T], int64, error)
 	// WatchTime returns how long the next watch waits for a change.
 	WatchTime func() time.Duration
-	// NextCheck returns how long until the next check is due, or until it is to be
-	// called again, whichever is sooner. If nil, no checks are sent while calls
-	// succeed.
+	// NextCheck returns the time until the next check is due, or until NextCheck
+	// must be called again, whichever is shorter. If nil, no checks are sent while
+	// calls succeed.
 	NextCheck func() time.Duration
 	// FreshnessBound is the time within which a change must be in force.
 	FreshnessBound time.Duration
@@ -97,8 +98,8 @@
 // Follower follows one list.
 type Follower[T any] struct {
 	cfg Config[T]
-	// failures counts the failed calls since the last success, whose call was sent
-	// at lastSuccessAt. After a failure no check is sent before retryAt.
+	// failures counts the failed calls since the last successful one, which was
+	// sent at lastSuccessAt. After a failure no check is sent before retryAt.
 	failures               int
 	lastSuccessAt, retryAt time.Time
 	// revision is the revision of the local copy, items holds the revision of each
@@ -106,7 +107,7 @@
 	revision int64
 	items    map[string]int64
 	// since is the revision after which changes are requested. verifiedRevision is
-	// a later one up to which a check has shown that there are none.
+	// the revision up to which an answer has shown that there are none.
 	since, verifiedRevision int64
 	calls[T]
 }
@@ -143,7 +144,7 @@
 	listed := make(map[string]bool, len(all))
 	for _, c := range all {
 		listed[c.Name] = true
-		if held, ok := f.items[c.Name]; ok == c.Removed || ok && held != c.Revision {
+		if heldRevision, ok := f.items[c.Name]; ok == c.Removed || ok && heldRevision != c.Revision {
 			out = append(out, c)
 		}
 	}
@@ -155,6 +156,7 @@
 	return out
 }
 
+// reportVerified reports the revision of the local copy to Config.OnVerified.
 func (f *Follower[T]) reportVerified(sent time.Time) {
 	if f.cfg.OnVerified != nil {
 		f.cfg.OnVerified(f.revision, sent)
--- a/entry/follow/follow_test.go
+++ b/entry/follow/follow_test.go
@@ -11,15 +11,15 @@
 	"go.uber.org/zap"
 )
 
-// platform is a platform whose watches can be made deaf: they return nothing
-// although there are changes.
+// platform is a fake platform. A test can make it hide changes from watches, drop
+// its history and fail all calls.
 type platform struct {
-	mu       sync.Mutex
-	revision int64
-	isDeaf   bool
-	// historyDropped is set once the history was dropped.
+	mu           sync.Mutex
+	revision     int64
+	hidesChanges bool
+	// historyDropped is set from the loss of the history until the list is read.
 	historyDropped bool
-	// isAway is set while the platform is away.
+	// isAway is set while all calls fail.
 	isAway bool
 	// listAnswered is set once listOnce has answered.
 	listAnswered bool
@@ -41,13 +41,13 @@
 	return []Change[int]{{Name: "x", Revision: s.revision}}, s.revision, nil
 }
 
-// listOnce is list, but answers only the first call.
+// listOnce does the same as list, but answers only the first call.
 func (s *platform) listOnce(ctx context.Context) ([]Change[int], int64, error) {
 	s.mu.Lock()
-	again := s.listAnswered
+	isAnswered := s.listAnswered
 	s.listAnswered = true
 	s.mu.Unlock()
-	if again {
+	if isAnswered {
 		return neverAnswer(ctx)
 	}
 	return s.list(ctx)
@@ -56,7 +56,7 @@
 func (s *platform) watch(ctx context.Context, since int64, wait time.Duration) ([]Change[int], int64, error) {
 	end := time.Now().Add(wait)
 	s.mu.Lock()
-	isDeaf := s.isDeaf
+	hidesChanges := s.hidesChanges
 	s.mu.Unlock()
 	for {
 		s.mu.Lock()
@@ -65,9 +65,9 @@
 		switch {
 		case isAway:
 			return nil, 0, errors.New("away")
-		case historyDropped && !isDeaf:
+		case historyDropped && !hidesChanges:
 			return nil, 0, ErrHistory
-		case revision > since && !isDeaf:
+		case revision > since && !hidesChanges:
 			return []Change[int]{{Name: "x", Revision: revision}}, revision, nil
 		case time.Now().After(end):
 			return nil, since, nil
@@ -121,22 +121,23 @@
 	}
 }
 
-// The platform forgets a watch: it answers nothing although a key was removed
-// meanwhile, and then drops the history. The removed key would stay valid for as
-// long as the watch waits.
+// The platform forgets a watch: the watch returns nothing although a key was
+// removed, and then the history is dropped. If the follower missed the change, the
+// removed key would stay valid.
 func TestChangeThatAWatchMissed(t *testing.T) {
 	s := &platform{revision: 1}
 	learned := startFollower(t, s)
 	await(t, learned, 1)
-	s.set(func() { s.isDeaf = true })
+	s.set(func() { s.hidesChanges = true })
 	time.Sleep(60 * time.Millisecond)
 	s.set(func() { s.revision, s.historyDropped = 2, true })
 	time.Sleep(20 * time.Millisecond)
-	s.set(func() { s.isDeaf = false })
+	s.set(func() { s.hidesChanges = false })
 	await(t, learned, 2)
 }
 
-// The platform goes away and comes back with a newer revision.
+// The platform goes away and comes back with a newer revision, which the follower
+// must learn.
 func TestChangeDuringAnOutage(t *testing.T) {
 	s := &platform{revision: 1}
 	learned := startFollower(t, s)
@@ -147,8 +148,8 @@
 	await(t, learned, 2)
 }
 
-// Twenty endpoints register within 40 ms. If each needed a call, every entry would
-// make twenty calls.
+// Twenty endpoints register within 40 ms. If each change needed a call, every entry
+// would make twenty calls.
 func TestSimultaneousChangesShareACall(t *testing.T) {
 	s := &platform{revision: 1}
 	calls := 0
@@ -195,8 +196,9 @@
 	}
 }
 
-// The platform doesn't answer a check. The entry must meet the bound with the next
-// one, but a list of many pages must be readable although the platform is slow.
+// The platform doesn't answer a check. The timeout must be short enough for the next
+// check to meet the bound, but a list of many pages must be readable even from a
+// slow platform.
 func TestCheckTimeout(t *testing.T) {
 	for _, bound := range []time.Duration{2 * time.Second, 9 * time.Second} {
 		if limit := CheckTimeout(300, bound); limit > bound*4/10 {
@@ -208,8 +210,8 @@
 	}
 }
 
-// Fifty endpoints start over four seconds. An entry behind a hub need not ask the
-// platform each time, but must meet the bound if the hub sends nothing.
+// Fifty endpoints start over four seconds. An entry with a hub need not call the
+// platform for each change, but must meet the bound if the hub sends nothing.
 func TestBatchTime(t *testing.T) {
 	bound := 3 * time.Second
 	if got := BatchTime(29, true, bound); got <= BatchTime(29, false, bound) || got > bound/2 {
--- a/entry/follow/known.go
+++ b/entry/follow/known.go
@@ -12,9 +12,10 @@
 	"lycheepond/core/wire"
 )
 
-// resendShare is the part of the freshness bound between two reports of evidence
-// received from other entries, for peers that don't receive theirs. Evidence of
-// this entry's own checks is sent at once.
+// resendShare is the time between two tallies that pass on evidence received from
+// other entries, as a part of the freshness bound. It serves peers that don't
+// receive that evidence directly. Evidence of this entry's own checks is sent at
+// once.
 const resendShare = 0.3
 
 // KnowledgeConfig holds the settings and callbacks of a Knowledge.
@@ -40,9 +41,9 @@
 	start time.Time
 
 	mu sync.Mutex
-	// checks counts the calls that gave evidence.
+	// checks counts the calls that gave evidence, to number them.
 	checks uint32
-	// lists holds the state of each list by its kind of snapshot.
+	// lists holds the state of each list by the content of its snapshots.
 	lists map[uint8]*listKnowledge
 	// delays holds the message delay estimate of each reachable peer's process, by
 	// name.
@@ -53,44 +54,46 @@
 type listKnowledge struct {
 	name   string
 	claims fresh.Tracker
-	// hasOwnEvidence is set while evidence of a check of this entry is yet to be
-	// sent. sentMark is the mark of the claim sent last, sentAt the time when it
-	// was sent.
+	// hasOwnEvidence is set while evidence of a check of this entry has not been
+	// sent yet. sentCheckID is the check ID of the claim sent last, and sentAt is
+	// when that was sent.
 	hasOwnEvidence bool
-	sentMark       uint32
+	sentCheckID    uint32
 	sentAt         time.Duration
-	// verifiedAt is the time as of which the list was last known to be the newest.
-	// It is valid if any is set.
+	// verifiedAt is the latest time at which the list is known to have been
+	// current. It is valid if any is set.
 	verifiedAt time.Duration
 	any        bool
-	// isOld is set while verifiedAt is longer ago than the bound, worstAge is its
-	// largest age meanwhile.
-	isOld    bool
-	worstAge time.Duration
-	age      metrics.Histogram
-	// oldRequests counts requests that were decided while the list was old.
+	// isOld is set while verifiedAt is longer ago than the bound. worstAge is the
+	// largest age during that time.
+	isOld        bool
+	worstAge     time.Duration
+	ageHistogram metrics.Histogram
+	// oldRequests counts requests for which an endpoint was chosen while the list
+	// was too old.
 	oldRequests metrics.Counter
 }
 
 // NewKnowledge returns a Knowledge without any evidence.
 func NewKnowledge(cfg KnowledgeConfig) *Knowledge {
 	k := &Knowledge{cfg: cfg, start: time.Now(), lists: make(map[uint8]*listKnowledge), delays: make(map[string]*fresh.DelayEstimator)}
-	for what, name := range map[uint8]string{wire.SnapshotConfig: "config", wire.SnapshotRoster: "roster"} {
+	for content, name := range map[uint8]string{wire.SnapshotConfig: "config", wire.SnapshotRoster: "roster"} {
 		label := meter.Label{Key: "list", Value: name}
-		k.lists[what] = &listKnowledge{
-			name: name, age: cfg.Metrics.Histogram("known_age_ms", label),
+		k.lists[content] = &listKnowledge{
+			name: name, ageHistogram: cfg.Metrics.Histogram("known_age_ms", label),
 			oldRequests: cfg.Metrics.Counter("requests_on_old_knowledge", label),
 		}
 	}
 	return k
 }
 
+// now returns the uptime of this entry, the clock of all times in Knowledge.
 func (k *Knowledge) now() time.Duration { return time.Since(k.start) }
 
 // revision returns the revision of a list in force.
-func (k *Knowledge) revision(what uint8) int64 {
+func (k *Knowledge) revision(content uint8) int64 {
 	config, roster := k.cfg.Revisions()
-	if what == wire.SnapshotConfig {
+	if content == wire.SnapshotConfig {
 		return config
 	}
 	return roster
@@ -98,13 +101,13 @@
 
 // NoteVerified records that a call sent at a time and answered at once showed that
 // the platform has nothing newer than revision.
-func (k *Knowledge) NoteVerified(what uint8, revision int64, sent time.Time) {
-	inForce := k.revision(what)
+func (k *Knowledge) NoteVerified(content uint8, revision int64, sent time.Time) {
+	inForce := k.revision(content)
 	k.mu.Lock()
 	k.checks++
-	l := k.lists[what]
-	mark := fresh.NewCheckID(k.cfg.Self, k.checks)
-	l.claims.RecordCheck(fresh.Claim{Revision: revision, At: sent.Sub(k.start), CheckID: mark})
+	l := k.lists[content]
+	checkID := fresh.NewCheckID(k.cfg.Self, k.checks)
+	l.claims.RecordCheck(fresh.Claim{Revision: revision, At: sent.Sub(k.start), CheckID: checkID})
 	gained := k.update(l, inForce)
 	isNewStep := gained >= k.cfg.Rule.StepTime()
 	if isNewStep {
@@ -158,7 +161,7 @@
 }
 
 // update recomputes verifiedAt of a list from the claims and the revision in force,
-// and returns by how much it moved forward. It is called with mu held.
+// and returns by how much it has grown. It is called with mu held.
 func (k *Knowledge) update(l *listKnowledge, inForce int64) time.Duration {
 	c, ok := l.claims.LatestClaim(inForce)
 	if !ok || l.any && c.At <= l.verifiedAt {
@@ -169,40 +172,40 @@
 	return gained
 }
 
-// Evidence returns the evidence for the next tally and for how many milliseconds
-// this entry has run. The evidence is what this entry has found since the last
-// call, and at intervals what it has received. The caller must read the revisions
-// for that tally afterwards, so that they are at least as new as those that the
-// evidence is about.
-func (k *Knowledge) Evidence() (evidence []wire.Freshness, clock uint64) {
+// Evidence returns the evidence for the next tally and the uptime of this entry in
+// milliseconds. The evidence consists of what this entry's own checks have shown
+// since the last call and, at intervals, of what it has received from peers. The
+// caller must read the revisions for that tally afterwards, so that they are at
+// least as new as those that the evidence is about.
+func (k *Knowledge) Evidence() (evidence []wire.Freshness, uptimeMS uint64) {
 	config, roster := k.cfg.Revisions()
 	now := k.now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for what, l := range k.lists {
+	for content, l := range k.lists {
 		revision := config
-		if what == wire.SnapshotRoster {
+		if content == wire.SnapshotRoster {
 			revision = roster
 		}
 		c, ok := l.claims.BestClaim(revision)
-		if !ok || c.CheckID == l.sentMark && !l.hasOwnEvidence {
+		if !ok || c.CheckID == l.sentCheckID && !l.hasOwnEvidence {
 			continue
 		}
 		if !l.hasOwnEvidence && now-l.sentAt < time.Duration(resendShare*float64(k.cfg.Rule.MaxAge)) {
 			continue
 		}
-		l.hasOwnEvidence, l.sentMark, l.sentAt = false, c.CheckID, now
-		evidence = append(evidence, wire.Freshness{Content: what, AgeMS: uint32((now - c.At + time.Millisecond).Milliseconds()), RefreshID: c.CheckID})
+		l.hasOwnEvidence, l.sentCheckID, l.sentAt = false, c.CheckID, now
+		evidence = append(evidence, wire.Freshness{Content: content, AgeMS: uint32((now - c.At + time.Millisecond).Milliseconds()), RefreshID: c.CheckID})
 	}
 	return evidence, max(uint64(now.Milliseconds()), 1)
 }
 
-// NextCheck returns how long until this entry must check again, at most one step,
-// because evidence from peers may change it meanwhile.
-func (k *Knowledge) NextCheck(what uint8) time.Duration {
-	inForce := k.revision(what)
+// NextCheck returns the time until this entry must check again, at most one
+// freshness step, because evidence from peers may change it.
+func (k *Knowledge) NextCheck(content uint8) time.Duration {
+	inForce := k.revision(content)
 	k.mu.Lock()
-	l := k.lists[what]
+	l := k.lists[content]
 	k.update(l, inForce)
 	c, ok := l.claims.LatestClaim(inForce)
 	k.mu.Unlock()
@@ -217,8 +220,8 @@
 	return min(rule.CheckAge(fresh.Rank(k.cfg.Self, reachable, c.CheckID), len(reachable)+1)-age, rule.StepTime())
 }
 
-// CountRequest counts a request for each list that is old while the request is
-// decided.
+// CountRequest counts a request that is being decided, for each list that is too
+// old at this moment.
 func (k *Knowledge) CountRequest() {
 	now := k.now()
 	k.mu.Lock()
--- a/entry/follow/known_test.go
+++ b/entry/follow/known_test.go
@@ -17,19 +17,19 @@
 	config, roster int64
 	reachable      []string
 	urgentSends    int
-	set            *meter.Set
+	metrics        *meter.Set
 }
 
 func newTestKnowledge(name string) *testKnowledge {
-	k := &testKnowledge{set: meter.New()}
+	k := &testKnowledge{metrics: meter.New()}
 	k.Knowledge = NewKnowledge(KnowledgeConfig{
 		Self: name, Rule: fresh.Policy{MaxAge: 2 * time.Second}, Revisions: func() (int64, int64) { return k.config, k.roster },
-		ReachablePeers: func() []string { return k.reachable }, SendTallySoon: func() { k.urgentSends++ }, RelaySoon: func() { k.urgentSends++ }, Metrics: k.set, Log: zap.NewNop(),
+		ReachablePeers: func() []string { return k.reachable }, SendTallySoon: func() { k.urgentSends++ }, RelaySoon: func() { k.urgentSends++ }, Metrics: k.metrics, Log: zap.NewNop(),
 	})
 	return k
 }
 
-// learnDelay lets k receive enough of other's tallies to estimate their delay.
+// learnDelay passes enough of other's tallies to k for it to estimate their delay.
 func (k *testKnowledge) learnDelay(other *testKnowledge) {
 	for n := 20; n > 0; n-- {
 		back := time.Duration(n) * 250 * time.Millisecond
@@ -39,28 +39,32 @@
 	}
 }
 
-// receiveFrom lets k receive the current evidence of other.
+// receiveFrom passes the current evidence of other to k.
 func (k *testKnowledge) receiveFrom(other *testKnowledge) {
-	evidence, clock := other.Evidence()
-	k.HandleTally(other.cfg.Self, false, &wire.Tally{Freshness: evidence, UptimeMS: clock, ConfigRevision: other.config, RosterRevision: other.roster})
+	evidence, uptimeMS := other.Evidence()
+	k.HandleTally(other.cfg.Self, false, &wire.Tally{Freshness: evidence, UptimeMS: uptimeMS, ConfigRevision: other.config, RosterRevision: other.roster})
 }
 
-func (k *testKnowledge) verify(what uint8, back time.Duration) {
-	k.NoteVerified(what, k.revision(what), time.Now().Add(-back))
+// verify records a check that was sent a while back and found nothing newer than
+// the revision in force.
+func (k *testKnowledge) verify(content uint8, back time.Duration) {
+	k.NoteVerified(content, k.revision(content), time.Now().Add(-back))
 }
 
-func (k *testKnowledge) ageOf(what uint8) time.Duration {
+// ageOf returns the age of a list, an hour if there is no evidence for it.
+func (k *testKnowledge) ageOf(content uint8) time.Duration {
 	k.sample()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.lists[what].any {
+	if !k.lists[content].any {
 		return time.Hour
 	}
-	return k.now() - k.lists[what].verifiedAt
+	return k.now() - k.lists[content].verifiedAt
 }
 
-// One entry checks for all. Its evidence must serve the others, which then need not
-// check, also a third one that receives it only through the second.
+// One entry checks on behalf of all others, which then need not check. Its evidence
+// must count at the second entry and at a third one that receives it only through
+// the second.
 func TestEvidenceOfPeersIsUsed(t *testing.T) {
 	a, b, c := newTestKnowledge("a"), newTestKnowledge("b"), newTestKnowledge("c")
 	for _, k := range []*testKnowledge{a, b, c} {
@@ -97,11 +101,11 @@
 	}
 }
 
-// backdateSent makes the last report of evidence for a list older.
-func (k *testKnowledge) backdateSent(what uint8, by time.Duration) { k.lists[what].sentAt -= by }
+// backdateSent moves the time when evidence for a list was last sent into the past.
+func (k *testKnowledge) backdateSent(content uint8, by time.Duration) { k.lists[content].sentAt -= by }
 
-// A peer has a newer revision and evidence for it. For an entry that lacks that
-// revision the evidence must not count until it has it.
+// A peer has a newer revision and evidence for it. At an entry that lacks that
+// revision, the evidence must not count until the revision is in force there.
 func TestEvidenceForANewerRevisionDoesNotCount(t *testing.T) {
 	a, b := newTestKnowledge("a"), newTestKnowledge("b")
 	a.config, b.config = 7, 5
@@ -115,7 +119,7 @@
 		t.Errorf("b counts revision 5 as the newest %v ago, but a has 7", age)
 	}
 	b.CountRequest()
-	if n := b.set.Read().Counters[`requests_on_old_knowledge{list="config"}`]; n != 1 {
+	if n := b.metrics.Read().Counters[`requests_on_old_knowledge{list="config"}`]; n != 1 {
 		t.Errorf("%d requests on old knowledge, want 1", n)
 	}
 	b.config = 7
@@ -123,7 +127,7 @@
 		t.Errorf("with revision 7 b's evidence is %v old", age)
 	}
 	b.CountRequest()
-	if n := b.set.Read().Counters[`requests_on_old_knowledge{list="config"}`]; n != 1 {
+	if n := b.metrics.Read().Counters[`requests_on_old_knowledge{list="config"}`]; n != 1 {
 		t.Errorf("%d requests on old knowledge, want 1", n)
 	}
 }
--- a/entry/follow/look_test.go
+++ b/entry/follow/look_test.go
@@ -16,8 +16,8 @@
 )
 
 // startCheckingFollower runs a follower whose watches wait for a minute and that
-// checks when its evidence is 30 ms old. It uses the calls of s where list or watch
-// is nil. It returns the revisions that the follower learns, the newest verified
+// checks when its evidence is 30 ms old. If list or watch is nil, the method of s is
+// used. It returns the revisions that the follower learns, the newest verified
 // revision, and the times of its evidence.
 func startCheckingFollower(t *testing.T, s *platform, list listFunc, watch watchFunc) (<-chan int64, *atomic.Int64, chan time.Time) {
 	t.Helper()
@@ -69,8 +69,8 @@
 	return neverAnswer(ctx)
 }
 
-// The platform has forgotten the watch. Without a check a removed key would stay
-// valid for as long as the watch waits.
+// The platform has forgotten the watch. Without checks, a removed key would stay
+// valid until the watch ends.
 func TestCheckDuringAWatch(t *testing.T) {
 	s := &platform{revision: 1}
 	learned, verifiedRevision, _ := startCheckingFollower(t, s, nil, heldWatch)
@@ -132,9 +132,9 @@
 	}
 }
 
-// Answers are lost because their connections have gone silent. The next check must
-// not wait for the full call timeout of the first one, and the number of pending
-// calls must not grow with each check.
+// Answers are lost because their connections no longer carry anything. The next
+// check must not wait for the first one's full CallTimeout, and the number of
+// pending calls must not grow with each check.
 func TestUnansweredCheckIsRepeated(t *testing.T) {
 	s := &platform{revision: 1}
 	var checks, pending, maxPending atomic.Int32
@@ -181,7 +181,7 @@
 func TestFirstCallAfterAnOutageIsACheck(t *testing.T) {
 	s := &platform{revision: 1}
 	first := make(chan string, 100)
-	note := func(call string) bool {
+	recordCall := func(call string) bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.isAway {
@@ -194,10 +194,10 @@
 		return true
 	}
 	learned, _, _ := startCheckingFollower(t, s, func(ctx context.Context) ([]Change[int], int64, error) {
-		note("check")
+		recordCall("check")
 		return s.list(ctx)
 	}, func(ctx context.Context, since int64, wait time.Duration) ([]Change[int], int64, error) {
-		if !note("watch") {
+		if !recordCall("watch") {
 			return nil, 0, errors.New("away")
 		}
 		return s.watch(ctx, since, wait)
@@ -235,8 +235,8 @@
 	}
 }
 
-// A check is being read while a watch brings a later change. The older list must
-// not undo it.
+// While the answer to a check is being read, a watch brings a later change. The
+// older list must not undo that change.
 func TestOlderCheckIsIgnored(t *testing.T) {
 	f := New(Config[int]{NextCheck: func() time.Duration { return time.Hour }})
 	f.since = 7
--- a/entry/follow/quarantine.go
+++ b/entry/follow/quarantine.go
@@ -14,8 +14,8 @@
 const (
 	// maxQueuedWrites bounds the queue of writes.
 	maxQueuedWrites = 64
-	// maxWriteAttempts bounds the attempts of one write. Peers know about the
-	// quarantine anyway; the object only matters if all entries are restarted.
+	// maxWriteAttempts bounds the attempts to store one quarantine. Peers know about
+	// the quarantine anyway; the object only matters if all entries are restarted.
 	maxWriteAttempts = 5
 	// objectRetention is how long an object outlives its quarantine, so that a
 	// restarted fleet still sends only one probe.
@@ -29,7 +29,7 @@
 	// SinceMS and UntilMS are Unix times in milliseconds.
 	SinceMS int64 `json:"since_ms"`
 	UntilMS int64 `json:"until_ms"`
-	// Quarantines is how often the fingerprint has been quarantined so far.
+	// Quarantines counts the quarantines of the fingerprint so far.
 	Quarantines int `json:"quarantines"`
 }
 
@@ -97,6 +97,8 @@
 	}
 }
 
+// restore passes the stored quarantines to Config.Restore and removes the outdated
+// objects.
 func (q *Quarantines) restore(ctx context.Context) error {
 	all, err := q.cfg.List(ctx)
 	if err != nil {
@@ -117,8 +119,11 @@
 	return nil
 }
 
+// isOutdated reports whether the object of a quarantine that ended at untilMS can be
+// removed.
 func isOutdated(untilMS, nowMS int64) bool { return untilMS+objectRetention.Milliseconds() <= nowMS }
 
+// write stores a quarantine, or removes its object if it was released.
 func (q *Quarantines) write(ctx context.Context, c poison.Change) error {
 	name := c.Fingerprint.String()
 	if c.Released {
@@ -141,7 +146,7 @@
 	return err
 }
 
-// removeOutdated removes the outdated objects of this entry.
+// removeOutdated removes the outdated objects that this entry stored.
 func (q *Quarantines) removeOutdated(ctx context.Context) {
 	now := q.cfg.Wall().UnixMilli()
 	for name, until := range q.writtenUntilMS {
--- a/entry/follow/register.go
+++ b/entry/follow/register.go
@@ -14,14 +14,14 @@
 var ErrExists = errors.New("follow: the object exists: replace it")
 
 const (
-	// purgeInterval is how often silent entries are looked for.
+	// purgeInterval is the interval between removals of silent entries.
 	purgeInterval = 5 * time.Second
 	// purgeSilence is how long an entry must be silent before it is removed from
-	// the list. It is longer than any restart, so that only entries lost for good
-	// are removed. One that was merely cut off adds itself again.
+	// the list. It is longer than a restart takes, so that only entries lost for
+	// good are removed. One that was merely cut off adds itself again.
 	purgeSilence = 20 * time.Second
-	// removeTimeout bounds the removal of this entry's object at a planned stop.
-	removeTimeout = 400 * time.Millisecond
+	// deregisterTimeout bounds the removal of this entry's object at a planned stop.
+	deregisterTimeout = 400 * time.Millisecond
 )
 
 // Registration keeps this entry's object in the platform's list of entries.
@@ -61,9 +61,9 @@
 	for {
 		select {
 		case <-ctx.Done():
-			last, cancel := context.WithTimeout(context.WithoutCancel(ctx), removeTimeout)
+			removeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
 			defer cancel()
-			if err := r.Remove(last, r.Name); err != nil {
+			if err := r.Remove(removeCtx, r.Name); err != nil {
 				logs.Warn(r.Log, logs.EventFailed, zap.String("what", "removing this entry from the list; the other entries will do so"), zap.Error(err))
 			}
 			return ctx.Err()
@@ -86,6 +86,7 @@
 	})
 }
 
+// removeSilent removes the entries from the list that have been silent for too long.
 func (r *Registration) removeSilent(ctx context.Context) {
 	for _, name := range r.SilentEntries(purgeSilence) {
 		err := call(ctx, func(ctx context.Context) error { return r.Remove(ctx, name) })
--- a/entry/follow/retry.go
+++ b/entry/follow/retry.go
@@ -19,8 +19,8 @@
 	return ctx.Err()
 }
 
-// backoff returns the pause after a failed call that failed earlier failures came
-// before. rnd is a random number in [0, 1).
+// backoff returns the pause after a failed call. failed counts the failures before
+// it, and rnd is a random number in [0, 1).
 func backoff(failed int, rnd float64) time.Duration {
 	pause := min(minRetryPause<<min(failed, 8), maxRetryPause)
 	return time.Duration((0.5 + rnd/2) * float64(pause))
@@ -33,6 +33,7 @@
 	return f(ctx)
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/entry/follow/wait.go
+++ b/entry/follow/wait.go
@@ -7,32 +7,33 @@
 	// waits, so a shorter wait would only cost more calls. The platform ends calls
 	// that wait for longer than 30 seconds.
 	maxWatchTime = 24 * time.Second
-	// maxEntriesWatchTime is the same for the list of entries. Only that list
-	// reveals an entry that no other entry has met, and no decision that must hold
-	// at once depends on it.
+	// maxEntriesWatchTime is the same for the list of entries. It is shorter
+	// because only that list reveals an entry that no other entry is linked to. No
+	// decision that must take effect at once depends on the list.
 	maxEntriesWatchTime = 12 * time.Second
 	// checkTimeoutShare is the part of the freshness bound after which an
 	// unanswered check is cancelled. A check may be due at 0.6 of the bound, and
 	// the next one must be answered in the time that is left.
 	checkTimeoutShare = 0.3
-	// itemsPerPage is how many items the platform puts on a page. pageTimeout is
-	// how long each page of a check may take: sixty times its usual 5 ms, for a
-	// slow platform.
+	// itemsPerPage is the number of items that the platform puts on a page.
+	// pageTimeout is how long each page of a check may take: sixty times its usual
+	// 5 ms, for a slow platform.
 	itemsPerPage = 500
 	pageTimeout  = 300 * time.Millisecond
 	// batchTimePerEntry is the batch time for each reachable entry, and
 	// maxBatchTime its upper limit, a tenth of the usual freshness bound.
 	batchTimePerEntry = 10 * time.Millisecond
 	maxBatchTime      = 200 * time.Millisecond
-	// hubBatchShare is the part of the freshness bound for which an entry behind a
-	// hub collects changes. The rest suffices for its next call.
+	// hubBatchShare is the batch time of an entry with a hub, as a part of the
+	// freshness bound. The rest of the bound suffices for its next call.
 	hubBatchShare = 0.4
 	// jitterShare is the random part of a wait. It spreads the calls of entries
 	// that all started after the same change or outage.
 	jitterShare = 0.5
 )
 
-// WatchTime returns how long a watch waits. rnd is a random number in [0, 1).
+// WatchTime returns how long a watch waits for a change. rnd is a random number in
+// [0, 1).
 func WatchTime(rnd float64) time.Duration { return jitteredTime(maxWatchTime, rnd) }
 
 // EntriesWatchTime is WatchTime for the list of entries.
@@ -46,16 +47,16 @@
 	return max(time.Duration(checkTimeoutShare*float64(bound)), pages*pageTimeout)
 }
 
-// jitteredTime returns a random time of up to longest.
+// jitteredTime returns longest, shortened by up to jitterShare of it.
 func jitteredTime(longest time.Duration, rnd float64) time.Duration {
 	return time.Duration(float64(longest) * (1 - jitterShare*rnd))
 }
 
-// BatchTime returns how long an entry collects changes before it asks for more.
+// BatchTime returns how long an entry waits after changes before its next watch.
 // reachable counts the reachable entries, including this one: with more entries
-// each change costs more calls. An entry with a hub, which sends it newer versions,
-// can leave the calls to the hubs. It collects for a part of the freshness bound,
-// so that it still meets the bound if no hub sends it anything.
+// each change costs more calls. An entry with a hub receives newer versions from it
+// and needn't call the platform as often. It waits for a part of the freshness
+// bound, so that it still meets the bound if its hub sends nothing.
 func BatchTime(reachable int, hasHub bool, bound time.Duration) time.Duration {
 	if hasHub {
 		return time.Duration(hubBatchShare * float64(bound))
