--- a/entry/admin/admin.go
+++ b/entry/admin/admin.go
@@ -19,9 +19,12 @@
 
 // Config holds the settings and callbacks of a Server.
 type Config struct {
+	// Listen is the address to listen at. If it is empty, operators are not served.
 	Listen string
 	// Token is the token that operators must send; if empty, none is required.
-	Token   string
+	Token string
+	// Metrics serves GET /metrics, Status returns the answer to GET /status, and
+	// Explain that to GET /explain/{id}, or false if the request isn't known.
 	Metrics http.Handler
 	Status  func() report.Entry
 	Explain func(ident.ID) (report.Request, bool)
@@ -39,8 +42,8 @@
 // New returns a Server that does nothing before Run is called.
 func New(cfg Config) *Server { return &Server{cfg: cfg, token: bearer.New(cfg.Token)} }
 
-// Run serves operators until ctx ends. Without an address to listen at it only
-// waits for that.
+// Run serves operators until ctx ends. Without an address to listen at, it only
+// waits until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
 	if s.cfg.Listen == "" {
 		<-ctx.Done()
@@ -61,7 +64,7 @@
 	return err
 }
 
-// Handler returns the handler of all paths for operators, which requires the token.
+// Handler returns the handler of all paths for operators. It requires the token.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", s.status)
--- a/entry/fault/fault.go
+++ b/entry/fault/fault.go
@@ -34,6 +34,7 @@
 	Quarantined     Kind = "quarantined"
 )
 
+// statuses holds the HTTP status of each kind.
 var statuses = map[Kind]int{
 	BadRequest: http.StatusBadRequest, BadKey: http.StatusUnauthorized, ClassNotAllowed: http.StatusForbidden,
 	UnknownClass: http.StatusBadRequest, NotFound: http.StatusNotFound, UnknownModel: http.StatusNotFound,
@@ -51,21 +52,22 @@
 	kind    Kind
 	message string
 	outcome once.Outcome
-	// retryAfter is zero if a retry doesn't help.
+	// retryAfter is the time after which a retry may help, zero if none does.
 	retryAfter time.Duration
 }
 
-// New returns a fault of a request that was not run.
+// New returns a fault with outcome not-run and without a Retry-After. message says
+// what is wrong and, after a colon, what to do.
 func New(kind Kind, message string) *Error { return &Error{kind: kind, message: message} }
 
-// WithOutcome returns a copy with another outcome.
+// WithOutcome returns a copy of e with outcome o.
 func (e *Error) WithOutcome(o once.Outcome) *Error {
 	c := *e
 	c.outcome = o
 	return &c
 }
 
-// WithRetryAfter returns a copy that says after which time a retry may help.
+// WithRetryAfter returns a copy of e that tells the caller to retry after d.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.retryAfter = d
@@ -75,10 +77,10 @@
 // Kind returns the kind of the fault.
 func (e *Error) Kind() Kind { return e.kind }
 
-// Outcome returns whether the request was run.
+// Outcome returns what is known of whether the request was run.
 func (e *Error) Outcome() once.Outcome { return e.outcome }
 
-// RetryAfter returns after which time a retry may help, zero if it doesn't.
+// RetryAfter returns the time after which a retry may help, zero if none does.
 func (e *Error) RetryAfter() time.Duration { return e.retryAfter }
 
 // Status returns the HTTP status of the fault.
--- a/entry/keys/keeper.go
+++ b/entry/keys/keeper.go
@@ -241,6 +241,6 @@
 	b := k.tables[ack.Pool]
 	k.mu.Unlock()
 	if b != nil {
-		b.FillAck(ack)
+		b.FillLeaseReply(ack)
 	}
 }
--- a/entry/node.go
+++ b/entry/node.go
@@ -252,7 +252,7 @@
 	p.start(func() error { return n.planner.Run(ctx) })
 	port := peers.New(peers.Config{
 		Listen: n.cfg.LinkListen, Self: n.self, Keys: n.fleetKeys.Keys, Heartbeat: n.cfg.Heartbeat.Std(),
-		Beat: n.heartbeat, Store: n.store, Accept: n.certs.Accept, Log: n.log,
+		NewHeartbeat: n.heartbeat, Store: n.store, Accept: n.certs.Accept, Log: n.log,
 	})
 	p.start(func() error { return port.Run(ctx) })
 	operators := admin.New(admin.Config{
--- a/entry/orders/planner.go
+++ b/entry/orders/planner.go
@@ -89,7 +89,7 @@
 	b := p.assignments[model]
 	p.mu.Unlock()
 	if b != nil {
-		b.FillAck(ack)
+		b.FillLeaseReply(ack)
 	}
 }
 
--- a/entry/peers/peers.go
+++ b/entry/peers/peers.go
@@ -1,5 +1,5 @@
-// Package peers is the entry's link port, where other entries fetch the objects in
-// force while the platform is away.
+// Package peers serves the entry's link port, where other entries fetch the objects
+// in force while the platform is away.
 package peers
 
 import (
@@ -17,18 +17,22 @@
 	"lycheepond/core/wire"
 )
 
-// maxLinks bounds the concurrent links. Peers fetch only when they start, so more
-// links at once are an attack or a restart of the whole fleet, and both can wait.
+// maxLinks bounds the number of concurrent links. Peers fetch only when they start,
+// so more links at once come from an attack or a restart of the whole fleet, and
+// both can wait.
 const maxLinks = 64
 
 // Config holds the settings of a Port.
 type Config struct {
-	Listen    string
-	Self      wire.Hello
-	Keys      func() wire.Keys
-	Heartbeat time.Duration
-	Beat      func() wire.Message
-	Store     *store.Store
+	// Listen is the address to listen at. If it is empty, no links are accepted.
+	Listen string
+	Self   wire.Hello
+	Keys   func() wire.Keys
+	// Heartbeat is the heartbeat interval of the links. NewHeartbeat returns the
+	// message that an idle link carries.
+	Heartbeat    time.Duration
+	NewHeartbeat func() wire.Message
+	Store        *store.Store
 	// Accept wraps a new connection in TLS or returns it unchanged.
 	Accept func(net.Conn) net.Conn
 	Log    *zap.Logger
@@ -44,8 +48,8 @@
 // New returns a Port that does nothing before Run is called.
 func New(cfg Config) *Port { return &Port{cfg: cfg, slots: make(chan struct{}, maxLinks)} }
 
-// Run accepts links until ctx ends. Without an address to listen at it only waits
-// for that.
+// Run accepts links until ctx ends. Without an address to listen at, it only waits
+// until ctx ends.
 func (p *Port) Run(ctx context.Context) error {
 	if p.cfg.Listen == "" {
 		<-ctx.Done()
@@ -79,6 +83,7 @@
 	}
 }
 
+// serveLink runs one link that a peer dialled.
 func (p *Port) serveLink(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	conn = p.cfg.Accept(conn)
@@ -87,10 +92,11 @@
 		logs.Warn(p.cfg.Log, logs.EventLinkRefused, zap.String("remote", conn.RemoteAddr().String()), zap.Error(err))
 		return
 	}
-	p.serveFetches(ctx, wire.New(conn, peer, wire.Config{Heartbeat: p.cfg.Heartbeat, Idle: p.cfg.Self.Idle(), NewHeartbeat: p.cfg.Beat}))
+	p.serveFetches(ctx, wire.New(conn, peer, wire.Config{Heartbeat: p.cfg.Heartbeat, Idle: p.cfg.Self.Idle(), NewHeartbeat: p.cfg.NewHeartbeat}))
 }
 
-// serveFetches answers the fetches of one link, one at a time.
+// serveFetches answers the fetches of one link, one at a time. A fetch that arrives
+// while another one is waiting is answered together with it.
 func (p *Port) serveFetches(ctx context.Context, link *wire.Link) {
 	fetches := make(chan struct{}, 1)
 	done := make(chan error, 1)
--- a/entry/record/loop.go
+++ b/entry/record/loop.go
@@ -11,7 +11,7 @@
 // NewLoop returns a loop that does nothing before Run is called.
 func NewLoop() *Loop { return &Loop{wake: make(chan struct{}, 1)} }
 
-// Wake requests the next check now, for example after a new link.
+// Wake requests a check as soon as possible, for example after a new link.
 func (l *Loop) Wake() {
 	select {
 	case l.wake <- struct{}{}:
--- a/entry/record/record.go
+++ b/entry/record/record.go
@@ -1,6 +1,6 @@
 // Package record handles an object of the platform that entries write and agents
-// follow: conditional writes, which also confirm that the object is still in force,
-// and messages to agents about its changes.
+// follow. It makes conditional writes, which also confirm that the object is in
+// force, and sends the object to agents when it has changed.
 package record
 
 import (
@@ -19,15 +19,19 @@
 
 // Config holds the callbacks of a Record. All of them must be set.
 type Config struct {
-	Put    func(ctx context.Context, kind, name string, data []byte, ifVersion int64) (plat.Object, error)
-	Get    func(ctx context.Context, kind, name string) (plat.Object, error)
+	// Put writes an object to the platform if it has version ifVersion, and Get
+	// reads one from there.
+	Put func(ctx context.Context, kind, name string, data []byte, ifVersion int64) (plat.Object, error)
+	Get func(ctx context.Context, kind, name string) (plat.Object, error)
+	// Raw returns the object in force at this entry, and Accept puts one in force.
 	Raw    func(kind, name string) (plat.Object, bool)
 	Accept func(plat.Event)
-	Now    func() time.Duration
+	// Now returns the time on the entry's clock.
+	Now func() time.Duration
 }
 
-// Record handles one object. FillAck is safe for concurrent use; everything else
-// belongs to one goroutine.
+// Record handles one object. FillLeaseReply is safe for concurrent use. All other
+// methods must be called by one goroutine.
 type Record struct {
 	cfg        Config
 	kind, name string
@@ -36,8 +40,8 @@
 
 	mu sync.Mutex
 	// If isConfirmed is set, epoch was in force at confirmedAt, because a
-	// conditional write that began then has succeeded. A read confirms nothing,
-	// because it may return an older state.
+	// conditional write that began at that time has succeeded. A read confirms
+	// nothing, because it may return an older state.
 	epoch       int64
 	confirmedAt time.Duration
 	isConfirmed bool
@@ -56,9 +60,9 @@
 // the next write can succeed.
 func (r *Record) Write(ctx context.Context, data []byte, epoch, ifVersion int64) error {
 	began := r.cfg.Now()
-	call, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	o, err := r.cfg.Put(call, r.kind, r.name, data, ifVersion)
+	o, err := r.cfg.Put(callCtx, r.kind, r.name, data, ifVersion)
 	if err != nil {
 		r.refresh(ctx, err)
 		return err
@@ -71,33 +75,35 @@
 	return nil
 }
 
+// refresh puts the platform's version of the object in force after a write failed
+// with err. It does nothing if the platform is unavailable.
 func (r *Record) refresh(ctx context.Context, err error) {
 	var away *plat.UnavailableError
 	if errors.As(err, &away) {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if o, err := r.cfg.Get(call, r.kind, r.name); err == nil {
+	if o, err := r.cfg.Get(callCtx, r.kind, r.name); err == nil {
 		r.cfg.Accept(plat.Event{Object: o})
 	}
 }
 
-// SendToAgents sends the object to every agent that has not been sent its epoch.
-// Confirmations change nothing for agents and are not sent.
+// SendToAgents sends the object to every linked agent that has not been sent its
+// epoch over the current link. Confirmations keep the epoch and are not sent.
 func (r *Record) SendToAgents(peers []*agents.Peer, version, epoch int64, data []byte) {
 	sent := make(map[*wire.Link]int64, len(peers))
-	var news *wire.ObjectUpdate
+	var update *wire.ObjectUpdate
 	for _, p := range peers {
 		l := p.Link()
 		if l == nil {
 			continue
 		}
 		if r.sentEpochs[l] != epoch {
-			if news == nil {
-				news = &wire.ObjectUpdate{ObjectKind: r.kind, Name: r.name, Version: version, Data: data}
+			if update == nil {
+				update = &wire.ObjectUpdate{ObjectKind: r.kind, Name: r.name, Version: version, Data: data}
 			}
-			if l.Send(news) != nil {
+			if l.Send(update) != nil {
 				continue
 			}
 		}
@@ -106,13 +112,15 @@
 	r.sentEpochs = sent
 }
 
-// FillAck sets the fields of ack that tell an agent how fresh the record is.
-func (r *Record) FillAck(ack *wire.LeaseReply) {
+// FillLeaseReply sets the fields of reply that report to an agent which epoch was
+// last confirmed and how long ago, in milliseconds. It leaves them unset if no write
+// has succeeded.
+func (r *Record) FillLeaseReply(reply *wire.LeaseReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.isConfirmed {
 		return
 	}
-	ack.Epoch, ack.Confirmed = r.epoch, true
-	ack.AgeMS = uint32((r.cfg.Now() - r.confirmedAt + time.Millisecond - 1) / time.Millisecond)
+	reply.Epoch, reply.Confirmed = r.epoch, true
+	reply.AgeMS = uint32((r.cfg.Now() - r.confirmedAt + time.Millisecond - 1) / time.Millisecond)
 }
--- a/entry/tally/tally.go
+++ b/entry/tally/tally.go
@@ -28,21 +28,21 @@
 	nameOutputTokens = "entry_output_tokens"
 )
 
-// Recorder counts requests and records their times by class, customer, tier and
-// outcome. It is safe for concurrent use.
+// Recorder counts requests by tier and outcome, and records their times by class and
+// customer. It is safe for concurrent use.
 type Recorder struct {
 	metrics             *meter.Set
 	log                 *zap.Logger
 	totalByCustomer     *meter.CustomerHistograms
 	firstByteByCustomer *meter.CustomerHistograms
-	// tiers holds the counters of each tier.
-	tiers [spec.Tiers]tierCounters
-	// outcomes holds a counter for each outcome.
+	tiers               [spec.Tiers]tierCounters
+	// outcomes is indexed by once.Outcome.
 	outcomes                                 [3]metrics.Counter
 	promptTokens, cachedTokens, outputTokens metrics.Counter
 }
 
-// tierCounters counts the requests of a tier and those that met their target.
+// tierCounters counts the requests of a tier, and in goodput those that met their
+// target.
 type tierCounters struct{ requests, goodput metrics.Counter }
 
 // New returns a Recorder that counts into m.
@@ -60,8 +60,9 @@
 	return t
 }
 
-// RecordResult counts one request that has ended. j may be nil, or have no class,
-// if the request was refused before these were known; then only its outcome counts.
+// RecordResult records the result of a request that has ended. j is nil, or has no
+// class, if the request was refused before these were known. Then only its outcome
+// is counted.
 func (t *Recorder) RecordResult(j *sched.Job, res *sched.Result) {
 	t.outcomes[res.Outcome].Inc(1)
 	if j == nil || j.Class.Name == "" {
@@ -87,7 +88,7 @@
 	t.totalByCustomer.Observe(j.Customer, int64(res.Total/time.Millisecond))
 }
 
-// logFault logs a request that ended without its answer.
+// logFault logs a request that ended with a fault.
 func (t *Recorder) logFault(j *sched.Job, res *sched.Result) {
 	event := logs.EventRequestRefused
 	if res.Outcome == once.Unknown {
