--- a/entry/agents/dial.go
+++ b/entry/agents/dial.go
@@ -14,17 +14,18 @@
 )
 
 const (
+	// dialTimeout bounds one attempt to connect, including the handshake.
 	dialTimeout = 2 * time.Second
-	// maxRedialPause bounds the pause between two dials, so that a link comes back
-	// well before a request in doubt is given up.
+	// maxRedialPause bounds the pause between two dials, so that a link is restored
+	// well before a request whose agent is away is given up.
 	maxRedialPause = time.Second
-	// goneRetention is how long an agent that is no longer in the instance list is
-	// still dialled. The list may be out of date, and the agent may still hold a
-	// granted request.
-	goneRetention = 15 * time.Second
+	// unlistedRetention is how long an agent that is no longer in the instance list
+	// is still dialled after its link ended. The list may be out of date, and the
+	// agent may still hold a granted request.
+	unlistedRetention = 15 * time.Second
 )
 
-// errWrongAgent reports that another agent answers at an address.
+// errWrongAgent reports that another process answers at an agent's address.
 var errWrongAgent = errors.New("agents: another process answers at the address of the instance list: correct the list's link address or the agent's name setting")
 
 // keepLink keeps a link to p until ctx ends or p has been gone for goneRetention.
@@ -39,7 +40,7 @@
 		if s.now()-began > time.Second {
 			failures = 0
 		}
-		if p.isGone.Load() && s.now()-time.Duration(p.linkLostAt.Load()) > goneRetention {
+		if p.isUnlisted.Load() && s.now()-time.Duration(p.linkLostAt.Load()) > unlistedRetention {
 			return
 		}
 		s.logFailure(p, failures, err)
@@ -78,7 +79,7 @@
 		conn.Close()
 		return fmt.Errorf("%w: want agent %q, got %q", errWrongAgent, p.name, hello.Name)
 	}
-	link := wire.New(conn, hello, wire.Config{Heartbeat: s.cfg.Heartbeat, Idle: s.cfg.Self.Idle(), NewHeartbeat: s.cfg.Beat})
+	link := wire.New(conn, hello, wire.Config{Heartbeat: s.cfg.Heartbeat, Idle: s.cfg.Self.Idle(), NewHeartbeat: s.cfg.NewHeartbeat})
 	// The link is up only after the agent's first message, which holds its load.
 	// Before that a leaving agent would look like any other, and a request granted
 	// to it would be cut off when it ends.
@@ -105,6 +106,7 @@
 	s.cfg.LinkUp(p)
 }
 
+// linkDown takes a link that has ended out of use.
 func (s *Set) linkDown(p *Peer, link *wire.Link) {
 	s.endedLinks.add(link.Counts())
 	p.Disconnect(s.now())
--- a/entry/agents/peer.go
+++ b/entry/agents/peer.go
@@ -11,35 +11,37 @@
 	"lycheepond/core/wire"
 )
 
-// fullPeriod is how long an agent that returned an offer because it was full is not
-// offered anything. Without it the same offer would go back and forth until the
-// agent's next Load shows its state.
+// fullPeriod is how long an agent counts as full after it returned an offer because
+// it was full. Without it the same offer would go back and forth until the agent's
+// next load shows its state.
 const fullPeriod = 200 * time.Millisecond
 
 // Peer is an agent that the entry links to. It is safe for concurrent use.
 type Peer struct {
 	name string
-	// instance is the agent as the instance list last named it.
+	// instance is the agent's latest instance in the instance list.
 	instance atomic.Pointer[plat.Instance]
 	// link is nil while there is no link.
 	link atomic.Pointer[wire.Link]
 	// load is the last load received over the current link, nil without one.
 	load atomic.Pointer[wire.Load]
-	// incarnation is that of the agent on the current or the last link.
+	// incarnation is the agent's incarnation on the current or the last link.
 	incarnation atomic.Uint64
-	// isGone is set while the instance list doesn't name the agent.
-	isGone atomic.Bool
-	// fullUntil is until when the agent counts as full, in nanoseconds on the
-	// entry's clock.
+	// isUnlisted is set while the instance list doesn't name the agent.
+	isUnlisted atomic.Bool
+	// fullUntil is the time until which the agent counts as full, in nanoseconds on
+	// the entry's clock.
 	fullUntil atomic.Int64
 	// uncountedOffers counts the offers sent since the last load, which doesn't
 	// include them yet.
 	uncountedOffers atomic.Int32
 	// linkLostAt is when the last link ended, in nanoseconds on the entry's clock.
 	linkLostAt atomic.Int64
-	// servedModel is what the endpoint serves as last reported, nil if unknown.
+	// servedModel is the model that the endpoint serves, as last reported over the
+	// current link; nil if unknown.
 	servedModel atomic.Pointer[modelVersion]
-	stop        func()
+	// stop ends the goroutine that keeps the link, and waits for it.
+	stop func()
 }
 
 // modelVersion is a version of a model.
@@ -71,7 +73,7 @@
 // Name returns the name of the agent's instance.
 func (p *Peer) Name() string { return p.name }
 
-// Instance returns the agent as the instance list last named it.
+// Instance returns the agent's latest instance in the instance list.
 func (p *Peer) Instance() plat.Instance { return *p.instance.Load() }
 
 // Zone returns the agent's availability zone.
@@ -100,7 +102,7 @@
 // IsLeaving reports whether the agent accepts no new requests, according to its
 // load or to the instance list, whichever says so first.
 func (p *Peer) IsLeaving() bool {
-	if p.isGone.Load() || p.instance.Load().State == plat.StateLeaving {
+	if p.isUnlisted.Load() || p.instance.Load().State == plat.StateLeaving {
 		return true
 	}
 	l := p.load.Load()
@@ -110,7 +112,7 @@
 // IsFull reports whether the agent recently returned an offer because it was full.
 func (p *Peer) IsFull(now time.Duration) bool { return p.fullUntil.Load() > int64(now) }
 
-// MarkFull records such a return.
+// MarkFull records at now that the agent returned an offer because it was full.
 func (p *Peer) MarkFull(now time.Duration) { p.fullUntil.Store(int64(now + fullPeriod)) }
 
 // UncountedOffers returns how many offers the agent's last load doesn't include
@@ -156,6 +158,7 @@
 	}
 }
 
+// setLoad records a load, which includes all offers sent so far.
 func (p *Peer) setLoad(l *wire.Load) {
 	p.load.Store(l)
 	p.uncountedOffers.Store(0)
--- a/entry/agents/set.go
+++ b/entry/agents/set.go
@@ -23,10 +23,10 @@
 
 // Config holds the settings and callbacks of a Set. All functions must be set.
 type Config struct {
-	Self      wire.Hello
-	Keys      func() wire.Keys
-	Heartbeat time.Duration
-	Beat      func() wire.Message
+	Self         wire.Hello
+	Keys         func() wire.Keys
+	Heartbeat    time.Duration
+	NewHeartbeat func() wire.Message
 	// Dial opens a connection to a link address.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 	// Roster returns the instance list, Pools the pools to serve.
@@ -34,8 +34,8 @@
 	Pools  func() []Pool
 	// Digest changes whenever Pools may have changed.
 	Digest func() uint64
-	// ChooseAgents returns the names of the agents of one pool, given as pool, to
-	// which this entry links.
+	// ChooseAgents returns the names of the agents in pool, which holds those of
+	// one pool, to which this entry links.
 	ChooseAgents func(pool []plat.Instance, all plat.Roster) []string
 	// Handle is called for each message of an agent, LinkUp and LinkDown when a
 	// link begins and ends. They are called by the link's reader and must not
@@ -59,8 +59,8 @@
 	configDigest  uint64
 	endedLinks    trafficCounts
 	wg            sync.WaitGroup
-	// requested holds the agents that RequestLink named. refreshNow holds a value
-	// while a new one awaits a refresh.
+	// requested holds the agents passed to RequestLink. refreshNow holds a value
+	// while one of them waits for the next refresh.
 	mu         sync.Mutex
 	requested  map[string]bool
 	refreshNow chan struct{}
@@ -136,10 +136,10 @@
 // home of a key.
 func (s *Set) RequestLink(name string) {
 	s.mu.Lock()
-	known := s.requested[name]
+	isKnown := s.requested[name]
 	s.requested[name] = true
 	s.mu.Unlock()
-	if known {
+	if isKnown {
 		return
 	}
 	select {
@@ -185,19 +185,19 @@
 		}
 		next.pools[pool.Name] = m
 	}
-	s.keepGone(old, next)
+	s.keepUnlisted(old, next)
 	s.view.Store(next)
 }
 
-// keepGone keeps agents that are no longer in the instance list for as long as they
-// may hold granted requests, and stops the others.
-func (s *Set) keepGone(old, next *view) {
+// keepUnlisted keeps agents that are no longer in the instance list for as long as
+// they may hold granted requests, and stops the others.
+func (s *Set) keepUnlisted(old, next *view) {
 	for name, p := range old.peers {
 		if _, ok := next.peers[name]; ok {
 			continue
 		}
-		if p.IsLinked() || s.now()-time.Duration(p.linkLostAt.Load()) < goneRetention {
-			p.isGone.Store(true)
+		if p.IsLinked() || s.now()-time.Duration(p.linkLostAt.Load()) < unlistedRetention {
+			p.isUnlisted.Store(true)
 			next.peers[name] = p
 			continue
 		}
@@ -211,8 +211,8 @@
 	if p, ok := old.peers[inst.Name]; ok {
 		hasMoved := p.Instance().LinkAddr != inst.LinkAddr
 		p.instance.Store(inst)
-		wasGone := p.isGone.Swap(false)
-		if !hasMoved && (!wasGone || p.IsLinked()) {
+		wasUnlisted := p.isUnlisted.Swap(false)
+		if !hasMoved && (!wasUnlisted || p.IsLinked()) {
 			return p
 		}
 		p.stop()
@@ -241,6 +241,7 @@
 	}
 }
 
+// endpoints returns the instances of a pool's endpoints.
 func endpoints(pool Pool, r plat.Roster) []plat.Instance {
 	var out []plat.Instance
 	for _, i := range r.Instances {
@@ -251,7 +252,7 @@
 	return out
 }
 
-// trafficCounts sums the traffic of links.
+// trafficCounts sums the traffic of links. It is safe for concurrent use.
 type trafficCounts struct {
 	mu  sync.Mutex
 	sum wire.Counts
--- a/entry/answer/answer.go
+++ b/entry/answer/answer.go
@@ -15,7 +15,7 @@
 const (
 	// Incomplete: more pieces are to come.
 	Incomplete Verdict = iota
-	// Gap: pieces are missing; request the answer again from Next on.
+	// Gap: pieces are missing. The answer must be requested again from Next on.
 	Gap
 	// Complete: every piece has arrived and the checksums match.
 	Complete
@@ -23,22 +23,25 @@
 	Broken
 )
 
-// maxEarlyPieces is how many early pieces are kept. Links preserve the order, so
-// only messages that overtook each other across a broken link are early.
+// maxEarlyPieces bounds the early pieces that are kept. Links preserve the order of
+// messages, so pieces are early only if the link broke between them.
 const maxEarlyPieces = 256
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Answer is the state of one answer. It must be used by one goroutine only.
 type Answer struct {
-	// next is the number of the first piece that has not been emitted.
+	// next is the number of the first piece that has not been emitted, and bytes is
+	// the size of the pieces before it.
 	next  uint32
 	bytes uint64
 	// crc covers exactly the pieces before next.
 	crc uint32
-	// early holds pieces after next. It is nil until the first one.
+	// early holds the pieces after next that have arrived, by number. It is nil
+	// until the first one.
 	early map[uint32][]byte
-	end   *wire.End
+	// end is nil until the end of the answer arrives.
+	end *wire.End
 }
 
 // Next returns the number of the first missing piece.
@@ -54,7 +57,7 @@
 	case seq < a.next:
 		return a.verdict()
 	case seq > a.next:
-		return a.keepEarly(seq, data)
+		return a.storeEarly(seq, data)
 	}
 	a.accept(data, emit)
 	for len(a.early) > 0 {
@@ -68,6 +71,7 @@
 	return a.verdict()
 }
 
+// accept emits the next piece.
 func (a *Answer) accept(data []byte, emit func([]byte)) {
 	a.next++
 	a.bytes += uint64(len(data))
@@ -75,7 +79,9 @@
 	emit(data)
 }
 
-func (a *Answer) keepEarly(seq uint32, data []byte) Verdict {
+// storeEarly keeps a piece until those before it have arrived. It returns Gap if
+// there are too many.
+func (a *Answer) storeEarly(seq uint32, data []byte) Verdict {
 	if len(a.early) >= maxEarlyPieces {
 		return Gap
 	}
@@ -86,7 +92,8 @@
 	return a.verdict()
 }
 
-// Finish records the end of the answer. Pieces may still be missing then.
+// Finish records the end of the answer. Pieces may still be missing when it is
+// called.
 func (a *Answer) Finish(e *wire.End) Verdict {
 	if a.end == nil || !a.end.Complete {
 		a.end = e
@@ -94,8 +101,8 @@
 	return a.verdict()
 }
 
-// Resume discards the end and the early pieces. The agent is asked for the rest and
-// will end the answer again.
+// Resume discards the end and the early pieces, before the answer is requested from
+// Next on. The agent then sends the end again.
 func (a *Answer) Resume() {
 	a.end = nil
 	clear(a.early)
--- a/entry/answer/answer_test.go
+++ b/entry/answer/answer_test.go
@@ -28,14 +28,14 @@
 		copies := rapid.SliceOfN(rapid.IntRange(0, len(parts)-1), 0, 10).Draw(t, "copies")
 		var a Answer
 		var got bytes.Buffer
-		pass := func(b []byte) { got.Write(b) }
+		emit := func(b []byte) { got.Write(b) }
 		endAt := rapid.IntRange(0, len(order)).Draw(t, "end at")
 		var v Verdict
 		for i, n := range append(order, copies...) {
 			if i == endAt {
 				v = a.Finish(endOf(parts))
 			}
-			v = a.Push(uint32(n), parts[n], pass)
+			v = a.Push(uint32(n), parts[n], emit)
 		}
 		if v != Complete {
 			v = a.Finish(endOf(parts))
@@ -46,6 +46,7 @@
 	})
 }
 
+// seqs returns the numbers from 0 to n-1.
 func seqs(n int) []int {
 	out := make([]int, n)
 	for i := range out {
@@ -55,21 +56,22 @@
 }
 
 // The endpoint's connection breaks, and the agent sends fewer or other bytes than
-// the end says. A user would take the part for the whole answer.
+// the end says. If that were not detected, a user would take the part for the whole
+// answer.
 func TestDamageIsDetected(t *testing.T) {
 	parts := [][]byte{[]byte("one"), []byte("two")}
-	drop := func([]byte) {}
+	discard := func([]byte) {}
 	t.Run("missing", func(t *testing.T) {
 		var a Answer
-		a.Push(0, parts[0], drop)
+		a.Push(0, parts[0], discard)
 		if v := a.Finish(endOf(parts)); v != Gap {
 			t.Errorf("verdict %d", v)
 		}
 	})
 	t.Run("other bytes", func(t *testing.T) {
 		var a Answer
-		a.Push(0, parts[0], drop)
-		a.Push(1, []byte("tow"), drop)
+		a.Push(0, parts[0], discard)
+		a.Push(1, []byte("tow"), discard)
 		if v := a.Finish(endOf(parts)); v != Broken {
 			t.Errorf("verdict %d", v)
 		}
@@ -77,7 +79,7 @@
 	t.Run("too many", func(t *testing.T) {
 		var a Answer
 		for i := range uint32(3) {
-			a.Push(i, parts[0], drop)
+			a.Push(i, parts[0], discard)
 		}
 		if v := a.Finish(endOf(parts)); v != Broken {
 			t.Errorf("verdict %d", v)
@@ -85,7 +87,7 @@
 	})
 	t.Run("not whole", func(t *testing.T) {
 		var a Answer
-		a.Push(0, parts[0], drop)
+		a.Push(0, parts[0], discard)
 		if v := a.Finish(&wire.End{Chunks: 1, Reason: wire.ReasonBroken}); v != Broken {
 			t.Errorf("verdict %d", v)
 		}
--- a/entry/caller/accept.go
+++ b/entry/caller/accept.go
@@ -50,6 +50,7 @@
 	return j, nil
 }
 
+// bearer returns the key in the Authorization header, empty if there is none.
 func bearer(r *http.Request) string {
 	const prefix = "Bearer "
 	h := r.Header.Get("Authorization")
@@ -59,6 +60,8 @@
 	return h[len(prefix):]
 }
 
+// readClass sets the class of the job: the one that the caller names, or else the
+// one of its key.
 func (s *Server) readClass(r *http.Request, j *sched.Job, c spec.Customer, k spec.Key) *fault.Error {
 	name := r.Header.Get(headerClass)
 	if name == "" {
@@ -75,6 +78,8 @@
 	return nil
 }
 
+// readDeadline sets the deadline of the job: the one that the caller requests, or
+// else the one of its class.
 func readDeadline(r *http.Request, j *sched.Job) *fault.Error {
 	j.Deadline = j.Class.Deadline.Std()
 	if j.Deadline <= 0 {
@@ -92,8 +97,9 @@
 	return nil
 }
 
-// readIdempotency reads the headers that forbid or allow a second run. safe is set
-// if a request of this kind may be cancelled and repeated.
+// readIdempotency reads the headers that forbid or allow a second run, and the
+// idempotency key. safe is set if a request of this kind may be cancelled and
+// repeated.
 func readIdempotency(r *http.Request, j *sched.Job, safe bool) *fault.Error {
 	nonIdempotent, e := readFlag(r, headerNonIdempotent)
 	if e != nil {
@@ -116,7 +122,7 @@
 		return fault.New(fault.BadRequest, "bad "+headerKey+": send one key of 1 to 255 bytes, such as a UUIDv7")
 	}
 	sum := sha256.Sum256([]byte(j.Customer + "\x00" + key))
-	j.Key, j.KeyMadeMS, j.Cancellable, j.Repeatable = sum[:], keyMadeMS(key), false, false
+	j.Key, j.KeyCreatedMS, j.Cancellable, j.Repeatable = sum[:], keyCreatedMS(key), false, false
 	return nil
 }
 
@@ -132,9 +138,9 @@
 	}
 }
 
-// keyMadeMS returns when a UUIDv7 was made, in Unix milliseconds, and zero for any
-// other key.
-func keyMadeMS(key string) int64 {
+// keyCreatedMS returns the creation time of a UUIDv7 in Unix milliseconds, and zero
+// for any other key.
+func keyCreatedMS(key string) int64 {
 	if len(key) != 36 || key[8] != '-' || key[13] != '-' || key[14] != '7' {
 		return 0
 	}
@@ -154,24 +160,24 @@
 }
 
 // bodyReader reads a body and sets a new read deadline of callerTimeout for each
-// maxPieceBytes. The size of a body doesn't show whether the caller is still
-// sending, but a caller that has stopped would block its request's goroutine for
-// good.
+// maxPieceBytes. One deadline for the whole body would cut off a slow caller that is
+// still sending, and without a deadline a caller that has stopped would block its
+// request's goroutine for good.
 type bodyReader struct {
 	body io.Reader
 	rc   *http.ResponseController
-	// remaining is how many bytes may still arrive under the current deadline.
-	remaining int
+	// remainingBytes is the number of bytes until the next deadline is set.
+	remainingBytes int
 }
 
 // Read implements io.Reader.
 func (p *bodyReader) Read(b []byte) (int, error) {
-	if p.remaining <= 0 {
-		p.remaining = maxPieceBytes
+	if p.remainingBytes <= 0 {
+		p.remainingBytes = maxPieceBytes
 		p.rc.SetReadDeadline(time.Now().Add(callerTimeout))
 	}
 	n, err := p.body.Read(b)
-	p.remaining -= n
+	p.remainingBytes -= n
 	return n, err
 }
 
@@ -190,14 +196,14 @@
 	return data, nil
 }
 
-// droppedHeaders are headers that concern only this system. They are not forwarded,
-// like those of a single connection.
+// droppedHeaders are the headers that concern only this system. Like hop-by-hop
+// headers they are not forwarded.
 var droppedHeaders = map[string]bool{
 	"Authorization": true, "Proxy-Authorization": true, "Host": true, "X-Request-Id": true, "Expect": true, "Accept-Encoding": true,
 	headerClass: true, headerNonIdempotent: true, headerRepeatable: true, headerDeadline: true, headerID: true, headerOutcome: true,
 }
 
-// forwardedHeaders returns the headers to pass on.
+// forwardedHeaders returns the headers of a request to send to the endpoint.
 func forwardedHeaders(h http.Header) []wire.Field {
 	out := make([]wire.Field, 0, len(h))
 	for name, values := range hdrs.EndToEnd(h) {
@@ -211,7 +217,8 @@
 	return out
 }
 
-// quote shortens and quotes text from a caller for use in a message.
+// quote returns text from a caller in quotes, shortened to 64 bytes, for use in a
+// message.
 func quote(s string) string {
 	const limit = 64
 	if len(s) > limit {
--- a/entry/caller/accept_test.go
+++ b/entry/caller/accept_test.go
@@ -36,8 +36,8 @@
 		{"basic auth", "/v1/completions", ok, []string{"Authorization", "Basic c2VjcmV0"}, 401, fault.BadKey},
 		{"bad deadline", "/v1/completions", ok, []string{headerDeadline, "soon"}, 400, fault.BadRequest},
 		{"negative deadline", "/v1/completions", ok, []string{headerDeadline, "-1s"}, 400, fault.BadRequest},
-		{"bad mark", "/v1/completions", ok, []string{headerNonIdempotent, "maybe"}, 400, fault.BadRequest},
-		{"both marks", "/v1/completions", ok, []string{headerNonIdempotent, "true", headerRepeatable, "true"}, 400, fault.BadRequest},
+		{"bad flag", "/v1/completions", ok, []string{headerNonIdempotent, "maybe"}, 400, fault.BadRequest},
+		{"both flags", "/v1/completions", ok, []string{headerNonIdempotent, "true", headerRepeatable, "true"}, 400, fault.BadRequest},
 		{"long key", "/services/app/x", "", []string{headerKey, strings.Repeat("k", maxKeyBytes+1)}, 400, fault.BadRequest},
 		{"too large", "/services/app/x", strings.Repeat("x", maxBodyBytes+1), nil, 413, fault.TooLarge},
 	} {
@@ -58,7 +58,7 @@
 
 // The time in a UUIDv7 decides whether a key may be older than a lost record. If it
 // were read wrongly, an old key would count as new and the request would run again.
-func TestKeyMadeAt(t *testing.T) {
+func TestKeyCreationTime(t *testing.T) {
 	for key, want := range map[string]int64{
 		"01a238da-9213-7abc-8def-0123456789ab": 0x01a238da9213,
 		"01a238da-9213-4abc-8def-0123456789ab": 0,
@@ -66,7 +66,7 @@
 		"zza238da-9213-7abc-8def-0123456789ab": 0,
 		"":                                     0,
 	} {
-		if got := keyMadeMS(key); got != want {
+		if got := keyCreatedMS(key); got != want {
 			t.Errorf("%q: %d, want %d", key, got, want)
 		}
 	}
@@ -104,8 +104,8 @@
 }
 
 // The rest of a body that is too large is still on its way when the request is
-// refused, so the connection is closed. The caller must be told, so that it sends
-// nothing more there.
+// refused, so the connection is closed. The answer must say so, otherwise the caller
+// sends its next request on that connection.
 func TestTooLargeBodyClosesTheConnection(t *testing.T) {
 	f := newTestEntry(t, entryOptions{}, newStub(t, "a", answerAll("x")))
 	res := f.post(t, "/services/app/x", strings.Repeat("x", maxBodyBytes+1))
--- a/entry/caller/bench_test.go
+++ b/entry/caller/bench_test.go
@@ -27,8 +27,8 @@
 // processor time of the stub and the callers, so the entry alone is faster.
 func BenchmarkRelay(b *testing.B) { benchmarkRelay(b, 32, 0) }
 
-// BenchmarkRelayPaced streams at the pace of engines, one token for each of 1000
-// streams every 30 ms, so that two tokens of a stream can hardly share a write.
+// BenchmarkRelayPaced streams at the pace of engines, one token every 30 ms on each
+// of 1000 streams, so that two tokens of a stream hardly ever share a write.
 func BenchmarkRelayPaced(b *testing.B) { benchmarkRelay(b, 1000, 30*time.Millisecond) }
 
 func benchmarkRelay(b *testing.B, streams int, pace time.Duration) {
@@ -36,7 +36,7 @@
 	a := newStub(b, "a", func(_ *stub, l *wire.Link, m wire.Message) {
 		switch m := m.(type) {
 		case *wire.Offer:
-			l.Send(&wire.Claim{ID: m.ID, Load: idle})
+			l.Send(&wire.Claim{ID: m.ID, Load: idleLoad})
 		case *wire.Grant:
 			go stream(l, m, tokensPerStream, pace)
 		}
@@ -64,10 +64,11 @@
 	b.ReportMetric(float64(tokensPerStream)*float64(streams)/(cpuTime()-before).Seconds(), "tokens/cpu-s")
 }
 
+// stream sends an answer of n tokens, one after each pace.
 func stream(l *wire.Link, m *wire.Grant, n uint32, pace time.Duration) {
 	ctx := context.Background()
 	l.SendWait(ctx, &wire.Head{ID: m.ID, Status: 200})
-	end := &wire.End{ID: m.ID, Chunks: n, Complete: true, Load: idle}
+	end := &wire.End{ID: m.ID, Chunks: n, Complete: true, Load: idleLoad}
 	for i := range n {
 		time.Sleep(pace)
 		l.SendWait(ctx, &wire.Chunk{ID: m.ID, Seq: i, Data: token})
--- a/entry/caller/limits.go
+++ b/entry/caller/limits.go
@@ -8,11 +8,12 @@
 	"lycheepond/entry/fault"
 )
 
-// burstSeconds is how many seconds' worth of requests a customer may send at once.
+// burstSeconds is the size of a customer's token bucket, in seconds of its limit of
+// requests per second.
 const burstSeconds = 1.0
 
-// limits enforces the customers' limits at this entry. It holds no state for
-// customers without limits, so it stays small.
+// limits enforces the customers' limits at this entry. It holds state only for
+// customers that have limits.
 type limits struct {
 	mu        sync.Mutex
 	customers map[string]*usage
@@ -31,6 +32,7 @@
 
 func newLimits() *limits { return &limits{customers: make(map[string]*usage)} }
 
+// noRelease is the release function of a request without limits.
 func noRelease() {}
 
 // acquire admits a request of a customer and returns the function to call when the
@@ -56,7 +58,8 @@
 	return func() { l.release(u) }, nil
 }
 
-// takeToken takes a token and returns zero, or returns how long until there is one.
+// takeToken takes a token and returns zero. If there is none, it returns the time
+// until there is.
 func (u *usage) takeToken(rate float64, now time.Duration) time.Duration {
 	if rate <= 0 {
 		return 0
--- a/entry/caller/model.go
+++ b/entry/caller/model.go
@@ -11,8 +11,8 @@
 	"lycheepond/entry/sched"
 )
 
-// modelRequest is the part of a model request that the entry reads. The rest is
-// passed on unread.
+// modelRequest holds the fields of a model request that the entry reads. The body is
+// passed on unchanged.
 type modelRequest struct {
 	Model     string          `json:"model"`
 	Prompt    json.RawMessage `json:"prompt"`
@@ -34,6 +34,7 @@
 	s.serve(w, r, j)
 }
 
+// readModel reads a model request and sets the remaining fields of the job.
 func (s *Server) readModel(w http.ResponseWriter, r *http.Request, j *sched.Job) *fault.Error {
 	data, e := readBody(w, r)
 	if e != nil {
@@ -74,19 +75,19 @@
 		s.refuse(w, j.ID, j, e)
 		return
 	}
-	type line struct {
+	type modelItem struct {
 		ID      string `json:"id"`
 		Object  string `json:"object"`
 		Version string `json:"version,omitempty"`
 	}
 	list := struct {
-		Object string `json:"object"`
-		Data   []line `json:"data"`
-	}{Object: "list", Data: []line{}}
+		Object string      `json:"object"`
+		Data   []modelItem `json:"data"`
+	}{Object: "list", Data: []modelItem{}}
 	for _, m := range s.cfg.Store.Models() {
-		list.Data = append(list.Data, line{ID: m.Name, Object: "model", Version: m.Version})
+		list.Data = append(list.Data, modelItem{ID: m.Name, Object: "model", Version: m.Version})
 	}
-	slices.SortFunc(list.Data, func(a, b line) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(list.Data, func(a, b modelItem) int { return strings.Compare(a.ID, b.ID) })
 	w.Header().Set(headerID, j.ID.String())
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(list)
@@ -105,9 +106,11 @@
 	s.serve(w, r, j)
 }
 
-// idempotentMethods are the idempotent methods of a service that lists none.
+// idempotentMethods are the HTTP methods that count as idempotent for a service that
+// lists none.
 var idempotentMethods = []string{http.MethodGet, http.MethodHead, http.MethodOptions}
 
+// readService reads a request to a service and sets the remaining fields of the job.
 func (s *Server) readService(w http.ResponseWriter, r *http.Request, j *sched.Job) *fault.Error {
 	name := r.PathValue("name")
 	svc, ok := s.cfg.Store.Service(name)
--- a/entry/caller/path_test.go
+++ b/entry/caller/path_test.go
@@ -37,6 +37,8 @@
 	}
 }
 
+// An answer must arrive whole whether the caller asks for a stream or not, from
+// models and from services.
 func TestBufferedAndStreamedAnswers(t *testing.T) {
 	f := newTestEntry(t, entryOptions{}, newStub(t, "a", answerAll("data: one\n\n", "data: [DONE]\n\n")))
 	expect(t, f.post(t, "/v1/completions", completion(false)), 200, "complete", "one")
@@ -65,10 +67,10 @@
 	a := newStub(t, "a", func(_ *stub, l *wire.Link, m wire.Message) {
 		switch m := m.(type) {
 		case *wire.Offer:
-			l.Send(&wire.Claim{ID: m.ID, Load: idle})
+			l.Send(&wire.Claim{ID: m.ID, Load: idleLoad})
 		case *wire.Grant:
 			if grants.Add(1) == 1 {
-				l.Send(&wire.Return{ID: m.ID, Reason: wire.ReasonUnreachable, Load: idle})
+				l.Send(&wire.Return{ID: m.ID, Reason: wire.ReasonUnreachable, Load: idleLoad})
 				return
 			}
 			sendAnswer(l, m.ID, "done")
@@ -96,11 +98,11 @@
 	a := newStub(t, "a", func(s *stub, l *wire.Link, m wire.Message) {
 		switch m := m.(type) {
 		case *wire.Offer:
-			l.Send(&wire.Claim{ID: m.ID, Load: idle})
+			l.Send(&wire.Claim{ID: m.ID, Load: idleLoad})
 		case *wire.Grant:
 			s.cut()
 		case *wire.Attach:
-			l.Send(&wire.End{ID: m.ID, Reason: wire.ReasonForgotten, Load: idle})
+			l.Send(&wire.End{ID: m.ID, Reason: wire.ReasonForgotten, Load: idleLoad})
 		}
 	})
 	f := newTestEntry(t, entryOptions{}, a)
@@ -110,15 +112,15 @@
 	}
 }
 
-// The same happens to a model completion that the caller allowed to repeat and of
-// which it has received nothing. It must get a whole answer. Without that
-// permission a completion is not dispatched twice either.
+// The grant of a model completion is lost in the same way. If the caller allowed a
+// repetition and has received nothing yet, it must get a whole answer. Without that
+// permission a completion must not be dispatched twice either.
 func TestLostGrantOfCompletionIsRepeated(t *testing.T) {
 	var grants atomic.Int32
 	a := newStub(t, "a", func(s *stub, l *wire.Link, m wire.Message) {
 		switch m := m.(type) {
 		case *wire.Offer:
-			l.Send(&wire.Claim{ID: m.ID, Load: idle})
+			l.Send(&wire.Claim{ID: m.ID, Load: idleLoad})
 		case *wire.Grant:
 			if grants.Add(1) == 1 {
 				s.cut()
@@ -126,7 +128,7 @@
 			}
 			sendAnswer(l, m.ID, "again")
 		case *wire.Attach:
-			l.Send(&wire.End{ID: m.ID, Reason: wire.ReasonForgotten, Load: idle})
+			l.Send(&wire.End{ID: m.ID, Reason: wire.ReasonForgotten, Load: idleLoad})
 		}
 	})
 	f := newTestEntry(t, entryOptions{}, a)
@@ -144,7 +146,7 @@
 	a := newStub(t, "a", func(s *stub, l *wire.Link, m wire.Message) {
 		switch m := m.(type) {
 		case *wire.Offer:
-			l.Send(&wire.Claim{ID: m.ID, Load: idle})
+			l.Send(&wire.Claim{ID: m.ID, Load: idleLoad})
 		case *wire.Grant:
 			l.Send(&wire.Head{ID: m.ID, Status: 200})
 			l.Send(&wire.Chunk{ID: m.ID, Seq: 0, Data: []byte("one ")})
@@ -166,7 +168,7 @@
 	a := newStub(t, "a", func(_ *stub, l *wire.Link, m wire.Message) {
 		switch m := m.(type) {
 		case *wire.Offer:
-			l.Send(&wire.Claim{ID: m.ID, Load: idle})
+			l.Send(&wire.Claim{ID: m.ID, Load: idleLoad})
 		case *wire.Grant:
 			l.Send(&wire.Chunk{ID: m.ID, Seq: 1, Data: []byte("two")})
 			l.Send(endOf(m.ID, "one ", "two"))
@@ -186,11 +188,11 @@
 	a := newStub(t, "a", func(_ *stub, l *wire.Link, m wire.Message) {
 		switch m := m.(type) {
 		case *wire.Offer:
-			l.Send(&wire.Claim{ID: m.ID, Load: idle})
+			l.Send(&wire.Claim{ID: m.ID, Load: idleLoad})
 		case *wire.Grant:
 			l.Send(&wire.Head{ID: m.ID, Status: 200})
 			l.Send(&wire.Chunk{ID: m.ID, Seq: 0, Data: []byte("data: part\n\n")})
-			l.Send(&wire.End{ID: m.ID, Chunks: 1, Bytes: 12, Reason: wire.ReasonBroken, Load: idle})
+			l.Send(&wire.End{ID: m.ID, Chunks: 1, Bytes: 12, Reason: wire.ReasonBroken, Load: idleLoad})
 		}
 	})
 	f := newTestEntry(t, entryOptions{}, a)
@@ -212,8 +214,8 @@
 }
 
 // A request with a key is offered to the home of its key, which has already run it
-// for an entry that died. The answer of that run is relayed and breaks off. The
-// caller must not get outcome not-run.
+// for an entry that died. The answer of that run is relayed and breaks off. As the
+// request was run, the caller must not get outcome not-run.
 func TestJoinedAnswerThatBreaksIsUnknown(t *testing.T) {
 	a := newStub(t, "a", func(_ *stub, l *wire.Link, m wire.Message) {
 		if o, ok := m.(*wire.Offer); ok {
@@ -234,7 +236,7 @@
 func TestHomeWithoutLeaseRefuses(t *testing.T) {
 	a := newStub(t, "a", func(_ *stub, l *wire.Link, m wire.Message) {
 		if o, ok := m.(*wire.Offer); ok {
-			l.Send(&wire.Return{ID: o.ID, Reason: wire.ReasonNoLease, Load: idle})
+			l.Send(&wire.Return{ID: o.ID, Reason: wire.ReasonNoLease, Load: idleLoad})
 		}
 	})
 	f := newTestEntry(t, entryOptions{home: homeAt("a")}, a)
@@ -245,6 +247,7 @@
 	expect(t, res, 503, "not-run", "no_home")
 }
 
+// homeAt returns a Home function that names one agent for every key.
 func homeAt(name string) func(*testEntry, []byte) (sched.Home, error) {
 	return func(f *testEntry, _ []byte) (sched.Home, error) {
 		p, ok := f.set.Peer(name)
@@ -260,7 +263,7 @@
 // refused.
 func TestTopTierWaitsWhileLowerIsServed(t *testing.T) {
 	var offers atomic.Int32
-	busy := idle
+	busy := idleLoad
 	busy.RunningTiers = 1 << (spec.Tiers - 1)
 	a := newStub(t, "a", func(_ *stub, l *wire.Link, m wire.Message) {
 		switch m := m.(type) {
--- a/entry/caller/poison_test.go
+++ b/entry/caller/poison_test.go
@@ -7,15 +7,15 @@
 	"lycheepond/core/wire"
 )
 
-// A request that crashes each endpoint that runs it must not be dispatched for
-// ever.
+// A request crashes every endpoint that runs it, and its caller sends it again and
+// again. It must be quarantined and not be dispatched for ever.
 func TestRequestThatCrashesEndpoints(t *testing.T) {
 	crash := func(_ *stub, l *wire.Link, m wire.Message) {
 		switch m := m.(type) {
 		case *wire.Offer:
-			l.Send(&wire.Claim{ID: m.ID, Load: idle})
+			l.Send(&wire.Claim{ID: m.ID, Load: idleLoad})
 		case *wire.Grant:
-			l.Send(&wire.End{ID: m.ID, Reason: wire.ReasonUnreachable, Load: idle})
+			l.Send(&wire.End{ID: m.ID, Reason: wire.ReasonUnreachable, Load: idleLoad})
 		}
 	}
 	// Each agent reports a crashed endpoint each time, which counts once a second.
--- a/entry/caller/reply.go
+++ b/entry/caller/reply.go
@@ -20,12 +20,12 @@
 	// callerTimeout is how long one write to a caller may take. A caller that stops
 	// reading would otherwise block its request's goroutine for good.
 	callerTimeout = 30 * time.Second
-	// maxPieceBytes is the largest single write, and how much a caller must send
-	// within callerTimeout. Over a slow connection of 1 KB a second it takes about
-	// that long.
+	// maxPieceBytes is the largest single write in bytes, and the number of bytes
+	// that a caller must send within callerTimeout. A connection of 1 KB a second
+	// carries about that much in that time.
 	maxPieceBytes = 32 << 10
 	// deadlineInterval is the shortest time between two updates of the write
-	// deadline. It saves a system call for most flushes.
+	// deadline. It saves a system call at most flushes.
 	deadlineInterval = time.Second
 )
 
@@ -37,10 +37,10 @@
 	job    *sched.Job
 	// deadlineSetAt is when the write deadline was last set.
 	deadlineSetAt time.Time
-	// startedAt is when the status line was written, zero before that. isUnread is
-	// set once a write has timed out because the caller doesn't read.
+	// startedAt is when the status line was written, zero before that.
 	startedAt time.Time
-	isUnread  bool
+	// isUnread is set once a write has timed out because the caller doesn't read.
+	isUnread bool
 }
 
 func newReply(w http.ResponseWriter, j *sched.Job, s *Server) *reply {
@@ -51,6 +51,7 @@
 	return &sched.Sink{Head: r.writeHead, Data: r.writeData, Flush: r.flush, IsStreaming: r.job.Stream}
 }
 
+// writeHead writes the status and the headers of the endpoint's answer.
 func (r *reply) writeHead(status int, header []wire.Field) {
 	h := r.w.Header()
 	for _, f := range header {
@@ -74,8 +75,8 @@
 
 // writeData writes a part of the answer. The server sends what exceeds its buffer
 // at once, so the deadline of an earlier write must be extended first. A large
-// answer is written in pieces, because its size doesn't show whether the caller is
-// reading.
+// answer is written in pieces with a deadline each, because one deadline for all of
+// it would cut off a slow caller that is still reading.
 func (r *reply) writeData(b []byte) {
 	for piece := range slices.Chunk(b, maxPieceBytes) {
 		r.extendDeadline()
@@ -100,6 +101,8 @@
 	}
 }
 
+// extendDeadline gives the next write callerTimeout, unless the deadline was set
+// within deadlineInterval.
 func (r *reply) extendDeadline() {
 	if now := time.Now(); now.Sub(r.deadlineSetAt) > deadlineInterval {
 		r.deadlineSetAt = now
@@ -147,6 +150,7 @@
 	return b
 }
 
+// writeFault writes a whole answer that reports a fault.
 func writeFault(w http.ResponseWriter, id ident.ID, e *fault.Error) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
--- a/entry/caller/server.go
+++ b/entry/caller/server.go
@@ -1,5 +1,5 @@
-// Package caller serves the callers of an entry over HTTP: it checks a request,
-// passes it on to be served and writes the answer.
+// Package caller serves the callers of an entry over HTTP. It checks each request,
+// passes it to the scheduler and writes the answer.
 package caller
 
 import (
@@ -29,7 +29,7 @@
 	headerRetry         = "Retry-After"
 )
 
-// maxBodyBytes is the largest body of a request in bytes.
+// maxBodyBytes is the largest size of a request's body in bytes.
 const maxBodyBytes = 4 << 20
 
 // Config holds the settings and callbacks of a Server. All fields must be set.
@@ -84,8 +84,8 @@
 	s.handler.ServeHTTP(w, r)
 }
 
-// closeIfLeaving tells a caller of a leaving entry to send its next request
-// elsewhere.
+// closeIfLeaving announces the end of the connection if the entry is leaving, so
+// that the caller sends its next request to another entry.
 func (s *Server) closeIfLeaving(w http.ResponseWriter) {
 	if s.cfg.Leaving() {
 		w.Header().Set("Connection", "close")
@@ -99,7 +99,7 @@
 
 func (s *Server) healthz(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("ok\n")) }
 
-// readyz tells the load balancer whether to send callers to this entry.
+// readyz reports to the load balancer whether to send callers to this entry.
 func (s *Server) readyz(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case s.cfg.Leaving():
--- a/entry/caller/slow_test.go
+++ b/entry/caller/slow_test.go
@@ -58,7 +58,7 @@
 	runExchangeOver(t, log, body, func(c net.Conn) net.Conn { return c }, serve, client)
 }
 
-// runExchangeOver is runExchange with a connection to the entry that wrap returns.
+// runExchangeOver is runExchange over the connection that wrap returns.
 func runExchangeOver(t *testing.T, log zapcore.Core, body string, wrap func(net.Conn) net.Conn, serve answerFunc, client func(c net.Conn)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -120,8 +120,8 @@
 	return []wire.Field{{Name: "Content-Type", Value: "text/event-stream"}}
 }
 
-// A model computes for longer than callerTimeout and then sends more at once than
-// the server's buffer holds. The caller reads all the time and must get the whole
+// A model pauses for longer than callerTimeout and then sends more at once than the
+// server's buffer holds. The caller reads all the time and must get the whole
 // answer. When only flushes set the deadline, that of the first event still applied
 // to the second write, and the caller got 11 of 16403 bytes.
 func TestStreamContinuesAfterALongPause(t *testing.T) {
@@ -198,7 +198,7 @@
 	})
 }
 
-// slowConn is a connection that is read at the rate of reader.
+// slowConn is a connection that is read through reader, at its rate.
 type slowConn struct {
 	net.Conn
 	reader slowReader
--- a/entry/caller/stub_test.go
+++ b/entry/caller/stub_test.go
@@ -27,7 +27,7 @@
 
 const stubPool = "roster"
 
-// stub is an agent whose behaviour the test defines.
+// stub is a fake agent whose behaviour the test defines.
 type stub struct {
 	name string
 	ln   net.Listener
@@ -40,7 +40,8 @@
 	received []wire.Message
 }
 
-var idle = wire.Load{InFlightBound: 8, ShedLevel: spec.Tiers - 1}
+// idleLoad is the load of an agent without requests.
+var idleLoad = wire.Load{InFlightBound: 8, ShedLevel: spec.Tiers - 1}
 
 func newStub(tb testing.TB, name string, handle func(*stub, *wire.Link, wire.Message)) *stub {
 	tb.Helper()
@@ -48,7 +49,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	s := &stub{name: name, ln: ln, load: idle}
+	s := &stub{name: name, ln: ln, load: idleLoad}
 	s.handle = func(l *wire.Link, m wire.Message) {
 		if m.Kind() != wire.KindHeartbeat {
 			s.mu.Lock()
@@ -117,7 +118,7 @@
 	return func(_ *stub, l *wire.Link, m wire.Message) {
 		switch m := m.(type) {
 		case *wire.Offer:
-			l.Send(&wire.Claim{ID: m.ID, Load: idle})
+			l.Send(&wire.Claim{ID: m.ID, Load: idleLoad})
 		case *wire.Grant:
 			sendAnswer(l, m.ID, parts...)
 		}
@@ -133,7 +134,7 @@
 }
 
 func endOf(id ident.ID, parts ...string) *wire.End {
-	end := &wire.End{ID: id, Chunks: uint32(len(parts)), Complete: true, Load: idle}
+	end := &wire.End{ID: id, Chunks: uint32(len(parts)), Complete: true, Load: idleLoad}
 	for _, p := range parts {
 		end.Bytes += uint64(len(p))
 		end.CRC = crc32.Update(end.CRC, crc32.MakeTable(crc32.Castagnoli), []byte(p))
@@ -167,7 +168,7 @@
 	})
 	f.set = agents.New(agents.Config{
 		Self: wire.Hello{Role: wire.RoleEntry, Name: "e", Incarnation: 42}, Keys: stubKeys, Heartbeat: time.Second,
-		Beat: func() wire.Message { return new(wire.Heartbeat) }, Now: now, Log: zap.NewNop(), Roster: st.Roster,
+		NewHeartbeat: func() wire.Message { return new(wire.Heartbeat) }, Now: now, Log: zap.NewNop(), Roster: st.Roster,
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 			return new(net.Dialer).DialContext(ctx, "tcp", addr)
 		},
@@ -212,6 +213,7 @@
 	}
 }
 
+// seed puts a configuration in force, and an instance list with the stubs.
 func seed(tb testing.TB, st *store.Store, stubs []*stub) {
 	tb.Helper()
 	objects := []struct {
@@ -265,6 +267,7 @@
 	return res
 }
 
+// completion returns the body of a model request.
 func completion(stream bool) string {
 	return fmt.Sprintf(`{"model":%q,"prompt":"who covers the final","max_tokens":4,"stream":%t}`, stubPool, stream)
 }
--- a/entry/caller/told_test.go
+++ b/entry/caller/told_test.go
@@ -18,17 +18,16 @@
 	"lycheepond/entry/sched"
 )
 
-// countEvents returns how often an event is in a log.
-func countEvents(seen *observer.ObservedLogs, e logs.Event) int {
-	return seen.FilterMessage(string(e)).Len()
+// countEvents returns how often an event was logged.
+func countEvents(logged *observer.ObservedLogs, e logs.Event) int {
+	return logged.FilterMessage(string(e)).Len()
 }
 
-// A programming error ends a request's handler. The caller must get outcome
-// unknown, and the log must show where the error is. When it was left to net/http,
-// the connection was cut without an answer (unexpected EOF) and the log had 0 lines
-// about the panic.
+// A request's handler panics. The caller must get outcome unknown, and the log must
+// show where the error is. When net/http handled the panic, the connection was cut
+// without an answer (unexpected EOF) and the log had 0 lines about the panic.
 func TestPanicIsAnsweredAndLogged(t *testing.T) {
-	core, seen := observer.New(zap.InfoLevel)
+	core, logged := observer.New(zap.InfoLevel)
 	serve := func(context.Context, *sched.Sink) sched.Result { panic("a fault") }
 	runExchange(t, core, completion(false), serve, func(c net.Conn) {
 		res, body := readResponse(t, c)
@@ -36,15 +35,15 @@
 			t.Errorf("answer %+v %q", res, body)
 		}
 	})
-	if n := countEvents(seen, logs.EventHandlerPanicked); n != 1 {
+	if n := countEvents(logged, logs.EventHandlerPanicked); n != 1 {
 		t.Errorf("%d lines about the panic", n)
 	}
 }
 
-// The handler panics in the middle of an answer. The caller must not take the
-// answer for complete.
+// A request's handler panics in the middle of an answer. The caller must not take
+// the answer for complete.
 func TestPanicDuringAnAnswerTruncatesIt(t *testing.T) {
-	core, seen := observer.New(zap.InfoLevel)
+	core, logged := observer.New(zap.InfoLevel)
 	serve := func(_ context.Context, s *sched.Sink) sched.Result {
 		s.Head(http.StatusOK, okHead())
 		s.Data([]byte("data: one\n\n"))
@@ -57,7 +56,7 @@
 			t.Errorf("the answer looks whole: %q, %v", got, err)
 		}
 	})
-	if n := countEvents(seen, logs.EventHandlerPanicked); n != 1 {
+	if n := countEvents(logged, logs.EventHandlerPanicked); n != 1 {
 		t.Errorf("%d lines about the panic", n)
 	}
 }
@@ -66,7 +65,7 @@
 // from a caller that hung up. When it did not, there were 0 lines about the answer,
 // and the request's last line said caller_gone.
 func TestUnreadAnswerIsLogged(t *testing.T) {
-	core, seen := observer.New(zap.InfoLevel)
+	core, logged := observer.New(zap.InfoLevel)
 	serve := func(ctx context.Context, s *sched.Sink) sched.Result {
 		s.Head(http.StatusOK, okHead())
 		for ctx.Err() == nil {
@@ -76,7 +75,7 @@
 		return sched.Result{Outcome: once.Unknown}
 	}
 	runExchange(t, core, completion(true), serve, func(net.Conn) { time.Sleep(2 * callerTimeout) })
-	if n := countEvents(seen, logs.EventAnswerNotRead); n != 1 {
+	if n := countEvents(logged, logs.EventAnswerNotRead); n != 1 {
 		t.Errorf("%d lines about the answer", n)
 	}
 }
@@ -84,7 +83,7 @@
 // A caller hangs up in the middle of its answer. That must not count as an unread
 // answer.
 func TestHangUpIsNotAnUnreadAnswer(t *testing.T) {
-	core, seen := observer.New(zap.InfoLevel)
+	core, logged := observer.New(zap.InfoLevel)
 	serve := func(ctx context.Context, s *sched.Sink) sched.Result {
 		s.Head(http.StatusOK, okHead())
 		s.Data([]byte("data: one\n\n"))
@@ -101,7 +100,7 @@
 		c.Close()
 		synctest.Wait()
 	})
-	if n := countEvents(seen, logs.EventAnswerNotRead); n != 0 {
+	if n := countEvents(logged, logs.EventAnswerNotRead); n != 0 {
 		t.Errorf("%d lines about the answer", n)
 	}
 }
--- a/entry/keys/keeper.go
+++ b/entry/keys/keeper.go
@@ -1,6 +1,6 @@
-// Package keys maintains the home tables in the platform, which say which agent
-// keeps the records of which idempotency keys, and tells agents how fresh the
-// entry's knowledge of these tables is.
+// Package keys maintains the home tables in the platform. A home table assigns each
+// idempotency key to the agent that keeps its record. The package also reports to
+// agents how fresh the entry's knowledge of these tables is.
 package keys
 
 import (
@@ -22,23 +22,23 @@
 )
 
 const (
-	// DefaultConfirmInterval is how often a table is confirmed. Each confirmation
-	// costs a write and is sent to every watch, so the interval is as long as
-	// possible while it leaves an agent half of the default lease. A failed
-	// confirmation is repeated at once.
+	// DefaultConfirmInterval is the interval between confirmations of a table. Each
+	// one costs a write and is sent to every watch, so the interval is as long as
+	// possible while an agent still has half of the default lease left. A
+	// confirmation that failed because of a conflict is repeated at once.
 	DefaultConfirmInterval = 8 * time.Second
 	// checkInterval is how often owners are checked.
 	checkInterval = 250 * time.Millisecond
 	// settleTime is how long the first table waits until all agents are linked. An
 	// earlier table would assign every key to the first agent.
 	settleTime = 3 * time.Second
-	// goneTimeout is how long an owner that the instance list doesn't call live
+	// notLiveTimeout is how long an owner that the instance list doesn't call live
 	// must be without a link before it loses its slots. lostTimeout is the same for
 	// an owner that the list calls live.
-	goneTimeout = 3 * time.Second
-	lostTimeout = 30 * time.Second
-	// maxWriteAttempts is how often a table is written in one check while other
-	// entries write it first.
+	notLiveTimeout = 3 * time.Second
+	liveTimeout    = 30 * time.Second
+	// maxWriteAttempts bounds the writes of a table in one check, if other entries
+	// write it first.
 	maxWriteAttempts = 2
 	// conflictPause spreads the writes of entries whose writes have conflicted. It
 	// doubles with each conflict in a row, up to 1<<maxPauseDoublings times.
@@ -63,7 +63,7 @@
 	Wall func() int64
 	// Random returns a number in [0,1).
 	Random func() float64
-	// ConfirmInterval is how often a table is confirmed; zero means
+	// ConfirmInterval is the interval between confirmations of a table; zero means
 	// DefaultConfirmInterval.
 	ConfirmInterval time.Duration
 	Log             *zap.Logger
@@ -82,6 +82,8 @@
 // table under Keeper.mu.
 type poolTable struct {
 	*record.Record
+	// table is the table in force at this entry, version its version at the
+	// platform, zero if it is not there, and data its encoded form.
 	table   spec.Homes
 	version int64
 	data    []byte
@@ -91,7 +93,7 @@
 	conflicts int
 	// firstSeenAt is when the pool was first checked.
 	firstSeenAt time.Duration
-	// absentSince holds when each owner without a link lost it.
+	// absentSince holds when each owner was first found to have no link.
 	absentSince map[spec.HomeOwner]time.Duration
 }
 
@@ -109,50 +111,52 @@
 // Run maintains the tables until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error { return k.loop.Run(ctx, checkInterval, k.checkTables) }
 
+// checkTables reads, sends and updates the table of each pool.
 func (k *Keeper) checkTables(ctx context.Context) {
 	for _, pool := range k.cfg.Pools() {
-		b := k.tableOf(pool)
-		k.readTable(pool, b)
-		k.sendTable(pool, b)
-		k.updateTable(ctx, pool, b)
+		pt := k.tableOf(pool)
+		k.readTable(pool, pt)
+		k.sendTable(pool, pt)
+		k.updateTable(ctx, pool, pt)
 	}
 }
 
+// tableOf returns the state of a pool's table and creates it if needed.
 func (k *Keeper) tableOf(pool string) *poolTable {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	b := k.tables[pool]
-	if b == nil {
-		b = &poolTable{
+	pt := k.tables[pool]
+	if pt == nil {
+		pt = &poolTable{
 			Record: record.New(k.cfg.Record, spec.KindHomes, pool), firstSeenAt: k.cfg.Now(),
 			absentSince: make(map[spec.HomeOwner]time.Duration),
 		}
-		k.tables[pool] = b
+		k.tables[pool] = pt
 	}
-	return b
+	return pt
 }
 
-// readTable reads the table in force into b.
-func (k *Keeper) readTable(pool string, b *poolTable) {
-	o, ok := b.Read()
+// readTable reads the table in force into pt.
+func (k *Keeper) readTable(pool string, pt *poolTable) {
+	o, ok := pt.Read()
 	if !ok {
-		// Write a deleted table again unchanged. A new one would allow keys to run
-		// that the old one forbids.
-		b.version = 0
+		// A table that was deleted is written again unchanged. A new one would
+		// allow keys to run that the old one forbids.
+		pt.version = 0
 		return
 	}
-	if o.Version <= b.version {
+	if o.Version <= pt.version {
 		return
 	}
 	var t spec.Homes
 	if json.Unmarshal(o.Data, &t) != nil || homes.Validate(t) != nil {
 		return
 	}
-	if t.Epoch != b.table.Epoch {
+	if t.Epoch != pt.table.Epoch {
 		logs.Info(k.cfg.Log, logs.EventHomesChanged, zap.String("pool", pool), zap.Int64("epoch", t.Epoch))
 	}
 	k.mu.Lock()
-	b.table, b.version, b.data = t, o.Version, o.Data
+	pt.table, pt.version, pt.data = t, o.Version, o.Data
 	k.mu.Unlock()
 }
 
@@ -161,86 +165,87 @@
 // a table changes several times a second. An entry that paused first would always
 // be too late, so its agents' leases would expire and requests with a key would be
 // refused although the platform is available.
-func (k *Keeper) updateTable(ctx context.Context, pool string, b *poolTable) {
+func (k *Keeper) updateTable(ctx context.Context, pool string, pt *poolTable) {
 	for range maxWriteAttempts {
-		if !k.tryUpdate(ctx, pool, b) {
+		if !k.updateOnce(ctx, pool, pt) {
 			return
 		}
 	}
-	b.confirmAt = k.cfg.Now() + b.conflictBackoff(k.cfg.Random())
+	pt.confirmAt = k.cfg.Now() + pt.conflictBackoff(k.cfg.Random())
 }
 
-// conflictBackoff returns how long to pause after attempts that failed with a
-// conflict, and counts them.
-func (b *poolTable) conflictBackoff(random float64) time.Duration {
-	d := conflictPause << min(b.conflicts, maxPauseDoublings)
-	b.conflicts++
+// conflictBackoff returns how long to pause after a check whose writes conflicted,
+// and counts that check.
+func (pt *poolTable) conflictBackoff(random float64) time.Duration {
+	d := conflictPause << min(pt.conflicts, maxPauseDoublings)
+	pt.conflicts++
 	return time.Duration(float64(d) * (0.5 + random))
 }
 
-// tryUpdate makes one attempt of updateTable. It reports whether another entry has
-// written first and its table is now known.
-func (k *Keeper) tryUpdate(ctx context.Context, pool string, b *poolTable) bool {
+// updateOnce makes one attempt of updateTable. It reports whether to make another
+// one, because another entry has written first and its table is now known.
+func (k *Keeper) updateOnce(ctx context.Context, pool string, pt *poolTable) bool {
 	now := k.cfg.Now()
-	live, ready := k.liveOwners(pool, b, now)
+	live, ready := k.liveOwners(pool, pt, now)
 	if !ready {
 		return false
 	}
-	next, changed := homes.ReassignSlots(b.table, live, k.cfg.Wall())
-	if len(next.Slots) == 0 || (!changed && now < b.confirmAt) {
+	next, changed := homes.ReassignSlots(pt.table, live, k.cfg.Wall())
+	if len(next.Slots) == 0 || (!changed && now < pt.confirmAt) {
 		return false
 	}
 	next.ConfirmedAtMS = k.cfg.Wall()
-	return k.writeTable(ctx, pool, b, next)
+	return k.writeTable(ctx, pool, pt, next)
 }
 
-// writeTable puts a table in force if b holds the current one. It reports whether b
-// now holds a newer table of another entry.
-func (k *Keeper) writeTable(ctx context.Context, pool string, b *poolTable, t spec.Homes) bool {
+// writeTable puts a table in force if pt holds the current one. It reports whether
+// pt now holds a newer table of another entry.
+func (k *Keeper) writeTable(ctx context.Context, pool string, pt *poolTable, t spec.Homes) bool {
 	data, err := json.Marshal(t)
 	if err != nil {
 		return false
 	}
-	began, due, version := k.cfg.Now(), b.confirmAt, b.version
-	if err := b.Write(ctx, data, t.Epoch, version); err != nil {
+	began, due, version := k.cfg.Now(), pt.confirmAt, pt.version
+	if err := pt.Write(ctx, data, t.Epoch, version); err != nil {
 		var conflict *plat.ConflictError
 		if !errors.As(err, &conflict) {
-			// No answer, as in an outage, doesn't mean that other entries are
-			// writing.
-			b.confirmAt = began + time.Duration(float64(conflictPause)*(0.5+k.cfg.Random()))
+			// Without a conflict, as in an outage, there is no sign that other
+			// entries are writing.
+			pt.confirmAt = began + time.Duration(float64(conflictPause)*(0.5+k.cfg.Random()))
 			return false
 		}
-		k.readTable(pool, b)
-		k.sendTable(pool, b)
-		if b.version <= version {
+		k.readTable(pool, pt)
+		k.sendTable(pool, pt)
+		if pt.version <= version {
 			// The platform returned an older state, and an immediate read would
 			// return it again.
-			b.confirmAt = began + b.conflictBackoff(k.cfg.Random())
+			pt.confirmAt = began + pt.conflictBackoff(k.cfg.Random())
 			return false
 		}
-		b.confirmAt = min(due, began)
+		pt.confirmAt = min(due, began)
 		return true
 	}
-	b.conflicts = 0
-	b.confirmAt = began + time.Duration(float64(k.cfg.ConfirmInterval)*(0.75+k.cfg.Random()/2))
-	k.readTable(pool, b)
-	k.sendTable(pool, b)
+	pt.conflicts = 0
+	pt.confirmAt = began + time.Duration(float64(k.cfg.ConfirmInterval)*(0.75+k.cfg.Random()/2))
+	k.readTable(pool, pt)
+	k.sendTable(pool, pt)
 	return false
 }
 
-func (k *Keeper) sendTable(pool string, b *poolTable) {
-	if m := k.cfg.Members(pool); m != nil && b.version != 0 {
-		b.SendToAgents(m.Peers, b.version, b.table.Epoch, b.data)
+// sendTable sends a table to the agents of its pool that don't have its epoch.
+func (k *Keeper) sendTable(pool string, pt *poolTable) {
+	if m := k.cfg.Members(pool); m != nil && pt.version != 0 {
+		pt.SendToAgents(m.Peers, pt.version, pt.table.Epoch, pt.data)
 	}
 }
 
-// FillAck fills in the answer to an agent that asks how fresh the entry's knowledge
-// of a pool's table is.
-func (k *Keeper) FillAck(ack *wire.LeaseReply) {
+// FillLeaseReply sets the fields of reply that report how fresh the entry's
+// knowledge of the table of reply.Pool is.
+func (k *Keeper) FillLeaseReply(reply *wire.LeaseReply) {
 	k.mu.Lock()
-	b := k.tables[ack.Pool]
+	pt := k.tables[reply.Pool]
 	k.mu.Unlock()
-	if b != nil {
-		b.FillLeaseReply(ack)
+	if pt != nil {
+		pt.FillLeaseReply(reply)
 	}
 }
--- a/entry/keys/keeper_test.go
+++ b/entry/keys/keeper_test.go
@@ -24,15 +24,15 @@
 	t     *testing.T
 	now   time.Duration
 	store *store.Store
-	// object is the object that the platform holds; version zero means none.
+	// object is the object at the platform; version zero means that there is none.
 	object plat.Object
 	// writeDelay is how long each write takes. loseReply drops the reply to the
 	// next one.
 	writeDelay time.Duration
 	loseReply  bool
-	// rivalWrites is how many writes another entry makes just before ours, and
-	// writes counts ours. If staleObject is set, reads return it, as from a lagging
-	// replica.
+	// rivalWrites is the number of next writes of this entry before each of which
+	// another entry writes. writes counts the writes of this entry. If staleObject
+	// is set, reads return it, as from a lagging replica.
 	rivalWrites int
 	writes      int
 	staleObject *plat.Object
@@ -109,13 +109,13 @@
 	p.Connect(wire.New(near, wire.Hello{Name: p.Name(), Incarnation: incarnation}, wire.Config{}), new(wire.Heartbeat))
 }
 
-// check advances the clock by d and does what the keeper does at each tick.
+// check advances the clock by d and does what the keeper does at each check.
 func (f *fixture) check(d time.Duration) {
 	f.now += d
-	b := f.keeper.tableOf(pool)
-	f.keeper.readTable(pool, b)
-	f.keeper.sendTable(pool, b)
-	f.keeper.updateTable(context.Background(), pool, b)
+	pt := f.keeper.tableOf(pool)
+	f.keeper.readTable(pool, pt)
+	f.keeper.sendTable(pool, pt)
+	f.keeper.updateTable(context.Background(), pool, pt)
 }
 
 func (f *fixture) table() spec.Homes {
@@ -127,10 +127,11 @@
 	return t
 }
 
-func (f *fixture) ack() wire.LeaseReply {
-	ack := wire.LeaseReply{Pool: pool}
-	f.keeper.FillAck(&ack)
-	return ack
+// leaseReply returns the keeper's reply to a lease request of an agent.
+func (f *fixture) leaseReply() wire.LeaseReply {
+	reply := wire.LeaseReply{Pool: pool}
+	f.keeper.FillLeaseReply(&reply)
+	return reply
 }
 
 // An entry starts shortly before the agents of a pool. If it wrote a table at once,
@@ -175,9 +176,10 @@
 	}
 }
 
-// The instance list may still call an agent live after it has gone, and this entry
-// alone may have lost the link to it. The agent must keep its slots for a while,
-// otherwise each broken link would cost callers the records of their keys.
+// An entry loses the link to an agent that the instance list calls live. Perhaps
+// only this link broke, or perhaps the agent has stopped and the list is out of
+// date. The agent must keep its slots for a while, otherwise each broken link would
+// cost callers the records of their keys.
 func TestUnlinkedOwnerKeepsItsSlots(t *testing.T) {
 	f := newFixture(t)
 	a := f.agent("a", 1)
@@ -185,7 +187,7 @@
 	f.check(0)
 	a.Disconnect(f.now)
 	f.check(checkInterval)
-	f.check(lostTimeout - checkInterval)
+	f.check(liveTimeout - checkInterval)
 	if e := f.table().Epoch; e != 1 {
 		t.Fatalf("epoch %d before lostTimeout", e)
 	}
@@ -195,22 +197,23 @@
 	}
 }
 
-// The platform is slow, and the write that confirms the epoch takes seconds. The
-// epoch was certainly current only when the write began. If an agent counted from
-// its end, it would act for keys that have another home by then.
+// The platform is slow, and the write that confirms the epoch takes seconds. Only at
+// the beginning of the write is the epoch certain to have been current. If an agent
+// counted its lease from the end of the write, it would act for keys that have
+// another home by then.
 func TestConfirmationCountsFromStartOfWrite(t *testing.T) {
 	f := newFixture(t)
 	f.agent("a", 1)
 	f.writeDelay = 2 * time.Second
 	f.check(0)
-	if ack := f.ack(); !ack.Confirmed || ack.Epoch != 1 || ack.AgeMS != 2000 {
-		t.Errorf("ack %+v", ack)
+	if reply := f.leaseReply(); !reply.Confirmed || reply.Epoch != 1 || reply.AgeMS != 2000 {
+		t.Errorf("reply %+v", reply)
 	}
 }
 
 // Another entry has changed the table and writes first at every attempt of this
-// one. A failed confirmation must not count, however often it is tried. Once the
-// other entry has stopped, the new epoch counts.
+// one. A failed confirmation must not count, however often it is attempted. Once the
+// other entry has stopped writing, the new epoch must count.
 func TestConflictConfirmsNothing(t *testing.T) {
 	f := newFixture(t)
 	f.agent("a", 1)
@@ -222,12 +225,12 @@
 	f.object.Data = data
 	f.rivalWrites = maxWriteAttempts
 	f.check(2 * DefaultConfirmInterval)
-	if ack := f.ack(); ack.Epoch != 1 || ack.AgeMS != uint32(2*DefaultConfirmInterval/time.Millisecond) {
-		t.Errorf("ack %+v after a conflict", ack)
+	if reply := f.leaseReply(); reply.Epoch != 1 || reply.AgeMS != uint32(2*DefaultConfirmInterval/time.Millisecond) {
+		t.Errorf("reply %+v after a conflict", reply)
 	}
 	f.check(2 * DefaultConfirmInterval)
-	if ack := f.ack(); ack.Epoch != 7 || ack.AgeMS != 0 {
-		t.Errorf("ack %+v after reading the newer table", ack)
+	if reply := f.leaseReply(); reply.Epoch != 7 || reply.AgeMS != 0 {
+		t.Errorf("reply %+v after reading the newer table", reply)
 	}
 }
 
@@ -241,8 +244,8 @@
 	f.check(0)
 	f.rivalWrites = 1
 	f.check(2 * DefaultConfirmInterval)
-	if ack := f.ack(); ack.Epoch != 1 || ack.AgeMS != 0 {
-		t.Errorf("ack %+v although the second attempt had no conflict", ack)
+	if reply := f.leaseReply(); reply.Epoch != 1 || reply.AgeMS != 0 {
+		t.Errorf("reply %+v although the second attempt had no conflict", reply)
 	}
 }
 
@@ -274,37 +277,37 @@
 	f.check(0)
 	f.rivalWrites = 1 << 20
 	f.check(2 * DefaultConfirmInterval)
-	b := f.keeper.tableOf(pool)
+	pt := f.keeper.tableOf(pool)
 	for want := 2 * conflictPause; want <= conflictPause<<maxPauseDoublings; want *= 2 {
-		f.check(b.confirmAt - f.now)
-		if got := b.confirmAt - f.now; got != want {
+		f.check(pt.confirmAt - f.now)
+		if got := pt.confirmAt - f.now; got != want {
 			t.Errorf("pause %v, want %v", got, want)
 		}
 	}
-	f.check(b.confirmAt - f.now)
-	if got := b.confirmAt - f.now; got != conflictPause<<maxPauseDoublings {
+	f.check(pt.confirmAt - f.now)
+	if got := pt.confirmAt - f.now; got != conflictPause<<maxPauseDoublings {
 		t.Errorf("the pause grows beyond its limit to %v", got)
 	}
 	f.rivalWrites = 0
-	f.check(b.confirmAt - f.now)
-	if ack := f.ack(); !ack.Confirmed || ack.AgeMS != 0 || b.conflicts != 0 {
-		t.Errorf("ack %+v, %d conflicts after a successful write", ack, b.conflicts)
+	f.check(pt.confirmAt - f.now)
+	if reply := f.leaseReply(); !reply.Confirmed || reply.AgeMS != 0 || pt.conflicts != 0 {
+		t.Errorf("reply %+v, %d conflicts after a successful write", reply, pt.conflicts)
 	}
 }
 
 // The reply to a confirming write is lost after the write took effect. The entry
-// can't know that, so it must not count the write and must confirm again.
+// can't know that it did, so it must not count the write and must confirm again.
 func TestLostReplyConfirmsNothing(t *testing.T) {
 	f := newFixture(t)
 	f.agent("a", 1)
 	f.loseReply = true
 	f.check(0)
-	if f.ack().Confirmed {
+	if f.leaseReply().Confirmed {
 		t.Fatal("a write without a reply counted")
 	}
 	f.check(time.Second)
-	if ack := f.ack(); !ack.Confirmed || ack.AgeMS != 0 {
-		t.Errorf("ack %+v", ack)
+	if reply := f.leaseReply(); !reply.Confirmed || reply.AgeMS != 0 {
+		t.Errorf("reply %+v", reply)
 	}
 }
 
--- a/entry/keys/owner.go
+++ b/entry/keys/owner.go
@@ -12,18 +12,18 @@
 	"lycheepond/entry/sched"
 )
 
-// ErrNoHome reports that the agent that keeps a key can't be reached.
+// ErrNoHome reports that the home of a key is unknown or can't be reached.
 var ErrNoHome = errors.New("keys: the agent that keeps this idempotency key can't be reached: ask again with the same key")
 
 // Home returns the agent that keeps the record of a hashed key, or ErrNoHome.
 func (k *Keeper) Home(pool string, key []byte) (sched.Home, error) {
 	k.mu.Lock()
-	b := k.tables[pool]
-	if b == nil {
+	pt := k.tables[pool]
+	if pt == nil {
 		k.mu.Unlock()
 		return sched.Home{}, ErrNoHome
 	}
-	table := b.table
+	table := pt.table
 	k.mu.Unlock()
 	o, ok := homes.Home(table, key)
 	if !ok {
@@ -41,9 +41,9 @@
 	return sched.Home{Peer: p, Epoch: table.Epoch}, nil
 }
 
-// liveOwners returns the agents that may own slots. ready is false while too little
-// is known to change the table.
-func (k *Keeper) liveOwners(pool string, b *poolTable, now time.Duration) (out []spec.HomeOwner, ready bool) {
+// liveOwners returns the agents that may own slots. ready is false while no agent is
+// linked, and before the first table while it waits for agents.
+func (k *Keeper) liveOwners(pool string, pt *poolTable, now time.Duration) (out []spec.HomeOwner, ready bool) {
 	m := k.cfg.Members(pool)
 	if m == nil {
 		return nil, false
@@ -61,28 +61,30 @@
 		linked[p.Name()] = true
 		out = append(out, ownerOf(p))
 	}
-	if len(out) == 0 || (b.version == 0 && missing > 0 && now-b.firstSeenAt < settleTime) {
+	if len(out) == 0 || (pt.version == 0 && missing > 0 && now-pt.firstSeenAt < settleTime) {
 		return nil, false
 	}
 	isIsolated := missing > len(out)
 	states := instanceStates(k.cfg.Roster())
-	for _, o := range b.table.Owners {
+	for _, o := range pt.table.Owners {
 		if linked[o.Name] {
-			delete(b.absentSince, o)
+			delete(pt.absentSince, o)
 			continue
 		}
-		if k.isPresent(b, o, states[o.Name], now, isIsolated) {
+		if k.isPresent(pt, o, states[o.Name], now, isIsolated) {
 			out = append(out, o)
 		}
 	}
 	return out, true
 }
 
+// ownerOf returns an agent as an owner of slots.
 func ownerOf(p *agents.Peer) spec.HomeOwner {
 	a := p.Agent()
 	return spec.HomeOwner{Name: a.Name, Incarnation: a.Incarnation}
 }
 
+// instanceStates returns the state of each instance by name.
 func instanceStates(r plat.Roster) map[string]string {
 	out := make(map[string]string, len(r.Instances))
 	for _, i := range r.Instances {
@@ -91,24 +93,27 @@
 	return out
 }
 
-// isPresent reports whether an owner without a link still counts. A leaving owner
-// accepts no new requests, so its keys go to others at once.
-func (k *Keeper) isPresent(b *poolTable, o spec.HomeOwner, state string, now time.Duration, isIsolated bool) bool {
+// isPresent reports whether an owner that isn't linked, or is leaving, keeps its
+// slots. A linked owner that is leaving accepts no new requests, so its slots go to
+// others at once. isIsolated is set if this entry has lost most of its links; then
+// an owner that the instance list calls live keeps its slots.
+func (k *Keeper) isPresent(pt *poolTable, o spec.HomeOwner, state string, now time.Duration, isIsolated bool) bool {
 	if p, ok := k.cfg.Peer(o.Name); ok {
 		if p.IsLinked() && p.IsLeaving() {
 			return false
 		}
 	} else if state == plat.StateLive {
-		// Another entry may be linked to it, so request a link before deciding.
+		// This entry may not have chosen to link to it, so request a link before
+		// deciding.
 		k.cfg.RequestLink(o.Name)
 	}
-	since, ok := b.absentSince[o]
+	since, ok := pt.absentSince[o]
 	if !ok {
-		b.absentSince[o] = now
+		pt.absentSince[o] = now
 		return true
 	}
 	if state != plat.StateLive {
-		return now-since < goneTimeout
+		return now-since < notLiveTimeout
 	}
-	return isIsolated || now-since < lostTimeout
+	return isIsolated || now-since < liveTimeout
 }
--- a/entry/keys/relay.go
+++ b/entry/keys/relay.go
@@ -6,8 +6,8 @@
 	"lycheepond/entry/agents"
 )
 
-// RelayHandover passes the messages of a handover from one agent to the other and
-// reports whether m is one. A message that can't be passed on now is dropped. The
+// RelayHandover passes m on to the other agent if it belongs to a handover, and
+// reports whether it does. A message that can't be passed on now is dropped. The
 // sender sends it again, perhaps through another entry.
 func (k *Keeper) RelayHandover(p *agents.Peer, m wire.Message) bool {
 	var from, to wire.AgentProcess
--- a/entry/keys/relay_test.go
+++ b/entry/keys/relay_test.go
@@ -6,8 +6,8 @@
 	"lycheepond/core/wire"
 )
 
-// An entry relays the messages of a handover. They must reach only the process that
-// they name, and come only from the process that they speak for, because a
+// An entry relays the messages of a handover. It must pass them only to the process
+// that they name, and only from the process that they name as sender, because a
 // restarted agent doesn't know what its former process still does.
 func TestHandoverIsRelayedOnlyBetweenNamedProcesses(t *testing.T) {
 	f := newFixture(t)
--- a/entry/main.go
+++ b/entry/main.go
@@ -1,5 +1,5 @@
-// Command entry accepts callers' requests and carries each of them to its one final
-// answer.
+// Command entry accepts callers' requests, dispatches them to agents and sends the
+// answers back.
 package main
 
 import (
--- a/entry/measure.go
+++ b/entry/measure.go
@@ -25,7 +25,7 @@
 func (n *node) lowestLevel() int64 {
 	level := spec.Tiers - 1
 	for _, p := range n.agents.Pools() {
-		level = min(level, n.sched.Figures(p).ShedLevel)
+		level = min(level, n.sched.PoolReport(p).ShedLevel)
 	}
 	return int64(level)
 }
--- a/entry/node.go
+++ b/entry/node.go
@@ -49,11 +49,11 @@
 	sched  *sched.Sched
 	// keeper maintains the home tables of idempotency keys.
 	keeper *keys.Keeper
-	// planner decides which endpoint serves which version.
+	// planner maintains the assignments of model versions to endpoints.
 	planner *orders.Planner
 	meter   *meter.Set
 	tally   *tally.Recorder
-	// fleetKeys holds the fleet's keys, which are replaced without a restart.
+	// fleetKeys holds the fleet's keys, which can be replaced without a restart.
 	fleetKeys *conf.LiveKeys
 	// loggedDigest is the digest of the configuration that was last logged.
 	loggedDigest atomic.Uint64
@@ -76,17 +76,18 @@
 	return n
 }
 
+// newIncarnation returns a random number that identifies this process.
 func newIncarnation() uint64 {
-	var b [8]byte
-	if _, err := rand.Read(b[:]); err != nil {
+	var random [8]byte
+	if _, err := rand.Read(random[:]); err != nil {
 		return mathrand.Uint64()
 	}
-	return binary.BigEndian.Uint64(b[:])
+	return binary.BigEndian.Uint64(random[:])
 }
 
 func (n *node) now() time.Duration { return time.Since(n.start) }
 
-// heartbeat returns the message that an idle link carries.
+// heartbeat returns the message that is sent over an idle link.
 func (n *node) heartbeat() wire.Message {
 	return &wire.Heartbeat{Leaving: n.leaving.Load(), ConfigVersion: n.store.Version()}
 }
@@ -149,7 +150,8 @@
 	}
 }
 
-// announce prints the listening address for whoever started the process.
+// announce logs the listening address, and prints it to the standard output for the
+// process that started this one.
 func (n *node) announce(addr string) {
 	logs.Info(n.log, logs.EventReady, zap.String("listen", addr))
 	line, _ := json.Marshal(struct {
@@ -159,9 +161,9 @@
 	os.Stdout.Write(append(line, '\n'))
 }
 
-// drain refuses new requests, waits for those that were read, at most for the
-// grace, and ends. The listener stays open for a moment, so that callers that the
-// load balancer still sends here get an accurate refusal instead of a refused
+// drain refuses new requests and waits for those that were read, at most for the
+// configured grace. The listener stays open for balancerNotice, so that callers that
+// the load balancer still sends here get an accurate refusal instead of a refused
 // connection.
 func (n *node) drain(conns *kept.Set) {
 	n.leaving.Store(true)
@@ -180,7 +182,7 @@
 	logs.Info(n.log, logs.EventStopped)
 }
 
-// balancerNotice is how long a load balancer may take to notice that /readyz
+// balancerNotice is the time that a load balancer gets to notice that /readyz has
 // changed.
 const balancerNotice = 2 * time.Second
 
@@ -204,10 +206,12 @@
 func (n *node) countPanic() { n.meter.Counter("handlers_panicked").Inc(1) }
 
 const (
+	// headerTimeout bounds the time to read a request's headers, and idleTimeout
+	// the time that a connection may be idle between requests.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// sweepInterval is how often connections that have been idle for too long are
-	// looked for. idleTimeout need not be exact to the second.
+	// sweepInterval is the interval between checks for connections that have been
+	// idle for too long. idleTimeout need not be exact to the second.
 	sweepInterval = time.Second
 )
 
@@ -226,7 +230,7 @@
 		Home:       func(pool string, key []byte) (sched.Home, error) { return n.keeper.Home(pool, key) },
 	})
 	n.agents = agents.New(agents.Config{
-		Self: n.self, Keys: n.fleetKeys.Keys, Heartbeat: n.cfg.Heartbeat.Std(), Beat: n.heartbeat,
+		Self: n.self, Keys: n.fleetKeys.Keys, Heartbeat: n.cfg.Heartbeat.Std(), NewHeartbeat: n.heartbeat,
 		Dial: n.dial, Roster: n.store.Roster, Pools: n.pools, Digest: n.store.Digest, ChooseAgents: n.chooseAgents,
 		Handle: n.handle, LinkUp: n.linkUp, LinkDown: n.sched.LinkDown, Now: n.now, Log: n.log,
 	})
@@ -243,6 +247,7 @@
 	})
 }
 
+// startParts starts the parts that run until ctx ends.
 func (n *node) startParts(ctx context.Context, p *parts) {
 	changed, _ := n.store.Subscribe()
 	p.start(func() error { return n.feed.Run(ctx) })
@@ -264,8 +269,8 @@
 
 // handle handles a message from an agent. The link's reader calls it.
 func (n *node) handle(p *agents.Peer, m wire.Message) {
-	if ask, ok := m.(*wire.LeaseRequest); ok {
-		n.answerLeaseAsk(p, ask)
+	if req, ok := m.(*wire.LeaseRequest); ok {
+		n.answerLeaseRequest(p, req)
 		return
 	}
 	if !n.keeper.RelayHandover(p, m) {
@@ -273,17 +278,19 @@
 	}
 }
 
-// answerLeaseAsk tells an agent how fresh the entry's knowledge of a record is.
-func (n *node) answerLeaseAsk(p *agents.Peer, ask *wire.LeaseRequest) {
-	ack := &wire.LeaseReply{Seq: ask.Seq, Pool: ask.Pool}
-	if model, ok := strings.CutPrefix(ask.Pool, wire.AssignPrefix); ok {
-		n.planner.FillAck(model, ack)
+// answerLeaseRequest reports to an agent how fresh the entry's knowledge of a home
+// table or an assignment is.
+func (n *node) answerLeaseRequest(p *agents.Peer, req *wire.LeaseRequest) {
+	reply := &wire.LeaseReply{Seq: req.Seq, Pool: req.Pool}
+	if model, ok := strings.CutPrefix(req.Pool, wire.AssignPrefix); ok {
+		n.planner.FillLeaseReply(model, reply)
 	} else {
-		n.keeper.FillAck(ack)
+		n.keeper.FillLeaseReply(reply)
 	}
-	p.Send(ack)
+	p.Send(reply)
 }
 
+// linkUp notifies the parts that an agent is linked.
 func (n *node) linkUp(p *agents.Peer) {
 	n.sched.LinkUp(p)
 	n.keeper.Wake()
--- a/entry/orders/planner.go
+++ b/entry/orders/planner.go
@@ -1,6 +1,6 @@
-// Package orders maintains the assignments in the platform, which say which
-// endpoint is to serve which version of a model. Agents follow them by giving
-// orders to their endpoints.
+// Package orders maintains the assignments in the platform. A model's assignment
+// says which version of it each endpoint must serve. Agents carry the assignments
+// out by giving orders to their endpoints.
 package orders
 
 import (
@@ -20,14 +20,15 @@
 )
 
 const (
-	// planInterval is how often assignments are planned.
+	// planInterval is the interval between two plans.
 	planInterval = time.Second
-	// confirmInterval is how often an assignment is confirmed while an endpoint has
-	// yet to follow it. Agents give an order only after a recent confirmation.
+	// confirmInterval is the interval between confirmations of an assignment while
+	// an endpoint doesn't follow it yet. Agents give an order only after a recent
+	// confirmation.
 	confirmInterval = 1500 * time.Millisecond
 	// conflictPause spreads the writes of entries whose writes have conflicted.
 	conflictPause = 500 * time.Millisecond
-	// maxConcurrentLoads is how many endpoints may load weights at the same time,
+	// maxConcurrentLoads bounds the endpoints that load weights at the same time,
 	// because the weight store is rate limited.
 	maxConcurrentLoads = 2
 )
@@ -59,9 +60,11 @@
 type assignmentKey struct{ model, endpoint, version string }
 
 // assignment is the state of one model's assignment. Only Run uses it, except for
-// the FillAck of its Record.
+// FillLeaseReply of its Record.
 type assignment struct {
 	*record.Record
+	// assign is the assignment in force at this entry, version its version at the
+	// platform, zero if it is not there, and data its encoded form.
 	assign  spec.Assign
 	version int64
 	data    []byte
@@ -82,17 +85,18 @@
 // Run plans until ctx ends.
 func (p *Planner) Run(ctx context.Context) error { return p.loop.Run(ctx, planInterval, p.plan) }
 
-// FillAck fills in the answer to an agent that asks how fresh the entry's knowledge
-// of a model's assignment is.
-func (p *Planner) FillAck(model string, ack *wire.LeaseReply) {
+// FillLeaseReply sets the fields of reply that report how fresh the entry's
+// knowledge of a model's assignment is.
+func (p *Planner) FillLeaseReply(model string, reply *wire.LeaseReply) {
 	p.mu.Lock()
 	b := p.assignments[model]
 	p.mu.Unlock()
 	if b != nil {
-		b.FillLeaseReply(ack)
+		b.FillLeaseReply(reply)
 	}
 }
 
+// assignmentOf returns the state of a model's assignment and creates it if needed.
 func (p *Planner) assignmentOf(model string) *assignment {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,8 +124,9 @@
 	}
 }
 
-// plan plans for all models together, because an endpoint may be able to serve any
-// of several.
+// plan plans the assignments of all models together, because an endpoint may be able
+// to serve any of several. It then writes the changes and confirms the assignments
+// that endpoints don't follow yet.
 func (p *Planner) plan(ctx context.Context) {
 	now := p.cfg.Now()
 	models := p.cfg.Models()
@@ -167,6 +172,8 @@
 	}
 }
 
+// writeAssign puts an assignment in force if b holds the current one, and reports
+// whether it did.
 func (p *Planner) writeAssign(ctx context.Context, b *assignment, a spec.Assign) bool {
 	data, err := json.Marshal(a)
 	if err != nil {
@@ -183,7 +190,7 @@
 	return true
 }
 
-// isPending reports whether an endpoint has yet to follow the assignment.
+// isPending reports whether an endpoint doesn't serve its assigned version yet.
 func isPending(model string, b *assignment, endpoints []roles.Endpoint) bool {
 	for _, e := range endpoints {
 		if l, ok := b.assign.Endpoints[e.Name]; ok && e.OrderedModel == model && e.Version != l.Version {
@@ -196,7 +203,7 @@
 // planState collects the input of a plan.
 func (p *Planner) planState(now time.Duration, models []spec.Model) roles.State {
 	s := roles.State{MaxLoads: maxConcurrentLoads}
-	known := make(map[string]*roles.Endpoint)
+	byName := make(map[string]*roles.Endpoint)
 	orderedAt := make(map[assignmentKey]time.Duration)
 	for _, m := range models {
 		b := p.assignmentOf(m.Name)
@@ -209,22 +216,22 @@
 		for _, peer := range members.Peers {
 			model, version := peer.ServedModel()
 			if !peer.IsLinked() || version == "" {
-				// It is not known yet what the endpoint serves, so it gets no
-				// order, which might take it from useful work.
+				// It is not known yet what the endpoint serves. An order might take
+				// it out of service needlessly.
 				continue
 			}
-			e := known[peer.Name()]
+			e := byName[peer.Name()]
 			if e == nil {
 				e = &roles.Endpoint{
 					Name: peer.Name(), Zone: peer.Zone(), Model: model, Version: version,
 					Leaving: peer.IsLeaving(), Labels: peer.Instance().Labels,
 				}
-				known[e.Name] = e
+				byName[e.Name] = e
 			}
 			p.recordOrder(now, m.Name, b, e, orderedAt)
 		}
 	}
-	for _, e := range known {
+	for _, e := range byName {
 		s.Endpoints = append(s.Endpoints, *e)
 	}
 	p.orderedAt = orderedAt
@@ -232,15 +239,16 @@
 	return s
 }
 
-// recordOrder fills in what an endpoint was last ordered to serve.
+// recordOrder sets the version that an endpoint was last ordered to serve, and when
+// that was. It records the time in orderedAt.
 func (p *Planner) recordOrder(now time.Duration, model string, b *assignment, e *roles.Endpoint, orderedAt map[assignmentKey]time.Duration) {
 	l, ok := b.assign.Endpoints[e.Name]
 	if !ok {
 		return
 	}
 	key := assignmentKey{model, e.Name, l.Version}
-	at, seen := p.orderedAt[key]
-	if !seen {
+	at, isKnown := p.orderedAt[key]
+	if !isKnown {
 		at = now
 	}
 	orderedAt[key] = at
--- a/entry/orders/planner_test.go
+++ b/entry/orders/planner_test.go
@@ -72,6 +72,7 @@
 	p.Connect(wire.New(near, wire.Hello{Name: p.Name(), Incarnation: 1}, wire.Config{}), &wire.Heartbeat{Model: model, Version: version})
 }
 
+// plan advances the clock by d and plans once.
 func (f *fixture) plan(d time.Duration) {
 	f.now += d
 	f.planner.plan(context.Background())
@@ -126,22 +127,22 @@
 }
 
 // An agent gives an order only while it knows that the assignment is in force. The
-// entry must confirm it until the endpoint follows.
+// entry must therefore confirm the assignment until the endpoint follows it.
 func TestAssignmentIsConfirmedUntilFollowed(t *testing.T) {
 	f := newFixture(t, "v2")
 	f.agent("a", "v1")
 	f.plan(planInterval)
 	first := f.assign()
 	f.plan(2 * confirmInterval)
-	ack := wire.LeaseReply{Pool: wire.AssignPrefix + model}
-	f.planner.FillAck(model, &ack)
-	if !ack.Confirmed || ack.AgeMS != 0 || ack.Epoch != first.Epoch {
-		t.Errorf("ack %+v", ack)
+	reply := wire.LeaseReply{Pool: wire.AssignPrefix + model}
+	f.planner.FillLeaseReply(model, &reply)
+	if !reply.Confirmed || reply.AgeMS != 0 || reply.Epoch != first.Epoch {
+		t.Errorf("reply %+v", reply)
 	}
 }
 
 // A link to an agent is new, and the agent has not reported yet what its endpoint
-// serves. An order now might take the endpoint from useful work.
+// serves. An order at this moment might take the endpoint out of service needlessly.
 func TestUnknownEndpointIsLeftAlone(t *testing.T) {
 	f := newFixture(t, "v2")
 	f.agent("a", "")
--- a/entry/parts.go
+++ b/entry/parts.go
@@ -1,15 +1,15 @@
 package main
 
-// maxParts is more than the number of goroutines that a node starts.
+// maxParts is larger than the number of parts that a node starts.
 const maxParts = 16
 
-// parts tracks the goroutines of a node. One goroutine owns it.
+// parts tracks the parts of a node, each of which runs in a goroutine. It must be
+// used by one goroutine only.
 type parts struct {
-	// ended receives the result of each goroutine that ends. Its buffer ensures
-	// that no sender blocks.
+	// ended receives the result of each part that ends. Its buffer ensures that no
+	// sender blocks.
 	ended chan error
-	// running is how many goroutines have been started whose results have not been
-	// read from ended.
+	// running counts the parts whose results have not been read from ended.
 	running int
 }
 
@@ -21,7 +21,8 @@
 	go func() { p.ended <- run() }()
 }
 
-// wait returns when all parts have ended. Their context must have ended before.
+// wait returns when all parts have ended. Their context must end before it is
+// called.
 func (p *parts) wait() {
 	for ; p.running > 0; p.running-- {
 		<-p.ended
--- a/entry/sched/admit.go
+++ b/entry/sched/admit.go
@@ -27,9 +27,9 @@
 }
 
 // checkReachable returns an error if the request can't be offered to any agent of
-// the pool. A request waits up to noAgentAfter for an agent, or longer while lower
-// tiers are served.
-func (p *pool) checkReachable(now time.Duration, f *flight, lower bool) *fault.Error {
+// the pool. Without a linked agent a request waits for noAgentAfter, or longer while
+// lower tiers are served.
+func (p *pool) checkReachable(now time.Duration, f *flight, lowerServed bool) *fault.Error {
 	m := p.cfg.Pool(p.name)
 	if m == nil || len(m.Peers)+m.UnlinkedLive == 0 {
 		return fault.New(fault.NoEndpoint, "no endpoint serves "+p.name+": start one with matching labels").WithRetryAfter(noAgentRetry)
@@ -39,14 +39,14 @@
 			return nil
 		}
 	}
-	if lower || now-f.job.AcceptedAt < noAgentAfter {
+	if lowerServed || now-f.job.AcceptedAt < noAgentAfter {
 		return nil
 	}
 	return fault.New(fault.NoEndpoint, "no endpoint of "+p.name+" is in reach: ask again").WithRetryAfter(noAgentRetry)
 }
 
-// timeToTarget returns how long the request may wait before it starts and still
-// meet its target; zero means that its class has no target.
+// timeToTarget returns how long the request may still wait before it starts and
+// meet its target. Zero means that its class has no target.
 func timeToTarget(f *flight, now time.Duration) time.Duration {
 	j, t := f.job, f.job.Class.Target
 	left := time.Duration(0)
@@ -74,9 +74,9 @@
 // hasLowerTier reports whether a mask of tiers has a tier lower than tier.
 func hasLowerTier(mask, tier uint8) bool { return mask>>(tier+1) != 0 }
 
-// levelConfirmed reports whether every agent has confirmed that it accepts nothing
-// below tier. An agent that has not received the shed level may start a request of
-// a lower tier for another entry right after this one refused a higher tier. Its
+// levelConfirmed reports whether every agent has confirmed that it accepts no tier
+// lower than tier. An agent that has not received the shed level may start a request
+// of a lower tier for another entry right after this one refused a higher tier. Its
 // last reported load can't exclude that this has already happened.
 func (p *pool) levelConfirmed(tier uint8) bool {
 	m := p.cfg.Pool(p.name)
@@ -94,7 +94,7 @@
 // allTiers has the bit of every tier set.
 const allTiers = 1<<spec.Tiers - 1
 
-// servedTiers returns the mask of tiers of which requests are, or may be, queued or
+// servedTiers returns the mask of tiers that have, or may have, requests queued or
 // running anywhere in the pool.
 func (p *pool) servedTiers() uint8 {
 	mask := uint8(0)
--- a/entry/sched/books.go
+++ b/entry/sched/books.go
@@ -7,6 +7,7 @@
 	"lycheepond/core/wire"
 )
 
+// recordGrant counts a request as running at the agent that got the grant.
 func (p *pool) recordGrant(now time.Duration, f *flight, agent string) {
 	st := p.requests[f]
 	if st == nil || st.isGranted {
@@ -18,7 +19,7 @@
 	p.running[t]++
 	p.shed.RecordStart(now, t, f.job.Customer, f.estimate.Work)
 	st.expectedCached = p.placer.RecordSent(now, agent, f.trace.prefix)
-	p.updateFigures()
+	p.updateReported()
 }
 
 // undoGrant counts a granted request as waiting again.
@@ -56,7 +57,7 @@
 	if st.isGranted && res.Fault == nil {
 		p.updateEstimates(now, f, st, &res.Usage)
 	}
-	p.updateFigures()
+	p.updateReported()
 }
 
 // updateEstimates corrects the cost and cache estimates by the actual usage of a
@@ -75,7 +76,8 @@
 	}
 }
 
-func (p *pool) updateFigures() {
+// updateReported updates the counts of queued and running requests for operators.
+func (p *pool) updateReported() {
 	queued, running := 0, 0
 	for t := range p.waiting {
 		queued += p.waiting[t]
--- a/entry/sched/flight.go
+++ b/entry/sched/flight.go
@@ -20,7 +20,8 @@
 	// before the request ends with outcome unknown.
 	attachTimeout = 10 * time.Second
 	// repeatableAttachTimeout is the same for a request that may run again
-	// elsewhere. It is no longer than it takes to miss the agent's heartbeats.
+	// elsewhere. It is no longer than it takes to detect that the agent's
+	// heartbeats are missing.
 	repeatableAttachTimeout = 2 * time.Second
 	// gapTimeout is how long the missing pieces of an answer may take before they
 	// are requested again.
@@ -43,7 +44,7 @@
 )
 
 // flight is one request from admission to its answer. The goroutine of run owns
-// everything but mailbox and offeredTo. The pool writes estimate while run waits
+// everything except mailbox and offeredTo. The pool writes estimate while run waits
 // for its reply.
 type flight struct {
 	s    *Sched
@@ -59,12 +60,14 @@
 	estimate    cost.Estimate
 	// offeredTo holds the agents that have an offer with the current ID.
 	offeredTo peerSet
-	// holder is the agent to which the grant was sent.
+	// holder is the agent to which the grant was sent, or that relays the answer of
+	// an earlier run with the same key; nil without one.
 	holder *agents.Peer
 	// hasHead is set once the head of the current attempt's answer has arrived.
 	hasHead bool
-	status  int
-	header  []wire.Field
+	// status and header are those of the head.
+	status int
+	header []wire.Field
 	// earlyEvents holds pieces that arrived before the head, at most
 	// maxEarlyPieces.
 	earlyEvents []*event
@@ -78,10 +81,10 @@
 	timerReason timerReason
 	timerAt     time.Duration
 	timer       *time.Timer
-	// resumes counts the requests for missing pieces in this attempt, retries how
-	// often the request was placed again.
+	// resumes counts the requests for missing pieces in this attempt. retries
+	// counts how often another placement of the request was scheduled.
 	resumes, retries int
-	// homeFailures counts how often the home of the key was away or could not act.
+	// homeFailures counts the failed offers to the home of the key.
 	homeFailures int
 	poolReply    chan decision
 	trace        *Trace
@@ -102,9 +105,9 @@
 
 func (f *flight) now() time.Duration { return f.s.cfg.Now() }
 
-// run owns the flight until it has ended. All its events, also timers and the
-// caller's hang-up, arrive through the mailbox, because waiting on four channels
-// for each token would cost more than the token itself.
+// run serves the flight until it has ended. All its events arrive through the
+// mailbox, including timers and the caller's hang-up, because waiting on four
+// channels for each token would cost more than the token itself.
 func (f *flight) run(ctx context.Context) Result {
 	post := func(kind eventKind) func() { return func() { f.mailbox.put(event{kind: kind}) } }
 	defer context.AfterFunc(ctx, post(eventCallerGone))()
@@ -112,19 +115,20 @@
 	defer f.timer.Stop()
 	defer time.AfterFunc(f.job.AcceptedAt+f.job.Deadline-f.now(), post(eventDeadline)).Stop()
 	f.requestOffers(true)
-	var spare []event
+	var buf []event
 	for !f.done {
 		<-f.mailbox.ready
-		spare = f.handleEvents(spare)
+		buf = f.handleEvents(buf)
 	}
 	f.pool.send(poolMessage{op: opEnd, f: f, res: &f.result})
 	f.trace.close(f)
 	return f.result
 }
 
-// handleEvents handles all waiting events and flushes the answer once.
-func (f *flight) handleEvents(spare []event) []event {
-	events, overflowed := f.mailbox.take(spare)
+// handleEvents handles all waiting events and flushes the answer once. It passes buf
+// to the mailbox for reuse and returns the slice to pass next.
+func (f *flight) handleEvents(buf []event) []event {
+	events, overflowed := f.mailbox.take(buf)
 	before := f.answer.Bytes()
 	for i := range events {
 		if f.done {
@@ -184,7 +188,7 @@
 	case *wire.Return:
 		f.handleReturn(e.peer, a, m)
 	case *wire.KeyStatus:
-		f.handleKnown(e.peer, a, m)
+		f.handleKeyStatus(e.peer, a, m)
 	}
 }
 
@@ -194,6 +198,7 @@
 	f.timer.Reset(d)
 }
 
+// handleTimer does what the timer waited for.
 func (f *flight) handleTimer() {
 	if f.now() < f.timerAt {
 		// The timer was reset after it had expired.
@@ -228,6 +233,7 @@
 	f.finish(memoryFull())
 }
 
+// memoryFull returns the error of a request that the entry has no memory for.
 func memoryFull() *fault.Error {
 	return fault.New(fault.Overloaded, "this entry holds as many requests as its memory allows: ask again, or start more entries").WithRetryAfter(memoryRetryAfter)
 }
@@ -240,16 +246,16 @@
 }
 
 // cancel cancels the granted attempt at the endpoint, if there is one. A request
-// that is not cancellable runs to its end, because half a filing would be worse,
-// and a retry with its key gets the answer.
+// that is not cancellable runs to its end, because an operation carried out by half
+// would be worse, and a retry with its key gets the answer.
 func (f *flight) cancel(reason wire.Reason) {
 	if f.job.Cancellable && f.holder != nil && f.once.State() == once.Granted {
 		f.holder.Send(&wire.Cancel{ID: f.once.ID(), Reason: reason})
 	}
 }
 
-// finish ends the flight with e, or successfully if e is nil, and records the true
-// outcome of its dispatch.
+// finish ends the flight with e, or successfully if e is nil. The outcome is that of
+// the dispatch, whatever e says.
 func (f *flight) finish(e *fault.Error) {
 	f.done = true
 	f.withdrawOffers()
--- a/entry/sched/held.go
+++ b/entry/sched/held.go
@@ -8,7 +8,7 @@
 )
 
 // peerSet is the set of agents that hold a request's offer. The request's goroutine
-// changes it and the pool reads it.
+// changes it and the pool's goroutine reads it.
 type peerSet struct {
 	mu    sync.Mutex
 	peers []*agents.Peer
--- a/entry/sched/job.go
+++ b/entry/sched/job.go
@@ -38,16 +38,16 @@
 	Cancellable bool
 	// Repeatable is set if the caller allowed more than one dispatch of the
 	// request. It implies Cancellable. Every other request is dispatched at most
-	// once, whatever its kind: even a repeated status query can cost a fee.
+	// once, whatever its kind, because even a repeated status query can cost a fee.
 	Repeatable bool
 	// Key is the hash of customer and idempotency key, nil without a key. KeyMadeMS
 	// is when the key was made, in Unix milliseconds, zero if the key doesn't say.
-	Key       []byte
-	KeyMadeMS int64
+	Key          []byte
+	KeyCreatedMS int64
 	// Digest distinguishes two requests with the same key.
 	Digest uint64
-	// AcceptedAt is when the request was accepted on the entry's clock, and Deadline
-	// how long after that the caller gives up.
+	// AcceptedAt is when the request was accepted, on the entry's clock. Deadline is
+	// the time after AcceptedAt at which the caller gives up.
 	AcceptedAt time.Duration
 	Deadline   time.Duration
 }
@@ -57,7 +57,7 @@
 type Sink struct {
 	Head func(status int, header []wire.Field)
 	Data func([]byte)
-	// Flush sends what Data was given so far to the caller.
+	// Flush sends the bytes that were passed to Data so far to the caller.
 	Flush func()
 	// IsStreaming is set if Data reaches the caller before the answer is complete,
 	// so that a broken answer can't be retracted.
--- a/entry/sched/level.go
+++ b/entry/sched/level.go
@@ -10,8 +10,8 @@
 	"lycheepond/core/wire"
 )
 
-// tick offers long-waiting requests to more agents and keeps the shed level in
-// force.
+// tick offers long-waiting requests to more agents, and applies and sends shed
+// levels.
 func (p *pool) tick() {
 	now := p.cfg.Now()
 	p.offerLongWaits(now)
@@ -32,6 +32,8 @@
 	}
 }
 
+// sendLevel sends the shed level to the agents if it has changed, and repeats one
+// that sheds any tier after levelInterval.
 func (p *pool) sendLevel(now time.Duration) {
 	level := p.shed.Level(now)
 	if level == p.level && (level == spec.Tiers-1 || now-p.levelSentAt < levelInterval) {
--- a/entry/sched/mail.go
+++ b/entry/sched/mail.go
@@ -7,17 +7,17 @@
 	"lycheepond/entry/agents"
 )
 
-// maxMailboxBytes bounds the pieces of an answer that wait for a slow caller. The
-// link's reader can't wait for one caller without delaying all others, so beyond
-// this the request ends with an error.
+// maxMailboxBytes bounds the bytes of an answer that wait for a slow caller. The
+// link's reader can't wait for one caller without delaying all others, so a request
+// that exceeds the bound ends with an error.
 const maxMailboxBytes = 4 << 20
 
 // event is something that a request's goroutine must handle: a message from an
 // agent, or the event that kind names if msg is nil.
 type event struct {
 	peer *agents.Peer
-	// incarnation is that of the agent when the event occurred. It distinguishes
-	// events of an earlier incarnation from those of the current one.
+	// incarnation is the agent's incarnation when the event occurred. It
+	// distinguishes events of an earlier incarnation from those of the current one.
 	incarnation uint64
 	msg         wire.Message
 	kind        eventKind
@@ -47,13 +47,15 @@
 	events []event
 	// bytes is the size of all chunks in events, at most maxMailboxBytes.
 	bytes int
-	// overflowed is set for good once a chunk had to be dropped.
+	// overflowed is set once a chunk was dropped, and is never cleared.
 	overflowed bool
 	ready      chan struct{}
 }
 
 func newMailbox() *mailbox { return &mailbox{ready: make(chan struct{}, 1)} }
 
+// put adds an event and never blocks. After an overflow it drops the agents'
+// messages.
 func (b *mailbox) put(e event) {
 	b.mu.Lock()
 	if c, ok := e.msg.(*wire.Chunk); ok {
@@ -72,12 +74,12 @@
 	}
 }
 
-// take returns the waiting events in order, in exchange for an empty slice to
-// reuse. The flag reports whether the mailbox has overflowed.
-func (b *mailbox) take(spare []event) ([]event, bool) {
+// take returns the waiting events in order, and whether the mailbox has overflowed.
+// It reuses the memory of buf for later events.
+func (b *mailbox) take(buf []event) ([]event, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := b.events
-	b.events, b.bytes = spare[:0], 0
+	b.events, b.bytes = buf[:0], 0
 	return out, b.overflowed
 }
--- a/entry/sched/offer.go
+++ b/entry/sched/offer.go
@@ -11,8 +11,8 @@
 	"lycheepond/entry/fault"
 )
 
-// requestOffers asks the pool whether and to which agents to offer the request, and
-// sends the offers. first is set for a new request.
+// requestOffers gets the pool's decision whether and to which agents to offer the
+// request, and sends the offers. first is set for a new request.
 func (f *flight) requestOffers(first bool) {
 	op := opPlace
 	if first {
@@ -25,20 +25,20 @@
 		return
 	}
 	f.pool.send(poolMessage{op: op, f: f})
-	c := <-f.poolReply
-	if c.fault != nil {
-		f.recordStep("refused", "", c.fault.Error())
-		f.finish(c.fault)
+	d := <-f.poolReply
+	if d.fault != nil {
+		f.recordStep("refused", "", d.fault.Error())
+		f.finish(d.fault)
 		return
 	}
 	if first {
-		f.recordStep("admitted", "", "predicted wait "+c.wait.Round(time.Millisecond).String())
+		f.recordStep("admitted", "", "predicted wait "+d.wait.Round(time.Millisecond).String())
 	}
 	if f.job.Key != nil {
 		f.offerToHome()
 		return
 	}
-	for _, p := range c.peers {
+	for _, p := range d.peers {
 		f.offerTo(p, 0)
 	}
 	if len(f.once.Offers()) == 0 {
@@ -54,9 +54,9 @@
 		f.finish(fault.New(fault.NoHome, "no agent keeps idempotency keys yet: ask again").WithRetryAfter(time.Second))
 		return
 	}
-	// A home without a lease may stay so for as long as the platform is away. The
-	// caller's call would hang until its deadline, so after a few failures it gets
-	// outcome not-run with a Retry-After.
+	// A home may lack a lease for as long as the platform is away. The caller would
+	// wait until its deadline, so after maxHomeFailures it gets outcome not-run
+	// with a Retry-After.
 	if f.homeFailures < maxHomeFailures {
 		home, err := f.s.cfg.Home(f.job.Pool, f.job.Key)
 		if err == nil {
@@ -78,7 +78,8 @@
 	// maxHomeFailures bounds how often the offer to a home may fail because it is
 	// away, denies being the home or has no lease.
 	maxHomeFailures = 8
-	homeRetryAfter  = 2 * time.Second
+	// homeRetryAfter is the Retry-After of a request that exceeded it.
+	homeRetryAfter = 2 * time.Second
 )
 
 // retryLater schedules the next placement of the request, with a growing backoff.
@@ -87,7 +88,8 @@
 	f.retries++
 }
 
-// offerTo sends an offer to p.
+// offerTo sends an offer to p, unless p is leaving or already has one. epoch is that
+// of the home table, zero for a request without a key.
 func (f *flight) offerTo(p *agents.Peer, epoch int64) {
 	a := p.Agent()
 	if p.IsLeaving() || !f.once.Offer(a) {
@@ -133,10 +135,11 @@
 		CostMS: millis(f.estimate.Work), WaitedMS: millis(waited),
 		FirstTargetMS: millis(t.FirstToken.Std()), BetweenTargetMS: millis(t.BetweenTokens.Std()),
 		CompleteTargetMS: millis(t.Complete.Std()), DeadlineMS: millis(j.Deadline - waited),
-		Repeatable: j.Repeatable, Cancellable: j.Cancellable, KeyHash: j.Key, KeyCreatedMS: j.KeyMadeMS, Digest: j.Digest, Epoch: epoch,
+		Repeatable: j.Repeatable, Cancellable: j.Cancellable, KeyHash: j.Key, KeyCreatedMS: j.KeyCreatedMS, Digest: j.Digest, Epoch: epoch,
 	}
 }
 
+// millis returns d in milliseconds, rounded up and limited to the range of uint32.
 func millis(d time.Duration) uint32 {
 	if d <= 0 {
 		return 0
@@ -162,6 +165,7 @@
 	}
 }
 
+// sendGrant sends the grant to p and withdraws the other offers.
 func (f *flight) sendGrant(p *agents.Peer) {
 	j := f.job
 	err := p.Send(&wire.Grant{ID: f.once.ID(), Method: j.Method, Path: j.Path, Header: j.Header, Body: j.Body, Stream: j.Stream})
@@ -178,7 +182,7 @@
 	f.pool.send(poolMessage{op: opGrant, f: f, agent: p.Name()})
 }
 
-// withdrawOffers withdraws the offers that no agent needs to claim any more.
+// withdrawOffers withdraws the offers of all agents except the holder.
 func (f *flight) withdrawOffers() {
 	for _, p := range f.offeredTo.clear() {
 		if p != f.holder && f.once.DropOffer(p.Agent()) {
@@ -218,19 +222,20 @@
 	f.placeIfNotOffered()
 }
 
-// startNextAttempt starts another attempt of a request, if it may have one.
+// startNextAttempt starts another attempt of a request if that is allowed, and ends
+// the request otherwise. reason says how the last attempt ended.
 func (f *flight) startNextAttempt(reason string) {
 	if !f.once.MayRetry() {
 		f.finish(fault.New(fault.UnknownOutcome, "the answer is lost and the request may have run ("+reason+"): find out before asking again"))
 		return
 	}
-	if f.s.poison.isSuspect(f) {
+	if f.s.quarantine.isSuspect(f) {
 		f.finish(fault.New(fault.UnknownOutcome, "the answer is lost ("+reason+"), and so were others to requests like it: it may crash endpoints and is not sent again"))
 		return
 	}
 	f.pool.send(poolMessage{op: opRetry, f: f})
-	if c := <-f.poolReply; c.fault != nil {
-		f.finish(c.fault)
+	if d := <-f.poolReply; d.fault != nil {
+		f.finish(d.fault)
 		return
 	}
 	if !f.renewID() {
@@ -241,8 +246,9 @@
 	f.retryLater()
 }
 
-// renewID gives the request a new ID, so that no message about an earlier offer can
-// be mistaken for one about the next.
+// renewID gives the request a new ID, so that a message about an earlier offer can't
+// be mistaken for one about the next. It reports false if it ended the request
+// instead.
 func (f *flight) renewID() bool {
 	id, ok := nextAttempt(f.once.ID())
 	if !ok {
--- a/entry/sched/pick.go
+++ b/entry/sched/pick.go
@@ -39,6 +39,7 @@
 	return out
 }
 
+// placementAgent returns an agent's state as the placer needs it.
 func placementAgent(now time.Duration, peer *agents.Peer, l *wire.Load) place.Agent {
 	return place.Agent{
 		Name: peer.Name(), Zone: peer.Zone(), InFlight: int(l.InFlight), Bound: max(1, int(l.InFlightBound)),
@@ -74,7 +75,8 @@
 	}
 }
 
-// targetDeadline returns when the request's target is missed, zero if it has none.
+// targetDeadline returns the time at which the request's target is missed, on the
+// entry's clock, or zero if it has none.
 func targetDeadline(j *Job) time.Duration {
 	t := j.Class.Target.FirstToken.Std()
 	if t == 0 {
--- a/entry/sched/poison.go
+++ b/entry/sched/poison.go
@@ -11,27 +11,28 @@
 	"lycheepond/entry/fault"
 )
 
-// crashWindow is the time within which all attempts that one crash of an endpoint
-// broke off are reported.
+// crashWindow is the time within which all attempts that were broken off by one
+// crash of an endpoint are reported.
 const crashWindow = time.Second
 
-// quarantine holds back requests that crash endpoints. Agents keep their names when
-// their endpoints restart, so crashes are counted here.
+// quarantine refuses requests that crash endpoints. Agents keep their names when
+// their endpoints restart, so the crashes are counted to tell the restarts apart.
 type quarantine struct {
-	mu   sync.Mutex
-	book *poison.Tracker
-	// crashes holds the number of crashes of each agent's endpoint.
+	mu      sync.Mutex
+	tracker *poison.Tracker
+	// crashes holds the crashes of each agent's endpoint, by the agent's name.
 	crashes map[string]crashCount
 }
 
-// crashCount counts the crashes of one endpoint.
+// crashCount counts the crashes of one endpoint. lastAt is when the last one was
+// counted.
 type crashCount struct {
 	count  int
 	lastAt time.Duration
 }
 
 func newQuarantine() *quarantine {
-	return &quarantine{book: poison.New(), crashes: make(map[string]crashCount)}
+	return &quarantine{tracker: poison.New(), crashes: make(map[string]crashCount)}
 }
 
 // fingerprint returns the fingerprint of a job. It is zero for a job with an
@@ -48,7 +49,7 @@
 func (q *quarantine) admit(f *flight) *fault.Error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	wait := q.book.Admit(f.now(), f.fingerprint, func() time.Duration { return 0 })
+	wait := q.tracker.Admit(f.now(), f.fingerprint, func() time.Duration { return 0 })
 	if wait == 0 {
 		return nil
 	}
@@ -60,10 +61,10 @@
 func (q *quarantine) isSuspect(f *flight) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.book.IsSuspect(f.now(), f.fingerprint)
+	return q.tracker.IsSuspect(f.now(), f.fingerprint)
 }
 
-// recordEnd records the answer that has ended at the flight's agent.
+// recordEnd records how the answer at the flight's holder has ended.
 func (q *quarantine) recordEnd(f *flight) {
 	if f.fingerprint == (poison.Fingerprint{}) {
 		return
@@ -75,16 +76,16 @@
 	switch end := f.answer.End(); {
 	case end == nil:
 	case end.Complete:
-		q.book.RecordCompleted(now, f.fingerprint, startName(agent, c.count+1))
+		q.tracker.RecordCompleted(now, f.fingerprint, endpointID(agent, c.count+1))
 	case end.Reason == wire.ReasonUnreachable:
 		if c.count == 0 || now-c.lastAt > crashWindow {
 			c = crashCount{c.count + 1, now}
 			q.crashes[agent] = c
 		}
-		q.book.RecordLostRun(now, f.fingerprint, startName(agent, c.count))
-		q.book.RecordCrash(now, startName(agent, c.count))
+		q.tracker.RecordLostRun(now, f.fingerprint, endpointID(agent, c.count))
+		q.tracker.RecordCrash(now, endpointID(agent, c.count))
 	}
-	for _, c := range q.book.TakeChanges() {
+	for _, c := range q.tracker.TakeChanges() {
 		logs.LogQuarantine(f.s.cfg.Log, c)
 	}
 }
@@ -93,8 +94,8 @@
 func (q *quarantine) recordNotRun(f *flight) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.book.RecordNotRun(f.fingerprint)
+	q.tracker.RecordNotRun(f.fingerprint)
 }
 
-// startName returns a name for the n-th start of an agent's endpoint.
-func startName(agent string, n int) string { return fmt.Sprint(agent, "#", n) }
+// endpointID returns the ID of an agent's endpoint after its n-th start.
+func endpointID(agent string, n int) string { return fmt.Sprint(agent, "#", n) }
--- a/entry/sched/pool.go
+++ b/entry/sched/pool.go
@@ -16,18 +16,19 @@
 )
 
 const (
-	// maxPoolMessages is how many messages may wait for a pool's goroutine.
+	// maxPoolMessages bounds the messages that wait for a pool's goroutine.
 	maxPoolMessages = 4096
-	// firstOffers is how many agents a request is offered to first. With two, a
-	// stalled agent delays it only by its share of the wait.
-	firstOffers = 2
+	// initialOffers is the number of agents to which a request is offered first.
+	// With two, the other agent can claim the request if one is stalled.
+	initialOffers = 2
 	// tickInterval is how often a pool checks waiting requests and its shed level.
 	tickInterval = 50 * time.Millisecond
-	// levelHold is how long agents keep a shed level that is not repeated,
-	// levelInterval how often it is repeated.
+	// levelHold is how long agents keep a shed level that is not sent again, and
+	// levelInterval is the interval at which it is sent.
 	levelHold     = 2 * time.Second
 	levelInterval = levelHold / 4
-	// noAgentAfter is how long the lowest tier waits for a reachable agent.
+	// noAgentAfter is how long a request waits for a linked agent, if no lower tier
+	// is served meanwhile.
 	noAgentAfter = 2 * time.Second
 	// noAgentRetry is the Retry-After while a pool has no agent.
 	noAgentRetry = 2 * time.Second
@@ -68,7 +69,7 @@
 	// offeredAt is when the request was last offered to an agent.
 	offeredAt time.Duration
 	isGranted bool
-	// isRefused is set if the request was refused after it had waited.
+	// isRefused is set if the request was refused when it was placed again.
 	isRefused bool
 	// agent holds the grant. It was expected to have expectedCached of the prompt's
 	// tokens in its cache.
@@ -77,7 +78,7 @@
 }
 
 // pool makes the decisions about one pool. Its fields belong to the goroutine of
-// run, except name, messages and the atomic figures for operators.
+// run, except name, messages and the atomic counts for operators.
 type pool struct {
 	name     string
 	cfg      Config
@@ -88,14 +89,17 @@
 	budget   *retry.Budget
 	// requests holds every request from arrival to its end.
 	requests map[*flight]*requestState
-	// waiting and running count requests by tier.
+	// waiting and running count the requests by tier.
 	waiting, running [spec.Tiers]int
-	level            uint8
-	levelSentAt      time.Duration
+	// level is the shed level that was last sent to the agents, and levelSentAt is
+	// when that was.
+	level       uint8
+	levelSentAt time.Duration
 
-	// Figures for operators.
+	// Counts and the shed level for operators.
 	reportedQueued, reportedInFlight, reportedLevel atomic.Int32
 
+	// Buffers that are reused for each decision.
 	candidates      []place.Agent
 	members         []*agents.Peer
 	picks           []int
@@ -113,9 +117,9 @@
 	return p
 }
 
-// send sends a message to the pool's goroutine. It waits if that has fallen behind,
-// which delays the acceptance of more requests.
-func (p *pool) send(n poolMessage) { _ = p.messages.Put(context.Background(), n) }
+// send sends a message to the pool's goroutine. It blocks while maxPoolMessages are
+// waiting, which delays the acceptance of more requests.
+func (p *pool) send(m poolMessage) { _ = p.messages.Put(context.Background(), m) }
 
 func (p *pool) run(ctx context.Context) {
 	tick := time.NewTicker(tickInterval)
@@ -124,36 +128,36 @@
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-p.messages.Items():
-			p.handle(n)
+		case m := <-p.messages.Items():
+			p.handle(m)
 		case <-tick.C:
 			p.tick()
 		}
 	}
 }
 
-func (p *pool) handle(n poolMessage) {
+func (p *pool) handle(m poolMessage) {
 	now := p.cfg.Now()
-	switch n.op {
+	switch m.op {
 	case opAdmit:
-		n.f.poolReply <- p.admit(now, n.f)
+		m.f.poolReply <- p.admit(now, m.f)
 		// A shed level that falls because of this request applies at once.
 		p.sendLevel(now)
 	case opPlace:
-		n.f.poolReply <- p.placeAgain(now, n.f)
+		m.f.poolReply <- p.placeAgain(now, m.f)
 		p.sendLevel(now)
 	case opRetry:
-		n.f.poolReply <- p.allowRetry(now, n.f)
+		m.f.poolReply <- p.allowRetry(now, m.f)
 	case opGrant:
-		p.recordGrant(now, n.f, n.agent)
+		p.recordGrant(now, m.f, m.agent)
 	case opEnd:
-		p.recordEnd(now, n.f, n.res)
+		p.recordEnd(now, m.f, m.res)
 	case opAgentRestarted:
-		p.placer.ForgetAgent(n.agent)
+		p.placer.ForgetAgent(m.agent)
 	}
 }
 
-// admit decides about a new request.
+// admit decides about the admission of a new request and chooses its first agents.
 func (p *pool) admit(now time.Duration, f *flight) decision {
 	j := f.job
 	est := p.cost.Estimate(j.Class.Name, j.Customer, len(j.Prompt), j.MaxTokens)
@@ -166,15 +170,15 @@
 	p.requests[f] = &requestState{offeredAt: now}
 	p.waiting[j.Class.Tier]++
 	p.shed.RecordArrival(now, j.Class.Tier, j.Customer, est.Work)
-	p.updateFigures()
-	return decision{peers: p.pickAgents(now, f, firstOffers), wait: wait}
+	p.updateReported()
+	return decision{peers: p.pickAgents(now, f, initialOffers), wait: wait}
 }
 
-// placeAgain places a request whose offers were all returned or lost. It checks
-// admission again if there is no agent, if a shed level caused the return or if the
-// request was already placed again before.
+// placeAgain chooses agents for a request whose offers were all returned or lost. It
+// checks admission again if there is no agent, if a shed level caused the return or
+// if the request was already placed again before.
 func (p *pool) placeAgain(now time.Duration, f *flight) decision {
-	peers := p.pickAgents(now, f, firstOffers)
+	peers := p.pickAgents(now, f, initialOffers)
 	if len(peers) == 0 || f.retries > 1 || f.wasShed {
 		if e := p.readmit(now, f); e != nil {
 			return decision{fault: e}
@@ -186,8 +190,8 @@
 	return decision{peers: peers}
 }
 
-// readmit checks admission again for a request in the pool's state. The request's
-// own work must not count as work ahead of it.
+// readmit checks admission again for a request that was admitted before. The
+// request's own work must not count as work ahead of it.
 func (p *pool) readmit(now time.Duration, f *flight) *fault.Error {
 	st := p.requests[f]
 	if st == nil || st.isGranted {
@@ -205,7 +209,9 @@
 	return nil
 }
 
-// allowRetry decides about another attempt after a grant.
+// allowRetry decides whether a request may be granted another time. It takes one
+// retry from the budget. If none is left, the retry is allowed only while lower
+// tiers are served.
 func (p *pool) allowRetry(now time.Duration, f *flight) decision {
 	p.undoGrant(now, f)
 	if p.budget.Spend() || p.lowerServed(f.job.Class.Tier) {
--- a/entry/sched/pool_test.go
+++ b/entry/sched/pool_test.go
@@ -38,17 +38,17 @@
 	})
 }
 
-// A higher tier may be refused only if certainly nothing of a lower tier is served.
-// The queues of other entries show in the agents' loads, and an agent without a
-// link might serve anything.
+// A request of a higher tier may be refused only if it is certain that no lower tier
+// is served. The agents' loads include the requests of other entries, and an agent
+// without a link might serve anything.
 func TestLowerTierServed(t *testing.T) {
 	low := uint8(1 << (spec.Tiers - 1))
 	for _, c := range []struct {
-		name   string
-		load   wire.Load
-		beyond int
-		tier   uint8
-		want   bool
+		name     string
+		load     wire.Load
+		unlinked int
+		tier     uint8
+		want     bool
 	}{
 		{"idle", wire.Load{}, 0, 0, false},
 		{"lower runs", wire.Load{RunningTiers: low}, 0, 0, true},
@@ -60,7 +60,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := *linkedMembers(t, 2, c.load)
-			m.UnlinkedLive = c.beyond
+			m.UnlinkedLive = c.unlinked
 			if got := testPool(&m).lowerServed(c.tier); got != c.want {
 				t.Errorf("got %t", got)
 			}
@@ -69,7 +69,7 @@
 }
 
 // An entry has just granted a request of a lower tier, and the agent's load doesn't
-// show it yet.
+// include it yet. The request must still count as served.
 func TestOwnLowerTierRequestsCount(t *testing.T) {
 	p := testPool(linkedMembers(t, 1, wire.Load{}))
 	p.running[spec.Tiers-1] = 1
@@ -85,7 +85,7 @@
 	f := &flight{job: &Job{Class: spec.Class{Tier: 1}}, trace: &Trace{prefix: place.Fingerprint(make([]byte, 4096))}}
 	b.ReportAllocs()
 	for b.Loop() {
-		p.pickAgents(time.Second, f, firstOffers)
+		p.pickAgents(time.Second, f, initialOffers)
 	}
 }
 
--- a/entry/sched/relay.go
+++ b/entry/sched/relay.go
@@ -10,7 +10,8 @@
 	"lycheepond/entry/fault"
 )
 
-// maxEarlyPieces bounds the pieces of an answer kept until its head arrives.
+// maxEarlyPieces bounds the pieces of an answer that are kept until its head
+// arrives.
 const maxEarlyPieces = 64
 
 // maxBufferedAnswer bounds the bytes of an answer that is buffered until it is
@@ -44,10 +45,9 @@
 	}
 }
 
-// deferEarly keeps a piece of an answer whose head has not arrived, and reports
-// whether the head is missing. Without the head the status of the answer is
-// unknown, so no part of it can be passed on. Pieces beyond maxEarlyPieces are
-// requested again.
+// deferEarly reports whether the head of the answer is missing, and keeps the piece
+// in e then. Without the head the status of the answer is unknown, so no part of it
+// can be passed on. Pieces beyond maxEarlyPieces are requested again.
 func (f *flight) deferEarly(e *event) bool {
 	if f.hasHead {
 		return false
@@ -125,7 +125,7 @@
 // finishComplete ends the request with its complete answer.
 func (f *flight) finishComplete() {
 	f.once.End()
-	f.s.poison.recordEnd(f)
+	f.s.quarantine.recordEnd(f)
 	f.sendHead()
 	if len(f.body) > 0 {
 		f.sink.Data(f.body)
@@ -141,19 +141,20 @@
 	if e := f.answer.End(); e != nil && !e.Complete {
 		reason = "it ended with " + e.Reason.String()
 	}
-	f.s.poison.recordEnd(f)
+	f.s.quarantine.recordEnd(f)
 	f.once.Fail()
 	f.startNextAttempt(reason)
 }
 
+// startGapTimer starts the wait for missing pieces, unless another wait is running.
 func (f *flight) startGapTimer() {
 	if f.timerReason == timerNone {
 		f.setTimer(timerGap, gapTimeout)
 	}
 }
 
-// requestMissing asks the holder to send the answer again from the first missing
-// piece.
+// requestMissing requests the answer from the holder again, from the first missing
+// piece on. After maxResumes it gives up the holder.
 func (f *flight) requestMissing() {
 	if f.once.State() != once.Granted {
 		return
@@ -165,6 +166,8 @@
 	f.sendAttach()
 }
 
+// sendAttach requests the answer from the holder, from the first missing piece on,
+// and waits for it up to holderTimeout.
 func (f *flight) sendAttach() {
 	f.answer.Resume()
 	f.holder.Send(&wire.Attach{
@@ -205,7 +208,7 @@
 	}
 }
 
-// abandonHolder gives up the holder.
+// abandonHolder gives up the holder's answer and starts the next attempt.
 func (f *flight) abandonHolder(reason string) {
 	f.recordStep("lost", f.holder.Name(), reason)
 	f.cancel(wire.ReasonDeadline)
@@ -222,8 +225,8 @@
 	f.offeredTo.clear()
 }
 
-// handleKnown handles the reply of a key's home that the key is already known.
-func (f *flight) handleKnown(p *agents.Peer, a once.Agent, m *wire.KeyStatus) {
+// handleKeyStatus handles the reply of a key's home that it already knows the key.
+func (f *flight) handleKeyStatus(p *agents.Peer, a once.Agent, m *wire.KeyStatus) {
 	if m.ID != f.once.ID() || f.once.State() != once.Offered {
 		return
 	}
--- a/entry/sched/room.go
+++ b/entry/sched/room.go
@@ -6,8 +6,8 @@
 	"lycheepond/core/spec"
 )
 
-// requestOverhead is the size that each request is charged in addition to its body,
-// for its state, its mailbox and a part of its answer.
+// requestOverhead is the number of bytes that each request is charged in addition to
+// its body, for its state, its mailbox and a part of its answer.
 const requestOverhead = 64 << 10
 
 // memoryLimit bounds the memory of all requests that this entry holds. Without it,
@@ -31,6 +31,7 @@
 	return r
 }
 
+// requestBytes returns the charge of a request in bytes.
 func requestBytes(f *flight) int64 { return int64(len(f.job.Body)) + requestOverhead }
 
 // acquire charges f and reports whether the memory suffices. If it doesn't, a
@@ -39,12 +40,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if need := requestBytes(f); r.limit > 0 && r.used+need > r.limit {
-		v := r.lowestWaiting(f.job.Class.Tier)
-		if v == nil {
+		victim := r.lowestWaiting(f.job.Class.Tier)
+		if victim == nil {
 			return false
 		}
-		delete(r.waiting[v.job.Class.Tier], v)
-		v.mailbox.put(event{kind: eventEvict})
+		delete(r.waiting[victim.job.Class.Tier], victim)
+		victim.mailbox.put(event{kind: eventEvict})
 	}
 	r.used += requestBytes(f)
 	return true
@@ -60,6 +61,7 @@
 	return nil
 }
 
+// release removes the charge of f, which has ended.
 func (r *memoryLimit) release(f *flight) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,13 +69,14 @@
 	delete(r.waiting[f.job.Class.Tier], f)
 }
 
-// markWaiting records that f has no grant, markGranted that it has one.
+// markWaiting records that f has no grant and can be evicted.
 func (r *memoryLimit) markWaiting(f *flight) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.waiting[f.job.Class.Tier][f] = struct{}{}
 }
 
+// markGranted records that f has a grant and must not be evicted.
 func (r *memoryLimit) markGranted(f *flight) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/entry/sched/sched.go
+++ b/entry/sched/sched.go
@@ -16,8 +16,8 @@
 	"lycheepond/entry/agents"
 )
 
-// maxAttempts is how many IDs each request has. The last two bytes of an ID count
-// the attempts, so that the endpoint's record leads back to the request.
+// maxAttempts is the number of IDs of each request. The last two bytes of an ID
+// count the attempts, so that the endpoint's record leads back to the request.
 const maxAttempts = 1 << 16
 
 // Config holds the settings and callbacks of a Sched. All functions must be set
@@ -52,12 +52,12 @@
 	idCounter atomic.Uint64
 	traces    *TraceLog
 	memory    *memoryLimit
-	// poison holds back requests that crash endpoints.
-	poison  *quarantine
-	running atomic.Int64
+	// quarantine refuses requests that crash endpoints.
+	quarantine *quarantine
+	running    atomic.Int64
 
-	// poolOwners counts the goroutines of pools.
-	poolOwners sync.WaitGroup
+	// poolGoroutines counts the running goroutines of pools.
+	poolGoroutines sync.WaitGroup
 
 	mu    sync.Mutex
 	pools map[string]*pool
@@ -69,7 +69,7 @@
 // New returns a Sched that serves until ctx ends.
 func New(ctx context.Context, cfg Config) *Sched {
 	return &Sched{
-		cfg: cfg, table: newTable(), traces: newTraceLog(), memory: newMemoryLimit(cfg.MemoryLimit), poison: newQuarantine(),
+		cfg: cfg, table: newTable(), traces: newTraceLog(), memory: newMemoryLimit(cfg.MemoryLimit), quarantine: newQuarantine(),
 		pools: make(map[string]*pool), incarnations: make(map[string]uint64), ctx: ctx,
 	}
 }
@@ -77,16 +77,15 @@
 // Traces returns the log of recent traces.
 func (s *Sched) Traces() *TraceLog { return s.traces }
 
-// Wait returns when the goroutines of all pools have ended, after the context given
-// to New has. No request may be served after that.
-func (s *Sched) Wait() { s.poolOwners.Wait() }
+// Wait returns when the goroutines of all pools have ended, which they do after the
+// context passed to New has ended. No request may be served after that.
+func (s *Sched) Wait() { s.poolGoroutines.Wait() }
 
 // Running returns how many requests are being served.
 func (s *Sched) Running() int { return int(s.running.Load()) }
 
-// Figures returns what the entry itself knows about a pool, without the agents'
-// reports.
-func (s *Sched) Figures(name string) report.Pool {
+// PoolReport returns the entry's own state of a pool, without the agents' reports.
+func (s *Sched) PoolReport(name string) report.Pool {
 	p := s.pool(name)
 	return report.Pool{
 		Pool: name, InFlight: int(p.reportedInFlight.Load()), Queued: int(p.reportedQueued.Load()), ShedLevel: int(p.reportedLevel.Load()),
@@ -108,7 +107,7 @@
 	return id, id != rootOf(id)
 }
 
-// rootOf returns the ID of the request that id is an attempt of.
+// rootOf returns the ID of the first attempt of the request that id belongs to.
 func rootOf(id ident.ID) ident.ID {
 	id[ident.Size-1], id[ident.Size-2] = 0, 0
 	return id
@@ -122,7 +121,7 @@
 	}
 	f := s.table.get(id)
 	if f == nil {
-		if _, claim := m.(*wire.Claim); claim {
+		if _, isClaim := m.(*wire.Claim); isClaim {
 			p.Send(&wire.Deny{ID: id})
 		}
 		return
@@ -147,8 +146,8 @@
 		return
 	}
 	for _, pool := range s.pools {
-		// If the ring is full, some prefix reuse is lost; waiting would block the
-		// link.
+		// If the ring is full, outdated cache estimates stay and some prefix reuse
+		// is lost. Waiting would block the link.
 		_ = pool.messages.TryPut(poolMessage{op: opAgentRestarted, agent: a.Name})
 	}
 }
@@ -169,22 +168,22 @@
 	if !ok {
 		p = newPool(name, s.cfg)
 		s.pools[name] = p
-		s.poolOwners.Add(1)
+		s.poolGoroutines.Add(1)
 		go func() {
-			defer s.poolOwners.Done()
+			defer s.poolGoroutines.Done()
 			p.run(s.ctx)
 		}()
 	}
 	return p
 }
 
-// Serve carries j to its end and returns the result. ctx must end when the caller
-// hangs up.
+// Serve serves j until it has ended and returns the result. ctx must end when the
+// caller hangs up.
 func (s *Sched) Serve(ctx context.Context, j *Job, sink *Sink) Result {
 	s.running.Add(1)
 	defer s.running.Add(-1)
 	f := newFlight(s, j, sink)
-	if e := s.poison.admit(f); e != nil {
+	if e := s.quarantine.admit(f); e != nil {
 		f.finish(e)
 		return f.result
 	}
@@ -198,7 +197,7 @@
 	res := f.run(ctx)
 	s.table.drop(f.once.ID())
 	if res.Outcome == once.NotRun {
-		s.poison.recordNotRun(f)
+		s.quarantine.recordNotRun(f)
 	}
 	return res
 }
--- a/entry/sched/table.go
+++ b/entry/sched/table.go
@@ -6,6 +6,7 @@
 	"lycheepond/core/ident"
 )
 
+// tableStripes is the number of stripes of a table.
 const tableStripes = 64
 
 // table finds the request that an ID belongs to. It is divided into stripes to
@@ -27,8 +28,8 @@
 	return t
 }
 
-// stripeOf selects the stripe by the lowest byte of the request counter above the
-// attempt number.
+// stripeOf returns the stripe of an ID. It uses the lowest byte of the request
+// counter, which precedes the two bytes of the attempt number.
 func stripeOf(id ident.ID) int { return int(id[ident.Size-3]) % tableStripes }
 
 func (t *table) put(id ident.ID, f *flight) {
@@ -53,12 +54,12 @@
 	s.mu.Unlock()
 }
 
-func (t *table) forEach(do func(*flight)) {
+func (t *table) forEach(f func(*flight)) {
 	for i := range t.stripes {
 		s := &t.stripes[i]
 		s.mu.RLock()
-		for _, f := range s.flights {
-			do(f)
+		for _, fl := range s.flights {
+			f(fl)
 		}
 		s.mu.RUnlock()
 	}
--- a/entry/sched/trail.go
+++ b/entry/sched/trail.go
@@ -9,16 +9,17 @@
 	"lycheepond/core/report"
 )
 
-// maxTraces is how many recent requests can be explained.
+// maxTraces is the number of recent requests whose traces are kept.
 const maxTraces = 4096
 
 // maxSteps bounds the steps in the trace of one request.
 const maxSteps = 64
 
-// Trace records the decisions about one request.
+// Trace records the decisions about one request. start is when the request was
+// accepted, and prefix holds the hashes of its prompt's prefixes.
 type Trace struct {
 	mu     sync.Mutex
-	view   report.Request
+	record report.Request
 	start  time.Duration
 	prefix []uint64
 }
@@ -37,7 +38,7 @@
 }
 
 func (t *TraceLog) newTrace(j *Job) *Trace {
-	tr := &Trace{start: j.AcceptedAt, view: report.Request{
+	tr := &Trace{start: j.AcceptedAt, record: report.Request{
 		ID: j.ID.String(), Pool: j.Pool, Class: j.Class.Name, Tier: j.Class.Tier, Customer: j.Customer,
 	}}
 	if j.Model != "" {
@@ -62,26 +63,27 @@
 	}
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	v := tr.view
-	v.Steps = append([]report.Step(nil), v.Steps...)
-	return v, true
+	record := tr.record
+	record.Steps = append([]report.Step(nil), record.Steps...)
+	return record, true
 }
 
-// recordStep records a decision.
-func (f *flight) recordStep(what, agent, why string) {
+// recordStep records a decision, up to maxSteps of them.
+func (f *flight) recordStep(action, agent, reason string) {
 	t := f.trace
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.view.Steps) < maxSteps {
-		t.view.Steps = append(t.view.Steps, report.Step{AtMS: (f.now() - t.start).Milliseconds(), Action: what, Agent: agent, Reason: why})
+	if len(t.record.Steps) < maxSteps {
+		t.record.Steps = append(t.record.Steps, report.Step{AtMS: (f.now() - t.start).Milliseconds(), Action: action, Agent: agent, Reason: reason})
 	}
 }
 
+// close records the outcome of the request.
 func (t *Trace) close(f *flight) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.view.Outcome = f.result.Outcome.String()
+	t.record.Outcome = f.result.Outcome.String()
 	if f.result.Fault != nil {
-		t.view.Fault = string(f.result.Fault.Kind())
+		t.record.Fault = string(f.result.Fault.Kind())
 	}
 }
--- a/entry/status.go
+++ b/entry/status.go
@@ -16,7 +16,7 @@
 }
 
 func (n *node) poolStatus(name string) report.Pool {
-	status := n.sched.Figures(name)
+	status := n.sched.PoolReport(name)
 	status.Agents = []report.Agent{}
 	m := n.agents.Pool(name)
 	if m == nil {
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -40,8 +40,8 @@
 	return ln.Addr().String()
 }
 
-// halfRequest is a kept connection on which the beginning of a second request was
-// sent.
+// halfRequest is a keep-alive connection over which the beginning of a second
+// request was sent.
 type halfRequest struct {
 	net.Conn
 	r *bufio.Reader
@@ -96,10 +96,10 @@
 }
 
 // An entry stops, as planned or because one of its parts failed, while the head of
-// a request is still arriving on a kept connection. The request must be answered
-// before the entry ends. net/http counts such a connection as idle until it has
-// read the whole head, and used to close it, and a failed part closed all
-// connections at once. The caller got no answer (unexpected EOF).
+// a request is still arriving on a keep-alive connection. The request must be
+// answered before the entry ends. net/http counts such a connection as idle until it
+// has read the whole head. It used to close the connection, and a failed part closed
+// all connections at once. The caller got no answer (unexpected EOF).
 func TestStopAnswersRequestsInProgress(t *testing.T) {
 	failure := errors.New("a part failed")
 	for _, tc := range []struct {
--- a/entry/view.go
+++ b/entry/view.go
@@ -44,19 +44,20 @@
 
 // entryCount returns how many entries share the pools, including this one.
 func (n *node) entryCount() int {
-	count, self := 0, false
+	count, isListed := 0, false
 	for _, i := range n.store.Roster().Instances {
 		if i.Role == plat.RoleEntry && i.State == plat.StateLive {
 			count++
-			self = self || i.Name == n.cfg.Name
+			isListed = isListed || i.Name == n.cfg.Name
 		}
 	}
-	if !self {
+	if !isListed {
 		count++
 	}
 	return count
 }
 
+// hello returns how this process introduces itself over links.
 func (n *node) hello() wire.Hello { return n.self }
 
 // dial opens a connection to another lycheepond process.
@@ -64,6 +65,8 @@
 	return n.certs.Dial(ctx, addr)
 }
 
+// peerFetches returns the fetches of objects from other entries, which the feed uses
+// while the platform is away.
 func (n *node) peerFetches() []feed.Fetch {
 	var out []feed.Fetch
 	for _, addr := range n.cfg.Peers {
