--- a/entry/agents/dial.go
+++ b/entry/agents/dial.go
@@ -28,7 +28,8 @@
 // errWrongAgent reports that another process answers at an agent's address.
 var errWrongAgent = errors.New("agents: another process answers at the address of the instance list: correct the list's link address or the agent's name setting")
 
-// keepLink keeps a link to p until ctx ends or p has been gone for goneRetention.
+// keepLink keeps a link to p until ctx ends, or until an unlisted p has been without
+// a link for unlistedRetention.
 func (s *Set) keepLink(ctx context.Context, p *Peer) {
 	failures := 0
 	for ctx.Err() == nil {
--- a/entry/keys/keeper.go
+++ b/entry/keys/keeper.go
@@ -27,14 +27,14 @@
 	// possible while an agent still has half of the default lease left. A
 	// confirmation that failed because of a conflict is repeated at once.
 	DefaultConfirmInterval = 8 * time.Second
-	// checkInterval is how often owners are checked.
+	// checkInterval is the interval between checks of the tables and their owners.
 	checkInterval = 250 * time.Millisecond
-	// settleTime is how long the first table waits until all agents are linked. An
-	// earlier table would assign every key to the first agent.
+	// settleTime is how long a pool's first table is held back while agents are not
+	// linked yet. An earlier table would assign every key to the first agent.
 	settleTime = 3 * time.Second
-	// notLiveTimeout is how long an owner that the instance list doesn't call live
-	// must be without a link before it loses its slots. lostTimeout is the same for
-	// an owner that the list calls live.
+	// notLiveTimeout is how long an owner must be without a link before it loses
+	// its slots, if it isn't live according to the instance list. liveTimeout is
+	// the same for an owner that is.
 	notLiveTimeout = 3 * time.Second
 	liveTimeout    = 30 * time.Second
 	// maxWriteAttempts bounds the writes of a table in one check, if other entries
--- a/entry/main.go
+++ b/entry/main.go
@@ -1,5 +1,5 @@
-// Command entry accepts callers' requests, dispatches them to agents and sends the
-// answers back.
+// Command entry accepts callers' requests, dispatches each to an agent, and sends
+// its caller exactly one final answer.
 package main
 
 import (
--- a/entry/sched/job.go
+++ b/entry/sched/job.go
@@ -40,8 +40,9 @@
 	// request. It implies Cancellable. Every other request is dispatched at most
 	// once, whatever its kind, because even a repeated status query can cost a fee.
 	Repeatable bool
-	// Key is the hash of customer and idempotency key, nil without a key. KeyMadeMS
-	// is when the key was made, in Unix milliseconds, zero if the key doesn't say.
+	// Key is the hash of customer and idempotency key, nil without a key.
+	// KeyCreatedMS is when the key was created, in Unix milliseconds, zero if the
+	// key doesn't say.
 	Key          []byte
 	KeyCreatedMS int64
 	// Digest distinguishes two requests with the same key.
