--- a/lychee/admin/admin.go
+++ b/lychee/admin/admin.go
@@ -35,8 +35,7 @@
 	http  *http.Client
 }
 
-// New returns a client. A nil httpClient stands for a client with default
-// settings.
+// New returns a client. If httpClient is nil, one with default settings is used.
 func New(token string, httpClient *http.Client) *Client {
 	if httpClient == nil {
 		httpClient = &http.Client{}
@@ -46,13 +45,14 @@
 
 // AgentStatus is an agent's report on itself and its endpoint.
 type AgentStatus struct {
-	// InFlight counts the requests running at the endpoint, InFlightBound is
-	// their highest number, and QueuedRequests counts the agent's queue.
+	// InFlight counts the requests running at the endpoint, InFlightBound is the
+	// bound on that number, and QueuedRequests counts the requests in the agent's
+	// queue.
 	InFlight       int `json:"in_flight"`
 	InFlightBound  int `json:"bound"`
 	QueuedRequests int `json:"queued"`
-	// IsLeaving is set when the agent takes no more work and stops when it has
-	// finished.
+	// IsLeaving is set when the agent accepts no new requests and stops after those
+	// that are running.
 	IsLeaving       bool   `json:"leaving"`
 	EndpointDown    bool   `json:"endpoint_down"`
 	EndpointSlow    bool   `json:"endpoint_slow"`
@@ -78,8 +78,7 @@
 	return record, c.call(ctx, http.MethodGet, address, "/explain/"+requestID, &record)
 }
 
-// Drain requests that an agent takes no more work, finishes what is running and
-// stops.
+// Drain makes an agent refuse new requests, finish those that are running, and stop.
 func (c *Client) Drain(ctx context.Context, address string) error {
 	return c.call(ctx, http.MethodPost, address, "/drain", nil)
 }
--- a/lychee/apply/apply.go
+++ b/lychee/apply/apply.go
@@ -63,13 +63,13 @@
 	Pause func(ctx context.Context)
 }
 
-// maxRounds bounds the calls made to find out whether a write took effect or who
-// changed the object. If a lost reply is still unresolved after that, the outcome
-// is reported as uncertain.
+// maxRounds bounds the rounds of calls that find out whether a write took effect or
+// who changed the object. If it is still unclear after them whether a write took
+// effect, the outcome is reported as uncertain.
 const maxRounds = 5
 
-// ApplyAll writes the objects in order and stops at the first that fails. A
-// customer is thus not written if its class was refused.
+// ApplyAll writes the objects in order and stops at the first failure. A customer is
+// thus not written if its class was refused.
 func (a *Applier) ApplyAll(ctx context.Context, items []spec.Item) []Result {
 	results := make([]Result, 0, len(items))
 	stopped := false
--- a/lychee/flags.go
+++ b/lychee/flags.go
@@ -25,7 +25,7 @@
 	force   bool
 	files   [maxFileArgs]string
 	// firstArg is a KIND, an INSTANCE or a REQUEST-ID, secondArg the NAME of an
-	// object. The commands that have neither leave both empty.
+	// object. Each is empty if the command has no such argument.
 	firstArg, secondArg string
 }
 
@@ -93,6 +93,7 @@
 	return exitInvalidInput
 }
 
+// newTool returns the tool for one run of the program.
 func newTool(env environment, o options) *tool {
 	return &tool{
 		environment: env, options: o, results: show.New(env.stdout, o.outputFormat == outputJSON),
@@ -101,8 +102,8 @@
 	}
 }
 
-// fillFromEnv sets options without a flag from environment variables, and then
-// to their defaults.
+// fillFromEnv sets options that were not given as flags from environment variables,
+// and the output format to its default.
 func (o *options) fillFromEnv(lookupEnv func(string) (string, bool)) {
 	for _, v := range []struct {
 		option  *string
@@ -117,6 +118,7 @@
 	}
 }
 
+// newCollector returns a collector that uses the clients of t.
 func (t *tool) newCollector() *survey.Collector {
 	return &survey.Collector{Platform: t.platform, Admin: t.admin, ExtraEntries: t.entries}
 }
--- a/lychee/fleet.go
+++ b/lychee/fleet.go
@@ -55,14 +55,14 @@
 	return exitInvalidInput
 }
 
-// runExplain shows the decisions about a request, from the first entry that has a
-// record of it.
+// runExplain shows the decisions about a request, from the record of the first entry
+// that has one.
 func runExplain(ctx context.Context, t *tool) int {
 	if _, err := ident.Parse(t.firstArg); err != nil {
 		fmt.Fprintln(t.stderr, "lychee:", err, "(the Lychee-Request-Id of an answer)")
 		return exitInvalidInput
 	}
-	// While the platform is away, only the entries given with --entry are asked.
+	// While the platform is away, only the entries given with --entry are queried.
 	roster, rosterErr := t.newCollector().FetchRoster(ctx)
 	entries := t.newCollector().ListEntries(roster)
 	errs := []error{rosterErr}
@@ -77,8 +77,8 @@
 	return t.fail(errors.Join(errs...))
 }
 
-// explainFrom asks one entry for its record of the request and writes it. It
-// returns false without an error if the entry has no record of the request.
+// explainFrom fetches one entry's record of the request and writes it. It returns
+// false without an error if the entry has none.
 func (t *tool) explainFrom(ctx context.Context, entry survey.Entry) (bool, error) {
 	record, err := t.admin.Explain(ctx, entry.Address, t.firstArg)
 	if errors.Is(err, admin.ErrNotFound) {
--- a/lychee/fleet_test.go
+++ b/lychee/fleet_test.go
@@ -11,9 +11,8 @@
 	"lycheepond/core/store"
 )
 
-// startAdminServer starts an HTTP server that stands in for the admin listener of
-// an entry or an agent, and returns its address. responses maps METHOD PATH to the
-// body of the response.
+// startAdminServer starts a fake admin listener of an entry or an agent, and returns
+// its address. responses maps METHOD PATH to the body of the response.
 func startAdminServer(t *testing.T, responses map[string]string) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/lychee/input/input.go
+++ b/lychee/input/input.go
@@ -36,8 +36,8 @@
 
 // Content holds the objects and the problems of a set of files.
 type Content struct {
-	// Items are the valid objects, classes before customers. Problems between
-	// objects don't count.
+	// Items are the objects that are valid on their own, classes before customers.
+	// Their references to each other have not been checked.
 	Items []spec.Item
 	// SettingsFiles counts the settings files.
 	SettingsFiles int
@@ -119,8 +119,8 @@
 	}
 }
 
-// newSettings returns empty settings of the type that data holds, and nil if data
-// holds objects.
+// newSettings returns empty settings of the type for which data holds values, and
+// nil if data holds objects.
 func newSettings(data []byte) any {
 	var document map[string]any
 	if yaml.NewDecoder(bytes.NewReader(data)).Decode(&document) != nil || document["kind"] != nil {
--- a/lychee/main_test.go
+++ b/lychee/main_test.go
@@ -31,8 +31,8 @@
 	loseReplies int
 	// beforeWrite is called once, before the next write.
 	beforeWrite func()
-	// staleReads is the number of next reads that are answered from oldObjects,
-	// the objects before the last write.
+	// staleReads is the number of next reads that are answered from oldObjects.
+	// oldObjects holds the objects from before the last write.
 	staleReads int
 	oldObjects map[string]plat.Object
 }
@@ -167,8 +167,8 @@
 const swapClass = "kind: class\nname: swap\ntier: 0\ntarget: {complete: 2s}\n"
 
 func TestObjectLifecycle(t *testing.T) {
-	// One object is checked, created, changed, listed and deleted. Applying it
-	// twice must leave it unchanged.
+	// One object is checked, created, listed, changed and deleted. Applying it a
+	// second time must leave it unchanged.
 	s := newShell(t)
 	path := s.writeFile("swap.yaml", swapClass)
 	changed := s.writeFile("changed.yaml", strings.Replace(swapClass, "2s", "1500ms", 1))
@@ -180,7 +180,7 @@
 
 func TestInvalidInputIsReported(t *testing.T) {
 	// Each mistake in a file, an argument or a flag must be reported with its
-	// place, its remedy and an exit code other than 0.
+	// location, its remedy and an exit code other than 0.
 	s := newShell(t)
 	path := s.writeFile("bad.yaml", "kind: class\nname: swap\ntier: 7\nweight: 2\n---\nkind: customer\nname: a\nkeys: [{sha256: secret, class: gone}]\n---\nkind: customer\nname: b\nkeys:\n- sha256: "+strings.Repeat("ab", 32)+"\n  class: swap\n- sha256: "+strings.Repeat("cd", 32)+"\n  class: gone\n")
 	settings := s.writeFile("entry.yaml", "name: e\nlisten: 80\nplatform: {address: x}\nfleet_key: ${UNSET}\n")
--- a/lychee/show/show.go
+++ b/lychee/show/show.go
@@ -113,6 +113,7 @@
 	return fmt.Sprintf(", written by %s at %s", a.By, a.At.Format(time.RFC3339))
 }
 
+// writeDiff writes the lines of a difference, indented.
 func (w *Writer) writeDiff(lines []string) {
 	for _, line := range lines {
 		fmt.Fprintln(w.out, "    "+line)
@@ -175,7 +176,7 @@
 	}
 }
 
-// formatEntryNote returns what an operator should know about an entry.
+// formatEntryNote returns the remarks about an entry for the last column.
 func formatEntryNote(e survey.Entry) string {
 	var notes []string
 	if e.IsOutdated {
@@ -193,6 +194,7 @@
 	return strings.Join(notes, "; ")
 }
 
+// writePool writes the state of a pool and its endpoints.
 func (w *Writer) writePool(p survey.Pool) {
 	fmt.Fprintf(w.out, "\npool %s: %d endpoints, %d of %d in flight, %d queued, %d waiting at entries, admits tiers 0 to %d%s\n",
 		p.Name, len(p.Endpoints), p.InFlight, p.InFlightBound, p.QueuedRequests, p.WaitingAtEntries, p.ShedLevel, versionsSuffix(p))
@@ -222,7 +224,7 @@
 	return text
 }
 
-// formatEndpointNote returns what an operator should know about an endpoint.
+// formatEndpointNote returns the remarks about an endpoint for the last column.
 func formatEndpointNote(e survey.Endpoint) string {
 	var notes []string
 	for _, n := range []struct {
--- a/lychee/survey/pools.go
+++ b/lychee/survey/pools.go
@@ -42,8 +42,8 @@
 	return pools
 }
 
-// merge adds an entry's view of the endpoint's agent: the highest count, and each
-// flag that at least one entry has set.
+// merge adds an entry's view of the endpoint's agent. Each count becomes the highest
+// that any entry reports, and each flag is set if at least one entry reports it.
 func (e Endpoint) merge(a report.Agent) Endpoint {
 	e.Name, e.Zone = a.Name, a.Zone
 	if a.Version != "" {
@@ -54,9 +54,8 @@
 	return e
 }
 
-// queryAgents replaces the entries' view of each agent by the agent's own status.
-// The entries' view stays for an agent that has no admin address or doesn't
-// answer.
+// queryAgents replaces the entries' view of each agent by the agent's own status. It
+// keeps the entries' view of an agent that has no admin address or doesn't answer.
 func (c *Collector) queryAgents(ctx context.Context, endpoints []Endpoint, roster plat.Roster) {
 	adminAddresses := make(map[string]string)
 	for _, i := range roster.Instances {
--- a/lychee/survey/survey.go
+++ b/lychee/survey/survey.go
@@ -15,8 +15,7 @@
 	"lycheepond/lychee/admin"
 )
 
-// maxConcurrentCalls bounds the calls to entries or agents that are in flight at
-// one time.
+// maxConcurrentCalls bounds the concurrent calls to entries or agents.
 const maxConcurrentCalls = 32
 
 // Report is the state of a fleet.
@@ -181,7 +180,8 @@
 	return r, err
 }
 
-// findModel returns the model of a name. A nil config has none.
+// findModel returns the model with a name, and false if there is none or config is
+// nil.
 func findModel(config *store.Store, name string) (spec.Model, bool) {
 	if config == nil {
 		return spec.Model{}, false
@@ -210,7 +210,8 @@
 	return newest
 }
 
-// fillFrom copies an entry's status, unless the entry is silent.
+// fillFrom copies an entry's status into e, unless the entry is silent, and compares
+// its configuration with the expected one.
 func (e *Entry) fillFrom(status report.Entry, expectedDigest uint64) {
 	if e.State == StateSilent {
 		return
--- a/lychee/trace/trace.go
+++ b/lychee/trace/trace.go
@@ -23,7 +23,7 @@
 // maxLineBytes bounds one line of a log. A longer line is an error.
 const maxLineBytes = 1 << 20
 
-// Line is one line of a log. Which fields are set depends on the event.
+// Line is one line of a log. The event determines which fields are set.
 type Line struct {
 	Time      time.Time `json:"time"`
 	Event     string    `json:"event"`
@@ -35,7 +35,7 @@
 	Why      string `json:"why"`
 	Outcome  string `json:"outcome"`
 	Endpoint string `json:"endpoint"`
-	// RetryObstacle is why a late request could not be sent to another endpoint.
+	// RetryObstacle says why a late request could not be sent to another endpoint.
 	RetryObstacle string `json:"lacks"`
 	// Fingerprint identifies a request by its content.
 	Fingerprint string `json:"fingerprint"`
@@ -43,15 +43,16 @@
 	// the next one.
 	FromEndpoint string `json:"from"`
 	ToEndpoint   string `json:"to"`
-	// RetryAfter is how long the caller was told to wait before it repeats the
-	// request.
+	// RetryAfter is the time after which the caller may repeat the request,
+	// according to the answer.
 	RetryAfter Duration `json:"retry"`
-	// ReportingEntries is the number of entries, out of KnownEntries, whose
-	// reports of their load the entry had.
+	// ReportingEntries is the number of entries, out of KnownEntries, whose load
+	// reports the entry had.
 	ReportingEntries int `json:"heard"`
 	KnownEntries     int `json:"known"`
-	// RequestsAhead counts the requests of all entries at the endpoint, and
-	// PromptTokens the prompt tokens it had to read, including this request's.
+	// RequestsAhead counts the requests of all entries at the endpoint.
+	// PromptTokens counts the prompt tokens that it had to process, including those
+	// of this request.
 	RequestsAhead int `json:"ahead"`
 	PromptTokens  int `json:"prompt"`
 	OutputTokens  int `json:"output"`
@@ -68,9 +69,9 @@
 	TimeLeft Duration `json:"left"`
 	// QueueTime is the time that the request spent in the entry's queue.
 	QueueTime Duration `json:"stood"`
-	// SilentTime is the time that the endpoint had sent nothing when its attempt
-	// ended. SilenceLimit is the time after which the entry gives an attempt up,
-	// zero if it would have gone on waiting.
+	// SilentTime is how long the endpoint had sent nothing when its attempt ended.
+	// SilenceLimit is the silence after which the entry gives up an attempt, zero if
+	// it would have kept waiting.
 	SilentTime   Duration `json:"silent"`
 	SilenceLimit Duration `json:"bound"`
 }
@@ -91,7 +92,7 @@
 // String returns the duration rounded to milliseconds.
 func (d Duration) String() string { return time.Duration(d).Round(time.Millisecond).String() }
 
-// stateEvents are the events that log a change in what an entry knows of the rest
+// stateEvents are the events that log a change in an entry's knowledge of the rest
 // of the system, or its own start or stop.
 var stateEvents = map[string]bool{
 	"endpoint_away": true, "endpoint_back": true, "platform_away": true, "platform_back": true,
@@ -99,7 +100,7 @@
 	"roster_changed": true, "starting": true, "leaving": true, "quarantined": true, "quarantine_lifted": true, "limit_changed": true, "rollout": true,
 }
 
-// Trace is what the logs say of one request.
+// Trace holds what the logs say about one request.
 type Trace struct {
 	// Lines are the log lines of the request in order of time.
 	Lines []Line
@@ -259,7 +260,7 @@
 	return endpoint
 }
 
-// describeLatency describes which part of the request took the time.
+// describeLatency describes which part of a request took how long.
 func describeLatency(l Line) string {
 	switch {
 	case l.KnownEntries == 0:
--- a/lychee/trace/trace_test.go
+++ b/lychee/trace/trace_test.go
@@ -83,9 +83,9 @@
 }
 
 // A caller asks why its request was refused. A lack of slots and a lack of time to
-// read the prompt have different remedies, so the cause must distinguish them. A
-// request from the entry's queue waited longer than the predicted wait shows, so the
-// cause must also give its time in the queue.
+// process the prompt have different remedies, so the cause must distinguish them. A
+// request that waited in the entry's queue took longer than its predicted wait, so
+// the cause must also give its time in the queue.
 func TestCauseOfRefusal(t *testing.T) {
 	for _, tt := range []struct {
 		why   string
