--- a/entry/follow/calls.go
+++ b/entry/follow/calls.go
@@ -192,9 +192,10 @@
 }
 
 // handleFailure handles a failed call. A check that timed out counts as a failure,
-// because that makes removals safer: the platform then counts as away from an early
-// point of a period without answers. If only one check is lost, the answer to the
-// next one ends the outage before it is long enough to put removals in doubt.
+// because that makes removals safer: the platform then counts as away from early on
+// in a period without answers, and not only from near its end. If only one check is
+// lost, the answer to the next one ends the outage before it is long enough to put
+// removals in doubt.
 func (f *Follower[T]) handleFailure(ctx context.Context, a answer[T]) {
 	switch {
 	case errors.Is(a.err, ErrHistory):
--- a/entry/follow/follow.go
+++ b/entry/follow/follow.go
@@ -30,8 +30,8 @@
 	// for 3,000 items that 300 entries read page by page at once.
 	listTimeout = 5 * CallTimeout
 	// minRetryPause and maxRetryPause bound the pause between calls to a failing
-	// platform. It is long enough for all entries to call, and short enough for
-	// them to notice the platform's return within a second.
+	// platform. The pause limits the load, because every entry calls the platform.
+	// It is short, because the first second after the platform's return matters.
 	minRetryPause = 100 * time.Millisecond
 	maxRetryPause = 800 * time.Millisecond
 )
--- a/entry/follow/follow_test.go
+++ b/entry/follow/follow_test.go
@@ -25,7 +25,7 @@
 	listAnswered bool
 }
 
-func (s *platform) set(f func()) {
+func (s *platform) withLock(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
@@ -128,11 +128,11 @@
 	s := &platform{revision: 1}
 	learned := startFollower(t, s)
 	await(t, learned, 1)
-	s.set(func() { s.hidesChanges = true })
+	s.withLock(func() { s.hidesChanges = true })
 	time.Sleep(60 * time.Millisecond)
-	s.set(func() { s.revision, s.historyDropped = 2, true })
+	s.withLock(func() { s.revision, s.historyDropped = 2, true })
 	time.Sleep(20 * time.Millisecond)
-	s.set(func() { s.hidesChanges = false })
+	s.withLock(func() { s.hidesChanges = false })
 	await(t, learned, 2)
 }
 
@@ -142,9 +142,9 @@
 	s := &platform{revision: 1}
 	learned := startFollower(t, s)
 	await(t, learned, 1)
-	s.set(func() { s.isAway = true })
+	s.withLock(func() { s.isAway = true })
 	time.Sleep(50 * time.Millisecond)
-	s.set(func() { s.revision, s.isAway = 2, false })
+	s.withLock(func() { s.revision, s.isAway = 2, false })
 	await(t, learned, 2)
 }
 
@@ -154,7 +154,7 @@
 	s := &platform{revision: 1}
 	calls := 0
 	watch := func(ctx context.Context, since int64, wait time.Duration) ([]Change[int], int64, error) {
-		s.set(func() { calls++ })
+		s.withLock(func() { calls++ })
 		return s.watch(ctx, since, wait)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -172,7 +172,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- f.Run(ctx) }()
 	for range 20 {
-		s.set(func() { s.revision++ })
+		s.withLock(func() { s.revision++ })
 		time.Sleep(2 * time.Millisecond)
 	}
 	for revision := int64(0); revision != 21; {
--- a/entry/follow/known.go
+++ b/entry/follow/known.go
@@ -69,8 +69,8 @@
 	isOld        bool
 	worstAge     time.Duration
 	ageHistogram metrics.Histogram
-	// oldRequests counts requests for which an endpoint was chosen while the list
-	// was too old.
+	// oldRequests counts the requests that were received while the list was too
+	// old.
 	oldRequests metrics.Counter
 }
 
@@ -212,16 +212,16 @@
 	if !ok {
 		return 0
 	}
-	rule, age := k.cfg.Rule, k.now()-c.At
-	if age < rule.FirstCheckAge() {
-		return min(rule.FirstCheckAge()-age, rule.StepTime())
+	policy, age := k.cfg.Rule, k.now()-c.At
+	if age < policy.FirstCheckAge() {
+		return min(policy.FirstCheckAge()-age, policy.StepTime())
 	}
 	reachable := k.cfg.ReachablePeers()
-	return min(rule.CheckAge(fresh.Rank(k.cfg.Self, reachable, c.CheckID), len(reachable)+1)-age, rule.StepTime())
+	return min(policy.CheckAge(fresh.Rank(k.cfg.Self, reachable, c.CheckID), len(reachable)+1)-age, policy.StepTime())
 }
 
-// CountRequest counts a request that is being decided, for each list that is too
-// old at this moment.
+// CountRequest counts a request that was just received, for each list that is too
+// old at that moment.
 func (k *Knowledge) CountRequest() {
 	now := k.now()
 	k.mu.Lock()
--- a/entry/follow/look_test.go
+++ b/entry/follow/look_test.go
@@ -76,13 +76,13 @@
 	learned, verifiedRevision, _ := startCheckingFollower(t, s, nil, heldWatch)
 	await(t, learned, 1)
 	for revision := int64(2); revision < 5; revision++ {
-		s.set(func() { s.revision = revision })
+		s.withLock(func() { s.revision = revision })
 		await(t, learned, revision)
 		if got := verifiedRevision.Load(); got > revision {
 			t.Errorf("evidence of revision %d, but %d is the newest", got, revision)
 		}
 	}
-	s.set(func() { s.revision, s.historyDropped = 9, true })
+	s.withLock(func() { s.revision, s.historyDropped = 9, true })
 	await(t, learned, 9)
 }
 
@@ -104,7 +104,7 @@
 	if n := waits.Load(); n != 1 {
 		t.Errorf("%d watches, want only the first one", n)
 	}
-	s.set(func() { s.revision = 2 })
+	s.withLock(func() { s.revision = 2 })
 	await(t, learned, 2)
 }
 
@@ -147,7 +147,7 @@
 		return s.list(ctx)
 	}, heldWatch)
 	await(t, learned, 1)
-	s.set(func() { s.revision = 2 })
+	s.withLock(func() { s.revision = 2 })
 	began := time.Now()
 	await(t, learned, 2)
 	if took := time.Since(began); took > CallTimeout/2 {
@@ -203,12 +203,12 @@
 		return s.watch(ctx, since, wait)
 	})
 	await(t, learned, 1)
-	s.set(func() { s.isAway = true })
+	s.withLock(func() { s.isAway = true })
 	time.Sleep(100 * time.Millisecond)
 	for len(first) > 0 {
 		<-first
 	}
-	s.set(func() { s.isAway, s.revision = false, 2 })
+	s.withLock(func() { s.isAway, s.revision = false, 2 })
 	if call := <-first; call != "check" {
 		t.Errorf("the first call is a %s", call)
 	}
@@ -225,7 +225,7 @@
 	<-evidence
 	began := time.Now()
 	<-evidence // nothing has changed
-	s.set(func() { s.revision = 2 })
+	s.withLock(func() { s.revision = 2 })
 	await(t, learned, 2)
 	if took := time.Since(began); took > CallTimeout/2 {
 		t.Errorf("learned after %v", took)
--- a/entry/mesh/dial.go
+++ b/entry/mesh/dial.go
@@ -81,7 +81,7 @@
 		}
 	}
 	m.known = known
-	m.plan = relay.New(m.self(), known, reachable, func(e relay.Entry) bool { return !m.peers[e.Name].isMute(m.maxIntervalLocked()) })
+	m.plan = relay.New(m.self(), known, reachable, func(e relay.Entry) bool { return !m.peers[e.Name].isLinkSilent(m.maxIntervalLocked()) })
 }
 
 // self returns what relay.New needs to know about this entry.
@@ -89,10 +89,10 @@
 	return relay.Entry{Name: m.cfg.Self.Name, Zone: m.cfg.Self.Zone, Capacity: m.cfg.Capacity}
 }
 
-// isMute reports whether a peer has stopped sending over its own link because it is
-// paused, cut off or dead. Such a peer is not used as a hub, even before it counts
-// as silent. Time during which this process itself was paused doesn't count.
-func (p *peer) isMute(maxInterval time.Duration) bool {
+// isLinkSilent reports whether a peer has stopped sending over its own link because
+// it is paused, cut off or dead. Such a peer is not used as a hub, even before it
+// counts as silent. Time during which this process itself was paused doesn't count.
+func (p *peer) isLinkSilent(maxInterval time.Duration) bool {
 	if p.links > 0 {
 		return min(time.Since(p.directAt), time.Since(p.graceAt)) > maxInterval+hubMargin
 	}
@@ -108,7 +108,7 @@
 	wanted := m.tallyTargets(now)
 	tallyAddrs := len(wanted)
 	for name := range m.requestedLinks {
-		if p := m.peers[name]; p != nil && p.addr != "" && p.isPossible() {
+		if p := m.peers[name]; p != nil && p.addr != "" && p.mayExist() {
 			wanted = append(wanted, p.addr)
 		}
 	}
@@ -139,7 +139,7 @@
 func (m *Mesh) tallyTargets(now time.Time) []string {
 	var out, extra []string
 	for name, p := range m.peers {
-		if p.addr == "" || !p.isPossible() {
+		if p.addr == "" || !p.mayExist() {
 			continue
 		}
 		if p.isReachable && m.plan.HasLink(m.self(), p.entry(name)) {
--- a/entry/mesh/fresh_test.go
+++ b/entry/mesh/fresh_test.go
@@ -22,7 +22,7 @@
 	for n, from := range all {
 		refreshID := uint32(n + 1)
 		began := time.Now()
-		from.with(func() { from.fresh = []wire.Freshness{{Content: wire.SnapshotConfig, AgeMS: 1, RefreshID: refreshID}} })
+		from.withLock(func() { from.fresh = []wire.Freshness{{Content: wire.SnapshotConfig, AgeMS: 1, RefreshID: refreshID}} })
 		from.mesh.SendTallySoon()
 		for _, e := range all {
 			if e != from {
--- a/entry/mesh/mesh.go
+++ b/entry/mesh/mesh.go
@@ -170,7 +170,8 @@
 	// isReachable is set while the peer's tallies arrive. hasGap is set while one
 	// of its tallies is missing.
 	isReachable, hasGap bool
-	// gapReportedAt is when the peer last reported that it lacks tallies of this entry.
+	// gapReportedAt is when the peer last reported that it lacks tallies of this
+	// entry.
 	gapReportedAt time.Time
 	// config and roster are the revisions that the peer last reported. staleSince
 	// is the time from which they count as older than this entry's, zero if they
@@ -272,9 +273,8 @@
 	return p.listed || p.isReachable || time.Since(p.tallyAt) <= knownPeriod
 }
 
-// isPossible reports whether a peer is known or another entry has named it
-// recently.
-func (p *peer) isPossible() bool { return p.isKnown() || time.Since(p.namedAt) <= knownPeriod }
+// mayExist reports whether a peer is known or was recently named by another entry.
+func (p *peer) mayExist() bool { return p.isKnown() || time.Since(p.namedAt) <= knownPeriod }
 
 // EntryCounts returns how many entries are reachable and how many may be running,
 // both including this one.
--- a/entry/mesh/mesh_test.go
+++ b/entry/mesh/mesh_test.go
@@ -36,7 +36,7 @@
 	receivedRefreshIDs map[uint32]bool
 }
 
-func (e *entry) with(f func()) {
+func (e *entry) withLock(f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f()
@@ -65,7 +65,7 @@
 			return &wire.Snapshot{Content: content, Revision: e.config}, nil
 		},
 		OnTally: func(received PeerTally) {
-			e.with(func() {
+			e.withLock(func() {
 				for _, u := range received.Tally.Customers {
 					e.peerTotals[received.Peer] = u.Total
 				}
@@ -80,8 +80,8 @@
 			defer e.mu.Unlock()
 			return &wire.Tally{Customers: []wire.CustomerUsage{{Customer: "c", Total: e.peerTotals[peer]}}}
 		},
-		OnSnapshot: func(s *wire.Snapshot) { e.with(func() { e.config = max(e.config, s.Revision) }) },
-		OnPeerLost: func(peer string) { e.with(func() { e.lost[peer] = true }) }, Log: zap.NewNop(),
+		OnSnapshot: func(s *wire.Snapshot) { e.withLock(func() { e.config = max(e.config, s.Revision) }) },
+		OnPeerLost: func(peer string) { e.withLock(func() { e.lost[peer] = true }) }, Log: zap.NewNop(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -124,7 +124,7 @@
 	return t
 }
 
-func (e *entry) use(n float64) { e.with(func() { e.usedTotal, e.changed = e.usedTotal+n, true }) }
+func (e *entry) use(n float64) { e.withLock(func() { e.usedTotal, e.changed = e.usedTotal+n, true }) }
 
 func await(t *testing.T, what string, f func() bool) {
 	t.Helper()
@@ -176,9 +176,9 @@
 func TestNewerSnapshotIsSentToPeers(t *testing.T) {
 	a := start(t, "a")
 	b := start(t, "b", a.addr)
-	a.with(func() { a.config = 7 })
+	a.withLock(func() { a.config = 7 })
 	await(t, "the snapshot", func() bool { b.mu.Lock(); defer b.mu.Unlock(); return b.config == 7 })
-	a.with(func() { a.config = 9 })
+	a.withLock(func() { a.config = 9 })
 	await(t, "the next snapshot", func() bool { b.mu.Lock(); defer b.mu.Unlock(); return b.config == 9 })
 }
 
@@ -239,7 +239,7 @@
 }
 
 // Listed entries that were never reachable must count as known. Otherwise each side
-// of a network partition would give out a customer's whole limit.
+// of a network partition would grant a customer's whole limit.
 func TestListedEntriesCountAsKnown(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	a := start(t, "a")
--- a/entry/mesh/pass.go
+++ b/entry/mesh/pass.go
@@ -29,7 +29,7 @@
 		body = m.encode(t)
 	}
 	if body != nil {
-		m.relayQueue = append(m.relayQueue, queuedTally{relay.Entry{Name: o.name, Zone: o.zone}, from, o.relayed(body)})
+		m.relayQueue = append(m.relayQueue, queuedTally{relay.Entry{Name: o.name, Zone: o.zone}, from, o.relayedTally(body)})
 	}
 }
 
@@ -43,8 +43,8 @@
 	return body
 }
 
-// relayed returns the form in which a hub sends an encoded tally of o.
-func (o origin) relayed(body []byte) wire.RelayedTally {
+// relayedTally returns the form in which a hub sends an encoded tally of o.
+func (o origin) relayedTally(body []byte) wire.RelayedTally {
 	return wire.RelayedTally{Name: o.name, Zone: o.zone, Incarnation: o.incarnation, Body: body}
 }
 
@@ -113,7 +113,7 @@
 		}
 		m.mu.Unlock()
 		if body := m.encode(t); body != nil {
-			out.Tallies = append(out.Tallies, o.relayed(body))
+			out.Tallies = append(out.Tallies, o.relayedTally(body))
 		}
 	}
 	if len(out.Tallies) > 0 {
--- a/entry/mesh/relay_test.go
+++ b/entry/mesh/relay_test.go
@@ -101,7 +101,7 @@
 }
 
 // The hub of a zone dies. The totals of its zone must still reach all other entries,
-// and theirs must reach the zone. Otherwise customers' limits are given out twice.
+// and theirs must reach the zone. Otherwise customers' limits are granted twice.
 func TestHubDies(t *testing.T) {
 	t.Parallel()
 	all := startSettledFleet(t, 3, 4, 5)
--- a/entry/mesh/stopped_test.go
+++ b/entry/mesh/stopped_test.go
@@ -69,7 +69,7 @@
 // Peers that have been silent for a long time are removed from the platform's list
 // of entries. A process that resumes after a long pause has received nothing during
 // it. If it counted its own pause as the peers' silence, it would have running
-// entries removed, before it even looked for silent peers.
+// entries removed, even before its next check for silent peers.
 func TestProcessPauseReportsNoSilentPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, _ := receiver()
@@ -103,11 +103,11 @@
 		m.runSilenceChecks(maxTallyInterval)
 		time.Sleep(silenceLimit)
 		m.expireSilentPeers()
-		if m.peers["other"].isMute(maxTallyInterval) {
+		if m.peers["other"].isLinkSilent(maxTallyInterval) {
 			t.Error("replaced before its tallies are read")
 		}
 		m.runSilenceChecks(maxTallyInterval + hubMargin + minTallyInterval)
-		if !m.peers["other"].isMute(maxTallyInterval) {
+		if !m.peers["other"].isLinkSilent(maxTallyInterval) {
 			t.Error("a hub that stays silent is not replaced")
 		}
 	})
--- a/entry/mesh/tell.go
+++ b/entry/mesh/tell.go
@@ -170,7 +170,7 @@
 func (m *Mesh) entriesWithGaps() []string {
 	var out []string
 	for name, p := range m.peers {
-		if len(out) < maxMissingFrom && (!p.isReachable || p.hasGap) && p.isPossible() {
+		if len(out) < maxMissingFrom && (!p.isReachable || p.hasGap) && p.mayExist() {
 			out = append(out, name)
 		}
 	}
--- a/entry/mesh/version.go
+++ b/entry/mesh/version.go
@@ -36,10 +36,10 @@
 	// each of these entries may have a list that the peer has not read yet.
 	extraLinkTurns      = 2
 	extraLinkTurnSpread = 4
-	// startSlots is the number of times, startSlotTime apart, over which the
-	// entries with an extra link spread the versions that they send to a peer that
-	// has just started. Of 32 linked entries about four send within a second. The
-	// others find that the peer already has the version.
+	// startSlots is the number of slots, startSlotTime apart, over which entries
+	// with an extra link spread their sends to a peer that has just started. Of 32
+	// linked entries about four send within a second. The others find that the peer
+	// already has the version.
 	startSlots    = 16
 	startSlotTime = 500 * time.Millisecond
 )
--- a/entry/orders/planner.go
+++ b/entry/orders/planner.go
@@ -89,10 +89,10 @@
 // knowledge of a model's assignment is.
 func (p *Planner) FillLeaseReply(model string, reply *wire.LeaseReply) {
 	p.mu.Lock()
-	b := p.assignments[model]
+	asg := p.assignments[model]
 	p.mu.Unlock()
-	if b != nil {
-		b.FillLeaseReply(reply)
+	if asg != nil {
+		asg.FillLeaseReply(reply)
 	}
 }
 
@@ -100,27 +100,27 @@
 func (p *Planner) assignmentOf(model string) *assignment {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b := p.assignments[model]
-	if b == nil {
-		b = &assignment{Record: record.New(p.cfg.Record, spec.KindAssign, model)}
-		p.assignments[model] = b
+	asg := p.assignments[model]
+	if asg == nil {
+		asg = &assignment{Record: record.New(p.cfg.Record, spec.KindAssign, model)}
+		p.assignments[model] = asg
 	}
-	return b
+	return asg
 }
 
-// refresh reads the assignment in force into b.
-func (b *assignment) refresh() {
-	o, ok := b.Read()
+// refresh reads the assignment in force into asg.
+func (asg *assignment) refresh() {
+	o, ok := asg.Read()
 	if !ok {
-		b.version = 0
+		asg.version = 0
 		return
 	}
-	if o.Version <= b.version {
+	if o.Version <= asg.version {
 		return
 	}
 	var a spec.Assign
 	if json.Unmarshal(o.Data, &a) == nil {
-		b.assign, b.version, b.data = a, o.Version, o.Data
+		asg.assign, asg.version, asg.data = a, o.Version, o.Data
 	}
 }
 
@@ -136,23 +136,23 @@
 		moves[m.Model] = append(moves[m.Model], m)
 	}
 	for _, m := range models {
-		b := p.assignmentOf(m.Name)
+		asg := p.assignmentOf(m.Name)
 		switch {
 		case len(moves[m.Name]) > 0:
-			p.applyMoves(ctx, m.Name, b, moves[m.Name])
-		case b.version != 0 && now >= b.confirmAt && isPending(m.Name, b, state.Endpoints):
-			p.writeAssign(ctx, b, b.assign)
+			p.applyMoves(ctx, m.Name, asg, moves[m.Name])
+		case asg.version != 0 && now >= asg.confirmAt && isPending(m.Name, asg, state.Endpoints):
+			p.writeAssign(ctx, asg, asg.assign)
 		}
-		if members := p.cfg.Members(m.Name); members != nil && b.version != 0 {
-			b.SendToAgents(members.Peers, b.version, b.assign.Epoch, b.data)
+		if members := p.cfg.Members(m.Name); members != nil && asg.version != 0 {
+			asg.SendToAgents(members.Peers, asg.version, asg.assign.Epoch, asg.data)
 		}
 	}
 }
 
 // applyMoves writes the versions of moves into an assignment.
-func (p *Planner) applyMoves(ctx context.Context, model string, b *assignment, moves []roles.Order) {
-	next := spec.Assign{Epoch: b.assign.Epoch + 1, Endpoints: make(map[string]spec.Assignment)}
-	for name, l := range b.assign.Endpoints {
+func (p *Planner) applyMoves(ctx context.Context, model string, asg *assignment, moves []roles.Order) {
+	next := spec.Assign{Epoch: asg.assign.Epoch + 1, Endpoints: make(map[string]spec.Assignment)}
+	for name, l := range asg.assign.Endpoints {
 		next.Endpoints[name] = l
 	}
 	changed := false
@@ -164,36 +164,36 @@
 		changed = true
 		next.Endpoints[m.Endpoint] = spec.Assignment{Version: m.Version, Adapter: old.Adapter, Role: old.Role}
 	}
-	if !changed || p.cfg.Now() < b.confirmAt && b.version == 0 {
+	if !changed || p.cfg.Now() < asg.confirmAt && asg.version == 0 {
 		return
 	}
-	if p.writeAssign(ctx, b, next) {
+	if p.writeAssign(ctx, asg, next) {
 		logs.Info(p.cfg.Log, logs.EventOrderGiven, zap.String("model", model), zap.Int64("epoch", next.Epoch), zap.Int("moves", len(moves)))
 	}
 }
 
-// writeAssign puts an assignment in force if b holds the current one, and reports
+// writeAssign puts an assignment in force if asg holds the current one, and reports
 // whether it did.
-func (p *Planner) writeAssign(ctx context.Context, b *assignment, a spec.Assign) bool {
+func (p *Planner) writeAssign(ctx context.Context, asg *assignment, a spec.Assign) bool {
 	data, err := json.Marshal(a)
 	if err != nil {
 		return false
 	}
 	began := p.cfg.Now()
-	if err := b.Write(ctx, data, a.Epoch, b.version); err != nil {
-		b.confirmAt = began + time.Duration(float64(conflictPause)*(0.5+p.cfg.Random()))
-		b.refresh()
+	if err := asg.Write(ctx, data, a.Epoch, asg.version); err != nil {
+		asg.confirmAt = began + time.Duration(float64(conflictPause)*(0.5+p.cfg.Random()))
+		asg.refresh()
 		return false
 	}
-	b.confirmAt = began + time.Duration(float64(confirmInterval)*(0.75+p.cfg.Random()/2))
-	b.refresh()
+	asg.confirmAt = began + time.Duration(float64(confirmInterval)*(0.75+p.cfg.Random()/2))
+	asg.refresh()
 	return true
 }
 
 // isPending reports whether an endpoint doesn't serve its assigned version yet.
-func isPending(model string, b *assignment, endpoints []roles.Endpoint) bool {
+func isPending(model string, asg *assignment, endpoints []roles.Endpoint) bool {
 	for _, e := range endpoints {
-		if l, ok := b.assign.Endpoints[e.Name]; ok && e.OrderedModel == model && e.Version != l.Version {
+		if l, ok := asg.assign.Endpoints[e.Name]; ok && e.OrderedModel == model && e.Version != l.Version {
 			return true
 		}
 	}
@@ -206,8 +206,8 @@
 	byName := make(map[string]*roles.Endpoint)
 	orderedAt := make(map[assignmentKey]time.Duration)
 	for _, m := range models {
-		b := p.assignmentOf(m.Name)
-		b.refresh()
+		asg := p.assignmentOf(m.Name)
+		asg.refresh()
 		s.Requirements = append(s.Requirements, roles.Requirement{Model: m.Name, Version: m.Version, Selector: m.Endpoints})
 		members := p.cfg.Members(m.Name)
 		if members == nil {
@@ -228,7 +228,7 @@
 				}
 				byName[e.Name] = e
 			}
-			p.recordOrder(now, m.Name, b, e, orderedAt)
+			p.recordOrder(now, m.Name, asg, e, orderedAt)
 		}
 	}
 	for _, e := range byName {
@@ -241,8 +241,8 @@
 
 // recordOrder sets the version that an endpoint was last ordered to serve, and when
 // that was. It records the time in orderedAt.
-func (p *Planner) recordOrder(now time.Duration, model string, b *assignment, e *roles.Endpoint, orderedAt map[assignmentKey]time.Duration) {
-	l, ok := b.assign.Endpoints[e.Name]
+func (p *Planner) recordOrder(now time.Duration, model string, asg *assignment, e *roles.Endpoint, orderedAt map[assignmentKey]time.Duration) {
+	l, ok := asg.assign.Endpoints[e.Name]
 	if !ok {
 		return
 	}
--- a/entry/sched/admit.go
+++ b/entry/sched/admit.go
@@ -45,7 +45,7 @@
 	return fault.New(fault.NoEndpoint, "no endpoint of "+p.name+" is in reach: ask again").WithRetryAfter(noAgentRetry)
 }
 
-// timeToTarget returns how long the request may still wait before it starts and
+// timeToTarget returns how long the request can wait before it starts and still
 // meet its target. Zero means that its class has no target.
 func timeToTarget(f *flight, now time.Duration) time.Duration {
 	j, t := f.job, f.job.Class.Target
--- a/entry/sched/flight.go
+++ b/entry/sched/flight.go
@@ -198,7 +198,7 @@
 	f.timer.Reset(d)
 }
 
-// handleTimer does what the timer waited for.
+// handleTimer handles the expiry of the timer according to timerReason.
 func (f *flight) handleTimer() {
 	if f.now() < f.timerAt {
 		// The timer was reset after it had expired.
