--- a/entry/admin/admin.go
+++ b/entry/admin/admin.go
@@ -23,8 +23,8 @@
 	Listen string
 	// Token is the token that operators must send; if empty, none is required.
 	Token string
-	// Metrics serves GET /metrics, Status returns the answer to GET /status, and
-	// Explain that to GET /explain/{id}, or false if the request isn't known.
+	// Metrics serves GET /metrics. Status returns the answer to GET /status, and
+	// Explain the answer to GET /explain/{id}, or false if the request isn't known.
 	Metrics http.Handler
 	Status  func() report.Entry
 	Explain func(ident.ID) (report.Request, bool)
