--- a/entry/follow/look_test.go
+++ b/entry/follow/look_test.go
@@ -16,8 +16,8 @@
 )
 
 // startCheckingFollower runs a follower whose watches wait for a minute and that
-// checks when its evidence is 30 ms old. It uses the calls of s where list or watch
-// is nil. It returns the revisions that the follower learns, the newest verified
+// checks when its evidence is 30 ms old. If list or watch is nil, the method of s is
+// used. It returns the revisions that the follower learns, the newest verified
 // revision, and the times of its evidence.
 func startCheckingFollower(t *testing.T, s *platform, list listFunc, watch watchFunc) (<-chan int64, *atomic.Int64, chan time.Time) {
 	t.Helper()
@@ -69,20 +69,20 @@
 	return neverAnswer(ctx)
 }
 
-// The platform has forgotten the watch. Without a check a removed key would stay
-// valid for as long as the watch waits.
+// The platform has forgotten the watch. Without checks, a removed key would stay
+// valid until the watch ends.
 func TestCheckDuringAWatch(t *testing.T) {
 	s := &platform{revision: 1}
 	learned, verifiedRevision, _ := startCheckingFollower(t, s, nil, heldWatch)
 	await(t, learned, 1)
 	for revision := int64(2); revision < 5; revision++ {
-		s.set(func() { s.revision = revision })
+		s.withLock(func() { s.revision = revision })
 		await(t, learned, revision)
 		if got := verifiedRevision.Load(); got > revision {
 			t.Errorf("evidence of revision %d, but %d is the newest", got, revision)
 		}
 	}
-	s.set(func() { s.revision, s.historyDropped = 9, true })
+	s.withLock(func() { s.revision, s.historyDropped = 9, true })
 	await(t, learned, 9)
 }
 
@@ -104,7 +104,7 @@
 	if n := waits.Load(); n != 1 {
 		t.Errorf("%d watches, want only the first one", n)
 	}
-	s.set(func() { s.revision = 2 })
+	s.withLock(func() { s.revision = 2 })
 	await(t, learned, 2)
 }
 
@@ -132,9 +132,9 @@
 	}
 }
 
-// Answers are lost because their connections have gone silent. The next check must
-// not wait for the full call timeout of the first one, and the number of pending
-// calls must not grow with each check.
+// Answers are lost because their connections no longer carry anything. The next
+// check must not wait for the first one's full CallTimeout, and the number of
+// pending calls must not grow with each check.
 func TestUnansweredCheckIsRepeated(t *testing.T) {
 	s := &platform{revision: 1}
 	var checks, pending, maxPending atomic.Int32
@@ -147,7 +147,7 @@
 		return s.list(ctx)
 	}, heldWatch)
 	await(t, learned, 1)
-	s.set(func() { s.revision = 2 })
+	s.withLock(func() { s.revision = 2 })
 	began := time.Now()
 	await(t, learned, 2)
 	if took := time.Since(began); took > CallTimeout/2 {
@@ -181,7 +181,7 @@
 func TestFirstCallAfterAnOutageIsACheck(t *testing.T) {
 	s := &platform{revision: 1}
 	first := make(chan string, 100)
-	note := func(call string) bool {
+	recordCall := func(call string) bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.isAway {
@@ -194,21 +194,21 @@
 		return true
 	}
 	learned, _, _ := startCheckingFollower(t, s, func(ctx context.Context) ([]Change[int], int64, error) {
-		note("check")
+		recordCall("check")
 		return s.list(ctx)
 	}, func(ctx context.Context, since int64, wait time.Duration) ([]Change[int], int64, error) {
-		if !note("watch") {
+		if !recordCall("watch") {
 			return nil, 0, errors.New("away")
 		}
 		return s.watch(ctx, since, wait)
 	})
 	await(t, learned, 1)
-	s.set(func() { s.isAway = true })
+	s.withLock(func() { s.isAway = true })
 	time.Sleep(100 * time.Millisecond)
 	for len(first) > 0 {
 		<-first
 	}
-	s.set(func() { s.isAway, s.revision = false, 2 })
+	s.withLock(func() { s.isAway, s.revision = false, 2 })
 	if call := <-first; call != "check" {
 		t.Errorf("the first call is a %s", call)
 	}
@@ -225,7 +225,7 @@
 	<-evidence
 	began := time.Now()
 	<-evidence // nothing has changed
-	s.set(func() { s.revision = 2 })
+	s.withLock(func() { s.revision = 2 })
 	await(t, learned, 2)
 	if took := time.Since(began); took > CallTimeout/2 {
 		t.Errorf("learned after %v", took)
@@ -235,8 +235,8 @@
 	}
 }
 
-// A check is being read while a watch brings a later change. The older list must
-// not undo it.
+// While the answer to a check is being read, a watch brings a later change. The
+// older list must not undo that change.
 func TestOlderCheckIsIgnored(t *testing.T) {
 	f := New(Config[int]{NextCheck: func() time.Duration { return time.Hour }})
 	f.since = 7
--- a/entry/main.go
+++ b/entry/main.go
@@ -1,5 +1,5 @@
-// Command entry accepts callers' requests and carries each of them to its one final
-// answer.
+// Command entry accepts callers' requests, dispatches each to an agent, and sends
+// its caller exactly one final answer.
 package main
 
 import (
