--- a/agent/answer/follow.go
+++ b/agent/answer/follow.go
@@ -79,6 +79,8 @@
 // maxBatchChunks is the largest number of chunks that a follower copies at once.
 const maxBatchChunks = 32
 
+// nextStep records that f has sent all chunks before nextSeq, and returns the
+// messages that f sends next.
 func (l *Log) nextStep(f *Follower, headSent bool, nextSeq uint32) step {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/agent/answer/log_test.go
+++ b/agent/answer/log_test.go
@@ -81,7 +81,7 @@
 	}
 	l.DropChunks()
 	if b.Used() != 0 {
-		t.Fatalf("%d bytes held after Drop", b.Used())
+		t.Fatalf("%d bytes held after DropChunks", b.Used())
 	}
 }
 
--- a/agent/engine/engine.go
+++ b/agent/engine/engine.go
@@ -20,9 +20,9 @@
 var ErrTruncated = errors.New("engine: the answer broke off: the engine failed or was stopped while it ran the request")
 
 // ErrUnknown reports that the engine has no record of a request.
-var ErrUnknown = errors.New("engine: request unknown: it ended long ago or never came")
+var ErrUnknown = errors.New("engine: request unknown: it ended long ago or never arrived")
 
-// Engine is one model engine beside the agent.
+// Engine is the client of the model engine that runs beside the agent.
 type Engine struct {
 	base string
 	// callClient sends each request on its own connection, see call.NewClient.
@@ -31,7 +31,7 @@
 	controlClient *http.Client
 }
 
-// New returns the engine at base, such as http://127.0.0.1:8000.
+// New returns a client of the engine at base, such as http://127.0.0.1:8000.
 func New(base string, callClient, controlClient *http.Client) *Engine {
 	return &Engine{base: base, callClient: callClient, controlClient: controlClient}
 }
--- a/agent/links/links.go
+++ b/agent/links/links.go
@@ -182,6 +182,7 @@
 	return wire.Counts(sum)
 }
 
+// counts is a sum of traffic counts.
 type counts wire.Counts
 
 func (c *counts) add(o wire.Counts) {
@@ -227,6 +228,8 @@
 	return len(s.openLinks)
 }
 
+// handleMessage passes a message to the owner, except for heartbeats, which it
+// does not need.
 func (s *Server) handleMessage(ctx context.Context, p *slot.Peer, m wire.Message) {
 	if m.Kind() == wire.KindHeartbeat {
 		return
--- a/agent/node_test.go
+++ b/agent/node_test.go
@@ -21,10 +21,10 @@
 
 // testAgent is an agent in the test process. The test serves its endpoint.
 type testAgent struct {
-	link  string
-	stop  context.CancelFunc
-	ended chan error
-	node  *node
+	linkAddr string
+	stop     context.CancelFunc
+	ended    chan error
+	node     *node
 }
 
 func startAgent(t testing.TB, kind string, h http.HandlerFunc) *testAgent {
@@ -52,14 +52,14 @@
 	if err := json.NewDecoder(r).Decode(&line); err != nil || line.Ready != "a" {
 		t.Fatalf("ready line %+v: %v", line, err)
 	}
-	a.link = line.Listen
+	a.linkAddr = line.Listen
 	return a
 }
 
 // dial opens a link as an entry and returns a channel with the agent's messages.
 func dial(t testing.TB, a *testAgent, key string) (*wire.Link, <-chan wire.Message, error) {
 	t.Helper()
-	conn, err := net.Dial("tcp", a.link)
+	conn, err := net.Dial("tcp", a.linkAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,7 +182,7 @@
 // It must not start: both would send orders to the same engine.
 func TestSecondAgentDoesNotStart(t *testing.T) {
 	a := startAgent(t, conf.EndpointService, http.NotFound)
-	cfg := &conf.Agent{Common: conf.Common{Name: "b", FleetKey: fleetKey}, LinkListen: a.link, Endpoint: conf.Endpoint{Address: "http://127.0.0.1:1"}}
+	cfg := &conf.Agent{Common: conf.Common{Name: "b", FleetKey: fleetKey}, LinkListen: a.linkAddr, Endpoint: conf.Endpoint{Address: "http://127.0.0.1:1"}}
 	n, err := newNode(cfg, "none")
 	if err != nil {
 		t.Fatal(err)
--- a/agent/plain/plain.go
+++ b/agent/plain/plain.go
@@ -9,13 +9,13 @@
 	"lycheepond/agent/call"
 )
 
-// Service is one plain service beside the agent.
+// Service is the client of the plain service that runs beside the agent.
 type Service struct {
 	base   string
 	client *http.Client
 }
 
-// New returns the service at base, such as http://127.0.0.1:8000.
+// New returns a client of the service at base, such as http://127.0.0.1:8000.
 func New(base string, client *http.Client) *Service { return &Service{base: base, client: client} }
 
 // Run sends r once and passes the answer to sink.
--- a/agent/slot/attach.go
+++ b/agent/slot/attach.go
@@ -15,11 +15,11 @@
 	"lycheepond/core/wire"
 )
 
-// handleAttach handles the request of an entry that lost its link after a grant.
+// handleAttach handles the Attach of an entry that lost its link after a grant.
 //
 // The agent may say that a grant never arrived only if this incarnation claimed
 // the request, because a grant follows a claim. Without a record of a claim, the
-// grant went to an earlier incarnation, and only the engine may know what became
+// grant went to an earlier incarnation, and only the engine may know the outcome
 // of the request.
 func (o *Owner) handleAttach(now time.Duration, p *Peer, m *wire.Attach) {
 	r := o.records[m.ID]
@@ -56,7 +56,8 @@
 }
 
 // resume reads the stream of a request that an earlier incarnation of this agent
-// started. The entry is told that the outcome is unknown if that is not possible.
+// started. If that is not possible, it reports to the entry that the outcome is
+// unknown.
 func (o *Owner) resume(now time.Duration, p *Peer, m *wire.Attach) {
 	r := o.adoptRequest(now, p, m.ID)
 	if o.cfg.Resume == nil || !m.Stream || o.isLeaving {
@@ -89,7 +90,7 @@
 	return r
 }
 
-// brokenReason returns the reason why an answer is incomplete that the owner did
+// brokenReason returns the reason for an incomplete answer whose run the owner did
 // not stop.
 func brokenReason(res call.Result) wire.Reason {
 	switch {
@@ -115,7 +116,7 @@
 func (o *Owner) handleLinkUp(now time.Duration, p *Peer) {
 	s := o.sessionOf(p)
 	s.link, s.linkedAt = p, now
-	o.nextLeaseRound = 0
+	o.nextLeaseRoundAt = 0
 	logs.Info(o.log, logs.EventLinkUp, zap.String("peer", p.Name), zap.Uint64("incarnation", p.Incarnation))
 	if o.isLeaving || o.orderState.servedVersion != "" {
 		o.sendHeartbeat(p)
--- a/agent/slot/bench_test.go
+++ b/agent/slot/bench_test.go
@@ -131,12 +131,12 @@
 // applyUntil applies events from goroutines until cond holds.
 func (h *harness) applyUntil(cond func() bool) {
 	h.t.Helper()
-	limit := time.After(testTimeout)
+	timeout := time.After(testTimeout)
 	for !cond() {
 		select {
 		case ev := <-h.o.events.Items():
 			h.apply(ev)
-		case <-limit:
+		case <-timeout:
 			h.t.Fatal("the condition was not met in time")
 		}
 	}
@@ -145,7 +145,7 @@
 // receive returns the next message of type M to the entry and skips all others.
 func receive[M wire.Message](p *testLink) M {
 	p.h.t.Helper()
-	limit := time.After(testTimeout)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case m := <-p.messages:
@@ -154,7 +154,7 @@
 			}
 		case ev := <-p.h.o.events.Items():
 			p.h.apply(ev)
-		case <-limit:
+		case <-timeout:
 			var want M
 			p.h.t.Fatalf("no %s arrived", want.Kind())
 		}
--- a/agent/slot/claim.go
+++ b/agent/slot/claim.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// runningOnly as the tier of committedWork excludes claims and grants.
+// runningOnly, passed as the tier of committedWork, excludes claims and grants.
 const runningOnly = -1
 
 // committedWork returns the total of the running requests and of those that were
--- a/agent/slot/event.go
+++ b/agent/slot/event.go
@@ -15,7 +15,8 @@
 	apply(o *Owner, now time.Duration)
 }
 
-// Peer is one link to an entry.
+// Peer is an entry process at the other end of one link. A new link to the same
+// process gets a new Peer.
 type Peer struct {
 	// Name and Incarnation identify the entry process.
 	Name        string
--- a/agent/slot/hand.go
+++ b/agent/slot/hand.go
@@ -32,12 +32,12 @@
 	pool string
 	plan homes.Handover
 	// pendingKeys holds the records that have not been acknowledged. The first
-	// partKeys of them belong to part, the part that is being sent.
-	pendingKeys []*keyRecord
-	part        *wire.Handover
-	partKeys    int
-	// nextSend is when part is sent again.
-	nextSend time.Duration
+	// partKeyCount of them belong to part, the part that is being sent.
+	pendingKeys  []*keyRecord
+	part         *wire.Handover
+	partKeyCount int
+	// nextSendAt is when part is sent again.
+	nextSendAt time.Duration
 	// isDone is set when the last part was acknowledged or no handover is possible.
 	isDone bool
 }
@@ -74,9 +74,9 @@
 	if o.handoverDeadline == 0 {
 		o.handoverDeadline = min(now+handoverTimeout, o.leaveDeadline)
 	}
-	for pool, h := range o.homeViews {
-		for _, plan := range h.Handovers(now) {
-			o.beginHandover(pool, h, plan)
+	for pool, view := range o.homeViews {
+		for _, plan := range view.Handovers(now) {
+			o.beginHandover(pool, view, plan)
 		}
 	}
 	for _, h := range o.outgoingHandovers {
@@ -136,14 +136,14 @@
 // sendPart sends the current part on any link. A repetition may go through another
 // entry, because not every entry has a link to the receiver.
 func (o *Owner) sendPart(now time.Duration, h *outgoingHandover) {
-	if h.isDone || now < h.nextSend {
+	if h.isDone || now < h.nextSendAt {
 		return
 	}
 	if h.part == nil {
 		h.part = &wire.Handover{Pool: h.pool, From: agentProcess(o.cfg.Self), To: agentProcess(h.plan.To), Epoch: h.plan.Epoch}
 		o.fillPart(h)
 	}
-	h.nextSend = now + partRetryInterval
+	h.nextSendAt = now + partRetryInterval
 	for _, s := range o.sessions {
 		if s.link != nil {
 			o.send(s.link, h.part)
@@ -154,13 +154,13 @@
 
 // fillPart adds the next records to the part, and the slots to the last part.
 func (o *Owner) fillPart(h *outgoingHandover) {
-	h.partKeys = 0
+	h.partKeyCount = 0
 	size := 0
 	for _, k := range h.pendingKeys {
 		if len(h.part.Records) == wire.MaxRecords || size >= partAnswerBytes {
 			return
 		}
-		h.partKeys++
+		h.partKeyCount++
 		r := wire.KeyRecord{Key: []byte(k.key), FirstID: k.firstID, Digest: k.digest}
 		if !k.isRemoved && k.answer.Export(&r) {
 			h.part.Records = append(h.part.Records, r)
@@ -185,7 +185,7 @@
 			logs.Info(o.log, logs.EventKeysHandedOver, zap.String("pool", h.pool), zap.String("to", h.plan.To.Name), zap.Int("slots", len(h.plan.Slots)))
 			return
 		}
-		h.pendingKeys, h.nextSend = h.pendingKeys[h.partKeys:], now
+		h.pendingKeys, h.nextSendAt = h.pendingKeys[h.partKeyCount:], now
 		h.part = &wire.Handover{Pool: part.Pool, From: part.From, To: part.To, Epoch: part.Epoch, Seq: part.Seq + 1}
 		o.fillPart(h)
 		o.sendPart(now, h)
@@ -219,38 +219,38 @@
 	return false
 }
 
-// handleHandover handles one part from an owner that leaves. A part that cannot be
+// handleHandover handles one part from a leaving agent. A part that cannot be
 // imported gets no reply, and the sender repeats it until its handover times out.
 // The result is then the same as without a handover.
 func (o *Owner) handleHandover(now time.Duration, p *Peer, m *wire.Handover) {
-	h := o.homeViews[m.Pool]
-	if o.isLeaving || h == nil || homeOwner(m.To) != o.cfg.Self || h.Table().Epoch < m.Epoch || len(o.keys)+len(m.Records) > maxKeys {
+	view := o.homeViews[m.Pool]
+	if o.isLeaving || view == nil || homeOwner(m.To) != o.cfg.Self || view.Table().Epoch < m.Epoch || len(o.keys)+len(m.Records) > maxKeys {
 		return
 	}
 	id := handoverID{pool: m.Pool, from: homeOwner(m.From), epoch: m.Epoch}
-	t := o.incomingHandovers[id]
-	if m.Seq > t.nextSeq {
+	progress := o.incomingHandovers[id]
+	if m.Seq > progress.nextSeq {
 		return
 	}
-	if m.Seq == t.nextSeq {
-		o.importPart(now, h, id, m)
+	if m.Seq == progress.nextSeq {
+		o.importPart(now, view, id, m)
 		for otherID, other := range o.incomingHandovers {
 			if now-other.updatedAt > incomingRetention {
 				delete(o.incomingHandovers, otherID)
 			}
 		}
-		o.incomingHandovers[id] = incomingHandover{nextSeq: t.nextSeq + 1, updatedAt: now}
+		o.incomingHandovers[id] = incomingHandover{nextSeq: progress.nextSeq + 1, updatedAt: now}
 	}
 	o.send(p, &wire.HandoverAck{Pool: m.Pool, From: m.To, To: m.From, Epoch: m.Epoch, Seq: m.Seq})
 }
 
 // importPart stores the records of one part. They are valid even if the later
 // parts never arrive.
-func (o *Owner) importPart(now time.Duration, h *homes.View, id handoverID, m *wire.Handover) {
-	slots := len(h.Table().Slots)
+func (o *Owner) importPart(now time.Duration, view *homes.View, id handoverID, m *wire.Handover) {
+	slots := len(view.Table().Slots)
 	for i := range m.Records {
 		r := &m.Records[i]
-		if o.keys[string(r.Key)] != nil || !h.ExpectsHandover(homes.Slot(r.Key, slots), id.from, id.epoch) {
+		if o.keys[string(r.Key)] != nil || !view.ExpectsHandover(homes.Slot(r.Key, slots), id.from, id.epoch) {
 			continue
 		}
 		k := &keyRecord{key: string(r.Key), pool: m.Pool, firstID: r.FirstID, digest: r.Digest, answer: answer.Import(&o.budget, r), endedAt: now}
@@ -264,6 +264,6 @@
 	for _, s := range m.Slots {
 		slotList = append(slotList, homes.SlotHandover{Slot: int(s.Slot), Since: s.LostBefore})
 	}
-	h.AcceptHandover(id.from, id.epoch, slotList)
+	view.AcceptHandover(id.from, id.epoch, slotList)
 	logs.Info(o.log, logs.EventKeyTakenOver, zap.String("pool", m.Pool), zap.String("from", m.From.Name), zap.Int("slots", len(slotList)))
 }
--- a/agent/slot/hand_test.go
+++ b/agent/slot/hand_test.go
@@ -96,7 +96,7 @@
 	h.applyUntil(h.o.leaveComplete)
 	q.send(keyedOffer(501, "kept", 2))
 	if k := receive[*wire.KeyStatus](q); k.State != wire.KeyJoined || k.FirstID != newOffer(1).ID {
-		t.Fatalf("known %+v", k)
+		t.Fatalf("key status %+v", k)
 	}
 	if head := receive[*wire.Head](q); head.Status != 200 {
 		t.Fatalf("head %+v", head)
@@ -111,11 +111,11 @@
 	other.Digest++
 	q.send(other)
 	if k := receive[*wire.KeyStatus](q); k.State != wire.KeyMismatch {
-		t.Fatalf("known %+v", k)
+		t.Fatalf("key status %+v", k)
 	}
 	q.send(keyedOffer(503, "gone", 2))
 	if k := receive[*wire.KeyStatus](q); k.State != wire.KeyAnswerDropped {
-		t.Fatalf("known %+v", k)
+		t.Fatalf("key status %+v", k)
 	}
 	q.startRequest(keyedOffer(504, "never used", 2))
 }
@@ -212,7 +212,7 @@
 	q.confirmEpoch(2, 0)
 	q.send(keyedOffer(900, "k", 2))
 	if k := receive[*wire.KeyStatus](q); k.State != wire.KeyUnknown {
-		t.Fatalf("known %+v", k)
+		t.Fatalf("key status %+v", k)
 	}
 }
 
@@ -273,6 +273,6 @@
 	m.KeyCreatedMS = startWallMS + 400
 	q.send(m)
 	if k := receive[*wire.KeyStatus](q); k.State != wire.KeyUnknown {
-		t.Fatalf("known %+v", k)
+		t.Fatalf("key status %+v", k)
 	}
 }
--- a/agent/slot/keys.go
+++ b/agent/slot/keys.go
@@ -83,11 +83,11 @@
 // keyRefusal returns the reason why this agent may not act for a key now, or
 // ReasonNone.
 func (o *Owner) keyRefusal(now time.Duration, m *wire.Offer) wire.Reason {
-	h := o.homeViews[m.Pool]
-	if h == nil {
+	view := o.homeViews[m.Pool]
+	if view == nil {
 		return wire.ReasonNotHome
 	}
-	switch h.CheckOwnership(now, m.KeyHash, m.Epoch) {
+	switch view.CheckOwnership(now, m.KeyHash, m.Epoch) {
 	case homes.NotHome:
 		return wire.ReasonNotHome
 	case homes.NoLease:
@@ -103,9 +103,9 @@
 	if r.key == nil || r.offer == nil || o.homeViews[r.offer.Pool] == nil {
 		return nil
 	}
-	until, clock := o.homeViews[r.offer.Pool].LeaseEnd(), o.cfg.Now
+	leaseEnd, clock := o.homeViews[r.offer.Pool].LeaseEnd(), o.cfg.Now
 	r.guard = &call.Guard{Check: func() error {
-		if clock() >= until {
+		if clock() >= leaseEnd {
 			return errLeaseExpired
 		}
 		return nil
--- a/agent/slot/keys_test.go
+++ b/agent/slot/keys_test.go
@@ -46,7 +46,7 @@
 // confirmEpoch replies to the agent's next lease request.
 func (p *testLink) confirmEpoch(epoch int64, age time.Duration) {
 	p.h.t.Helper()
-	p.h.o.nextLeaseRound = 0
+	p.h.o.nextLeaseRoundAt = 0
 	p.h.advance(0)
 	a := receive[*wire.LeaseRequest](p)
 	p.send(&wire.LeaseReply{Seq: a.Seq, Pool: a.Pool, Epoch: epoch, AgeMS: uint32(age.Milliseconds()), Confirmed: true})
@@ -71,7 +71,7 @@
 	q := h.newLink(entryIncarnation + 1)
 	q.send(keyedOffer(2, "k", 1))
 	if k := receive[*wire.KeyStatus](q); k.State != wire.KeyJoined || k.FirstID != first.ID {
-		t.Fatalf("known %+v", k)
+		t.Fatalf("key status %+v", k)
 	}
 	r.finish("filed")
 	if c := receive[*wire.Chunk](q); string(c.Data) != "filed" || c.ID != newOffer(2).ID {
@@ -106,7 +106,7 @@
 	q.send(newGrant(newOffer(2)))
 	h.nextRun().finish("filed")
 	if k := receive[*wire.KeyStatus](p); k.State != wire.KeyJoined {
-		t.Fatalf("known %+v", k)
+		t.Fatalf("key status %+v", k)
 	}
 	if c := receive[*wire.Chunk](p); string(c.Data) != "filed" {
 		t.Fatalf("chunk %+v", c)
@@ -126,7 +126,7 @@
 	other.Digest = 2
 	p.send(other)
 	if k := receive[*wire.KeyStatus](p); k.State != wire.KeyMismatch {
-		t.Fatalf("known %+v", k)
+		t.Fatalf("key status %+v", k)
 	}
 }
 
@@ -148,11 +148,11 @@
 	old.KeyCreatedMS = since - 1
 	p.send(old)
 	if k := receive[*wire.KeyStatus](p); k.State != wire.KeyUnknown {
-		t.Fatalf("known %+v", k)
+		t.Fatalf("key status %+v", k)
 	}
 	p.send(keyedOffer(3, "opaque", 2))
 	if k := receive[*wire.KeyStatus](p); k.State != wire.KeyUnknown {
-		t.Fatalf("known %+v", k)
+		t.Fatalf("key status %+v", k)
 	}
 	h.expectIdle()
 	h.advance(homes.MaxClockSkew + time.Millisecond)
@@ -233,7 +233,7 @@
 	h.o.records[newOffer(1).ID].answer.DropChunks()
 	p.send(keyedOffer(2, "k", 1))
 	if k := receive[*wire.KeyStatus](p); k.State != wire.KeyAnswerDropped {
-		t.Fatalf("known %+v", k)
+		t.Fatalf("key status %+v", k)
 	}
 	h.expectIdle()
 }
@@ -247,8 +247,8 @@
 	if r := receive[*wire.Return](p); r.Reason != wire.ReasonNotHome {
 		t.Fatalf("return without a table: %+v", r)
 	}
-	tab := homesTable(1, 0)
-	p.sendTable(tab)
+	table := homesTable(1, 0)
+	p.sendTable(table)
 	p.send(keyedOffer(2, "k", 1))
 	if r := receive[*wire.Return](p); r.Reason != wire.ReasonNoLease {
 		t.Fatalf("return without a lease: %+v", r)
--- a/agent/slot/lease.go
+++ b/agent/slot/lease.go
@@ -55,27 +55,27 @@
 		logs.Error(o.log, logs.EventConfigRejected, zap.String("object", m.ObjectKind+"/"+m.Name), zap.Int64("version", m.Version), zap.Error(err))
 		return
 	}
-	h := o.homeViews[m.Name]
-	if h == nil {
-		h = homes.NewView(o.cfg.Self)
-		o.homeViews[m.Name] = h
+	view := o.homeViews[m.Name]
+	if view == nil {
+		view = homes.NewView(o.cfg.Self)
+		o.homeViews[m.Name] = view
 	}
-	if h.Update(now, t) {
+	if view.Update(now, t) {
 		logs.Info(o.log, logs.EventHomesChanged, zap.String("pool", m.Name), zap.Int64("epoch", t.Epoch))
-		o.nextLeaseRound = 0
+		o.nextLeaseRoundAt = 0
 	}
 }
 
-// requestLeases asks entries to confirm the tables and the assignment that a due
-// order follows from. A confirmation counts from the time of the request, so that
+// requestLeases asks entries to confirm the tables of homes and, if an order is
+// due, its assignment. A confirmation counts from the time of the request, so that
 // a late reply does not extend a lease.
 func (o *Owner) requestLeases(now time.Duration) {
-	if now < o.nextLeaseRound {
+	if now < o.nextLeaseRoundAt {
 		return
 	}
 	interval := maxLeaseInterval
-	for pool, h := range o.homeViews {
-		if lease := h.Table().Lease.Std(); lease > 0 {
+	for pool, view := range o.homeViews {
+		if lease := view.Table().Lease.Std(); lease > 0 {
 			interval = min(interval, lease/roundsPerLease)
 		}
 		o.sendLeaseRequests(now, pool)
@@ -84,9 +84,9 @@
 		interval = min(interval, orderLeaseInterval)
 		o.sendLeaseRequests(now, wire.AssignPrefix+model)
 	}
-	o.nextLeaseRound = now + interval
-	for seq, a := range o.leaseRequests {
-		if now-a.sentAt > homes.DefaultLease {
+	o.nextLeaseRoundAt = now + interval
+	for seq, request := range o.leaseRequests {
+		if now-request.sentAt > homes.DefaultLease {
 			delete(o.leaseRequests, seq)
 		}
 	}
@@ -116,8 +116,8 @@
 	if !m.Confirmed {
 		return
 	}
-	if h := o.homeViews[m.Pool]; h != nil {
-		h.ExtendLease(request.sentAt, ms(m.AgeMS), m.Epoch)
+	if view := o.homeViews[m.Pool]; view != nil {
+		view.ExtendLease(request.sentAt, ms(m.AgeMS), m.Epoch)
 		return
 	}
 	o.confirmAssignment(now, request, m)
--- a/agent/slot/leave.go
+++ b/agent/slot/leave.go
@@ -35,13 +35,13 @@
 	}
 }
 
-// maxAttachDelay is how long an entry may take to ask for its answers after it has
-// opened a new link. It asks at once unless it is busy.
+// maxAttachDelay is how long an entry may take to attach to its answers after it
+// has opened a new link. It attaches at once unless it is busy.
 const maxAttachDelay = 500 * time.Millisecond
 
-// owesAnswer reports whether a planned stop must wait for an entry that lost its
+// hasUndeliveredAnswer reports whether a planned stop must wait for an entry that lost its
 // link and may still ask for an answer that only this agent has.
-func (o *Owner) owesAnswer(now time.Duration) bool {
+func (o *Owner) hasUndeliveredAnswer(now time.Duration) bool {
 	if now >= o.leaveDeadline {
 		return false
 	}
@@ -76,5 +76,5 @@
 // leaveComplete reports whether a planned stop is complete.
 func (o *Owner) leaveComplete() bool {
 	now := o.cfg.Now()
-	return o.isLeaving && len(o.running) == 0 && len(o.readyRecords) == 0 && !o.owesAnswer(now) && o.handoversComplete(now) && (o.taskCount == 0 || now > o.leaveDeadline+cancelTimeout)
+	return o.isLeaving && len(o.running) == 0 && len(o.readyRecords) == 0 && !o.hasUndeliveredAnswer(now) && o.handoversComplete(now) && (o.taskCount == 0 || now > o.leaveDeadline+cancelTimeout)
 }
--- a/agent/slot/load.go
+++ b/agent/slot/load.go
@@ -12,8 +12,8 @@
 	"lycheepond/core/wire"
 )
 
-// maxMissedReports is the number of consecutive load reports that fail to arrive
-// at which the endpoint counts as stalled and no request is claimed for it.
+// maxMissedReports is the number of consecutive missed load reports after which
+// the endpoint counts as stalled and no request is claimed for it.
 const maxMissedReports = 3
 
 // Load returns the endpoint's load as of the last decision. It is safe for
--- a/agent/slot/order.go
+++ b/agent/slot/order.go
@@ -61,10 +61,10 @@
 	acceptedFence int64
 	accepted      orderContent
 	acceptedAt    time.Duration
-	// isBusy is set while an order is being sent.
-	isBusy bool
-	// nextAttempt is the earliest time for the next order.
-	nextAttempt time.Duration
+	// isSending is set while an order is being sent.
+	isSending bool
+	// nextOrderAt is the earliest time for the next order.
+	nextOrderAt time.Duration
 	// servedModel and servedVersion are what the endpoint serves according to its
 	// last load report.
 	servedModel, servedVersion string
@@ -89,7 +89,7 @@
 	}
 	assignment, namesSelf := a.Endpoints[o.cfg.Self.Name]
 	o.orderState.assignments[m.Name] = &knownAssignment{version: m.Version, epoch: a.Epoch, assignment: assignment, namesSelf: namesSelf}
-	o.nextLeaseRound = 0
+	o.nextLeaseRoundAt = 0
 }
 
 // confirmAssignment handles the confirmation that an assignment was in force at
@@ -116,7 +116,7 @@
 // orderDue reports whether an order is to be sent as soon as its assignment is
 // confirmed.
 func (o *Owner) orderDue(now time.Duration, model string, a *knownAssignment) bool {
-	if a == nil || o.orderState.isBusy || now < o.orderState.nextAttempt || a.version < o.orderState.lastSentFence {
+	if a == nil || o.orderState.isSending || now < o.orderState.nextOrderAt || a.version < o.orderState.lastSentFence {
 		return false
 	}
 	serves := o.orderState.servedModel == model && o.orderState.servedVersion == a.assignment.Version
@@ -140,19 +140,19 @@
 }
 
 func (o *Owner) startOrder(now time.Duration, model string, a *knownAssignment) {
-	until, clock := a.confirmedUntil, o.cfg.Now
+	leaseEnd, clock := a.confirmedUntil, o.cfg.Now
 	ord := engine.Order{Fence: a.version, Model: model, Version: a.assignment.Version, Adapter: a.assignment.Adapter, Role: a.assignment.Role, Guard: &call.Guard{Check: func() error {
-		if clock() >= until {
+		if clock() >= leaseEnd {
 			return errOrderLease
 		}
 		return nil
 	}}}
-	o.orderState.isBusy, o.orderState.lastSentFence = true, a.version
+	o.orderState.isSending, o.orderState.lastSentFence = true, a.version
 	sendOrder := o.cfg.SendOrder
-	limit := until - now
+	timeout := leaseEnd - now
 	logs.Info(o.log, logs.EventOrderGiven, zap.String("model", model), zap.String("version", a.assignment.Version), zap.Int64("fence", a.version))
 	o.startTask(func(ctx context.Context) event {
-		ctx, stop := context.WithTimeout(ctx, limit)
+		ctx, stop := context.WithTimeout(ctx, timeout)
 		defer stop()
 		return orderEndEvent{ord, sendOrder(ctx, ord)}
 	})
@@ -164,13 +164,13 @@
 }
 
 func (e orderEndEvent) apply(o *Owner, now time.Duration) {
-	o.orderState.isBusy = false
+	o.orderState.isSending = false
 	if e.err == nil || errors.Is(e.err, engine.ErrFenced) {
 		o.orderState.acceptedFence = max(o.orderState.acceptedFence, e.order.Fence)
 		o.orderState.acceptedAt = now
 		o.orderState.accepted = orderContent{e.order.Model, spec.Assignment{Version: e.order.Version, Adapter: e.order.Adapter, Role: e.order.Role}}
 	} else {
-		o.orderState.nextAttempt = now + orderRetryDelay
+		o.orderState.nextOrderAt = now + orderRetryDelay
 	}
 	if e.err != nil {
 		logs.Warn(o.log, logs.EventOrderRefused, zap.Int64("fence", e.order.Fence), zap.Error(e.err))
--- a/agent/slot/order_test.go
+++ b/agent/slot/order_test.go
@@ -37,7 +37,7 @@
 func (h *harness) nextOrder(got chan engine.Order) engine.Order {
 	h.t.Helper()
 	h.advance(0)
-	h.applyUntil(func() bool { return len(got) > 0 && !h.o.orderState.isBusy })
+	h.applyUntil(func() bool { return len(got) > 0 && !h.o.orderState.isSending })
 	return <-got
 }
 
@@ -47,7 +47,7 @@
 	p := h.newLink(entryIncarnation)
 	p.sendAssignment(10, 1, "v2")
 	h.advance(time.Second)
-	if h.o.orderState.isBusy {
+	if h.o.orderState.isSending {
 		t.Fatal("an order was sent without a confirmation")
 	}
 	p.confirmEpoch(1, 0)
@@ -55,7 +55,7 @@
 		t.Fatalf("order %+v", o)
 	}
 	h.advance(time.Second)
-	if h.o.orderState.isBusy {
+	if h.o.orderState.isSending {
 		t.Fatal("the order was sent twice")
 	}
 }
@@ -72,13 +72,13 @@
 	p.sendAssignment(11, 2, "v3")
 	h.now += time.Minute
 	h.advance(0)
-	if h.o.orderState.isBusy {
+	if h.o.orderState.isSending {
 		t.Fatal("an order was sent on an expired confirmation")
 	}
 	// By now the entry knows a newer epoch.
 	p.confirmEpoch(3, 0)
 	h.advance(0)
-	if h.o.orderState.isBusy {
+	if h.o.orderState.isSending {
 		t.Fatal("an order was sent although a newer assignment exists")
 	}
 	p.sendAssignment(12, 3, "v4")
@@ -92,7 +92,7 @@
 	p.discardMessages()
 	h.advance(orderRepeatDelay + time.Millisecond)
 	expectNone[*wire.LeaseRequest](p)
-	if h.o.orderState.isBusy {
+	if h.o.orderState.isSending {
 		t.Fatal("an order was sent to an endpoint that already serves the assignment")
 	}
 	h.o.orderState.servedVersion = "v1"
@@ -107,7 +107,7 @@
 	p.sendAssignment(11, 2, "v3")
 	h.advance(time.Second)
 	expectNone[*wire.LeaseRequest](p)
-	if h.o.orderState.isBusy || len(got) > 0 || h.o.orderState.assignments["roster"].version != 12 {
+	if h.o.orderState.isSending || len(got) > 0 || h.o.orderState.assignments["roster"].version != 12 {
 		t.Fatal("an old update had an effect")
 	}
 }
--- a/agent/slot/owner.go
+++ b/agent/slot/owner.go
@@ -151,10 +151,10 @@
 	// handovers; zero until they may begin.
 	handoverDeadline time.Duration
 	// leaseRequests holds the unanswered lease requests by sequence number.
-	leaseRequests  map[uint32]leaseRequest
-	lastLeaseSeq   uint32
-	nextLeaseRound time.Duration
-	orderState     orderState
+	leaseRequests    map[uint32]leaseRequest
+	lastLeaseSeq     uint32
+	nextLeaseRoundAt time.Duration
+	orderState       orderState
 	// taskCount is the number of goroutines that have not reported their end.
 	taskCount int
 	// isLeaving is set when a planned stop has begun; leaveDeadline is when running
@@ -165,13 +165,13 @@
 	// reports fail to arrive.
 	isDown    bool
 	isStalled bool
-	// missedReports counts the consecutive load reports that failed to arrive.
+	// missedReports is the number of consecutive missed load reports.
 	missedReports int
-	// nextStatus is when the status is published next.
-	nextStatus time.Duration
-	// meanFirstByte is the recent mean time to the first byte, lastStreamSample the
+	// nextStatusAt is when the status is published next.
+	nextStatusAt time.Duration
+	// meanFirstByte is the recent mean time to the first byte, lastStreamSampleAt the
 	// time when a stream last gave a sample of its token interval.
-	meanFirstByte, lastStreamSample time.Duration
+	meanFirstByte, lastStreamSampleAt time.Duration
 }
 
 // New returns an owner that does nothing until Run.
@@ -252,8 +252,8 @@
 	o.tickOrders(now)
 	o.tickLeave(now)
 	o.tickHandovers(now)
-	if now >= o.nextStatus {
-		o.nextStatus = now + statusInterval
+	if now >= o.nextStatusAt {
+		o.nextStatusAt = now + statusInterval
 		o.publishStatus()
 	}
 }
--- a/agent/slot/run.go
+++ b/agent/slot/run.go
@@ -78,7 +78,8 @@
 	r.offer, r.progress, r.cancelContext, r.guard = nil, nil, nil, nil
 }
 
-// returnUnsent returns a request of which certainly no byte reached the endpoint.
+// returnUnsent returns a request to its entry after a run in which certainly no
+// byte of it reached the endpoint.
 func (o *Owner) returnUnsent(now time.Duration, r *record, res call.Result) {
 	reason := wire.ReasonUnreachable
 	switch {
--- a/agent/slot/stats.go
+++ b/agent/slot/stats.go
@@ -27,7 +27,7 @@
 	classes       map[string]classStats
 }
 
-type classStats struct{ queuedMS, firstMS, totalMS metrics.Histogram }
+type classStats struct{ queuedMS, firstByteMS, totalMS metrics.Histogram }
 
 // NewStats returns metrics that are registered in set.
 func NewStats(set *meter.Set) *Stats {
@@ -68,11 +68,13 @@
 		return
 	}
 	c := s.statsOf(o.Class)
-	c.firstMS.Update(int64(res.Usage.FirstByteMS))
+	c.firstByteMS.Update(int64(res.Usage.FirstByteMS))
 	meter.UpdateMS(c.totalMS, runTime)
 	s.customerRunMS.Observe(o.Customer, runTime.Milliseconds())
 }
 
+// statsOf returns the metrics of a class, or those of meter.Other for a new class
+// beyond maxClasses.
 func (s *Stats) statsOf(name string) classStats {
 	if c, ok := s.classes[name]; ok {
 		return c
@@ -84,9 +86,9 @@
 		}
 	}
 	c := classStats{
-		queuedMS: s.set.Histogram("agent_queued_ms", meter.Class(name)),
-		firstMS:  s.set.Histogram("agent_first_ms", meter.Class(name)),
-		totalMS:  s.set.Histogram("agent_total_ms", meter.Class(name)),
+		queuedMS:    s.set.Histogram("agent_queued_ms", meter.Class(name)),
+		firstByteMS: s.set.Histogram("agent_first_ms", meter.Class(name)),
+		totalMS:     s.set.Histogram("agent_total_ms", meter.Class(name)),
 	}
 	s.classes[name] = c
 	return c
--- a/agent/slot/status.go
+++ b/agent/slot/status.go
@@ -44,8 +44,8 @@
 			s.Levels[pool] = o.poolLevel(now, pool)
 		}
 	}
-	for pool, h := range o.homeViews {
-		s.HomesEpochs[pool] = h.Table().Epoch
+	for pool, view := range o.homeViews {
+		s.HomesEpochs[pool] = view.Table().Epoch
 	}
 	o.status.Store(s)
 }
--- a/agent/slot/tier_test.go
+++ b/agent/slot/tier_test.go
@@ -204,8 +204,8 @@
 	r := p.startRequest(tieredOffer(1, 1))
 	p.send(tieredOffer(2, 1))
 	h.apply(leaveEvent{})
-	if beat := receive[*wire.Heartbeat](p); !beat.Load.Leaving {
-		t.Fatalf("beat %+v", beat)
+	if heartbeat := receive[*wire.Heartbeat](p); !heartbeat.Load.Leaving {
+		t.Fatalf("heartbeat %+v", heartbeat)
 	}
 	if got := receive[*wire.Return](p); got.ID != tieredOffer(2, 1).ID || got.Reason != wire.ReasonLeaving || !got.Load.Leaving {
 		t.Fatalf("return %+v", got)
--- a/agent/slot/watch.go
+++ b/agent/slot/watch.go
@@ -11,13 +11,14 @@
 	// minSampleTokens is the number of new tokens that a sample of the token
 	// interval needs.
 	minSampleTokens = 16
-	// minStreamTokens is the number of tokens from which a stream counts as begun.
+	// minStreamTokens is the minimum number of tokens of a stream that counts as
+	// begun.
 	minStreamTokens = 2
-	// overdueFactor times the target is the time after which a missing first byte
-	// is sampled without waiting for it.
+	// overdueFactor is the multiple of the first-byte target after which a sample
+	// is taken although the first byte has not arrived.
 	overdueFactor = 2
-	// streamSampleValidity is how long after a sample of a stream no unstreamed
-	// answer is sampled.
+	// streamSampleValidity is how long unstreamed answers are not sampled after a
+	// sample of a stream.
 	streamSampleValidity = 10 * time.Second
 	// meanSamples is the number of samples over which the moving mean averages.
 	meanSamples = 8
@@ -94,7 +95,7 @@
 	} else {
 		s.BetweenTokens = r.progress.MeanInterval()
 	}
-	s.BetweenTokensTarget, o.lastStreamSample = betweenTarget(r), now
+	s.BetweenTokensTarget, o.lastStreamSampleAt = betweenTarget(r), now
 	r.sampledTokens, r.sampledLastNS = tokens, last
 }
 
@@ -105,7 +106,7 @@
 // are any; otherwise the mean time per token takes the place of the time to the
 // first token.
 func (o *Owner) sampleUnstreamed(now time.Duration, r *record, s *bound.Sample) {
-	if o.lastStreamSample > 0 && now-o.lastStreamSample < streamSampleValidity {
+	if o.lastStreamSampleAt > 0 && now-o.lastStreamSampleAt < streamSampleValidity {
 		return
 	}
 	tokens := time.Duration(s.OutputTokens)
--- a/agent/slot/watch_test.go
+++ b/agent/slot/watch_test.go
@@ -79,7 +79,7 @@
 	if s.FirstToken != 10*time.Millisecond || s.FirstTokenTarget != 2*time.Second/12 {
 		t.Fatalf("sample %+v", s)
 	}
-	h.o.lastStreamSample = time.Second
+	h.o.lastStreamSampleAt = time.Second
 	if s := sampleOf(h.o, 2*time.Second, r, wire.Usage{OutputTokens: 12}); s.FirstToken != 0 || s.BetweenTokens != 0 {
 		t.Fatalf("sample beside streams %+v", s)
 	}
