--- a/agent/answer/hand.go
+++ b/agent/answer/hand.go
@@ -34,8 +34,8 @@
 	return true
 }
 
-// Import returns the log of an answer that another process kept. The body becomes
-// a single chunk. If the body would exceed the budget, it is dropped, and a
+// Import returns the log of an answer that another process exported. The body
+// becomes a single chunk. If the body would exceed the budget, it is dropped, and a
 // follower gets an End with ReasonTooLong.
 func Import(b *Budget, r *wire.KeyRecord) *Log {
 	l := New(b)
--- a/agent/engine/engine_test.go
+++ b/agent/engine/engine_test.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// No process listens on the engine's address. Only after this failure may the
-// caller be told that its request was not run.
+// No process listens on the engine's address. Only this failure may be reported to
+// the caller as a request that was not run.
 func TestUnreachableEngineIsNotSent(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	url := s.URL
--- a/agent/slot/attach.go
+++ b/agent/slot/attach.go
@@ -139,7 +139,7 @@
 
 // lapse drops a waiting request whose link has ended. The record of a claimed
 // request is kept: the entry may have sent a grant that was lost, and will then
-// ask about it with an Attach.
+// send an Attach.
 func (o *Owner) lapse(now time.Duration, r *record) {
 	o.queue.Remove(r.id)
 	if r.state != stateClaimed {
--- a/agent/slot/claim.go
+++ b/agent/slot/claim.go
@@ -73,9 +73,9 @@
 // runningOnly, passed as the tier of committedWork, excludes claims and grants.
 const runningOnly = -1
 
-// committedWork returns the total of the running requests and of those that were
-// claimed or granted but have not started and whose tier is at or above the given
-// one. notStarted is the number of the latter.
+// committedWork returns the total work of the running requests, and of the claimed
+// and granted requests that have not started and whose tier is the given one or a
+// higher one. notStarted is the number of the latter.
 func (o *Owner) committedWork(tier int) (sum bound.InFlight, notStarted int) {
 	for _, r := range o.running {
 		addWork(&sum, r)
--- a/agent/slot/hand_test.go
+++ b/agent/slot/hand_test.go
@@ -107,9 +107,9 @@
 	if e := receive[*wire.End](q); !e.Complete || e.Bytes != 5 {
 		t.Fatalf("end %+v", e)
 	}
-	other := keyedOffer(502, "kept", 2)
-	other.Digest++
-	q.send(other)
+	otherOffer := keyedOffer(502, "kept", 2)
+	otherOffer.Digest++
+	q.send(otherOffer)
 	if k := receive[*wire.KeyStatus](q); k.State != wire.KeyMismatch {
 		t.Fatalf("key status %+v", k)
 	}
@@ -132,35 +132,35 @@
 	h.apply(leaveEvent{})
 	p.sendTable(movedTable(2))
 	h.advance(tickInterval)
-	first := receive[*wire.Handover](p)
+	firstPart := receive[*wire.Handover](p)
 	q.sendConfirmedTable(homesTable(1, 0))
-	q.send(first)
+	q.send(firstPart)
 	expectNone[*wire.HandoverAck](q)
 	q.sendConfirmedTable(movedTable(2))
 	h.advance(partRetryInterval)
-	again := receive[*wire.Handover](p)
-	if again.Seq != 0 {
-		t.Fatalf("part %d before part 0 was imported", again.Seq)
+	repeatedPart := receive[*wire.Handover](p)
+	if repeatedPart.Seq != 0 {
+		t.Fatalf("part %d before part 0 was imported", repeatedPart.Seq)
 	}
-	q.send(again)
-	q.send(first)
+	q.send(repeatedPart)
+	q.send(firstPart)
 	ack := receive[*wire.HandoverAck](q)
 	receive[*wire.HandoverAck](q)
 	p.send(ack)
 	p.send(ack)
-	last := receive[*wire.Handover](p)
-	if !last.Last || len(last.Records) != 1 {
-		t.Fatalf("part %d with %d records", last.Seq, len(last.Records))
+	lastPart := receive[*wire.Handover](p)
+	if !lastPart.Last || len(lastPart.Records) != 1 {
+		t.Fatalf("part %d with %d records", lastPart.Seq, len(lastPart.Records))
 	}
-	skipped := *last
-	skipped.Seq++
-	q.send(&skipped)
+	skippedPart := *lastPart
+	skippedPart.Seq++
+	q.send(&skippedPart)
 	expectNone[*wire.HandoverAck](q)
 	q.send(keyedOffer(900, "k", 2))
 	if r := receive[*wire.Return](q); r.Reason != wire.ReasonNoLease {
 		t.Fatalf("acts before the last part: %+v", r)
 	}
-	q.send(last)
+	q.send(lastPart)
 	p.send(receive[*wire.HandoverAck](q))
 	if len(successor.o.keys) != wire.MaxRecords+1 {
 		t.Fatalf("%d records", len(successor.o.keys))
@@ -225,15 +225,15 @@
 	r := p.startRequest(keyedOffer(1, "k", 1))
 	r.sink.Head(200, nil)
 	r.result <- call.Result{Sent: true, Err: errLeaseExpired}
-	before := receive[*wire.End](p)
+	endBefore := receive[*wire.End](p)
 	h.apply(leaveEvent{})
 	p.sendTable(movedTable(2))
 	q.sendConfirmedTable(movedTable(2))
 	h.advance(tickInterval)
 	relayHandover(p, q)
 	q.send(keyedOffer(2, "k", 2))
-	if e := receive[*wire.End](q); e.Complete || e.Reason != before.Reason {
-		t.Fatalf("end %+v, before %+v", e, before)
+	if e := receive[*wire.End](q); e.Complete || e.Reason != endBefore.Reason {
+		t.Fatalf("end %+v, before %+v", e, endBefore)
 	}
 }
 
--- a/agent/slot/keys.go
+++ b/agent/slot/keys.go
@@ -15,8 +15,8 @@
 )
 
 // maxKeys bounds the number of key records. Beyond it the oldest records are
-// evicted, and requests whose keys may be as old are no longer run. It follows from
-// the 32 MB of memory that an agent may use.
+// evicted, and a request whose key may be as old as an evicted one is not run. The
+// limit follows from the 32 MB of memory that an agent may use.
 const maxKeys = 20000
 
 var errLeaseExpired = errors.New("slot: the lease on the key expired before the request was sent: the request is returned and not run")
--- a/agent/slot/keys_test.go
+++ b/agent/slot/keys_test.go
@@ -65,12 +65,12 @@
 	h := newHarness(t, testBound)
 	p := h.newLink(entryIncarnation)
 	p.sendConfirmedTable(homesTable(1, 0))
-	first := keyedOffer(1, "k", 1)
-	r := p.startRequest(first)
+	firstOffer := keyedOffer(1, "k", 1)
+	r := p.startRequest(firstOffer)
 	h.apply(linkDownEvent{p.Peer})
 	q := h.newLink(entryIncarnation + 1)
 	q.send(keyedOffer(2, "k", 1))
-	if k := receive[*wire.KeyStatus](q); k.State != wire.KeyJoined || k.FirstID != first.ID {
+	if k := receive[*wire.KeyStatus](q); k.State != wire.KeyJoined || k.FirstID != firstOffer.ID {
 		t.Fatalf("key status %+v", k)
 	}
 	r.finish("filed")
@@ -115,16 +115,16 @@
 	h.expectIdle()
 }
 
-// A key is used again with a different request. The caller must be told about the
-// mismatch instead of getting the answer of the first request.
+// A key is used again with a different request. The reply must be a mismatch and
+// not the answer of the first request.
 func TestKeyOfDifferentRequestIsRefused(t *testing.T) {
 	h := newHarness(t, testBound)
 	p := h.newLink(entryIncarnation)
 	p.sendConfirmedTable(homesTable(1, 0))
 	p.startRequest(keyedOffer(1, "k", 1)).finish("x")
-	other := keyedOffer(2, "k", 1)
-	other.Digest = 2
-	p.send(other)
+	otherOffer := keyedOffer(2, "k", 1)
+	otherOffer.Digest = 2
+	p.send(otherOffer)
 	if k := receive[*wire.KeyStatus](p); k.State != wire.KeyMismatch {
 		t.Fatalf("key status %+v", k)
 	}
@@ -144,9 +144,9 @@
 	}
 	h.advance(homes.TakeoverDelay(testLease))
 	p.confirmEpoch(2, 0)
-	old := keyedOffer(2, "k", 2)
-	old.KeyCreatedMS = since - 1
-	p.send(old)
+	oldOffer := keyedOffer(2, "k", 2)
+	oldOffer.KeyCreatedMS = since - 1
+	p.send(oldOffer)
 	if k := receive[*wire.KeyStatus](p); k.State != wire.KeyUnknown {
 		t.Fatalf("key status %+v", k)
 	}
@@ -157,9 +157,9 @@
 	h.expectIdle()
 	h.advance(homes.MaxClockSkew + time.Millisecond)
 	p.confirmEpoch(2, 0)
-	young := keyedOffer(4, "young", 2)
-	young.KeyCreatedMS = startWallMS + h.now.Milliseconds()
-	p.startRequest(young)
+	newerOffer := keyedOffer(4, "young", 2)
+	newerOffer.KeyCreatedMS = startWallMS + h.now.Milliseconds()
+	p.startRequest(newerOffer)
 }
 
 // A home agent is paused beyond the end of its lease with a grant in its socket,
--- a/agent/slot/leave.go
+++ b/agent/slot/leave.go
@@ -40,7 +40,7 @@
 const maxAttachDelay = 500 * time.Millisecond
 
 // hasUndeliveredAnswer reports whether a planned stop must wait for an entry that lost its
-// link and may still ask for an answer that only this agent has.
+// link and may still attach to an answer that only this agent has.
 func (o *Owner) hasUndeliveredAnswer(now time.Duration) bool {
 	if now >= o.leaveDeadline {
 		return false
--- a/agent/slot/once_test.go
+++ b/agent/slot/once_test.go
@@ -60,7 +60,7 @@
 
 // A grant arrives for a request that was never claimed here, because it was sent
 // to the wrong agent or before a restart. The request must not run, and the entry
-// must be told so.
+// must get a Return.
 func TestStrayGrantIsReturned(t *testing.T) {
 	h := newHarness(t, testBound)
 	p := h.newLink(entryIncarnation)
@@ -76,8 +76,8 @@
 }
 
 // The entry or the agent is paused between the claim and the grant. The slot must
-// not stay reserved, and the late grant must not run the request, because the entry
-// may have been told that the request did not run.
+// not stay reserved, and the late grant must not run the request, because the agent
+// may already have reported to the entry that the request did not run.
 func TestLateGrantIsReturned(t *testing.T) {
 	for _, paused := range []string{"entry", "agent"} {
 		h := newHarness(t, testBound)
@@ -309,8 +309,8 @@
 	}
 }
 
-// An entry cancels a running request. The endpoint must be told, and the answer
-// must end with the entry's reason.
+// An entry cancels a running request. The cancel must reach the endpoint, and
+// the answer must end with the entry's reason.
 func TestCancelReachesEndpoint(t *testing.T) {
 	h := newHarness(t, testBound)
 	p := h.newLink(entryIncarnation)
--- a/agent/slot/tier_test.go
+++ b/agent/slot/tier_test.go
@@ -117,7 +117,7 @@
 func TestHigherTierStartsFirst(t *testing.T) {
 	h := newHarness(t, 1)
 	p := h.newLink(entryIncarnation)
-	first := p.startRequest(tieredOffer(1, 3))
+	firstRun := p.startRequest(tieredOffer(1, 3))
 	lowTier := tieredOffer(2, 3)
 	lowTier.CostMS = 100
 	p.send(lowTier)
@@ -128,7 +128,7 @@
 	p.send(highTier)
 	receive[*wire.Claim](p)
 	p.send(newGrant(highTier))
-	first.finish()
+	firstRun.finish()
 	h.applyUntil(func() bool { return h.o.running[highTier.ID] != nil })
 	if r := h.o.records[lowTier.ID]; r.state != stateReady {
 		t.Fatalf("the request of the lower tier is in state %d", r.state)
@@ -183,13 +183,13 @@
 	h := newHarness(t, 1)
 	p := h.newLink(entryIncarnation)
 	p.startRequest(tieredOffer(1, 3))
-	late := tieredOffer(2, 0)
-	late.FirstTargetMS, late.WaitedMS = 1000, 1001
-	p.send(late)
+	lateOffer := tieredOffer(2, 0)
+	lateOffer.FirstTargetMS, lateOffer.WaitedMS = 1000, 1001
+	p.send(lateOffer)
 	// A cost estimate beyond the target must not make a request look late.
-	costly := tieredOffer(3, 0)
-	costly.CompleteTargetMS, costly.CostMS = 60000, 600000
-	p.send(costly)
+	costlyOffer := tieredOffer(3, 0)
+	costlyOffer.CompleteTargetMS, costlyOffer.CostMS = 60000, 600000
+	p.send(costlyOffer)
 	h.advance(time.Second)
 	if n := h.o.displacingCount(); n != 0 {
 		t.Fatalf("%d runs stopped", n)
--- a/agent/slot/watch.go
+++ b/agent/slot/watch.go
@@ -25,8 +25,8 @@
 )
 
 // sampleRuns passes samples of running streams to the bound. A slow endpoint ends
-// its runs late, and a frozen one never ends them. Samples at the end of a run only
-// would therefore show the problem too late.
+// its runs late, and a frozen one never ends them. Samples that are taken only at
+// the end of a run would therefore show the problem too late.
 func (o *Owner) sampleRuns(now time.Duration) {
 	lastTokenAt, hasStream := time.Duration(0), false
 	for _, r := range o.running {
