--- a/agent/call/copy.go
+++ b/agent/call/copy.go
@@ -10,7 +10,7 @@
 const maxChunkBytes = 32 << 10
 
 // Copy passes the body chunk by chunk to sink and to observe, which may be nil.
-// It returns nil when the body ended where its HTTP framing says.
+// It returns nil if the body is complete according to its HTTP framing.
 func Copy(ctx context.Context, body io.Reader, sink Sink, p *Progress, observe func([]byte)) error {
 	buf := make([]byte, maxChunkBytes)
 	for {
--- a/trial/basel/basel.go
+++ b/trial/basel/basel.go
@@ -41,16 +41,16 @@
 type Dispatcher struct {
 	cfg    Config
 	client *http.Client
-	// turn is the number of picks and ids the number of request IDs so far.
-	turn atomic.Uint64
-	ids  atomic.Uint64
-	// startNanos is the Unix time of the start in nanoseconds. As a part of request
-	// IDs it keeps those of different dispatchers apart.
+	// pickCount is the number of picks and idCount the number of request IDs so far.
+	pickCount atomic.Uint64
+	idCount   atomic.Uint64
+	// startNanos is the Unix time of the start in nanoseconds. It is part of the
+	// request IDs, so that those of different dispatchers differ.
 	startNanos int64
 
 	mu sync.Mutex
-	// loads are the running and waiting requests of each engine by its latest
-	// report, in the order of cfg.Engines.
+	// loads holds the number of running and waiting requests of each engine in its
+	// latest report, in the order of cfg.Engines.
 	loads []int
 }
 
@@ -124,7 +124,7 @@
 // one in round-robin order wins.
 func (d *Dispatcher) pickEngine() string {
 	n := len(d.cfg.Engines)
-	best := int(d.turn.Add(1) % uint64(n))
+	best := int(d.pickCount.Add(1) % uint64(n))
 	if d.cfg.Policy == RoundRobin {
 		return d.cfg.Engines[best]
 	}
@@ -145,7 +145,7 @@
 	if r.URL.Path == "/readyz" {
 		return
 	}
-	id := strconv.FormatInt(d.startNanos, 36) + "-" + strconv.FormatUint(d.ids.Add(1), 36)
+	id := strconv.FormatInt(d.startNanos, 36) + "-" + strconv.FormatUint(d.idCount.Add(1), 36)
 	addr := d.pickEngine()
 	req, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+addr+r.URL.Path, r.Body)
 	if err != nil {
@@ -190,14 +190,14 @@
 // copyFlushing copies body to w, flushes after each read and reports whether the
 // whole body was copied.
 func copyFlushing(w http.ResponseWriter, body io.Reader) bool {
-	flush, buf := http.NewResponseController(w), make([]byte, copyBufferBytes)
+	controller, buf := http.NewResponseController(w), make([]byte, copyBufferBytes)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
 			if _, werr := w.Write(buf[:n]); werr != nil {
 				return false
 			}
-			if flush.Flush() != nil {
+			if controller.Flush() != nil {
 				return false
 			}
 		}
--- a/trial/capac/capac_test.go
+++ b/trial/capac/capac_test.go
@@ -10,7 +10,7 @@
 func TestSlopes(t *testing.T) {
 	var points []Point
 	for _, n := range []int{10, 50, 200} {
-		points = append(points, Point{Measure: ByAgents, Size: n, Load: IdleLoad, Role: RoleEntry, RSSMB: 20 + 0.05*float64(n)})
+		points = append(points, Point{Dimension: ByAgents, Size: n, Load: IdleLoad, Role: RoleEntry, RSSMB: 20 + 0.05*float64(n)})
 	}
 	for _, s := range Slopes(points) {
 		if s.Figure == "rss_mb" && (math.Abs(s.Base-20) > 0.01 || math.Abs(s.PerUnit-0.05) > 1e-6 || s.Points != 3) {
--- a/trial/capac/path.go
+++ b/trial/capac/path.go
@@ -42,8 +42,8 @@
 
 // The parameters of MeasurePath.
 const (
-	// pathPairs is the number of streams over each path.
-	pathPairs         = 60
+	// streamsPerPath is the number of streams over each path.
+	streamsPerPath    = 60
 	pathOutputTokens  = 24
 	relayRequests     = 1200
 	relayConcurrency  = 300
@@ -52,7 +52,7 @@
 )
 
 // MeasurePath measures the latency that an entry and an agent add to a stream, and
-// how many tokens they relay. For the latency it sends one request at a time, in turn
+// how many tokens they relay. For the latency it sends one request at a time, alternately
 // directly to an engine and through an entry. It calls report with two StreamLatency
 // values and two RelayThroughput values.
 func MeasurePath(ctx context.Context, set *procs.Set, report func(any) error) error {
@@ -93,14 +93,14 @@
 // measureLatency sends streams to the engines directly and through the entry.
 func measureLatency(ctx context.Context, f *fleet.Fleet, report func(any) error) error {
 	entryCaller := newEntryCaller(f)
-	var engines []string
+	var engineAddrs []string
 	for _, u := range f.Units() {
-		engines = append(engines, u.Addr)
+		engineAddrs = append(engineAddrs, u.Addr)
 	}
-	engineCaller := load.NewCaller(engines)
+	engineCaller := load.NewCaller(engineAddrs)
 	engineCaller.AssumeComplete = true
 	var directResults, entryResults []load.Result
-	for i := range pathPairs {
+	for i := range streamsPerPath {
 		directResults = append(directResults, engineCaller.Send(ctx, i, streamJob(2*i, pathOutputTokens)))
 		entryResults = append(entryResults, entryCaller.Send(ctx, i, streamJob(2*i+1, pathOutputTokens)))
 	}
--- a/trial/capac/phase.go
+++ b/trial/capac/phase.go
@@ -17,20 +17,20 @@
 type PlatformCalls struct {
 	// Phase is start, calm or after-outage.
 	Phase string `json:"calls"`
-	// Measure tells what Size counts: agents, customers or entries.
-	Measure string `json:"measure"`
-	Size    int    `json:"size"`
+	// Dimension says what Size counts: agents, customers or entries.
+	Dimension string `json:"measure"`
+	Size      int    `json:"size"`
 	// Seconds is the length of the phase.
 	Seconds float64 `json:"seconds"`
 	simapi.Stats
 }
 
-// ConfigPropagation holds how long a change of a class took to be in force. It covers
+// ConfigPropagation holds how long a change of a class took to come into force. It covers
 // entries only: agents keep no classes, since each offer holds what they need.
 type ConfigPropagation struct {
-	// Measure tells what Size counts: agents, customers or entries.
-	Measure string `json:"config_by"`
-	Size    int    `json:"size"`
+	// Dimension says what Size counts: agents, customers or entries.
+	Dimension string `json:"config_by"`
+	Size      int    `json:"size"`
 	// EntriesMS is the time from the change until it was in force at every entry, in
 	// milliseconds.
 	EntriesMS float64 `json:"entries_ms"`
@@ -56,11 +56,11 @@
 	// propagationPollInterval is the time between two checks whether a change is in
 	// force.
 	propagationPollInterval = 5 * time.Millisecond
-	// maxPropagationTime bounds the wait for a change to be in force.
+	// maxPropagationTime bounds the wait for a change to come into force.
 	maxPropagationTime = 15 * time.Second
 )
 
-// MeasurePhases measures the calls to the platform at the start, in the calm and after
+// MeasurePhases measures the calls to the platform at the start, in a calm phase and after
 // an outage, and the propagation of a change, all at the size of p. The start of the
 // deployment took startDuration. MeasurePhases calls report with PlatformCalls and
 // ConfigPropagation values.
@@ -70,7 +70,7 @@
 		return err
 	}
 	// The writes at the start are those of this program, which writes the objects.
-	if err := report(PlatformCalls{Phase: phaseStart, Measure: p.Measure, Size: p.Size, Seconds: seconds(startDuration), Stats: stats}); err != nil {
+	if err := report(PlatformCalls{Phase: phaseStart, Dimension: p.Dimension, Size: p.Size, Seconds: seconds(startDuration), Stats: stats}); err != nil {
 		return err
 	}
 	if !serve.Sleep(ctx, calmDelay) {
@@ -111,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	return report(PlatformCalls{Phase: phase, Measure: p.Measure, Size: p.Size, Seconds: seconds(d), Stats: after.Since(before)})
+	return report(PlatformCalls{Phase: phase, Dimension: p.Dimension, Size: p.Size, Seconds: seconds(d), Stats: after.Since(before)})
 }
 
 // seconds returns d in seconds, rounded to hundredths.
@@ -120,7 +120,7 @@
 // measurePropagation changes a class and waits until the change is in force at every
 // entry.
 func measurePropagation(ctx context.Context, f *fleet.Fleet, p Point) (ConfigPropagation, error) {
-	s := ConfigPropagation{Measure: p.Measure, Size: p.Size}
+	s := ConfigPropagation{Dimension: p.Dimension, Size: p.Size}
 	class := newTagClass()
 	class.Deadline = spec.Duration(11 * time.Second)
 	start := time.Now()
--- a/trial/capac/point.go
+++ b/trial/capac/point.go
@@ -8,7 +8,7 @@
 	"lycheepond/trial/serve"
 )
 
-// The values of Point.Role, Point.Measure and Point.Load.
+// The values of Point.Role, Point.Dimension and Point.Load.
 const (
 	RoleEntry = "entry"
 	RoleAgent = "agent"
@@ -24,9 +24,9 @@
 
 // Point holds the mean usage of the processes of one role at one size.
 type Point struct {
-	// Measure tells what Size counts: agents, customers or entries.
-	Measure string `json:"measure"`
-	Size    int    `json:"size"`
+	// Dimension says what Size counts: agents, customers or entries.
+	Dimension string `json:"measure"`
+	Size      int    `json:"size"`
 	// Load is idle, half or full.
 	Load string `json:"load"`
 	// Role is entry or agent.
@@ -66,7 +66,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		a.sockets = socketsByAddr[u.Link]
+		a.sockets = socketsByAddr[u.LinkAddr]
 		agents[u.Name] = a
 	}
 	return entries, agents, nil
--- a/trial/capac/proc.go
+++ b/trial/capac/proc.go
@@ -99,7 +99,7 @@
 
 // readEntryStatus fetches the status of an entry.
 func readEntryStatus(ctx context.Context, e *fleet.Entry) (s entryStatus, err error) {
-	err = fleet.CallJSON(ctx, http.MethodGet, "http://"+e.Admin+"/status", fleet.AdminToken, nil, &s)
+	err = fleet.CallJSON(ctx, http.MethodGet, "http://"+e.AdminAddr+"/status", fleet.AdminToken, nil, &s)
 	return s, err
 }
 
@@ -110,7 +110,7 @@
 		return u, err
 	}
 	var g agentMetrics
-	err = fleet.CallJSON(ctx, http.MethodGet, "http://"+a.Admin+"/metrics?format=json", fleet.AdminToken, nil, &g)
+	err = fleet.CallJSON(ctx, http.MethodGet, "http://"+a.AdminAddr+"/metrics?format=json", fleet.AdminToken, nil, &g)
 	u.controlBytes = g.Gauges["agent_control_in_bytes"] + g.Gauges["agent_control_out_bytes"]
 	u.dataBytes = g.Gauges["agent_data_in_bytes"] + g.Gauges["agent_data_out_bytes"]
 	return u, err
--- a/trial/capac/run.go
+++ b/trial/capac/run.go
@@ -27,7 +27,8 @@
 	SampleTime time.Duration
 	// RatePerAgent is the number of requests per second and agent at full load.
 	RatePerAgent float64
-	// IdleHeartbeat is the setting of this name. Zero leaves its default.
+	// IdleHeartbeat is the idle_heartbeat setting of entries and agents. Zero means
+	// the default.
 	IdleHeartbeat time.Duration
 	// Report is called with each Point, PlatformCalls and ConfigPropagation as soon as
 	// it is measured.
@@ -39,7 +40,7 @@
 	settleTime = 3 * time.Second
 	// baseEntries is the number of entries in measurements by agents or customers.
 	baseEntries = 2
-	// sharedEngines is the number of stand-in engines that the agents share.
+	// sharedEngines is the number of simulated engines that the agents share.
 	sharedEngines = 10
 	// baseAgents is the number of agents in measurements by customers or entries.
 	baseAgents   = 10
@@ -60,7 +61,7 @@
 	if err := waitForLinks(ctx, f, n); err != nil {
 		return nil, err
 	}
-	if err := MeasurePhases(ctx, f, Point{Measure: ByAgents, Size: n}, time.Since(start), cfg.Report); err != nil {
+	if err := MeasurePhases(ctx, f, Point{Dimension: ByAgents, Size: n}, time.Since(start), cfg.Report); err != nil {
 		return nil, err
 	}
 	var out []Point
@@ -69,7 +70,7 @@
 		fraction float64
 	}{{IdleLoad, 0}, {HalfLoad, 0.5}, {FullLoad, 1}} {
 		rate := l.fraction * cfg.RatePerAgent * float64(n)
-		points, err := measureAtRate(ctx, f, cfg, rate, Point{Measure: ByAgents, Size: n, Load: l.name})
+		points, err := measureAtRate(ctx, f, cfg, rate, Point{Dimension: ByAgents, Size: n, Load: l.name})
 		if err != nil {
 			return out, err
 		}
@@ -87,7 +88,7 @@
 	if err := waitForLinks(ctx, f, baseAgents); err != nil {
 		return nil, err
 	}
-	return measureAtRate(ctx, f, cfg, 0, Point{Measure: ByCustomers, Size: n, Load: IdleLoad})
+	return measureAtRate(ctx, f, cfg, 0, Point{Dimension: ByCustomers, Size: n, Load: IdleLoad})
 }
 
 // MeasureEntries measures an idle deployment with n entries. The calls to the platform
@@ -101,7 +102,7 @@
 	if err := waitForLinks(ctx, f, baseAgents); err != nil {
 		return nil, err
 	}
-	p := Point{Measure: ByEntries, Size: n, Load: IdleLoad}
+	p := Point{Dimension: ByEntries, Size: n, Load: IdleLoad}
 	if err := MeasurePhases(ctx, f, p, time.Since(start), cfg.Report); err != nil {
 		return nil, err
 	}
@@ -170,8 +171,9 @@
 	linkPollInterval = 200 * time.Millisecond
 )
 
-// waitForLinks waits until the entries have at least as many links as there are agents.
-func waitForLinks(ctx context.Context, f *fleet.Fleet, agents int) error {
+// waitForLinks waits until the entries have at least minLinks links to agents in total.
+// Callers pass the number of agents.
+func waitForLinks(ctx context.Context, f *fleet.Fleet, minLinks int) error {
 	ctx, stop := context.WithTimeout(ctx, maxLinkTime)
 	defer stop()
 	for {
@@ -189,11 +191,11 @@
 				}
 			}
 		}
-		if links >= agents {
+		if links >= minLinks {
 			return nil
 		}
 		if !serve.Sleep(ctx, linkPollInterval) {
-			return fmt.Errorf("capac: %d of %d agents are linked: read the logs", links, agents)
+			return fmt.Errorf("capac: %d of %d agents are linked: read the logs", links, minLinks)
 		}
 	}
 }
@@ -232,13 +234,13 @@
 func newEntryCaller(f *fleet.Fleet) *load.Caller {
 	var addrs []string
 	for _, e := range f.Entries() {
-		addrs = append(addrs, e.Listen)
+		addrs = append(addrs, e.ListenAddr)
 	}
 	return load.NewCaller(addrs)
 }
 
-// minCompleteShare is the share of requests that must be answered for a measurement to
-// be valid.
+// minCompleteShare is the minimum share of requests that must be answered for a
+// measurement to be valid.
 const minCompleteShare = 0.95
 
 // checkResults returns an error if any answer is wrong or too few are complete.
@@ -265,7 +267,7 @@
 )
 
 // poissonJobs returns jobs with Poisson arrivals at rate requests per second during the
-// time span. They are the same each time.
+// time span. Every call with the same arguments returns the same jobs.
 func poissonJobs(rate float64, span time.Duration) []load.Job {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	var jobs []load.Job
--- a/trial/capac/sizes.go
+++ b/trial/capac/sizes.go
@@ -31,7 +31,7 @@
 	DecodeMS float64 `json:"decode_ms,omitempty"`
 }
 
-// decodeRuns is how often an object is decoded for the mean time.
+// decodeRuns is how often an object is decoded to measure the mean time.
 const decodeRuns = 10
 
 // reportObject reports the size and the decoding time of one object.
--- a/trial/capac/slope.go
+++ b/trial/capac/slope.go
@@ -8,10 +8,10 @@
 // Slope is the linear growth of a figure of a role with the size, fitted by least
 // squares: the figure is about Base + PerUnit * size.
 type Slope struct {
-	// Measure tells what the size counts: agents, customers or entries.
-	Measure string `json:"slope"`
-	Load    string `json:"load"`
-	Role    string `json:"role"`
+	// Dimension says what the size counts: agents, customers or entries.
+	Dimension string `json:"slope"`
+	Load      string `json:"load"`
+	Role      string `json:"role"`
 	// Figure is the JSON key of the figure in a Point.
 	Figure  string  `json:"figure"`
 	Base    float64 `json:"base"`
@@ -32,14 +32,14 @@
 	{"platform_calls_s", func(p Point) float64 { return p.PlatformCallsPerSecond }},
 }
 
-// Slopes returns the slope of each figure for each measure, load and role, in the order
+// Slopes returns the slope of each figure for each dimension, load and role, in the order
 // of the points.
 func Slopes(points []Point) []Slope {
 	type group struct{ measure, load, role string }
 	var order []group
 	pointsOf := make(map[group][]Point)
 	for _, p := range points {
-		g := group{p.Measure, p.Load, p.Role}
+		g := group{p.Dimension, p.Load, p.Role}
 		if !slices.Contains(order, g) {
 			order = append(order, g)
 		}
@@ -50,7 +50,7 @@
 		for _, f := range figures {
 			base, per := fitLine(pointsOf[g], f.value)
 			out = append(out, Slope{
-				Measure: g.measure, Load: g.load, Role: g.role, Figure: f.name,
+				Dimension: g.measure, Load: g.load, Role: g.role, Figure: f.name,
 				Base: round(base), PerUnit: per, Points: len(pointsOf[g]),
 			})
 		}
--- a/trial/capac/socket.go
+++ b/trial/capac/socket.go
@@ -53,7 +53,7 @@
 	return all
 }
 
-// columnWireBytes returns how many bytes on the wire one column of ss stands for. It
+// columnWireBytes returns how many bytes on the wire one column of ss represents. It
 // returns 0 for a column that counts neither bytes nor segments.
 func columnWireBytes(info string) uint64 {
 	name, value, _ := strings.Cut(info, ":")
--- a/trial/exper/run.go
+++ b/trial/exper/run.go
@@ -29,7 +29,7 @@
 	policy string
 	set    *procs.Set
 	fleet  *fleet.Fleet
-	// dispatchers are those of a baseline. There are none under Lycheepond.
+	// dispatchers holds the dispatchers of a baseline. It is empty under Lycheepond.
 	dispatchers []*dispatcher
 	log         io.Writer
 }
@@ -45,9 +45,9 @@
 // RunResult holds the results of one run.
 type RunResult struct {
 	Scenario, Policy string
-	// Results are those of all requests, in the order of SendAt.
+	// Results holds the results of all requests, in the order of SendAt.
 	Results []load.Result
-	// Records are the engines' records of what they ran.
+	// Records holds the engines' records of what they ran.
 	Records []simeng.Record
 	// CapacityRPS is the highest rate that the engines can serve, in requests per
 	// second.
@@ -159,12 +159,13 @@
 		return out
 	}
 	for _, e := range r.fleet.Entries() {
-		out = append(out, e.Listen)
+		out = append(out, e.ListenAddr)
 	}
 	return out
 }
 
-// Requests before the run open the connections. They count in no figure.
+// Parameters of the warm-up. Its requests open the connections before the run and
+// are not counted in any figure.
 const (
 	warmupRequests     = 40
 	warmupConcurrency  = 4
@@ -177,13 +178,13 @@
 	if len(jobs) < warmupRequests {
 		return errors.New("exper: the workload is too small")
 	}
-	first := make([]load.Job, warmupRequests)
-	for i := range first {
-		first[i] = jobs[i]
-		first[i].ModelRequest.Prompt, first[i].ModelRequest.MaxTokens = fmt.Sprintf(warmupPrompt, i), warmupOutputTokens
+	warmupJobs := make([]load.Job, warmupRequests)
+	for i := range warmupJobs {
+		warmupJobs[i] = jobs[i]
+		warmupJobs[i].ModelRequest.Prompt, warmupJobs[i].ModelRequest.MaxTokens = fmt.Sprintf(warmupPrompt, i), warmupOutputTokens
 	}
 	completeCount := 0
-	for _, res := range c.RunConcurrently(r.ctx, first, warmupConcurrency) {
+	for _, res := range c.RunConcurrently(r.ctx, warmupJobs, warmupConcurrency) {
 		if res.Outcome == load.Complete {
 			completeCount++
 		} else {
@@ -219,7 +220,7 @@
 	return r.fleet.Platform().SetFault(r.ctx, simapi.Fault{Down: true})
 }
 
-// killAgent returns an event that kills agent i without warning and starts it
+// killAgent returns a trigger that kills agent i without warning and starts it
 // again. It does nothing to the baselines, which have no agents.
 func killAgent(i int) func(*runner) error {
 	return func(r *runner) error {
@@ -234,7 +235,7 @@
 // maxStopTime is how long a planned stop may take in an experiment.
 const maxStopTime = 10 * time.Second
 
-// stopAgent returns an event that stops agent i as planned and starts it again. It
+// stopAgent returns a trigger that stops agent i as planned and starts it again. It
 // does nothing to the baselines.
 func stopAgent(i int) func(*runner) error {
 	return func(r *runner) error {
@@ -246,7 +247,7 @@
 	}
 }
 
-// killEntry returns an event that kills entry i, or dispatcher i of a baseline,
+// killEntry returns a trigger that kills entry i, or dispatcher i of a baseline,
 // and starts it again.
 func killEntry(i int) func(*runner) error {
 	return func(r *runner) error {
--- a/trial/exper/scene.go
+++ b/trial/exper/scene.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// engineSpeeds are the speeds of the engines, which stand for several hardware
-// generations.
+// engineSpeeds are the speeds of the engines, which represent several
+// hardware generations.
 var engineSpeeds = []float64{1.6, 1.2, 1.0, 0.8, 0.7}
 
 // engineConfig returns the configuration of an engine with speed 1.
@@ -145,7 +145,7 @@
 
 // Capacity returns how many requests per second of a mix the engines can serve
 // with full batches and with the shared prefixes cached. It is calculated from the
-// formula that the stand-in engine uses for the time of a step.
+// formula that the simulated engine uses for the time of a step.
 func Capacity(shapes []shape) float64 {
 	var secondsPerRequest float64
 	for _, s := range shapes {
--- a/trial/exper/sum.go
+++ b/trial/exper/sum.go
@@ -21,7 +21,8 @@
 	// Late counts complete answers outside the target and requests whose caller
 	// gave up.
 	Late int `json:"late"`
-	// Refused also counts requests that failed as a mistake of the caller.
+	// Refused also counts requests that were rejected because of a mistake of the
+	// caller.
 	Refused int `json:"refused"`
 	Unknown int `json:"unknown"`
 	Wrong   int `json:"wrong"`
@@ -48,7 +49,7 @@
 // TierSummaries returns the figures of each tier, indexed by tier.
 func (run RunResult) TierSummaries() []TierSummary {
 	summaries := make([]TierSummary, spec.Tiers)
-	times := make([][]time.Duration, spec.Tiers)
+	totalTimes := make([][]time.Duration, spec.Tiers)
 	tierOf := make(map[string]uint8)
 	for i := range summaries {
 		summaries[i] = TierSummary{Scenario: run.Scenario, Policy: run.Policy, Tier: i}
@@ -58,7 +59,7 @@
 		tierOf[simeng.Digest(r.Job.ModelRequest.PromptText())] = tier
 		summaries[tier].addResult(r)
 		if r.Outcome == load.Complete {
-			times[tier] = append(times[tier], r.TotalTime)
+			totalTimes[tier] = append(totalTimes[tier], r.TotalTime)
 		}
 	}
 	for _, rec := range run.Records {
@@ -68,8 +69,8 @@
 		}
 	}
 	for i := range summaries {
-		summaries[i].P50MS = percentile(times[i], 0.50)
-		summaries[i].P99MS = percentile(times[i], 0.99)
+		summaries[i].P50MS = percentile(totalTimes[i], 0.50)
+		summaries[i].P99MS = percentile(totalTimes[i], 0.99)
 	}
 	return summaries
 }
@@ -164,7 +165,7 @@
 // a run without the extra load of the hot customer.
 func (run RunResult) Summary(calm bool) RunSummary {
 	summary := RunSummary{Scenario: run.Scenario, Policy: run.Policy, Calm: calm, CapacityRPS: math.Round(run.CapacityRPS*10) / 10}
-	var refusals []time.Duration
+	var refusalTimes []time.Duration
 	withinTarget := 0
 	for _, c := range customers {
 		customer := CustomerSummary{Name: c.name}
@@ -174,7 +175,7 @@
 			}
 			customer.addResult(r)
 			if r.Outcome == load.Refused {
-				refusals = append(refusals, r.TotalTime)
+				refusalTimes = append(refusalTimes, r.TotalTime)
 			}
 		}
 		withinTarget += customer.WithinTarget
@@ -182,14 +183,14 @@
 	}
 	summary.GoodputRPS = math.Round(float64(withinTarget)/(arrivalSpan-run.rampUp).Seconds()*10) / 10
 	summary.WorkShare = math.Round(run.workShare()*1000) / 1000
-	summary.RefusalP99MS = percentile(refusals, 0.99)
+	summary.RefusalP99MS = percentile(refusalTimes, 0.99)
 	summary.Inversions = countInversions(run.Results)
 	summary.Unknown = countUnknownReasons(run.countedResults())
 	return summary
 }
 
-// requestSpecificText matches the parts in which two answers with the same reason
-// differ.
+// requestSpecificText matches the parts in which the details of two results differ
+// although they have the same reason.
 var requestSpecificText = regexp.MustCompile(`"request_id":"[0-9a-f]*"|127\.0\.0\.1:[0-9]+`)
 
 // countUnknownReasons counts the results that are Unknown or Failed by their detail.
--- a/trial/exper/trace.go
+++ b/trial/exper/trace.go
@@ -39,7 +39,7 @@
 				Pools json.RawMessage `json:"pools"`
 			}
 			// The error of an entry that is down is ignored: its line has no pools.
-			_ = fleet.CallJSON(ctx, http.MethodGet, "http://"+e.Admin+"/status", fleet.AdminToken, nil, &s)
+			_ = fleet.CallJSON(ctx, http.MethodGet, "http://"+e.AdminAddr+"/status", fleet.AdminToken, nil, &s)
 			line.Pools = s.Pools
 			if enc.Encode(line) != nil {
 				return
--- a/trial/exper/work.go
+++ b/trial/exper/work.go
@@ -146,10 +146,10 @@
 	return jobs
 }
 
-// bytesPerToken is how many bytes of a prompt the stand-in engine counts as a token.
+// bytesPerToken is how many bytes of a prompt the simulated engine counts as a token.
 const bytesPerToken = 4
 
-// newPrompt returns a prompt that begins with a shared prefix and goes on with text
+// newPrompt returns a prompt that begins with a shared prefix and continues with text
 // that is unique to the job with the given number.
 func newPrompt(rnd *rand.Rand, s shape, c customer, p sharedPrefixes, number int) string {
 	uniqueText := fmt.Sprintf("%s %s %d ", c.name, s.class.Name, number)
--- a/trial/fleet/fleet.go
+++ b/trial/fleet/fleet.go
@@ -29,12 +29,12 @@
 	// listens on.
 	Simulator *procs.Proc
 	Addr      string
-	// Agent is the agent's process. Link and Admin are the addresses it listens
-	// on, which stay the same when it is restarted.
-	Agent *procs.Proc
-	Link  string
-	Admin string
-	// DialAddr is the address at which entries connect to the agent: Link, or
+	// Agent is the agent's process. LinkAddr and AdminAddr are the addresses it
+	// listens on, which stay the same when it is restarted.
+	Agent     *procs.Proc
+	LinkAddr  string
+	AdminAddr string
+	// DialAddr is the address at which entries connect to the agent: LinkAddr, or
 	// that of a proxy in front of it.
 	DialAddr string
 	// configPath is the path of the agent's settings file.
@@ -47,9 +47,9 @@
 type Entry struct {
 	Name, Zone string
 	Proc       *procs.Proc
-	// Listen, Link and Admin are the addresses for callers, links and the admin
-	// API. They stay the same when the entry is restarted.
-	Listen, Link, Admin string
+	// ListenAddr, LinkAddr and AdminAddr are the addresses for callers, links and
+	// the admin API. They stay the same when the entry is restarted.
+	ListenAddr, LinkAddr, AdminAddr string
 	// configPath is the path of the entry's settings file.
 	configPath string
 	// startCount is the number of starts of the entry.
@@ -168,7 +168,7 @@
 func (u *Unit) instance(state string) plat.Instance {
 	return plat.Instance{
 		Name: u.Name, Role: plat.RoleEndpoint, Zone: u.Zone, Labels: u.Labels, LinkAddr: u.DialAddr,
-		AdminAddr: u.Admin, State: state,
+		AdminAddr: u.AdminAddr, State: state,
 	}
 }
 
@@ -180,22 +180,22 @@
 // configureAgent chooses the agent's addresses and writes its settings file.
 func (f *Fleet) configureAgent(u *Unit) error {
 	var err error
-	if u.Link, err = procs.FreeAddr(); err != nil {
+	if u.LinkAddr, err = procs.FreeAddr(); err != nil {
 		return err
 	}
-	if u.Admin, err = procs.FreeAddr(); err != nil {
+	if u.AdminAddr, err = procs.FreeAddr(); err != nil {
 		return err
 	}
-	u.DialAddr = u.Link
+	u.DialAddr = u.LinkAddr
 	if f.plan.LinkProxy != nil {
-		if u.DialAddr, err = f.plan.LinkProxy(u.Name, u.Link); err != nil {
+		if u.DialAddr, err = f.plan.LinkProxy(u.Name, u.LinkAddr); err != nil {
 			return err
 		}
 	}
 	settings := agentSettings{
-		commonSettings: f.newCommonSettings(u.Name, u.Zone), Link: u.Link,
+		commonSettings: f.newCommonSettings(u.Name, u.Zone), Link: u.LinkAddr,
 		Endpoint:  endpointSettings{Address: "http://" + u.Addr, Kind: u.kind()},
-		Admin:     adminSettings{Listen: u.Admin, Token: AdminToken},
+		Admin:     adminSettings{Listen: u.AdminAddr, Token: AdminToken},
 		Heartbeat: spec.Duration(f.plan.Heartbeat), IdleHeartbeat: spec.Duration(f.plan.IdleHeartbeat), Grace: spec.Duration(f.plan.Grace),
 	}
 	settings.Endpoint.ChecksFence = u.Engine != nil && u.Engine.ChecksFence
@@ -242,7 +242,7 @@
 func (f *Fleet) startEntries(ctx context.Context) error {
 	for i := range f.plan.Entries {
 		e := &Entry{Name: fmt.Sprintf("%s-entry-%d", f.plan.Name, i+1), Zone: f.plan.Zones[i%len(f.plan.Zones)]}
-		for _, addr := range []*string{&e.Listen, &e.Link, &e.Admin} {
+		for _, addr := range []*string{&e.ListenAddr, &e.LinkAddr, &e.AdminAddr} {
 			var err error
 			if *addr, err = procs.FreeAddr(); err != nil {
 				return err
@@ -269,13 +269,13 @@
 // configureEntry writes the entry's settings file.
 func (f *Fleet) configureEntry(e *Entry) (err error) {
 	settings := entrySettings{
-		commonSettings: f.newCommonSettings(e.Name, e.Zone), Listen: e.Listen, Link: e.Link,
-		Admin:     adminSettings{Listen: e.Admin, Token: AdminToken},
+		commonSettings: f.newCommonSettings(e.Name, e.Zone), Listen: e.ListenAddr, Link: e.LinkAddr,
+		Admin:     adminSettings{Listen: e.AdminAddr, Token: AdminToken},
 		Heartbeat: spec.Duration(f.plan.Heartbeat), IdleHeartbeat: spec.Duration(f.plan.IdleHeartbeat), Grace: spec.Duration(f.plan.Grace),
 	}
 	for _, other := range f.entries {
 		if other != e {
-			settings.Peers = append(settings.Peers, other.Link)
+			settings.Peers = append(settings.Peers, other.LinkAddr)
 		}
 	}
 	e.configPath, err = f.writeSettings(e.Name+".yaml", settings)
@@ -308,10 +308,10 @@
 	if _, err := e.Proc.Ready(ctx); err != nil {
 		return err
 	}
-	if err := procs.WaitHTTP(ctx, "http://"+e.Listen+"/readyz"); err != nil {
+	if err := procs.WaitHTTP(ctx, "http://"+e.ListenAddr+"/readyz"); err != nil {
 		return errors.Join(err, fmt.Errorf("fleet: %s is not ready: read %s", e.Name, e.Proc.LogPath()))
 	}
 	return f.platform.PutInstance(ctx, plat.Instance{
-		Name: e.Name, Role: plat.RoleEntry, Zone: e.Zone, LinkAddr: e.Link, AdminAddr: e.Admin, State: plat.StateLive,
+		Name: e.Name, Role: plat.RoleEntry, Zone: e.Zone, LinkAddr: e.LinkAddr, AdminAddr: e.AdminAddr, State: plat.StateLive,
 	})
 }
--- a/trial/fleet/plan.go
+++ b/trial/fleet/plan.go
@@ -27,14 +27,14 @@
 	// Token is the bearer token that the platform requires; empty for none.
 	Token string
 	// LinkProxy returns the address at which entries connect to the agent of the
-	// endpoint called name, whose own address is link. Tests start a
-	// fault-injecting proxy here. Nil means link itself.
-	LinkProxy func(name, link string) (string, error)
+	// endpoint called name, whose own address is linkAddr. Tests start a
+	// fault-injecting proxy here. Nil means linkAddr itself.
+	LinkProxy func(name, linkAddr string) (string, error)
 	// Objects are written to the platform before endpoints, agents and entries
 	// start.
 	Objects []spec.Item
-	// NoAgents means that neither agents nor entries are started, as the baselines
-	// need it.
+	// NoAgents means that neither agents nor entries are started. It is set for the
+	// baselines.
 	NoAgents bool
 }
 
--- a/trial/fleet/plat.go
+++ b/trial/fleet/plat.go
@@ -24,7 +24,7 @@
 	return CallJSON(ctx, http.MethodPut, "http://"+p.addr+"/admin/instances/"+in.Name, p.token, in, nil)
 }
 
-// PutObject writes an object, whatever its current version is.
+// PutObject writes an object regardless of its current version.
 func (p *PlatformClient) PutObject(ctx context.Context, kind, name string, data any) error {
 	return CallJSON(ctx, http.MethodPut, "http://"+p.addr+"/v1/objects/"+kind+"/"+name, p.token, data, nil)
 }
@@ -47,7 +47,7 @@
 	return s, err
 }
 
-// SetFault replaces the faults that are injected into the endpoint. fault is an
+// SetFault replaces the faults that are injected into the endpoint. fault is a
 // simeng.Fault or a plain.Fault, according to the kind of endpoint.
 func (u *Unit) SetFault(ctx context.Context, fault any) error {
 	return CallJSON(ctx, http.MethodPost, "http://"+u.Addr+"/admin/fault", "", fault, nil)
--- a/trial/ideal.go
+++ b/trial/ideal.go
@@ -38,11 +38,11 @@
 		return err
 	}
 	ideal.Plan(all)
-	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(tab, "tier\tfifth by output\tasked\tserved\tideal")
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "tier\tfifth by output\tasked\tserved\tideal")
 	for _, r := range ideal.Summarize(all) {
 		n := float64(max(r.Requests, 1))
-		fmt.Fprintf(tab, "%s\t%d\t%d\t%.2f\t%.2f\n", r.Tier, r.Fifth+1, r.Requests, float64(r.Served)/n, float64(r.Planned)/n)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%.2f\t%.2f\n", r.Tier, r.Fifth+1, r.Requests, float64(r.Served)/n, float64(r.Planned)/n)
 	}
-	return tab.Flush()
+	return table.Flush()
 }
--- a/trial/ideal/ideal.go
+++ b/trial/ideal/ideal.go
@@ -30,7 +30,7 @@
 	// promptTokensPerOutputToken is the number of prompt tokens that take as long as one
 	// output token.
 	promptTokensPerOutputToken = 200
-	// startCostTokens is the number of output tokens that take as long as the start of a
+	// startCostTokens is the number of output tokens that take as long as starting a
 	// request.
 	startCostTokens = 5
 	// maxLineBytes bounds one line of a log.
@@ -86,7 +86,7 @@
 }
 
 // Read returns the requests to engines from the logs of all entries, in the order of their
-// arrival. Of each line it decodes the text from the first brace on, and it skips lines that
+// arrival. It decodes the text from the first brace of each line on, and skips lines that
 // aren't JSON.
 func Read(logs ...io.Reader) ([]*Request, error) {
 	var lines []logLine
@@ -153,11 +153,11 @@
 // Plan sets IsPlanned of each request that the ideal scheduler serves.
 func Plan(requests []*Request) {
 	freeSlots := slotsPerBin(requests)
-	order := slices.Clone(requests)
-	slices.SortFunc(order, func(a, b *Request) int {
+	sortedRequests := slices.Clone(requests)
+	slices.SortFunc(sortedRequests, func(a, b *Request) int {
 		return cmp.Or(cmp.Compare(a.Tier, b.Tier), cmp.Compare(a.SlotTime, b.SlotTime))
 	})
-	for _, r := range order {
+	for _, r := range sortedRequests {
 		for start := r.ArrivedAt; start <= r.ArrivedAt+r.Target && !r.IsPlanned; start += binTime {
 			r.IsPlanned = reserveSlot(freeSlots, start, r.SlotTime)
 		}
@@ -185,8 +185,8 @@
 	return available
 }
 
-// reserveSlot takes a slot from the time from on for slotTime, if one is free in each bin,
-// and reports whether it did. A reservation that outlasts the day ends with the last bin.
+// reserveSlot reserves a slot for slotTime, starting at the time from, if one is free in each
+// bin, and reports whether it did. A reservation that outlasts the day ends with the last bin.
 func reserveSlot(freeSlots []int, from, slotTime time.Duration) bool {
 	first, last := int(from/binTime), min(int((from+slotTime)/binTime), len(freeSlots)-1)
 	for i := first; i <= last; i++ {
--- a/trial/load/job.go
+++ b/trial/load/job.go
@@ -1,5 +1,5 @@
 // Package load generates open-loop load: it sends each request at its scheduled
-// time, regardless of how earlier requests fare, and checks the answers.
+// time, even if earlier requests have not ended, and checks the answers.
 package load
 
 import (
@@ -47,7 +47,8 @@
 	// Wrong means that the answer claims to be complete, but its content isn't
 	// the one that the request must get.
 	Wrong Outcome = "wrong"
-	// Failed means that the request was rejected as a mistake of the caller.
+	// Failed means that the request was rejected because of a mistake of the
+	// caller.
 	Failed Outcome = "failed"
 )
 
--- a/trial/load/load_test.go
+++ b/trial/load/load_test.go
@@ -34,7 +34,7 @@
 // complete but belongs to another request, or lacks a part, must count as wrong.
 // If it counted as complete, the experiments would hide the worst kind of failure.
 func TestOutcomeOfAnswer(t *testing.T) {
-	own := tokenEvents("who can cover")
+	ownEvents := tokenEvents("who can cover")
 	tests := []struct {
 		name    string
 		status  int
@@ -43,12 +43,12 @@
 		stream  bool
 		want    Outcome
 	}{
-		{"complete stream", 200, outcomeComplete, own + endEvent, true, Complete},
+		{"complete stream", 200, outcomeComplete, ownEvents + endEvent, true, Complete},
 		{"stream of another request", 200, outcomeComplete, tokenEvents("other") + endEvent, true, Wrong},
 		{"truncated stream, claims complete", 200, outcomeComplete, tokenEvent("t0 "), true, Wrong},
 		{"truncated stream, says unknown", 200, outcomeUnknown, tokenEvent("t0 "), true, Unknown},
 		{"error event", 200, outcomeUnknown, tokenEvent("t0 ") + "event: error\ndata: {}\n\n", true, Unknown},
-		{"stream without outcome", 200, "", own + endEvent, true, Unknown},
+		{"stream without outcome", 200, "", ownEvents + endEvent, true, Unknown},
 		{"stream with a missing token", 200, outcomeComplete, tokenEvent("t0 ") + tokenEvent(simeng.DigestPrefix+simeng.Digest("who can cover")) + endEvent, true, Wrong},
 		{"complete answer", 200, outcomeComplete, fmt.Sprintf(`{"choices":[{"text":%q}]}`, simeng.AnswerText("who can cover", 3)), false, Complete},
 		{"answer to another request", 200, outcomeComplete, fmt.Sprintf(`{"choices":[{"text":%q}]}`, simeng.AnswerText("other", 3)), false, Wrong},
@@ -82,7 +82,7 @@
 	}
 }
 
-// Checks that a request goes on to the next entry if one accepts no connection,
+// Checks that a request is sent to the next entry if one accepts no connection,
 // and that a request which reached an entry is not sent again when the connection
 // breaks: it may have run.
 func TestFailoverOnlyBeforeSending(t *testing.T) {
--- a/trial/load/send.go
+++ b/trial/load/send.go
@@ -34,7 +34,7 @@
 )
 
 // Caller sends requests to several addresses in round-robin order. Like a load
-// balancer, it goes on to the next address if one accepts no connection. It is
+// balancer, it continues with the next address if one accepts no connection. It is
 // safe for concurrent use once its fields are set.
 type Caller struct {
 	// AssumeComplete treats an answer without an outcome header as one that
@@ -153,12 +153,12 @@
 		r.Outcome, r.Detail = interruptedOutcome(ctx), err.Error()
 		return
 	}
-	claimed := c.claimedOutcome(resp.Header.Get(headerOutcome))
+	claimedOutcome := c.claimedOutcome(resp.Header.Get(headerOutcome))
 	if r.Job.Path != "" {
-		r.setOutcome(claimed, isEchoOf(r.Job, b))
+		r.setOutcome(claimedOutcome, isEchoOf(r.Job, b))
 		return
 	}
-	r.setOutcome(claimed, r.parseWholeAnswer(b))
+	r.setOutcome(claimedOutcome, r.parseWholeAnswer(b))
 }
 
 // claimedOutcome returns the outcome that an answer claims, given the value of
@@ -172,16 +172,16 @@
 
 // setOutcome sets the outcome from the claimed one and from whether the content
 // of the answer is correct.
-func (r *Result) setOutcome(claimed string, isCorrect bool) {
+func (r *Result) setOutcome(claimedOutcome string, isCorrect bool) {
 	switch {
-	case claimed == outcomeComplete && isCorrect:
+	case claimedOutcome == outcomeComplete && isCorrect:
 		r.Outcome = Complete
-	case claimed == outcomeComplete:
+	case claimedOutcome == outcomeComplete:
 		r.Outcome = Wrong
-	case claimed == outcomeNotRun:
+	case claimedOutcome == outcomeNotRun:
 		r.Outcome = Refused
 	default:
-		r.Outcome, r.Detail = Unknown, "the answer says "+strconv.Quote(claimed)
+		r.Outcome, r.Detail = Unknown, "the answer says "+strconv.Quote(claimedOutcome)
 	}
 }
 
@@ -217,11 +217,11 @@
 	if json.Unmarshal(b, &body) == nil {
 		r.RetryAfter = time.Duration(body.Error.RetryAfterMS) * time.Millisecond
 	}
-	claimed := resp.Header.Get(headerOutcome)
+	claimedOutcome := resp.Header.Get(headerOutcome)
 	switch {
-	case claimed == outcomeUnknown:
+	case claimedOutcome == outcomeUnknown:
 		r.Outcome = Unknown
-	case claimed != outcomeNotRun:
+	case claimedOutcome != outcomeNotRun:
 		// An error answer that doesn't say "not-run" leaves open whether the
 		// request ran.
 		r.Outcome = Unknown
--- a/trial/load/stream.go
+++ b/trial/load/stream.go
@@ -116,7 +116,7 @@
 
 // setStreamOutcome sets the outcome of a stream that ended with err. isDone tells
 // whether its end marker arrived without an error event.
-func (r *Result) setStreamOutcome(ctx context.Context, err error, isDone bool, text, claimed string) {
+func (r *Result) setStreamOutcome(ctx context.Context, err error, isDone bool, text, claimedOutcome string) {
 	if err != nil || !isDone {
 		r.Outcome = interruptedOutcome(ctx)
 		if err != nil {
@@ -124,10 +124,10 @@
 		}
 		// A stream that lacks its end and still claims to be complete is wrong:
 		// the caller can't notice that it was cut.
-		if err == nil && claimed == outcomeComplete {
+		if err == nil && claimedOutcome == outcomeComplete {
 			r.Outcome = Wrong
 		}
 		return
 	}
-	r.setOutcome(claimed, text == r.Job.expectedText())
+	r.setOutcome(claimedOutcome, text == r.Job.expectedText())
 }
--- a/trial/main.go
+++ b/trial/main.go
@@ -1,5 +1,5 @@
-// Command trial runs the stand-ins, the fault-injecting proxy and the experiments
-// that lycheepond is tested and measured with.
+// Command trial runs the simulators, the fault-injecting proxy and the experiments
+// with which lycheepond is tested and measured.
 package main
 
 import (
@@ -30,7 +30,7 @@
 // run parses the command line and runs the named subcommand.
 func run(ctx context.Context) error {
 	flaggy.SetName("trial")
-	flaggy.SetDescription("stand-ins, fault-injecting proxy and experiments for lycheepond; tests only")
+	flaggy.SetDescription("simulators, fault-injecting proxy and experiments for lycheepond; tests only")
 	flaggy.SetVersion("dev")
 	commands := []command{platformCommand(), engineCommand(), serviceCommand(), proxyCommand(), demoCommand(), smokeCommand(), baselineCommand(), measureCommand(), capacityCommand(), pathCommand(), idealCommand()}
 	for _, c := range commands {
--- a/trial/measure.go
+++ b/trial/measure.go
@@ -43,7 +43,7 @@
 
 // measureConfig holds the flags of trial measure.
 type measureConfig struct {
-	// An empty scenario or policy stands for all of them.
+	// An empty scenario or policy selects all of them.
 	scenario, policy, plotDir string
 	writesTrace               bool
 }
--- a/trial/plain/plain.go
+++ b/trial/plain/plain.go
@@ -58,7 +58,7 @@
 type Fault struct {
 	// Delay is added to the time that every call takes.
 	Delay spec.Duration `json:"delay"`
-	// TruncateNext is the number of coming calls whose answer breaks off.
+	// TruncateNext is the number of upcoming calls whose answers are truncated.
 	TruncateNext int `json:"truncate_next"`
 	// Freeze holds calls back before they are answered.
 	Freeze bool `json:"freeze"`
--- a/trial/procs/procs_test.go
+++ b/trial/procs/procs_test.go
@@ -37,6 +37,8 @@
 	return s
 }
 
+// Checks that a process becomes ready, answers nothing while it is paused, answers
+// again after Resume, and ends without an error on Stop.
 func TestProcess(t *testing.T) {
 	s := newSet(t, buildTrial(t))
 	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
@@ -89,6 +91,8 @@
 	}
 }
 
+// Two processes that are given the same address can't both listen on it. FreeAddr
+// must return a different address each time.
 func TestPortsDiffer(t *testing.T) {
 	seen := make(map[string]bool)
 	for range 50 {
--- a/trial/proof/config_test.go
+++ b/trial/proof/config_test.go
@@ -40,7 +40,7 @@
 // endpoint.
 func (r *rig) listModelsStatus(entry int, key string) int {
 	r.t.Helper()
-	req, err := http.NewRequestWithContext(r.ctx, http.MethodGet, "http://"+r.fleet.Entries()[entry].Listen+"/v1/models", nil)
+	req, err := http.NewRequestWithContext(r.ctx, http.MethodGet, "http://"+r.fleet.Entries()[entry].ListenAddr+"/v1/models", nil)
 	r.must(err)
 	req.Header.Set("Authorization", "Bearer "+key)
 	resp, err := http.DefaultClient.Do(req)
@@ -64,9 +64,9 @@
 	r.t.Helper()
 	for entry := range r.callers {
 		r.await(fmt.Sprintf("entry %d accepts key %d", entry, n), func() bool { return r.entryAccepts(entry, n) })
-		for old := range n {
-			if r.entryAccepts(entry, old) {
-				r.t.Errorf("entry %d accepts key %d while key %d is in force", entry, old, n)
+		for oldKey := range n {
+			if r.entryAccepts(entry, oldKey) {
+				r.t.Errorf("entry %d accepts key %d while key %d is in force", entry, oldKey, n)
 			}
 		}
 	}
@@ -125,13 +125,13 @@
 			r.checkKeyStaysAccepted(i + 2)
 			continue
 		}
-		newest := 1
+		newestKey := 1
 		for n := range i + 2 {
 			if r.entryAccepts(0, n) {
-				newest = n
+				newestKey = n
 			}
 		}
-		r.checkKeyStaysAccepted(newest)
+		r.checkKeyStaysAccepted(newestKey)
 		r.must(p.SetFault(r.ctx, simapi.Fault{}))
 		r.putCustomerKey(i + 2)
 		r.awaitKeyInForce(i + 2)
@@ -174,9 +174,9 @@
 	r := newRig(t, rigConfig{engines: []simeng.Config{fastEngine()}, entries: 2})
 	r.putCustomerKey(0)
 	r.awaitKeyInForce(0)
-	invalid := customerWithKey(1)
-	invalid.Limits.RequestsPerSecond = -4
-	r.must(r.fleet.Platform().PutObject(r.ctx, spec.KindCustomer, "rotating", invalid))
+	invalidCustomer := customerWithKey(1)
+	invalidCustomer.Limits.RequestsPerSecond = -4
+	r.must(r.fleet.Platform().PutObject(r.ctx, spec.KindCustomer, "rotating", invalidCustomer))
 	r.must(r.fleet.Platform().PutObject(r.ctx, spec.KindCustomer, "marker", func() spec.Customer { c := customerWithKey(7); c.Name = "marker"; return c }()))
 	for e := range r.callers {
 		r.await("the object written after the invalid one is in force", func() bool { return r.entryAccepts(e, 7) })
@@ -200,9 +200,9 @@
 		r.must(os.WriteFile(path, []byte(text), 0o600))
 		return path
 	}
-	base := []string{"--platform", "http://" + r.fleet.Platform().Addr()}
+	platformArgs := []string{"--platform", "http://" + r.fleet.Platform().Addr()}
 	apply := func(path string, extra ...string) (string, int) {
-		return r.runLychee(append(append([]string{"apply", path}, base...), extra...)...)
+		return r.runLychee(append(append([]string{"apply", path}, platformArgs...), extra...)...)
 	}
 	if out, code := apply(writeClass("first", "1s")); code != 0 {
 		t.Fatalf("apply: %d %s", code, out)
@@ -234,7 +234,7 @@
 	if out, code := apply(writeClass("lost", "9s")); code != 0 {
 		t.Errorf("apply failed although its write took effect: %d %s", code, out)
 	}
-	out, code := r.runLychee(append([]string{"get", "class", "raced", "--output", "json"}, base...)...)
+	out, code := r.runLychee(append([]string{"get", "class", "raced", "--output", "json"}, platformArgs...)...)
 	if code != 0 || !strings.Contains(out, "9s") {
 		t.Errorf("get: %d %s", code, out)
 	}
--- a/trial/proof/keys_test.go
+++ b/trial/proof/keys_test.go
@@ -128,11 +128,11 @@
 	t.Parallel()
 	r := newRig(t, rigConfig{services: 2, callTime: 10 * time.Millisecond, entries: 2})
 	r.awaitKeyedCalls()
-	var jobs, unused []load.Job
-	stopped := ""
+	var jobs, unusedKeyJobs []load.Job
+	stoppedName := ""
 	for i := range 12 {
 		jobs = append(jobs, serviceJob(fmt.Sprintf("submission-%d", i), newKey(t)))
-		unused = append(unused, serviceJob(fmt.Sprintf("unused-%d", i), newKey(t)))
+		unusedKeyJobs = append(unusedKeyJobs, serviceJob(fmt.Sprintf("unused-%d", i), newKey(t)))
 		first := r.callers[i%2].Send(r.ctx, 0, jobs[i])
 		if first.Outcome != load.Complete {
 			t.Fatalf("first: %s %s", first.Outcome, first.Detail)
@@ -140,10 +140,10 @@
 	}
 	for _, u := range r.fleet.Units() {
 		if len(r.records(u)) > 0 {
-			stopped = u.Name
+			stoppedName = u.Name
 		}
 	}
-	agent := r.fleet.Unit(stopped).Agent
+	agent := r.fleet.Unit(stoppedName).Agent
 	r.must(agent.Signal(syscall.SIGTERM))
 	select {
 	case <-agent.Done():
@@ -151,7 +151,7 @@
 		t.Fatal("the stopped agent did not end")
 	}
 	stoppedAt := time.Now()
-	for i, j := range append(jobs, unused...) {
+	for i, j := range append(jobs, unusedKeyJobs...) {
 		for entry := range 2 {
 			var res load.Result
 			r.await("the key is answered", func() bool {
@@ -166,7 +166,7 @@
 			t.Errorf("job %d ran %d times", i, n)
 		}
 	}
-	t.Logf("%s stopped; its keys were answered within %v", stopped, time.Since(stoppedAt))
+	t.Logf("%s stopped; its keys were answered within %v", stoppedName, time.Since(stoppedAt))
 }
 
 // A call arrives four times at the same moment with the same idempotency key,
@@ -200,10 +200,10 @@
 	if res := r.callers[0].Send(r.ctx, 0, serviceJob("one", key)); res.Outcome != load.Complete {
 		t.Fatalf("first: %s %s", res.Outcome, res.Detail)
 	}
-	other := serviceJob("two", key)
-	res := r.callers[0].Send(r.ctx, 0, other)
-	if res.Status != 409 || r.countRuns(other) != 0 {
-		t.Errorf("status %d, ran %d times", res.Status, r.countRuns(other))
+	otherJob := serviceJob("two", key)
+	res := r.callers[0].Send(r.ctx, 0, otherJob)
+	if res.Status != 409 || r.countRuns(otherJob) != 0 {
+		t.Errorf("status %d, ran %d times", res.Status, r.countRuns(otherJob))
 	}
 }
 
--- a/trial/proof/leave_test.go
+++ b/trial/proof/leave_test.go
@@ -15,8 +15,8 @@
 	"lycheepond/trial/simeng"
 )
 
-// maxLeaveDelay is the time after the announcement from which a leaving endpoint
-// must get no new requests.
+// maxLeaveDelay is the time after the announcement within which a leaving endpoint
+// may still get new requests.
 const maxLeaveDelay = 3 * time.Second
 
 // maxContinuousInFlight is the maximum number of requests of sendContinuously
@@ -79,13 +79,13 @@
 				r.must(u.Agent.Signal(syscall.SIGTERM))
 			}
 			time.Sleep(maxLeaveDelay)
-			before := len(r.records(u))
-			others := len(r.records(r.fleet.Unit("engine-2")))
+			recordsBefore := len(r.records(u))
+			otherRecords := len(r.records(r.fleet.Unit("engine-2")))
 			r.await("the other endpoint executes more requests", func() bool {
-				return len(r.records(r.fleet.Unit("engine-2"))) > others+20
+				return len(r.records(r.fleet.Unit("engine-2"))) > otherRecords+20
 			})
-			if after := len(r.records(u)); after != before {
-				t.Errorf("%d requests were started on the leaving endpoint", after-before)
+			if recordsAfter := len(r.records(u)); recordsAfter != recordsBefore {
+				t.Errorf("%d requests were started on the leaving endpoint", recordsAfter-recordsBefore)
 			}
 			close(stop)
 			outcomes := r.checkResults(b.wait())
@@ -131,11 +131,11 @@
 // an error.
 func TestPlannedStopInterruptsNothing(t *testing.T) {
 	t.Parallel()
-	for _, stopped := range []string{"agent", "entry"} {
-		t.Run(stopped, func(t *testing.T) {
+	for _, role := range []string{"agent", "entry"} {
+		t.Run(role, func(t *testing.T) {
 			r := newRig(t, rigConfig{engines: []simeng.Config{fastEngine(), fastEngine()}, services: 1, callTime: 700 * time.Millisecond, entries: 2})
 			proc := r.fleet.Unit("engine-1").Agent
-			if stopped == "entry" {
+			if role == "entry" {
 				proc = r.fleet.Entries()[0].Proc
 			}
 			var b requestBatch
@@ -164,10 +164,10 @@
 			select {
 			case <-proc.Done():
 				if proc.ExitErr() != nil {
-					t.Errorf("%s ended with %v", stopped, proc.ExitErr())
+					t.Errorf("%s ended with %v", role, proc.ExitErr())
 				}
 			case <-r.ctx.Done():
-				t.Errorf("%s did not end", stopped)
+				t.Errorf("%s did not end", role)
 			}
 		})
 	}
--- a/trial/proof/once_test.go
+++ b/trial/proof/once_test.go
@@ -40,9 +40,9 @@
 	for _, step := range steps {
 		for _, action := range []proxy.Action{proxy.Duplicate, proxy.Delay, proxy.CutBefore, proxy.CutAfter} {
 			name := fmt.Sprintf("%s-%s", step.kind, action)
-			trick := proxy.FrameFault{Direction: step.dir, Kind: step.kind, Action: action, Hold: spec.Duration(300 * time.Millisecond)}
+			fault := proxy.FrameFault{Direction: step.dir, Kind: step.kind, Action: action, Hold: spec.Duration(300 * time.Millisecond)}
 			for _, p := range r.proxies {
-				p.AddFrameFault(trick)
+				p.AddFrameFault(fault)
 			}
 			var b requestBatch
 			for i := range 8 {
@@ -101,12 +101,12 @@
 	t.Helper()
 	r := newRig(t, rigConfig{engines: []simeng.Config{fastEngine(), fastEngine()}, entries: 2})
 	u := r.fleet.Unit("engine-1")
-	passed := r.proxies[u.Name].FramesForwarded(step.dir, step.kind)
+	framesBefore := r.proxies[u.Name].FramesForwarded(step.dir, step.kind)
 	b := new(requestBatch)
 	for i := range 16 {
 		r.send(b, i%2, modelJob(i%spec.Tiers, fmt.Sprintf("%s-%s-%d", tag, step.name, i), 30, i%3 != 0))
 	}
-	r.must(r.proxies[u.Name].AwaitFrames(r.ctx, step.dir, step.kind, passed+1))
+	r.must(r.proxies[u.Name].AwaitFrames(r.ctx, step.dir, step.kind, framesBefore+1))
 	return r, u, b
 }
 
--- a/trial/proof/rig_test.go
+++ b/trial/proof/rig_test.go
@@ -144,7 +144,7 @@
 		t.Fatal(err)
 	}
 	for _, e := range r.fleet.Entries() {
-		r.callers = append(r.callers, load.NewCaller([]string{e.Listen}))
+		r.callers = append(r.callers, load.NewCaller([]string{e.ListenAddr}))
 	}
 	return r
 }
@@ -165,8 +165,8 @@
 }
 
 // startProxy starts a proxy in front of an agent's link and returns its address.
-func (r *rig) startProxy(name, link string) (string, error) {
-	p, err := proxy.New(proxy.Config{Listen: "127.0.0.1:0", Upstream: link, WholeFrames: true})
+func (r *rig) startProxy(name, linkAddr string) (string, error) {
+	p, err := proxy.New(proxy.Config{Listen: "127.0.0.1:0", Upstream: linkAddr, WholeFrames: true})
 	if err != nil {
 		return "", err
 	}
@@ -203,16 +203,16 @@
 	}
 }
 
-// await polls ok until it returns true, and ends the test at its time limit. what
-// describes the awaited state.
-func (r *rig) await(what string, ok func() bool) {
+// await polls ok until it returns true, and ends the test at its time limit.
+// description completes the sentence "timeout while waiting until".
+func (r *rig) await(description string, ok func() bool) {
 	r.t.Helper()
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for !ok() {
 		select {
 		case <-r.ctx.Done():
-			r.t.Fatalf("timeout while waiting until %s", what)
+			r.t.Fatalf("timeout while waiting until %s", description)
 		case <-tick.C:
 		}
 	}
--- a/trial/proxy/proxy.go
+++ b/trial/proxy/proxy.go
@@ -49,8 +49,8 @@
 	CutBefore Action = "cut-before"
 	// CutAfter forwards the frame and then closes the connection.
 	CutAfter Action = "cut-after"
-	// FreezeBefore replaces the current Fault, before it forwards the frame, by a
-	// freeze in both directions.
+	// FreezeBefore replaces the current Fault with a freeze in both directions
+	// before it forwards the frame.
 	FreezeBefore Action = "freeze-at"
 )
 
@@ -136,10 +136,10 @@
 }
 
 // AddFrameFault adds a fault for one frame.
-func (p *Proxy) AddFrameFault(t FrameFault) {
+func (p *Proxy) AddFrameFault(f FrameFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.frameFaults = append(p.frameFaults, t)
+	p.frameFaults = append(p.frameFaults, f)
 }
 
 // FramesForwarded returns the number of frames of kind that were forwarded in
@@ -156,8 +156,8 @@
 	return p.waitUntil(ctx, func() bool { return p.forwardedFrames[dir][kind] >= n })
 }
 
-// waitUntil waits until holds returns true or ctx ends. It calls holds with mu
-// held.
+// waitUntil waits until condition returns true or ctx ends. It calls condition
+// with mu held.
 func (p *Proxy) waitUntil(ctx context.Context, condition func() bool) error {
 	defer context.AfterFunc(ctx, func() { p.mu.Lock(); defer p.mu.Unlock(); p.changed.Broadcast() })()
 	p.mu.Lock()
--- a/trial/proxy/proxy_test.go
+++ b/trial/proxy/proxy_test.go
@@ -15,13 +15,13 @@
 
 // startProxy starts a proxy and returns it with a function that opens a
 // connection through it and returns the client's and the server's end.
-func startProxy(t *testing.T, frames bool) (*Proxy, func() (client, server net.Conn)) {
+func startProxy(t *testing.T, wholeFrames bool) (*Proxy, func() (client, server net.Conn)) {
 	t.Helper()
 	upstream, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := New(Config{Listen: "127.0.0.1:0", Upstream: upstream.Addr().String(), WholeFrames: frames})
+	p, err := New(Config{Listen: "127.0.0.1:0", Upstream: upstream.Addr().String(), WholeFrames: wholeFrames})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,6 +60,8 @@
 	}
 }
 
+// Checks that a cut closes open and new connections, and that new connections
+// work again after it.
 func TestCut(t *testing.T) {
 	p, dial := startProxy(t, false)
 	client, server := dial()
@@ -73,12 +75,12 @@
 	if n, err := io.Copy(io.Discard, server); n != 0 {
 		t.Errorf("%d bytes arrived after the cut, %v", n, err)
 	}
-	second, err := net.Dial("tcp", p.Addr())
+	secondConn, err := net.Dial("tcp", p.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer second.Close()
-	if n, _ := second.Read(make([]byte, 1)); n != 0 {
+	defer secondConn.Close()
+	if n, _ := secondConn.Read(make([]byte, 1)); n != 0 {
 		t.Error("a new connection carried data during the cut")
 	}
 	p.SetFault(Fault{})
@@ -91,6 +93,7 @@
 	}
 }
 
+// Checks that no frame arrives before the delay has passed.
 func TestDelay(t *testing.T) {
 	const delay = 50 * time.Millisecond
 	p, dial := startProxy(t, true)
@@ -111,6 +114,8 @@
 	}
 }
 
+// Checks that a freeze of one direction holds back only the bytes of this
+// direction, and that they arrive after the freeze.
 func TestFreezeOneDirection(t *testing.T) {
 	p, dial := startProxy(t, false)
 	client, server := dial()
@@ -137,6 +142,7 @@
 	}
 }
 
+// Checks which frames arrive, and in which order, after a fault of each action.
 func TestFrameFaults(t *testing.T) {
 	id := ident.Make(1, 1)
 	tests := []struct {
@@ -172,6 +178,7 @@
 	}
 }
 
+// Checks that AwaitFrames returns when the frame has been forwarded.
 func TestAwaitFrames(t *testing.T) {
 	p, dial := startProxy(t, true)
 	client, server := dial()
--- a/trial/proxy/pump.go
+++ b/trial/proxy/pump.go
@@ -18,11 +18,11 @@
 const frameHeaderLen = 5
 
 // segment is a frame, or without WholeFrames the data of one read, that is
-// forwarded at the time due.
+// forwarded at the time dueAt.
 type segment struct {
-	data []byte
-	kind wire.Kind
-	due  time.Time
+	data  []byte
+	kind  wire.Kind
+	dueAt time.Time
 }
 
 // forwarder forwards one direction of a connection.
@@ -83,7 +83,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !arrivedTogether && f.fault.Direction.includes(f.dir) {
-		seg.due = time.Now().Add(f.fault.Delay.Std())
+		seg.dueAt = time.Now().Add(f.fault.Delay.Std())
 	}
 	return seg, err
 }
@@ -96,7 +96,7 @@
 	case CutBefore:
 		return false
 	case Delay:
-		seg.due = time.Now().Add(fault.Hold.Std())
+		seg.dueAt = time.Now().Add(fault.Hold.Std())
 		f.delayedFrames.Go(func() { f.writeWhenDue(ctx, seg) })
 		return true
 	case Duplicate:
@@ -124,7 +124,7 @@
 // and then writes it. It returns false if ctx ends or the write fails.
 func (f forwarder) writeWhenDue(ctx context.Context, seg segment) bool {
 	select {
-	case <-time.After(time.Until(seg.due)):
+	case <-time.After(time.Until(seg.dueAt)):
 	case <-ctx.Done():
 		return false
 	}
--- a/trial/simapi/http.go
+++ b/trial/simapi/http.go
@@ -177,7 +177,7 @@
 }
 
 // consumeLostReply reports whether the reply to the current write must be
-// dropped, and uses up one of the replies to lose.
+// dropped. If so, it decrements Fault.LoseReplies.
 func (p *Platform) consumeLostReply() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -195,7 +195,7 @@
 )
 
 // parsePoll parses the parameters of a long poll: the version after which it
-// waits for news, and the time at which it must be answered. If a parameter is
+// waits for changes, and the time at which it must be answered. If a parameter is
 // invalid, it answers 400 and returns false.
 func parsePoll(w http.ResponseWriter, r *http.Request) (after int64, until time.Time, ok bool) {
 	q := r.URL.Query()
--- a/trial/simapi/platf.go
+++ b/trial/simapi/platf.go
@@ -32,7 +32,7 @@
 	Down bool `json:"down"`
 	// Slow is a delay before every call is handled.
 	Slow spec.Duration `json:"slow"`
-	// LoseReplies is the number of coming writes that take effect but whose
+	// LoseReplies is the number of upcoming writes that take effect but whose
 	// connection is closed without a reply.
 	LoseReplies int `json:"lose_replies"`
 	// Lag is the time after which a change shows up in the instance list and in
--- a/trial/simapi/platf_test.go
+++ b/trial/simapi/platf_test.go
@@ -36,6 +36,8 @@
 	return resp.StatusCode
 }
 
+// Checks conditional writes, invalid JSON, watches, compaction and deletion of
+// objects through the HTTP API.
 func TestObjects(t *testing.T) {
 	p := New(Config{MaxEvents: 4})
 	srv := httptest.NewServer(p.Handler())
@@ -113,6 +115,8 @@
 	}
 }
 
+// Checks the instance list and the weight store, and that an outage is answered
+// with 503.
 func TestInstances(t *testing.T) {
 	p := New(Config{MaxWeightReads: 1, WeightReadTime: time.Millisecond})
 	srv := httptest.NewServer(p.Handler())
--- a/trial/simapi/poll.go
+++ b/trial/simapi/poll.go
@@ -10,8 +10,8 @@
 
 // pollResult is the result of one check by a long poll.
 type pollResult struct {
-	// found reports whether there is news, which ends the poll.
-	found bool
+	// hasChange is set if there is a change to return, which ends the poll.
+	hasChange bool
 	// untilVisible is the time until the next lagging change becomes visible;
 	// zero if there is none.
 	untilVisible time.Duration
@@ -20,8 +20,8 @@
 }
 
 // poll answers a long poll. It calls check with mu held, first at once and then
-// after every change, until check finds news or the time until is reached, and
-// answers with the last result.
+// whenever changed is closed, until the result has a change or the time until is
+// reached, and answers with the last result.
 func (p *Platform) poll(w http.ResponseWriter, r *http.Request, until time.Time, check func() pollResult) {
 	p.updateStats(func(s *Stats) { s.Waiting++ })
 	defer p.updateStats(func(s *Stats) { s.Waiting-- })
@@ -35,15 +35,15 @@
 			p.refuse(w)
 			return
 		}
-		left := time.Until(until)
-		if res.found || left <= 0 {
+		remaining := time.Until(until)
+		if res.hasChange || remaining <= 0 {
 			serve.WriteJSON(w, res.status, res.body)
 			return
 		}
 		if res.untilVisible > 0 {
-			left = min(left, res.untilVisible)
+			remaining = min(remaining, res.untilVisible)
 		}
-		t := time.NewTimer(left)
+		t := time.NewTimer(remaining)
 		select {
 		case <-changed:
 		case <-t.C:
@@ -64,10 +64,10 @@
 	kind := r.PathValue("kind")
 	p.poll(w, r, until, func() pollResult {
 		if after < p.compactedVersion {
-			return pollResult{found: true, status: http.StatusGone, body: plat.Batch{Version: p.version}}
+			return pollResult{hasChange: true, status: http.StatusGone, body: plat.Batch{Version: p.version}}
 		}
 		b, untilVisible := p.eventsAfter(kind, after)
-		return pollResult{found: len(b.Events) > 0, untilVisible: untilVisible, status: http.StatusOK, body: b}
+		return pollResult{hasChange: len(b.Events) > 0, untilVisible: untilVisible, status: http.StatusOK, body: b}
 	})
 }
 
@@ -79,19 +79,19 @@
 	}
 	p.poll(w, r, until, func() pollResult {
 		list, untilVisible := p.visibleRoster()
-		return pollResult{found: list.Version > after, untilVisible: untilVisible, status: http.StatusOK, body: list}
+		return pollResult{hasChange: list.Version > after, untilVisible: untilVisible, status: http.StatusOK, body: list}
 	})
 }
 
 func (p *Platform) weights(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	p.stats.Weights++
-	full := p.weightReads >= p.cfg.MaxWeightReads
-	if !full {
+	isFull := p.weightReads >= p.cfg.MaxWeightReads
+	if !isFull {
 		p.weightReads++
 	}
 	p.mu.Unlock()
-	if full {
+	if isFull {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "weight store is at its rate", http.StatusTooManyRequests)
 		return
--- a/trial/simapi/store.go
+++ b/trial/simapi/store.go
@@ -10,8 +10,8 @@
 	"lycheepond/core/plat"
 )
 
-// AnyVersion is the expected version of a write that takes effect whatever
-// version the object has.
+// AnyVersion is the expected version of a write that takes effect regardless of
+// the object's version.
 const AnyVersion = -1
 
 // Put writes an object if its current version is expectedVersion, where 0 means
@@ -107,14 +107,14 @@
 	lag := max(p.fault.Lag.Std(), p.fault.StaleReads.Std())
 	b = plat.Batch{Version: after, Events: []plat.Event{}}
 	now := p.now()
-	var old []plat.Event
+	var oldEvents []plat.Event
 	for _, l := range p.log {
 		if wait := l.at.Add(lag).Sub(now); wait > 0 {
 			untilVisible = wait
 			break
 		}
 		if l.event.Object.Version <= after {
-			old = append(old, l.event)
+			oldEvents = append(oldEvents, l.event)
 			continue
 		}
 		b.Version = l.event.Object.Version
@@ -122,11 +122,11 @@
 			b.Events = append(b.Events, l.event)
 		}
 	}
-	if n := min(p.fault.Replay, len(old)); n > 0 && len(b.Events) > 0 {
+	if n := min(p.fault.Replay, len(oldEvents)); n > 0 && len(b.Events) > 0 {
 		// The oldest event comes last, so that a reader that trusts the last
 		// event regardless of its version reverts.
 		for i := range n {
-			b.Events = append(b.Events, old[len(old)-1-i])
+			b.Events = append(b.Events, oldEvents[len(oldEvents)-1-i])
 		}
 	}
 	return b, untilVisible
--- a/trial/simeng/batch.go
+++ b/trial/simeng/batch.go
@@ -20,8 +20,8 @@
 	// targetTokens is the number of tokens that must be in KV memory before
 	// decoding starts. kvTokens is the number of tokens that are.
 	targetTokens, kvTokens int
-	// outTokens is the number of tokens produced so far.
-	outTokens int
+	// outputTokens is the number of tokens produced so far.
+	outputTokens int
 	// cachedTokens is the number of prompt tokens found in the prefix cache
 	// when the sequence was first admitted.
 	cachedTokens int
@@ -89,7 +89,7 @@
 // reserveBlocks reserves the blocks that s needs, and uses cached blocks for its
 // prompt as far as possible. It returns false if there is not enough memory.
 func (b *batch) reserveBlocks(s *sequence) bool {
-	targetTokens := s.promptTokens + s.outTokens
+	targetTokens := s.promptTokens + s.outputTokens
 	cachedBlocks := b.kv.cachedPrefixLen(s.blockHashes)
 	// The cached blocks are acquired first, so that kv.reserve can't evict them.
 	b.kv.acquire(s.blockHashes[:cachedBlocks])
@@ -140,7 +140,7 @@
 		case s.isDecoding() && b.isRunning(s):
 			b.decode(s)
 		}
-		if s.outTokens >= s.answerTokens && b.isRunning(s) {
+		if s.outputTokens >= s.answerTokens && b.isRunning(s) {
 			b.removeRunning(s)
 			finished = append(finished, s)
 		}
@@ -175,7 +175,7 @@
 		b.commitBlock(s)
 	}
 	if s.isDecoding() {
-		s.outTokens++
+		s.outputTokens++
 	}
 }
 
@@ -199,7 +199,7 @@
 	if b.blocksFor(s.kvTokens+1) > s.heldBlocks+s.privateBlocks && !b.addBlock(s) {
 		return
 	}
-	s.outTokens++
+	s.outputTokens++
 }
 
 // addBlock reserves one more block for s. If there is no memory, it preempts the
--- a/trial/simeng/config.go
+++ b/trial/simeng/config.go
@@ -59,7 +59,7 @@
 	Speed float64 `json:"speed"`
 	// Freeze stops all progress, including load reports.
 	Freeze bool `json:"freeze"`
-	// TruncateNext is the number of coming requests whose answer breaks off
+	// TruncateNext is the number of upcoming requests whose answers are truncated
 	// halfway.
 	TruncateNext int `json:"truncate_next"`
 	// Delay is the time for which a request is held back before it is submitted.
--- a/trial/simeng/engin.go
+++ b/trial/simeng/engin.go
@@ -23,7 +23,7 @@
 
 	mu sync.Mutex
 	// arrivals and cancelIDs hold new requests and the IDs of requests to cancel.
-	// Run takes them between two steps.
+	// Run processes them between two steps.
 	arrivals  []*sequence
 	cancelIDs []string
 	// requests holds, by request ID, the requests whose answer can still be
@@ -37,7 +37,7 @@
 	// reports.
 	batchState batchState
 	// loadReports holds the load reports that are not older than needed for
-	// LoadLag, oldest first. loadTimes holds their times.
+	// LoadLag, oldest first. loadTimes holds the time of each.
 	loadReports []LoadReport
 	loadTimes   []time.Time
 	events      eventLog
--- a/trial/simeng/engin_test.go
+++ b/trial/simeng/engin_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// startEngine starts a fast engine, whose configuration change may adjust, and
-// a server for its API.
+// startEngine starts a fast engine and a server for its API. adjust changes the
+// engine's configuration; it may be nil.
 func startEngine(t *testing.T, adjust func(*Config)) (*Engine, *httptest.Server) {
 	t.Helper()
 	cfg := DefaultConfig()
@@ -82,6 +82,8 @@
 // makePrompt returns a prompt of n tokens that repeats seed.
 func makePrompt(n int, seed string) string { return strings.Repeat(seed, n*bytesPerToken/len(seed)) }
 
+// Checks the text and the usage of streamed and unstreamed answers, and that a
+// request for another model is refused.
 func TestAnswers(t *testing.T) {
 	_, srv := startEngine(t, nil)
 	p := makePrompt(100, "ab")
@@ -134,8 +136,8 @@
 	return string(b)
 }
 
-// If the running sequences need more than the KV memory, the engine frees the
-// memory of the newest one and computes it again later. The caller must still get
+// If the running sequences need more than the KV memory, the engine preempts
+// the newest one and computes its tokens again later. The caller must still get
 // its complete answer, and the repeated work must be counted as wasted prefill.
 func TestPreemption(t *testing.T) {
 	e, srv := startEngine(t, func(c *Config) { c.KVBlocks = 24; c.Slots = 4 })
@@ -159,6 +161,8 @@
 	}
 }
 
+// Checks that a cancelled request ends with an error, is recorded as cancelled and
+// counts its prefill as wasted, and that it cannot be cancelled twice.
 func TestCancel(t *testing.T) {
 	e, srv := startEngine(t, func(c *Config) { c.DecodeTPS = 50 })
 	resp := post(t, srv.URL+"/v1/completions", "r1", CompletionRequest{Model: "roster", Prompt: makePrompt(64, "q"), MaxTokens: 1000, Stream: true})
@@ -180,6 +184,8 @@
 	}
 }
 
+// Checks that an order with an outdated fencing number is refused only if the
+// engine checks fencing numbers.
 func TestOrders(t *testing.T) {
 	for _, checksFence := range []bool{true, false} {
 		e, srv := startEngine(t, func(c *Config) { c.ChecksFence = checksFence })
@@ -231,6 +237,7 @@
 	}
 }
 
+// Checks that a load report is shown only after the configured lag.
 func TestLoadReportLag(t *testing.T) {
 	e := New(DefaultConfig())
 	now := time.Now()
--- a/trial/simeng/report.go
+++ b/trial/simeng/report.go
@@ -81,7 +81,7 @@
 	// lastSeq is the number of the last event. Dropped events are counted too, so
 	// that a reader notices a gap.
 	lastSeq int64
-	// events holds the events, oldest first, and times their times.
+	// events holds the events, oldest first, and times the time of each.
 	events []CacheEvent
 	times  []time.Time
 }
--- a/trial/simeng/sched.go
+++ b/trial/simeng/sched.go
@@ -43,8 +43,8 @@
 			nextStep = time.Now()
 			continue
 		}
-		// A delay of the scheduler is made up for by at most the length of one
-		// step. Beyond that the time is lost, as in real engines.
+		// If the scheduler is late, the next step is shortened by the delay, at most
+		// by its whole length. Any further delay is lost, as in real engines.
 		step := time.Duration(float64(e.batch.planStep()) / speed)
 		nextStep = maxTime(nextStep, time.Now().Add(-step)).Add(step)
 		e.sleepUntil(ctx, timer, nextStep)
@@ -79,8 +79,8 @@
 
 // sleepUntil waits until the given time or until ctx ends.
 func (e *Engine) sleepUntil(ctx context.Context, timer *time.Timer, until time.Time) {
-	for left := time.Until(until); left > 0; left = time.Until(until) {
-		timer.Reset(min(left, maxSleep))
+	for remaining := time.Until(until); remaining > 0; remaining = time.Until(until) {
+		timer.Reset(min(remaining, maxSleep))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -140,16 +140,16 @@
 // recordTokens copies the token counts of s to its record and adds them to the
 // totals. The caller holds mu.
 func (e *Engine) recordTokens(s *sequence) {
-	s.rec.CachedTokens, s.rec.OutputTokens = s.cachedTokens, s.outTokens
+	s.rec.CachedTokens, s.rec.OutputTokens = s.cachedTokens, s.outputTokens
 	s.rec.WastedPrefillTokens = s.wastedTokens
 	e.stats.CachedTokens += int64(s.cachedTokens)
-	e.stats.OutputTokens += int64(s.outTokens)
+	e.stats.OutputTokens += int64(s.outputTokens)
 	e.stats.WastedPrefillTokens += int64(s.wastedTokens)
 }
 
 func (s *sequence) usage() usage {
 	return usage{
-		PromptTokens: s.promptTokens, CompletionTokens: s.outTokens, TotalTokens: s.promptTokens + s.outTokens,
+		PromptTokens: s.promptTokens, CompletionTokens: s.outputTokens, TotalTokens: s.promptTokens + s.outputTokens,
 		Details: promptDetails{CachedTokens: s.cachedTokens},
 	}
 }
@@ -158,7 +158,7 @@
 // the records and totals.
 func (e *Engine) publishStep(finished []*sequence) {
 	for _, s := range e.batch.running {
-		s.progress.setTokens(s.outTokens)
+		s.progress.setTokens(s.outputTokens)
 	}
 	e.mu.Lock()
 	for _, s := range finished {
@@ -171,13 +171,13 @@
 	e.stats.Steps++
 	e.mu.Unlock()
 	for _, s := range finished {
-		s.progress.setTokens(s.outTokens)
+		s.progress.setTokens(s.outputTokens)
 		s.progress.finish(false, s.usage())
 	}
 }
 
-// sweep cancels requests that nobody has read for longer than Grace, and removes
-// finished ones that nobody has read for as long.
+// sweep cancels unfinished requests and removes finished ones whose answers nobody has
+// read for longer than Grace.
 func (e *Engine) sweep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/trial/site.go
+++ b/trial/site.go
@@ -107,7 +107,7 @@
 // entryAddrs returns the addresses at which the entries accept requests.
 func (s *site) entryAddrs() (out []string) {
 	for _, e := range s.fleet.Entries() {
-		out = append(out, e.Listen)
+		out = append(out, e.ListenAddr)
 	}
 	return out
 }
@@ -116,5 +116,5 @@
 func (s *site) curlCommand() string {
 	return fmt.Sprintf("curl -N http://%s/v1/completions -H 'Authorization: Bearer %s' -H 'Lychee-Class: %s' "+
 		`-d '{"model":"%s","prompt":"What is still open for Saturday?","max_tokens":24,"stream":true}'`,
-		s.fleet.Entries()[0].Listen, bearer(s.customers()[0].Name), s.classes()[0].Name, s.model())
+		s.fleet.Entries()[0].ListenAddr, bearer(s.customers()[0].Name), s.classes()[0].Name, s.model())
 }
--- a/trial/smoke.go
+++ b/trial/smoke.go
@@ -26,7 +26,7 @@
 )
 
 func smokeCommand() command {
-	sub := newSubcommand("smoke", "send work of every class through both entries of both deployments and check each answer")
+	sub := newSubcommand("smoke", "send requests of every class through both entries of both deployments and check each answer")
 	examples := examplesDir
 	sub.String(&examples, "e", "examples", "directory of the example objects")
 	return command{sub: sub, run: func(ctx context.Context) error {
@@ -91,11 +91,11 @@
 		words, outputTokens = longWords, longOutputTokens
 	}
 	prompt := fmt.Sprintf("%s %s %d ", customer, class.Name, n) + strings.Repeat("field ", words)
-	ask := simeng.CompletionRequest{Model: s.model(), Prompt: prompt, MaxTokens: outputTokens, Stream: stream}
+	req := simeng.CompletionRequest{Model: s.model(), Prompt: prompt, MaxTokens: outputTokens, Stream: stream}
 	if isChat {
-		ask.Prompt, ask.Messages = "", []simeng.Message{{Role: "user", Content: prompt}}
+		req.Prompt, req.Messages = "", []simeng.Message{{Role: "user", Content: prompt}}
 	}
-	return load.Job{Class: class, Customer: customer, Bearer: bearer(customer), ModelRequest: ask}
+	return load.Job{Class: class, Customer: customer, Bearer: bearer(customer), ModelRequest: req}
 }
 
 // plainJob returns job number n as a request to the plain service.
