--- a/agent/slot/keys.go
+++ b/agent/slot/keys.go
@@ -15,8 +15,8 @@
 )
 
 // maxKeys bounds the number of key records. Beyond it the oldest records are
-// evicted, and requests whose keys may be as old are no longer run. It follows from
-// the 32 MB of memory that an agent may use.
+// evicted, and a request whose key may be as old as an evicted one is not run. The
+// limit follows from the 32 MB of memory that an agent may use.
 const maxKeys = 20000
 
 var errLeaseExpired = errors.New("slot: the lease on the key expired before the request was sent: the request is returned and not run")
@@ -83,11 +83,11 @@
 // keyRefusal returns the reason why this agent may not act for a key now, or
 // ReasonNone.
 func (o *Owner) keyRefusal(now time.Duration, m *wire.Offer) wire.Reason {
-	h := o.homeViews[m.Pool]
-	if h == nil {
+	view := o.homeViews[m.Pool]
+	if view == nil {
 		return wire.ReasonNotHome
 	}
-	switch h.CheckOwnership(now, m.KeyHash, m.Epoch) {
+	switch view.CheckOwnership(now, m.KeyHash, m.Epoch) {
 	case homes.NotHome:
 		return wire.ReasonNotHome
 	case homes.NoLease:
@@ -103,9 +103,9 @@
 	if r.key == nil || r.offer == nil || o.homeViews[r.offer.Pool] == nil {
 		return nil
 	}
-	until, clock := o.homeViews[r.offer.Pool].LeaseEnd(), o.cfg.Now
+	leaseEnd, clock := o.homeViews[r.offer.Pool].LeaseEnd(), o.cfg.Now
 	r.guard = &call.Guard{Check: func() error {
-		if clock() >= until {
+		if clock() >= leaseEnd {
 			return errLeaseExpired
 		}
 		return nil
