--- a/core/place/cache.go
+++ b/core/place/cache.go
@@ -15,17 +15,18 @@
 	// last sent a prompt that begins with it.
 	prefixTTL = 10 * time.Minute
 	// hitRateWeight is the weight of one answer in an agent's hit rate.
-	// minHitRate is the lower bound of a hit rate; it is above zero so that the
-	// agent is tried again.
+	// minHitRate is the lower bound of a hit rate; it is above zero, so that an
+	// agent with a low rate still gets some requests for its prefixes and the
+	// rate can rise again.
 	hitRateWeight, minHitRate = 1.0 / 8, 0.1
 )
 
-// holder is an agent that is assumed to have a prefix in its cache. ForgetAgent
-// increments the agent's generation, which invalidates all holders of older
-// generations.
+// holder is an agent that is assumed to have a prefix in its cache. agentID is
+// the index of the agent in cache.agents. ForgetAgent increments the agent's
+// generation, which invalidates all holders of older generations.
 type holder struct {
-	agent, generation int32
-	sentAt            time.Duration
+	agentID, generation int32
+	sentAt              time.Duration
 }
 
 // holders are the agents that are assumed to have one prefix.
@@ -70,6 +71,8 @@
 	return cache{prefixes: recent.New[uint64, holders](limit), byName: make(map[string]int32)}
 }
 
+// agentID returns the index of the named agent in c.agents. It adds the agent if
+// it is new.
 func (c *cache) agentID(name string) int32 {
 	if i, ok := c.byName[name]; ok {
 		return i
@@ -96,10 +99,12 @@
 	return nil, 0
 }
 
+// expire removes the holders that have not been sent the prefix for prefixTTL or
+// that have restarted since.
 func (c *cache) expire(now time.Duration, h *holders) {
 	n := 0
 	for _, a := range h.agents[:h.count] {
-		if now-a.sentAt <= prefixTTL && c.agents[a.agent].generation == a.generation {
+		if now-a.sentAt <= prefixTTL && c.agents[a.agentID].generation == a.generation {
 			h.agents[n] = a
 			n++
 		}
@@ -109,7 +114,7 @@
 
 // indexOf returns the index of a holder in agents, or -1 if it is not there.
 func (c *cache) indexOf(h holder, agents []Agent) int {
-	k := &c.agents[h.agent]
+	k := &c.agents[h.agentID]
 	if k.lastIndex < len(agents) && agents[k.lastIndex].Name == k.name {
 		return k.lastIndex
 	}
@@ -144,6 +149,8 @@
 	return first, second
 }
 
+// nameHash returns the hash of the name of the agent at index i of the caller's
+// slice. It computes the hash again only if the name has changed.
 func (c *cache) nameHash(i int, name string) uint64 {
 	for len(c.hashedNames) <= i {
 		c.hashedNames = append(c.hashedNames, hashedName{})
@@ -168,20 +175,20 @@
 
 // record notes that an agent has every prefix in prefix. It returns the length
 // in tokens of the longest prefix that the agent was already assumed to have.
-func (c *cache) record(now time.Duration, name string, prefix []uint64) (believedTokens int) {
+func (c *cache) record(now time.Duration, name string, prefix []uint64) (assumedTokens int) {
 	agent := c.agentID(name)
-	sent := holder{agent: agent, generation: c.agents[agent].generation, sentAt: now}
+	sent := holder{agentID: agent, generation: c.agents[agent].generation, sentAt: now}
 	for i, hash := range prefix {
 		h := c.prefixes.GetOrAdd(hash)
 		c.expire(now, h)
 		pos := h.position(agent)
-		if pos < h.count && h.agents[pos].agent == agent {
-			believedTokens = prefixTokens(i)
+		if pos < h.count && h.agents[pos].agentID == agent {
+			assumedTokens = prefixTokens(i)
 		}
 		h.count = max(h.count, pos+1)
 		h.agents[pos] = sent
 	}
-	return believedTokens
+	return assumedTokens
 }
 
 // position returns the index to use for an agent: its present one, a free one,
@@ -189,7 +196,7 @@
 func (h *holders) position(agent int32) int {
 	oldest := 0
 	for i := range h.agents[:h.count] {
-		if h.agents[i].agent == agent {
+		if h.agents[i].agentID == agent {
 			return i
 		}
 		if h.agents[i].sentAt < h.agents[oldest].sentAt {
@@ -221,7 +228,7 @@
 // which is assumed to have it in its cache from then on. It returns the number
 // of the prompt's tokens that the agent was already assumed to have cached. The
 // caller passes that number to RecordCached when the request has ended.
-func (p *Placer) RecordSent(now time.Duration, agent string, prefix []uint64) (believedTokens int) {
+func (p *Placer) RecordSent(now time.Duration, agent string, prefix []uint64) (assumedTokens int) {
 	return p.cache.record(now, agent, prefix)
 }
 
@@ -229,13 +236,13 @@
 // agent, and how many RecordSent had returned. An agent whose engine evicts
 // prefixes sooner than assumed gets a lower hit rate, which reduces the saving
 // that is expected there.
-func (p *Placer) RecordCached(agent string, believedTokens, cachedTokens int) {
+func (p *Placer) RecordCached(agent string, assumedTokens, cachedTokens int) {
 	i, ok := p.cache.byName[agent]
-	if !ok || believedTokens <= 0 {
+	if !ok || assumedTokens <= 0 {
 		return
 	}
 	k := &p.cache.agents[i]
-	hitRate := min(float64(cachedTokens)/float64(believedTokens), 1)
+	hitRate := min(float64(cachedTokens)/float64(assumedTokens), 1)
 	k.hitRate = max(k.hitRate+(hitRate-k.hitRate)*hitRateWeight, minHitRate)
 }
 
--- a/core/place/model_test.go
+++ b/core/place/model_test.go
@@ -78,8 +78,8 @@
 // time and the other has a free slot sooner.
 func (m *fleetModel) claimingAgent(now time.Duration, p *Placer, req Request, i int, rnd uint64) int {
 	start, _ := m.earliestSlot(now, i)
-	w := UnclaimedOffer{Tier: req.Tier, OfferedAt: now, AgentCount: 1, PromptTokens: req.PromptTokens, Prefix: req.Prefix}
-	if w.keepWaiting(start, p.prefixSaving(now, &w)) {
+	offer := UnclaimedOffer{Tier: req.Tier, OfferedAt: now, AgentCount: 1, PromptTokens: req.PromptTokens, Prefix: req.Prefix}
+	if offer.keepWaiting(start, p.prefixSaving(now, &offer)) {
 		return i
 	}
 	other := p.Pick(now, Request{Tier: req.Tier, PromptTokens: req.PromptTokens, Work: req.Work}, m.agents, 1, rnd, nil)[0]
@@ -106,19 +106,19 @@
 	}
 }
 
-// run sends requests for a minute, at a rate that uses loadFraction of the
-// capacity without prefill. Half of the requests share one prefix, the others
-// forty.
+// run sends requests for a minute, at a rate that would use loadFraction of the
+// capacity if no prompt had to be computed, and returns their p99 latency. Half
+// of the requests share one prefix, the others forty.
 func (m *fleetModel) run(p *Placer, loadFraction float64, withPrefix bool) (p99 time.Duration) {
 	rnd := rand.New(rand.NewPCG(3, 3))
 	slots := float64(len(m.agents) * m.agents[0].Bound)
 	gap := time.Duration(float64(decodeTime) / slots / loadFraction)
-	reported := -loadLag
+	refreshedAt := -loadLag
 	var out []int
 	for now := time.Duration(0); now < time.Minute; now += time.Duration(rnd.ExpFloat64() * float64(gap)) {
-		if now-reported >= loadLag {
+		if now-refreshedAt >= loadLag {
 			m.refreshLoads(now)
-			reported = now
+			refreshedAt = now
 		}
 		if m.onTick != nil {
 			m.onTick(now)
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -76,8 +76,8 @@
 type Agent struct {
 	Name string
 	Zone string
-	// InFlight, Bound, Queued and QueuedCost are the agent's last reported
-	// load, plus what this entry has offered to it since.
+	// InFlight, InFlightBound, Queued and QueuedCost are the agent's last
+	// reported load, plus what this entry has offered to it since.
 	InFlight, Bound, Queued int
 	QueuedCost              time.Duration
 	// Slow and Leaving are reported by the agent. Full means that it returned
@@ -121,8 +121,8 @@
 // candidate is an agent that may be picked.
 type candidate struct {
 	index int
-	// cost is the expected delay of the request at the agent less saving, the
-	// time that is saved by a cached prefix.
+	// saving is the time that a cached prefix saves. cost is the expected delay
+	// of the request at the agent minus saving.
 	cost   time.Duration
 	saving time.Duration
 }
@@ -164,24 +164,24 @@
 	return out
 }
 
-// add makes agents[i] a candidate unless it is one already. heldTokens is the
+// add makes agents[i] a candidate unless it already is one. assumedTokens is the
 // number of the prompt's tokens that it is assumed to have cached.
-func (p *Placer) add(req *Request, agents []Agent, i, heldTokens int) {
+func (p *Placer) add(req *Request, agents []Agent, i, assumedTokens int) {
 	for j := range p.candidates {
 		if p.candidates[j].index == i {
 			return
 		}
 	}
-	saving := p.saving(req.PromptTokens, heldTokens, &agents[i])
+	saving := p.saving(req.PromptTokens, assumedTokens, &agents[i])
 	p.candidates = append(p.candidates, candidate{index: i, cost: p.expectedDelay(req, &agents[i]) - saving, saving: saving})
 }
 
-// saving returns the time that is saved if heldTokens of the prompt are cached
+// saving returns the time that is saved if assumedTokens of the prompt are cached
 // at a: the prefill itself, the later prefill of the prefix that it would evict
 // elsewhere, and a part of both for every request in the batch, which would be
 // delayed by the prefill.
-func (p *Placer) saving(promptTokens, heldTokens int, a *Agent) time.Duration {
-	prefill := prefillsPerMiss * time.Duration(min(heldTokens, promptTokens)) * p.cfg.PrefillPerToken
+func (p *Placer) saving(promptTokens, assumedTokens int, a *Agent) time.Duration {
+	prefill := prefillsPerMiss * time.Duration(min(assumedTokens, promptTokens)) * p.cfg.PrefillPerToken
 	return prefill + prefill*time.Duration(min(a.InFlight, a.Bound))/prefillStallDivisor
 }
 
@@ -214,7 +214,7 @@
 	for i := range h.agents[:h.count] {
 		at := p.cache.indexOf(h.agents[i], agents)
 		if at >= 0 && agents[at].usable() {
-			p.add(req, agents, at, int(float64(tokens)*p.cache.agents[h.agents[i].agent].hitRate))
+			p.add(req, agents, at, int(float64(tokens)*p.cache.agents[h.agents[i].agentID].hitRate))
 		}
 	}
 	return tokens
@@ -228,13 +228,13 @@
 		return
 	}
 	level := min(preferredLevel, len(req.Prefix)-1)
-	heldTokens := max(knownTokens/knownPrefixDivisor, prefixTokens(level)/newPrefixDivisor)
+	assumedTokens := max(knownTokens/knownPrefixDivisor, prefixTokens(level)/newPrefixDivisor)
 	first, second := p.cache.preferredAgents(req.Prefix[level], agents)
 	if first >= 0 {
-		p.add(req, agents, first, heldTokens)
+		p.add(req, agents, first, assumedTokens)
 	}
 	if second >= 0 {
-		p.add(req, agents, second, heldTokens/knownPrefixDivisor)
+		p.add(req, agents, second, assumedTokens/knownPrefixDivisor)
 	}
 }
 
@@ -275,6 +275,7 @@
 	}
 }
 
+// isCandidate reports whether the agent at index i is a candidate.
 func (p *Placer) isCandidate(i int) bool {
 	for j := range p.candidates {
 		if p.candidates[j].index == i {
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -125,8 +125,8 @@
 func TestHitRateLowersSavings(t *testing.T) {
 	p, agents := New(Config{Zone: "z1"}), makeAgents(20, "z1")
 	req := Request{Tier: 1, PromptTokens: 256, Work: time.Second, Prefix: Fingerprint(make([]byte, 1024))}
-	if believedTokens := p.RecordSent(0, agents[7].Name, req.Prefix); believedTokens != 0 {
-		t.Fatalf("%d tokens of a new prompt assumed to be cached", believedTokens)
+	if assumedTokens := p.RecordSent(0, agents[7].Name, req.Prefix); assumedTokens != 0 {
+		t.Fatalf("%d tokens of a new prompt assumed to be cached", assumedTokens)
 	}
 	for range 20 {
 		p.RecordCached(agents[7].Name, p.RecordSent(0, agents[7].Name, req.Prefix), 0)
--- a/core/place/wider.go
+++ b/core/place/wider.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// firstExtension is how long an offer waits at a single agent before it is
-	// extended to another one. The time doubles with each further agent. An
+	// firstExtensionDelay is how long an offer waits at a single agent before it
+	// is extended to another one. The time doubles with each further agent. An
 	// idle agent claims an offer within one round trip, a few milliseconds.
-	firstExtension = 100 * time.Millisecond
+	firstExtensionDelay = 100 * time.Millisecond
 	// maxAgentsPerOffer is the maximum number of agents that hold the same
 	// offer. Each further agent costs a message and helps less.
 	maxAgentsPerOffer = 6
@@ -38,18 +38,18 @@
 // keepWaiting reports whether the offer should stay with the agents that hold
 // it. prefixSaving is the time that is saved if an agent with the prompt's
 // prefix claims it.
-func (w *UnclaimedOffer) keepWaiting(now, prefixSaving time.Duration) bool {
-	if w.AgentCount >= maxAgentsPerOffer {
+func (o *UnclaimedOffer) keepWaiting(now, prefixSaving time.Duration) bool {
+	if o.AgentCount >= maxAgentsPerOffer {
 		return true
 	}
-	timeout := firstExtension<<max(w.AgentCount-1, 0) + prefixSaving
-	if w.AgentCount == 0 {
+	timeout := firstExtensionDelay<<max(o.AgentCount-1, 0) + prefixSaving
+	if o.AgentCount == 0 {
 		timeout = 0
 	}
-	if w.Due > now {
-		timeout = min(timeout, max((w.Due-w.OfferedAt)/targetWaitDivisor, firstExtension/targetWaitDivisor))
+	if o.Due > now {
+		timeout = min(timeout, max((o.Due-o.OfferedAt)/targetWaitDivisor, firstExtensionDelay/targetWaitDivisor))
 	}
-	return now-w.OfferedAt < timeout
+	return now-o.OfferedAt < timeout
 }
 
 // OffersToExtend appends to out the indexes of the requests that should be
@@ -73,16 +73,16 @@
 // prefixSaving returns the time that an agent with the prompt's prefix saves in
 // a full batch. If offers were extended to other agents before that time had
 // passed, every prefix would be spread over the fleet until no cache holds it.
-func (p *Placer) prefixSaving(now time.Duration, w *UnclaimedOffer) time.Duration {
-	h, tokens := p.cache.longestKnown(now, w.Prefix)
+func (p *Placer) prefixSaving(now time.Duration, offer *UnclaimedOffer) time.Duration {
+	h, tokens := p.cache.longestKnown(now, offer.Prefix)
 	if h == nil {
 		return 0
 	}
-	return prefillsPerMiss * fullBatchSize / prefillStallDivisor * time.Duration(min(tokens, w.PromptTokens)) * p.cfg.PrefillPerToken
+	return prefillsPerMiss * fullBatchSize / prefillStallDivisor * time.Duration(min(tokens, offer.PromptTokens)) * p.cfg.PrefillPerToken
 }
 
 // orNever replaces zero, which means no target, by the largest time, so that
-// requests without a target come last.
+// requests without a target are last in the order.
 func orNever(due time.Duration) time.Duration {
 	if due == 0 {
 		return 1<<63 - 1
