--- a/core/bound/bound.go
+++ b/core/bound/bound.go
@@ -39,8 +39,8 @@
 	InFlight int
 }
 
-// Report is the state that the endpoint reports of itself. Age is the time
-// since then.
+// Report is the state that the endpoint reports of itself. Running and Waiting
+// are numbers of requests. Age is the time since the report was made.
 type Report struct {
 	Running, Waiting int
 	// KVUsed and KVTotal are in any common unit, such as blocks. Zero means
--- a/core/bound/bound_test.go
+++ b/core/bound/bound_test.go
@@ -11,9 +11,9 @@
 	return engine{tokenInterval: 20 * time.Millisecond, slope: 0.1, slots: 64, prefillRate: 8000, kvTokens: 64000, speed: 1}
 }
 
-// Engines of several generations start with a bound that knows nothing about
-// them. If the bound becomes too low, goodput is lost; if it becomes too high,
-// answers are late.
+// The bound starts without any knowledge of the engine, and engines of several
+// generations differ widely. If the bound becomes too low, goodput is lost; if
+// it becomes too high, answers are late.
 func TestFindsTheBound(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
@@ -104,10 +104,10 @@
 	}
 }
 
-// The engine runs twelve requests and has others waiting in its own queue,
-// which ignores tiers. Only its delayed report shows this. A single request
-// that has just arrived is not a queue, and reports from before the last cut
-// must be ignored.
+// The engine runs twelve requests and has others waiting in its own queue, which
+// ignores tiers. Only its delayed report shows this. A single request that has
+// just arrived is not a queue, and reports that are older than the last cut must
+// be ignored.
 func TestEngineQueueCutsBound(t *testing.T) {
 	const s = time.Second
 	for _, tc := range []struct {
@@ -254,7 +254,7 @@
 	})
 }
 
-func BenchmarkRoom(b *testing.B) {
+func BenchmarkCanDispatch(b *testing.B) {
 	w := New(Config{})
 	w.ObserveReport(0, Report{KVUsed: 10, KVTotal: 2000})
 	b.ReportAllocs()
--- a/core/bound/doc.go
+++ b/core/bound/doc.go
@@ -13,7 +13,8 @@
 //     endpoint itself;
 //   - a queue inside the endpoint, according to its reports;
 //   - the share of the KV memory in use, compared with the tokens in flight;
-//   - the usual pace of the endpoint, against which it may suddenly be slow.
+//   - the present pace of the endpoint, compared with its usual pace, to detect a
+//     sudden slowdown.
 //
 // The bound grows like a congestion window: by up to a half in each round until
 // it is first limited, then by one in each round. It shrinks in proportion to
--- a/core/bound/long.go
+++ b/core/bound/long.go
@@ -91,13 +91,13 @@
 	lastUpdate time.Duration
 }
 
-func (p *slotUsage) observe(now time.Duration, shortCount int) {
-	if !p.started {
-		p.started, p.average, p.lastUpdate = true, initialShortSlots, now
+func (u *slotUsage) observe(now time.Duration, shortCount int) {
+	if !u.started {
+		u.started, u.average, u.lastUpdate = true, initialShortSlots, now
 	}
-	weight := 1 - math.Exp(-(now-p.lastUpdate).Seconds()/shortUsageWindow.Seconds())
-	p.average += (float64(shortCount) - p.average) * weight
-	p.lastUpdate = now
+	weight := 1 - math.Exp(-(now-u.lastUpdate).Seconds()/shortUsageWindow.Seconds())
+	u.average += (float64(shortCount) - u.average) * weight
+	u.lastUpdate = now
 }
 
 // initialShortSlots is the assumed number of slots used by short work before
--- a/core/bound/memory.go
+++ b/core/bound/memory.go
@@ -36,20 +36,20 @@
 // memory overflows, the engine discards what it has computed for a request to
 // let others finish, and that prompt is computed twice.
 type memory struct {
-	total int64
+	kvTotal int64
 	// tokenSize is the memory that one estimated token needs, in the unit of
 	// the reports. It follows the largest recent values. It is initialTokenSize
 	// until the first usable report, which sets sizeKnown.
 	tokenSize float64
 	sizeKnown bool
 	fill      float64
-	// blocked is set if work has been held back since the last report because
+	// workBlocked is set if work has been held back since the last report because
 	// it did not fit.
-	blocked bool
+	workBlocked bool
 	// history is a ring buffer of the tokens in flight, with which delayed
 	// reports are compared.
-	history [historySize]inFlightTokens
-	next    int
+	history   [historySize]inFlightTokens
+	nextIndex int
 }
 
 // inFlightTokens is the number of tokens in flight at one time.
@@ -62,20 +62,20 @@
 
 // recordTokens adds the tokens in flight to the history.
 func (m *memory) recordTokens(now time.Duration, tokens int64) {
-	last := &m.history[(m.next+historySize-1)%historySize]
+	last := &m.history[(m.nextIndex+historySize-1)%historySize]
 	if now-last.at < historyInterval && last.at > 0 {
 		last.tokens = max(last.tokens, tokens)
 		return
 	}
-	m.history[m.next] = inFlightTokens{at: now, tokens: tokens}
-	m.next = (m.next + 1) % historySize
+	m.history[m.nextIndex] = inFlightTokens{at: now, tokens: tokens}
+	m.nextIndex = (m.nextIndex + 1) % historySize
 }
 
 // maxTokensAround returns the maximum number of tokens in flight around a time
 // in the past.
 func (m *memory) maxTokensAround(t time.Duration) (maxTokens int64) {
 	for i := 1; i <= historySize; i++ {
-		n := &m.history[(m.next+historySize-i)%historySize]
+		n := &m.history[(m.nextIndex+historySize-i)%historySize]
 		if n.at <= t+reportTimeError {
 			maxTokens = max(maxTokens, n.tokens)
 		}
@@ -90,22 +90,22 @@
 	if r.KVTotal <= 0 {
 		return
 	}
-	if r.KVTotal != m.total {
-		m.total, m.tokenSize, m.sizeKnown, m.fill = r.KVTotal, initialTokenSize, false, initialFill
+	if r.KVTotal != m.kvTotal {
+		m.kvTotal, m.tokenSize, m.sizeKnown, m.fill = r.KVTotal, initialTokenSize, false, initialFill
 	}
 	m.learnTokenSize(m.maxTokensAround(now-r.Age), r.KVUsed)
 	usedShare := float64(r.KVUsed) / float64(r.KVTotal)
 	switch {
 	case usedShare > highUse:
 		m.fill = max(m.fill*fillCutFactor, minFill)
-	case usedShare < lowUse && m.blocked && m.sizeKnown:
+	case usedShare < lowUse && m.workBlocked && m.sizeKnown:
 		m.fill = min(m.fill+fillStep, maxFill)
 	}
-	m.blocked = false
+	m.workBlocked = false
 }
 
 func (m *memory) learnTokenSize(tokens, used int64) {
-	if tokens <= 0 || float64(used) < minUsedShare*float64(m.total) {
+	if tokens <= 0 || float64(used) < minUsedShare*float64(m.kvTotal) {
 		return
 	}
 	tokenSize := float64(used) / float64(tokens)
@@ -122,9 +122,9 @@
 
 // fits reports whether the given number of tokens may be in flight.
 func (m *memory) fits(tokens int64) bool {
-	if m.total == 0 || float64(tokens)*m.tokenSize <= m.fill*float64(m.total) {
+	if m.kvTotal == 0 || float64(tokens)*m.tokenSize <= m.fill*float64(m.kvTotal) {
 		return true
 	}
-	m.blocked = true
+	m.workBlocked = true
 	return false
 }
--- a/core/bound/model_test.go
+++ b/core/bound/model_test.go
@@ -19,7 +19,9 @@
 // work is lost.
 type engine struct {
 	// tokenInterval is the time between tokens of a sequence that runs alone.
-	// slope is the part of it that each further sequence adds.
+	// slope is the part of it that each further sequence adds. prefillRate is in
+	// prompt tokens per second, and speed is relative to the engine's normal
+	// speed.
 	tokenInterval time.Duration
 	slope         float64
 	slots         int
@@ -37,6 +39,8 @@
 	done                      []*job
 }
 
+// job is a request in the model. The numbers of tokens are fractional, because a
+// tick may compute a part of a token.
 type job struct {
 	prompt, out          float64
 	prefilled, generated float64
@@ -63,22 +67,22 @@
 	}
 	prefillBudget := e.prefillRate * e.speed * tick.Seconds()
 	tokensEach := tick.Seconds() * e.speed / (e.tokenInterval.Seconds() * (1 + e.slope*float64(len(e.batch)-1)))
-	var left []*job
+	var unfinished []*job
 	for _, j := range e.batch {
 		computed := min(prefillBudget, j.prompt-j.prefilled)
 		prefillBudget -= computed
 		j.prefilled += computed
 		if j.prefilled < j.prompt {
-			left = append(left, j)
+			unfinished = append(unfinished, j)
 			continue
 		}
 		j.generated = min(j.generated+tokensEach, j.out)
 		e.sample(b, j)
 		if j.generated < j.out {
-			left = append(left, j)
+			unfinished = append(unfinished, j)
 		}
 	}
-	e.batch = left
+	e.batch = unfinished
 	for e.used() > e.kvTokens {
 		last := e.batch[len(e.batch)-1]
 		e.wastedPrefill += last.prefilled
--- a/core/bound/pace.go
+++ b/core/bound/pace.go
@@ -75,15 +75,16 @@
 		return 0
 	}
 	meanN, meanV := t.n/t.w, t.v/t.w
-	spread := t.nn/t.w - meanN*meanN
+	variance := t.nn/t.w - meanN*meanN
 	slope := 0.0
-	if spread > 0.25 {
-		slope = max(0, (t.nv/t.w-meanN*meanV)/spread)
+	if variance > 0.25 {
+		slope = max(0, (t.nv/t.w-meanN*meanV)/variance)
 	}
 	return max(meanV+slope*(n-meanN), meanV/slowRatio, t.best)
 }
 
-// pace knows the usual pace of the endpoint and whether it is now slow.
+// pace tracks the usual pace of the endpoint and whether the endpoint is slow
+// now.
 type pace struct {
 	// firstToken is the time to the first token per uncached token of the
 	// prompt. betweenTokens is the time between tokens.
@@ -157,10 +158,10 @@
 	return min(use, bestRatio/crowdedRatio)
 }
 
-// growthUse returns the use that decides about growth of the bound. For a first
-// token it is more than its targetUse: a queue inside the endpoint shows there
-// first, long before it is reported or a target is missed. This slows growth
-// but does not prevent it.
+// growthUse returns the used fraction of the target on which growth of the bound
+// is decided. use is the targetUse of the sample. The fraction for a first token
+// is increased: a queue inside the endpoint shows there first, long before it is
+// reported or a target is missed. This slows growth but does not prevent it.
 func (p *pace) growthUse(s Sample, use float64) float64 {
 	firstTokenUse := p.firstTokenUse(s)
 	return max(use, min(firstTokenUse*firstTokenCaution, maxGrowUse-0.01))
--- a/core/bound/search.go
+++ b/core/bound/search.go
@@ -23,7 +23,8 @@
 	// that no step from below exceeds the target by much.
 	lightUse, moderateUse, maxGrowUse = 0.5, 0.75, 0.92
 	lightGrowth, moderateGrowth       = 1.5, 1.17
-	minStep                           = 1
+	// minStep is the smallest step of the bound, in requests.
+	minStep = 1
 	// maxKeep and minKeep limit the part of the bound that is kept when it is
 	// cut.
 	maxKeep, minKeep = 0.95, 0.5
@@ -38,8 +39,8 @@
 	// noTargetRatio replaces the target of requests without one: the allowed
 	// ratio to the endpoint's own best time.
 	noTargetRatio = 4
-	// firstTokenCaution is the factor by which a first token's use of its
-	// target counts more when the bound grows.
+	// firstTokenCaution is the factor by which the used fraction of the
+	// first-token target is multiplied when growth is decided.
 	firstTokenCaution = 2
 	// crowdedRatio is the ratio to the endpoint's own best time that a late
 	// first token must reach to be attributed to the other requests in flight.
@@ -121,8 +122,8 @@
 }
 
 // isStale reports whether a sample describes the time before the last change.
-// Otherwise the same late answers would cause several cuts, and growth would be
-// followed by more growth before its effect was seen.
+// Such samples are ignored: otherwise the same late answers would cause several
+// cuts, and growth would be followed by more growth before its effect was seen.
 func (s *search) isStale(now time.Duration, sample Sample) bool {
 	if sample.FirstToken > 0 {
 		return now-sample.FirstToken < s.lastChange
@@ -142,6 +143,7 @@
 	}
 }
 
+// indicator returns 1 if cond is true and 0 otherwise.
 func indicator(cond bool) float64 {
 	if cond {
 		return 1
