--- a/core/cost/cost.go
+++ b/core/cost/cost.go
@@ -130,6 +130,8 @@
 
 // class holds what is known about a class.
 type class struct {
+	// bytesPerToken is the mean number of prompt bytes per token, in
+	// thousandths.
 	bytesPerToken logMean
 	outputs       outputLengths
 	time          timeModel
--- a/core/cost/cost_test.go
+++ b/core/cost/cost_test.go
@@ -41,7 +41,7 @@
 // One request in twenty is a hundred times as long, and only the caller's limit
 // shows which one. If all of them were estimated at the mean, long requests
 // would delay the short ones everywhere.
-func TestLimitTellsLongFromShort(t *testing.T) {
+func TestLimitSeparatesLongFromShort(t *testing.T) {
 	m, rnd := New(Config{}), rand.New(rand.NewPCG(1, 1))
 	for n := range 300 {
 		limit := 20
--- a/core/cost/times.go
+++ b/core/cost/times.go
@@ -53,10 +53,12 @@
 	t.perOutputToken = scaled(t.perOutputToken, 1+step*o)
 }
 
-// minPart is the smallest coefficient. A smaller one could not grow again,
-// because it is adjusted by factors.
-const minPart = 1e-6
+// minCoefficient is the smallest value of a coefficient. A smaller one could not
+// grow again, because it is adjusted by factors.
+const minCoefficient = 1e-6
 
-func scaled(part, factor float64) float64 {
-	return max(part*min(max(factor, 1.0/maxErrorFactor), maxErrorFactor), minPart)
+// scaled returns a coefficient multiplied by factor, which is limited by
+// maxErrorFactor.
+func scaled(coefficient, factor float64) float64 {
+	return max(coefficient*min(max(factor, 1.0/maxErrorFactor), maxErrorFactor), minCoefficient)
 }
