--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -88,10 +88,10 @@
 		b, credited, spent := New(cfg), 0, 0
 		for range rapid.IntRange(0, 300).Draw(t, "steps") {
 			switch {
-			case rapid.Bool().Draw(t, "earn"):
+			case rapid.Bool().Draw(t, "credit"):
 				b.Credit(1)
 				credited++
-			case spent > 0 && rapid.Bool().Draw(t, "return"):
+			case spent > 0 && rapid.Bool().Draw(t, "refund"):
 				b.Refund()
 				spent--
 			case b.Spend():
