--- a/core/roles/roles.go
+++ b/core/roles/roles.go
@@ -6,16 +6,16 @@
 // delivered them to the whole fleet. If every change of the load moved
 // endpoints, they would spend the day loading weights.
 //
-// Plan is called regularly with the current state and returns the orders to
-// give now. It gives no unnecessary orders: an endpoint that serves what it
-// should is never moved. A model that is short of endpoints takes idle ones
-// first, then those that another model can spare, the fastest first, because
-// then fewer have to load. Upgrades are done in place, starting in the zone
-// with the most capacity in service. They never take more out of service than
-// the model can spare, except that one endpoint at a time may always be
-// upgraded; otherwise a model under load all day would never be upgraded. No
-// more endpoints load at the same time than the rate of the weight store
-// allows.
+// Plan is called regularly with the current state and returns the orders to give
+// now. It gives no unnecessary orders: an endpoint that serves the required
+// version of a model that needs it is never moved. A model that is short of
+// endpoints takes idle ones first, then those that another model can spare, the
+// fastest first, because then fewer have to load. Upgrades are done in place,
+// starting in the zone with the most capacity in service. They never take more
+// out of service than the model can spare, except that one endpoint at a time
+// may always be upgraded; otherwise a model under load all day would never be
+// upgraded. No more endpoints load at the same time than the rate of the weight
+// store allows.
 //
 // With at most a quarter of the endpoints out of service, the load of the
 // others rises by at most a third.
@@ -81,7 +81,7 @@
 	RetryAt  time.Duration
 }
 
-// Order tells an endpoint to serve a version of a model.
+// Order is an instruction to an endpoint to serve a version of a model.
 type Order struct {
 	Endpoint, Model, Version string
 }
@@ -150,11 +150,11 @@
 
 // plannedModel returns the model that the endpoint serves, or will serve after
 // loading.
-func (s *plannedEndpoint) plannedModel() string {
-	if s.loading {
-		return s.OrderedModel
+func (e *plannedEndpoint) plannedModel() string {
+	if e.loading {
+		return e.OrderedModel
 	}
-	return s.Model
+	return e.Model
 }
 
 // addOrder orders an endpoint to serve the required version.
--- a/core/roles/roles_test.go
+++ b/core/roles/roles_test.go
@@ -135,7 +135,7 @@
 		for i := range rapid.IntRange(0, 12).Draw(t, "endpoints") {
 			e := Endpoint{
 				Name: fmt.Sprint(i), Zone: fmt.Sprint(i % 3), Model: rapid.SampledFrom(names).Draw(t, "model"), Version: rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "version"),
-				RelativeSpeed: rapid.Float64Range(0.5, 4).Draw(t, "pace"), Labels: map[string]string{"x": rapid.SampledFrom([]string{"1", "2"}).Draw(t, "label")},
+				RelativeSpeed: rapid.Float64Range(0.5, 4).Draw(t, "relativeSpeed"), Labels: map[string]string{"x": rapid.SampledFrom([]string{"1", "2"}).Draw(t, "label")},
 			}
 			if rapid.Bool().Draw(t, "loading") {
 				e.OrderedModel, e.OrderedVersion = "a", "v3"
@@ -144,7 +144,7 @@
 			s.Endpoints = append(s.Endpoints, e)
 		}
 		for _, m := range names[1:] {
-			s.Requirements = append(s.Requirements, Requirement{Model: m, Version: "v2", RequiredSpeed: rapid.Float64Range(0, 8).Draw(t, "need"), Selector: map[string]string{"x": rapid.SampledFrom([]string{"1", "2"}).Draw(t, "selector")}})
+			s.Requirements = append(s.Requirements, Requirement{Model: m, Version: "v2", RequiredSpeed: rapid.Float64Range(0, 8).Draw(t, "requiredSpeed"), Selector: map[string]string{"x": rapid.SampledFrom([]string{"1", "2"}).Draw(t, "selector")}})
 		}
 		orders, seen := Plan(0, s), map[string]bool{}
 		if len(orders) > max(s.MaxLoads-loading, 0) {
