--- a/core/subset/subset.go
+++ b/core/subset/subset.go
@@ -40,16 +40,17 @@
 	// links, if the pool has as many. An entry therefore knows all agents of a
 	// small pool. Zero means DefaultMinAgents.
 	MinAgents int
-	// RemoteAgents is the minimum number of agents of other zones to which an
-	// entry links. Zero means DefaultRemoteAgents, a negative number none.
-	RemoteAgents int
+	// MinRemoteAgents is the minimum number of agents of other zones to which an
+	// entry links. Zero means DefaultMinRemoteAgents, and a negative number
+	// means none.
+	MinRemoteAgents int
 }
 
 // Defaults of Config.
 const (
-	DefaultLinksPerAgent = 4
-	DefaultMinAgents     = 32
-	DefaultRemoteAgents  = 6
+	DefaultLinksPerAgent   = 4
+	DefaultMinAgents       = 32
+	DefaultMinRemoteAgents = 6
 )
 
 // minFairShares is the minimum number of agents to which an entry links, in
@@ -66,10 +67,10 @@
 		c.MinAgents = DefaultMinAgents
 	}
 	switch {
-	case c.RemoteAgents == 0:
-		c.RemoteAgents = DefaultRemoteAgents
-	case c.RemoteAgents < 0:
-		c.RemoteAgents = 0
+	case c.MinRemoteAgents == 0:
+		c.MinRemoteAgents = DefaultMinRemoteAgents
+	case c.MinRemoteAgents < 0:
+		c.MinRemoteAgents = 0
 	}
 	return c
 }
@@ -89,7 +90,7 @@
 	rest := c.unselected(agents)
 	c.addIf(rest, func(a Node) bool { return a.Zone == self.Zone && len(c.names) < minAgents })
 	c.addIf(rest, func(a Node) bool {
-		return a.Zone != self.Zone && (len(c.names) < minAgents || c.remote < cfg.RemoteAgents)
+		return a.Zone != self.Zone && (len(c.names) < minAgents || c.remoteCount < cfg.MinRemoteAgents)
 	})
 	return slices.Sorted(maps.Keys(c.names))
 }
@@ -98,14 +99,14 @@
 type selection struct {
 	self  Node
 	names map[string]bool
-	// remote is the number of selected agents in other zones.
-	remote int
+	// remoteCount is the number of selected agents in other zones.
+	remoteCount int
 }
 
 func (c *selection) add(a Node) {
 	c.names[a.Name] = true
 	if a.Zone != c.self.Zone {
-		c.remote++
+		c.remoteCount++
 	}
 }
 
@@ -149,6 +150,7 @@
 	count int
 }
 
+// groupByZone groups the entries by zone, including self if it is missing.
 func groupByZone(self Node, entries []Node) entriesByZone {
 	z := entriesByZone{names: make(map[string][]string)}
 	if !slices.Contains(entries, self) {
--- a/core/subset/subset_test.go
+++ b/core/subset/subset_test.go
@@ -46,7 +46,7 @@
 			remote++
 		}
 	}
-	if remote != DefaultRemoteAgents {
+	if remote != DefaultMinRemoteAgents {
 		t.Errorf("%d agents of other zones", remote)
 	}
 	minEntries, maxEntries := 1<<30, 0
@@ -92,7 +92,7 @@
 		minAgents, maxAgents int
 	}{
 		{"all agents of a small pool", makeNodes("entry", 3, 2), makeNodes("agent", 3, 4), Config{}, 12, 12},
-		{"links per agent only", makeNodes("entry", 1, 15), makeNodes("agent", 1, 430), Config{MinAgents: 1, RemoteAgents: -1}, 85, 150},
+		{"links per agent only", makeNodes("entry", 1, 15), makeNodes("agent", 1, 430), Config{MinAgents: 1, MinRemoteAgents: -1}, 85, 150},
 		{"no agents in the own zone", makeNodes("entry", 4, 15), makeNodes("agent", 4, 430)[430:], Config{}, 43, 50},
 		{"agents of another zone added", makeNodes("entry", 2, 15), makeNodes("agent", 2, 430), Config{}, 90, 160},
 		{"no agents", makeNodes("entry", 1, 3), nil, Config{}, 0, 0},
@@ -119,7 +119,7 @@
 			return out
 		}
 		entries, agents := randomNodes("entry"), randomNodes("agent")
-		cfg := Config{LinksPerAgent: 2, MinAgents: rapid.IntRange(1, 6).Draw(t, "least"), RemoteAgents: 1}
+		cfg := Config{LinksPerAgent: 2, MinAgents: rapid.IntRange(1, 6).Draw(t, "minAgents"), MinRemoteAgents: 1}
 		got := linksByAgent(entries, agents, cfg)
 		for _, a := range agents {
 			if len(got[a.Name]) < min(2, len(entries)) {
