--- a/core/homes/hand.go
+++ b/core/homes/hand.go
@@ -8,8 +8,9 @@
 )
 
 // keepPreviousMillis is how long the table names the previous owner of a slot,
-// in milliseconds after the slot's Since. It is longer than the grace period of
-// any agent. Without the limit the table would grow with every restart.
+// in milliseconds after the slot's LostBefore. It is longer than the grace
+// period of any agent. Without the limit the table would grow with every
+// restart.
 const keepPreviousMillis = int64(10 * time.Minute / time.Millisecond)
 
 // setPreviousOwners sets in next, for each slot, the owner that it had before
@@ -65,13 +66,13 @@
 	epoch    int64
 	// actFrom is the time from which this agent could act for the slot. Before
 	// that time the owner before it may still act.
-	actFrom      time.Duration
-	recordsSince int64
+	actFrom    time.Duration
+	lostBefore int64
 }
 
 // SlotHandover is one slot whose records are handed over to its new owner.
-// Records of keys made before Since, in Unix milliseconds, may be lost. Since
-// is zero if none can be.
+// Records of keys created before LostBefore, in Unix milliseconds, may be lost.
+// LostBefore is zero if none can be lost.
 type SlotHandover struct {
 	Slot  int
 	Since int64
@@ -91,22 +92,23 @@
 	next := make(map[int]lostSlot)
 	for i, s := range t.Slots {
 		to, ok := ownerOf(t, i)
-		if from, left := previousOwner(t, i); !ok || !left || from != v.self {
+		if previous, hasPrevious := previousOwner(t, i); !ok || !hasPrevious || previous != v.self {
 			continue
 		}
 		if g, known := v.lostSlots[i]; known && g.epoch == s.OwnedSinceEpoch {
 			next[i] = g
 		} else if ownedBy(v.table, i, v.self) && v.table.Slots[i].OwnedSinceEpoch < s.OwnedSinceEpoch {
-			next[i] = lostSlot{newOwner: to, epoch: s.OwnedSinceEpoch, actFrom: v.actFrom[i], recordsSince: v.slotRecordsSince(i)}
+			next[i] = lostSlot{newOwner: to, epoch: s.OwnedSinceEpoch, actFrom: v.actFrom[i], lostBefore: v.slotLostBefore(i)}
 		}
 	}
 	v.lostSlots = next
 }
 
-// slotRecordsSince returns the time before which records of a slot may be lost.
-func (v *View) slotRecordsSince(slot int) int64 {
-	if since, ok := v.receivedSince[slot]; ok {
-		return since
+// slotLostBefore returns the time before which records of a slot may be lost, in
+// Unix milliseconds.
+func (v *View) slotLostBefore(slot int) int64 {
+	if lostBefore, ok := v.receivedLostBefore[slot]; ok {
+		return lostBefore
 	}
 	return v.table.Slots[slot].LostBefore
 }
@@ -135,7 +137,7 @@
 		if at < 0 {
 			at, out = len(out), append(out, Handover{To: g.newOwner, Epoch: g.epoch})
 		}
-		out[at].Slots = append(out[at].Slots, SlotHandover{Slot: i, Since: g.recordsSince})
+		out[at].Slots = append(out[at].Slots, SlotHandover{Slot: i, Since: g.lostBefore})
 	}
 	return out
 }
@@ -146,8 +148,8 @@
 	if slot < 0 || slot >= len(v.table.Slots) || !ownedBy(v.table, slot, v.self) {
 		return false
 	}
-	left, ok := previousOwner(v.table, slot)
-	return ok && left == from && v.table.Slots[slot].OwnedSinceEpoch == epoch
+	previous, ok := previousOwner(v.table, slot)
+	return ok && previous == from && v.table.Slots[slot].OwnedSinceEpoch == epoch
 }
 
 // AcceptHandover records that the previous owner will never act again and that
@@ -157,7 +159,7 @@
 	for _, s := range slots {
 		if v.ExpectsHandover(s.Slot, from, epoch) {
 			delete(v.actFrom, s.Slot)
-			v.receivedSince[s.Slot] = s.Since
+			v.receivedLostBefore[s.Slot] = s.Since
 		}
 	}
 }
--- a/core/homes/hand_test.go
+++ b/core/homes/hand_test.go
@@ -15,9 +15,9 @@
 	t     *rapid.T
 	table spec.Homes
 	now   time.Duration
-	// confirmed is the last time at which an entry confirmed the epoch at the
+	// confirmedAt is the last time at which an entry confirmed the epoch at the
 	// platform.
-	confirmed time.Duration
+	confirmedAt time.Duration
 	// views holds a view for every process so far. stopped marks the processes
 	// that have promised not to act again.
 	views   []*View
@@ -60,29 +60,29 @@
 	s.now += rapid.SampledFrom([]time.Duration{0, 0, 0, 200 * time.Millisecond, time.Second, 12 * time.Second}).Draw(s.t, "later")
 	switch rapid.IntRange(0, 7).Draw(s.t, "what") {
 	case 0:
-		s.confirmed = s.now
+		s.confirmedAt = s.now
 	case 1:
 		s.table, _ = ReassignSlots(s.table, s.alive(), startMillis+s.now.Milliseconds())
-		s.confirmed = s.now
+		s.confirmedAt = s.now
 	case 2, 3:
-		s.draw("learner").Update(s.now, s.table)
+		s.draw("view to update").Update(s.now, s.table)
 	case 4:
-		s.draw("asker").ExtendLease(s.now, s.now-s.confirmed, s.table.Epoch)
+		s.draw("view to extend").ExtendLease(s.now, s.now-s.confirmedAt, s.table.Epoch)
 	case 5:
-		h := s.draw("leaver")
+		h := s.draw("view to stop")
 		if !s.stopped[h] {
 			s.stopped[h] = true
 			s.views = append(s.views, NewView(spec.HomeOwner{Name: h.self.Name, Incarnation: h.self.Incarnation + 1}))
 		}
 	case 6:
-		if h := s.draw("giver"); s.stopped[h] {
+		if h := s.draw("view to hand over"); s.stopped[h] {
 			for _, g := range h.Handovers(s.now) {
 				s.inTransit = append(s.inTransit, sentHandover{h.self, g})
 			}
 		}
 	case 7:
 		if len(s.inTransit) > 0 {
-			l := s.inTransit[rapid.IntRange(0, len(s.inTransit)-1).Draw(s.t, "letter")]
+			l := s.inTransit[rapid.IntRange(0, len(s.inTransit)-1).Draw(s.t, "handover")]
 			for _, h := range s.views {
 				if h.self == l.handover.To {
 					h.AcceptHandover(l.from, l.handover.Epoch, l.handover.Slots)
@@ -113,7 +113,7 @@
 				for _, h := range s.views {
 					if !s.stopped[h] && h.CheckOwnership(s.now, key, h.Table().Epoch) == Owned {
 						n++
-						if _, ok := h.receivedSince[slot]; ok {
+						if _, ok := h.receivedLostBefore[slot]; ok {
 							actingAfterHandover++
 						}
 					}
@@ -132,11 +132,11 @@
 
 // viewsBeforeHandover returns the views of an agent that stops and of its
 // successor, both with the new table, and that table.
-func viewsBeforeHandover(since int64) (old, successor *View, table spec.Homes) {
+func viewsBeforeHandover(lostBefore int64) (old, successor *View, table spec.Homes) {
 	names := owners("a", "b")
 	table, _ = ReassignSlots(spec.Homes{}, names, startMillis)
 	for i := range table.Slots {
-		table.Slots[i].LostBefore = since
+		table.Slots[i].LostBefore = lostBefore
 	}
 	old, successor = NewView(names[0]), NewView(names[1])
 	old.Update(0, table)
@@ -149,11 +149,11 @@
 }
 
 // An agent is stopped as planned. Its successor must serve the keys at once and
-// have all records. When the slot is handed over again, the Since of the first
-// handover must be passed on.
+// have all records. When the slot is handed over again, the LostBefore of the
+// first handover must be passed on.
 func TestHandoverTakesEffectAtOnce(t *testing.T) {
-	const since = startMillis - 1000
-	old, successor, table := viewsBeforeHandover(since)
+	const lostBefore = startMillis - 1000
+	old, successor, table := viewsBeforeHandover(lostBefore)
 	key := make([]byte, 8)
 	if successor.CheckOwnership(time.Second, key, table.Epoch) != NoLease || successor.RecordsSince(key) <= startMillis {
 		t.Fatal("acts before the records were received")
@@ -163,21 +163,21 @@
 		t.Fatalf("%d handovers", len(handovers))
 	}
 	successor.AcceptHandover(old.self, handovers[0].Epoch, handovers[0].Slots)
-	if successor.CheckOwnership(time.Second, key, table.Epoch) != Owned || successor.RecordsSince(key) != since {
-		t.Fatalf("owns %d, since %d", successor.CheckOwnership(time.Second, key, table.Epoch), successor.RecordsSince(key))
+	if successor.CheckOwnership(time.Second, key, table.Epoch) != Owned || successor.RecordsSince(key) != lostBefore {
+		t.Fatalf("owns %d, LostBefore %d", successor.CheckOwnership(time.Second, key, table.Epoch), successor.RecordsSince(key))
 	}
 	table.Epoch++
 	successor.Update(time.Second, table)
 	successor.ExtendLease(time.Second, 0, table.Epoch)
-	if successor.CheckOwnership(time.Second, key, table.Epoch) != Owned || successor.RecordsSince(key) != since {
+	if successor.CheckOwnership(time.Second, key, table.Epoch) != Owned || successor.RecordsSince(key) != lostBefore {
 		t.Fatal("a new epoch without a change of the slot undoes the handover")
 	}
 	third := owners("c")
 	table, _ = ReassignSlots(table, third, startMillis+5000)
 	successor.Update(2*time.Second, table)
 	for _, s := range successor.Handovers(2 * time.Second)[0].Slots {
-		if s.Since != since {
-			t.Fatalf("slot %d is handed over again with since %d", s.Slot, s.Since)
+		if s.Since != lostBefore {
+			t.Fatalf("slot %d is handed over again with LostBefore %d", s.Slot, s.Since)
 		}
 	}
 }
--- a/core/homes/holder.go
+++ b/core/homes/holder.go
@@ -29,9 +29,10 @@
 	// actFrom maps each slot that was taken over to the time from which this
 	// agent may act for it. Other slots have no element.
 	actFrom map[int]time.Duration
-	// receivedSince replaces the table's Since for slots whose records were
-	// received from the previous owner. These slots have no element in actFrom.
-	receivedSince map[int]int64
+	// receivedLostBefore replaces the table's LostBefore for slots whose records
+	// were received from the previous owner. These slots have no element in
+	// actFrom.
+	receivedLostBefore map[int]int64
 	// lostSlots holds the slots that were assigned to another agent and whose
 	// records may be handed over.
 	lostSlots map[int]lostSlot
@@ -43,7 +44,7 @@
 // NewView returns the view of the agent self, which has not received a table
 // yet.
 func NewView(self spec.HomeOwner) *View {
-	return &View{self: self, actFrom: make(map[int]time.Duration), receivedSince: make(map[int]int64), lostSlots: make(map[int]lostSlot)}
+	return &View{self: self, actFrom: make(map[int]time.Duration), receivedLostBefore: make(map[int]int64), lostSlots: make(map[int]lostSlot)}
 }
 
 // Table returns the newest table received.
@@ -57,14 +58,14 @@
 		return false
 	}
 	actAt := now + TakeoverDelay(t.Lease.Std())
-	actFrom, receivedSince := make(map[int]time.Duration), make(map[int]int64)
+	actFrom, receivedLostBefore := make(map[int]time.Duration), make(map[int]int64)
 	v.recordLostSlots(t)
 	for i, s := range t.Slots {
 		if !ownedBy(t, i, v.self) || s.OwnedSinceEpoch <= 1 {
 			continue
 		}
-		if since, ok := v.receivedSince[i]; ok && v.table.Slots[i].OwnedSinceEpoch == s.OwnedSinceEpoch {
-			receivedSince[i] = since
+		if lostBefore, ok := v.receivedLostBefore[i]; ok && v.table.Slots[i].OwnedSinceEpoch == s.OwnedSinceEpoch {
+			receivedLostBefore[i] = lostBefore
 			continue
 		}
 		if from, ok := v.actFrom[i]; ok && ownedBy(v.table, i, v.self) && v.table.Slots[i].OwnedSinceEpoch == s.OwnedSinceEpoch {
@@ -73,7 +74,7 @@
 		}
 		actFrom[i] = actAt
 	}
-	v.table, v.actFrom, v.receivedSince = t, actFrom, receivedSince
+	v.table, v.actFrom, v.receivedLostBefore = t, actFrom, receivedLostBefore
 	return true
 }
 
@@ -116,11 +117,11 @@
 	return Owned
 }
 
-// RecordsSince returns the time before which records of the key may be lost, in
+// LostBefore returns the time before which records of the key may be lost, in
 // Unix milliseconds.
 func (v *View) RecordsSince(key []byte) int64 {
 	if len(v.table.Slots) == 0 {
 		return 0
 	}
-	return v.slotRecordsSince(Slot(key, len(v.table.Slots)))
+	return v.slotLostBefore(Slot(key, len(v.table.Slots)))
 }
--- a/core/homes/homes.go
+++ b/core/homes/homes.go
@@ -15,18 +15,19 @@
 //   - A new owner acts only when TakeoverDelay, a whole lease and a margin, has
 //     passed on its own monotonic clock since it received the table that makes
 //     it the owner.
-//   - Keys that may be older than the change of owner are not run. The slot's
-//     Since is TakeoverDelay after the change, when the old owner has stopped.
+//   - Requests whose keys may be older than the change of owner are not run. The
+//     slot's LostBefore is TakeoverDelay after the change, when the old owner has
+//     stopped.
 //
-// Without the third rule, a key that the lost owner ran would be run again by
-// the new one. The cost of the rule is that requests with such keys are
+// Without the third rule, the new owner would run a request again that the lost
+// owner had run. The cost of the rule is that requests with such keys are
 // answered as unknown.
 //
-// An owner that stops as planned avoids this. It promises that it will never
-// act again and hands its records over. The next owner then acts at once, and
-// Since does not change. Otherwise the 940 planned restarts a day at the target
-// size would each make the outcomes of an hour of an agent's keys unknown. This
-// still happens after the 170 failures a day.
+// An owner that stops as planned avoids this. It promises that it will never act
+// again and hands its records over. The next owner then acts at once, and
+// LostBefore does not change. Otherwise the 940 planned restarts a day at the
+// target size would each make the outcomes of an hour of an agent's keys
+// unknown. This still happens after the 170 failures a day.
 package homes
 
 import (
@@ -40,9 +41,9 @@
 const (
 	// DefaultSlots is the number of slots of a new table.
 	DefaultSlots = 1024
-	// DefaultLease is the lease of a new table. A longer lease bridges longer
-	// outages of the platform, but the keys of a lost agent are refused for
-	// longer.
+	// DefaultLease is the duration of a lease under a new table. A longer lease
+	// bridges longer outages of the platform, but the keys of a lost agent are
+	// refused for longer.
 	DefaultLease = 20 * time.Second
 	// Retention is how long a record is kept after its answer ended.
 	Retention = time.Hour
@@ -99,11 +100,11 @@
 			counts[s.Owner]++
 		}
 	}
-	since := nowMillis + TakeoverDelay(t.Lease.Std()).Milliseconds()
+	lostBefore := nowMillis + TakeoverDelay(t.Lease.Std()).Milliseconds()
 	for _, i := range orphans {
 		o := minIndex(counts)
 		counts[o]++
-		next.Slots[i] = spec.HomeSlot{Owner: o, LostBefore: since, OwnedSinceEpoch: next.Epoch}
+		next.Slots[i] = spec.HomeSlot{Owner: o, LostBefore: lostBefore, OwnedSinceEpoch: next.Epoch}
 	}
 	setPreviousOwners(t, &next, nowMillis)
 	return next, true
@@ -184,18 +185,18 @@
 }
 
 // MayRun reports whether a request whose key has no record may run, which
-// requires that no lost or expired record can have had that key. madeMillis is
-// when the key was made, zero if the key does not contain a time. sinceMillis
-// is the time before which records may be lost, and nowMillis the current time.
-// All are in Unix milliseconds.
-func MayRun(madeMillis, sinceMillis, nowMillis int64) bool {
+// requires that no lost or expired record can have had that key. createdMillis
+// is when the key was created, or zero if the key does not contain a time.
+// lostBeforeMillis is the time before which records may be lost, and nowMillis
+// the current time. All are in Unix milliseconds.
+func MayRun(createdMillis, lostBeforeMillis, nowMillis int64) bool {
 	skew, retention := MaxClockSkew.Milliseconds(), Retention.Milliseconds()
-	if madeMillis > nowMillis+skew {
+	if createdMillis > nowMillis+skew {
 		// A client's clock that runs ahead would make every key look new.
-		madeMillis = 0
+		createdMillis = 0
 	}
-	if madeMillis == 0 {
-		return sinceMillis == 0 || nowMillis > sinceMillis+retention
+	if createdMillis == 0 {
+		return lostBeforeMillis == 0 || nowMillis > lostBeforeMillis+retention
 	}
-	return madeMillis-skew >= sinceMillis && madeMillis+retention-skew >= nowMillis
+	return createdMillis-skew >= lostBeforeMillis && createdMillis+retention-skew >= nowMillis
 }
--- a/core/homes/homes_test.go
+++ b/core/homes/homes_test.go
@@ -103,30 +103,30 @@
 	rapid.Check(t, func(t *rapid.T) {
 		names := owners("a", "b", "c")
 		tab, _ := ReassignSlots(spec.Homes{}, names, startMillis)
-		holders := []*View{NewView(names[0]), NewView(names[1]), NewView(names[2])}
+		views := []*View{NewView(names[0]), NewView(names[1]), NewView(names[2])}
 		// confirmed is the last time at which an entry confirmed the epoch at
 		// the platform. All clocks agree.
-		now, confirmed := time.Duration(0), time.Duration(0)
+		now, confirmedAt := time.Duration(0), time.Duration(0)
 		key := make([]byte, 8)
 		for range 60 {
 			now += time.Duration(rapid.Int64Range(0, int64(8*time.Second)).Draw(t, "later"))
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				confirmed = now
+				confirmedAt = now
 			case 1:
 				alive := owners("a", "b", "c")
 				i := rapid.IntRange(0, 2).Draw(t, "thought dead")
 				tab, _ = ReassignSlots(tab, append(alive[:i], alive[i+1:]...), startMillis+now.Milliseconds())
-				confirmed = now
+				confirmedAt = now
 			case 2:
-				holders[rapid.IntRange(0, 2).Draw(t, "learner")].Update(now, tab)
+				views[rapid.IntRange(0, 2).Draw(t, "view to update")].Update(now, tab)
 			case 3:
-				h := holders[rapid.IntRange(0, 2).Draw(t, "asker")]
-				h.ExtendLease(now, now-confirmed, tab.Epoch)
+				h := views[rapid.IntRange(0, 2).Draw(t, "view to extend")]
+				h.ExtendLease(now, now-confirmedAt, tab.Epoch)
 			}
 			binary.BigEndian.PutUint64(key, rapid.Uint64Range(0, DefaultSlots-1).Draw(t, "slot"))
 			n := 0
-			for _, h := range holders {
+			for _, h := range views {
 				if h.CheckOwnership(now, key, h.Table().Epoch) == Owned {
 					n++
 				}
@@ -195,9 +195,9 @@
 func TestMayRun(t *testing.T) {
 	skew, retention := MaxClockSkew.Milliseconds(), Retention.Milliseconds()
 	for _, c := range []struct {
-		name        string
-		made, since int64
-		want        bool
+		name                string
+		created, lostBefore int64
+		want                bool
 	}{
 		{"key without a time, nothing lost", 0, 0, true},
 		{"key without a time, records lost", 0, startMillis - retention, false},
@@ -209,7 +209,7 @@
 		{"clock ahead within the skew", startMillis + skew, startMillis, true},
 		{"clock far ahead hides the age", startMillis + 1000*skew, startMillis - 1, false},
 	} {
-		if got := MayRun(c.made, c.since, startMillis); got != c.want {
+		if got := MayRun(c.created, c.lostBefore, startMillis); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -228,13 +228,13 @@
 		t.Fatal(err)
 	}
 	for name, damage := range map[string]func(*spec.Homes){
-		"no epoch":        func(h *spec.Homes) { h.Epoch = 0 },
-		"endless lease":   func(h *spec.Homes) { h.Lease = 1 << 62 },
-		"no lease":        func(h *spec.Homes) { h.Lease = 0 },
-		"no slots":        func(h *spec.Homes) { h.Slots = nil },
-		"unknown owner":   func(h *spec.Homes) { h.Slots[3].Owner = 2 },
-		"unknown left":    func(h *spec.Homes) { h.Slots[3].PreviousOwner = 1 },
-		"taken in future": func(h *spec.Homes) { h.Slots[3].OwnedSinceEpoch = 2 },
+		"no epoch":                   func(h *spec.Homes) { h.Epoch = 0 },
+		"endless lease":              func(h *spec.Homes) { h.Lease = 1 << 62 },
+		"no lease":                   func(h *spec.Homes) { h.Lease = 0 },
+		"no slots":                   func(h *spec.Homes) { h.Slots = nil },
+		"unknown owner":              func(h *spec.Homes) { h.Slots[3].Owner = 2 },
+		"unknown previous owner":     func(h *spec.Homes) { h.Slots[3].PreviousOwner = 1 },
+		"owned since a future epoch": func(h *spec.Homes) { h.Slots[3].OwnedSinceEpoch = 2 },
 	} {
 		bad, _ := ReassignSlots(spec.Homes{}, owners("a", "b"), startMillis)
 		damage(&bad)
