--- a/core/once/once.go
+++ b/core/once/once.go
@@ -1,5 +1,5 @@
 // Package once decides whether a request may be granted to an agent, and what
-// may truthfully be said about its execution.
+// its caller may be told about its execution.
 //
 // It handles these failures: the same request is offered to two agents and both
 // claim it, frames arrive twice or late, links break after a grant was written,
@@ -170,10 +170,10 @@
 	return Deny
 }
 
-// JoinAnswer records that a holds the answer of an earlier request with the
-// same idempotency key and sends it under the current ID. The earlier request
-// ran, so the current one may no longer be called not-run, and no grant is
-// written. It reports whether a has an open offer of id.
+// JoinAnswer records that a holds the answer of an earlier request with the same
+// idempotency key and sends it under the current ID. The earlier request ran, so
+// the current one may no longer be reported as not-run, and no grant is written.
+// It reports whether a has an open offer of id.
 func (r *Request) JoinAnswer(id ident.ID, a Agent) bool {
 	if id != r.id || r.state != Offered || !r.hasOffer(a) {
 		return false
@@ -265,10 +265,10 @@
 	}
 }
 
-// MayRetry reports whether another attempt is allowed. It is if the current
-// attempt has no open offer and no grant, or if it certainly did not run, or if
-// running it again does no harm. Once the caller has a part of an answer, an
-// attempt that was granted must not be repeated.
+// MayRetry reports whether another attempt is allowed. It is allowed if the
+// current attempt has no open offer and no grant, if it certainly did not run,
+// or if running it again does no harm. Once the caller has a part of an answer,
+// an attempt that was granted must not be repeated.
 func (r *Request) MayRetry() bool {
 	switch r.state {
 	case Offered:
@@ -296,8 +296,8 @@
 	return nil
 }
 
-// Outcome returns what may truthfully be said about the request if it is given
-// up now.
+// Outcome returns the outcome to report to the caller if the request is given up
+// now.
 func (r *Request) Outcome() Outcome {
 	switch {
 	case r.state == Ended:
--- a/core/once/once_test.go
+++ b/core/once/once_test.go
@@ -13,8 +13,8 @@
 // TestMain sets a fixed seed, so that every run checks the same histories.
 func TestMain(m *testing.M) { os.Exit(fixed.Run(m, fixed.Seed, 3000)) }
 
-// returnFrame is a Return that an agent has sent.
-type returnFrame struct {
+// offerRef identifies the offer of an ID to an agent.
+type offerRef struct {
 	id    ident.ID
 	agent Agent
 }
@@ -24,21 +24,21 @@
 	r *Request
 	// offered holds the offers that have reached an agent and were not
 	// returned.
-	offered map[returnFrame]bool
+	offered map[offerRef]bool
 	// grantHolders maps an ID to the agent that holds its grant and may still
 	// run it.
 	grantHolders map[ident.ID]Agent
 	grantCounts  map[ident.ID]int
-	// sentReturns holds every Return sent so far. Each may arrive again at any
-	// time.
-	sentReturns []returnFrame
+	// sentReturns holds the offer of every Return sent so far. Each Return may
+	// arrive again at any time.
+	sentReturns []offerRef
 	runs        int
 	lastID      uint64
 }
 
-func (w *simulation) newID() ident.ID {
-	w.lastID++
-	return ident.Make(1, w.lastID)
+func (s *simulation) newID() ident.ID {
+	s.lastID++
+	return ident.Make(1, s.lastID)
 }
 
 // Two agents claim the same offer, frames arrive twice or with a long delay,
@@ -49,76 +49,76 @@
 	agents := []Agent{{"a", 1}, {"a", 2}}
 	rapid.Check(t, func(t *rapid.T) {
 		repeatable := rapid.Bool().Draw(t, "repeatable")
-		w := &simulation{offered: map[returnFrame]bool{}, grantHolders: map[ident.ID]Agent{}, grantCounts: map[ident.ID]int{}}
-		w.r = New(w.newID(), repeatable)
+		s := &simulation{offered: map[offerRef]bool{}, grantHolders: map[ident.ID]Agent{}, grantCounts: map[ident.ID]int{}}
+		s.r = New(s.newID(), repeatable)
 		agent := rapid.SampledFrom(agents)
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": func(t *rapid.T) {
 				a := agent.Draw(t, "agent")
-				if w.r.Offer(a) {
-					w.offered[returnFrame{w.r.ID(), a}] = true
+				if s.r.Offer(a) {
+					s.offered[offerRef{s.r.ID(), a}] = true
 				}
 			},
 			"claim": func(t *rapid.T) {
 				a := agent.Draw(t, "agent")
-				id := w.r.ID()
-				if w.r.HandleClaim(id, a) == Grant {
-					w.grantCounts[id]++
-					w.grantHolders[id] = a
+				id := s.r.ID()
+				if s.r.HandleClaim(id, a) == Grant {
+					s.grantCounts[id]++
+					s.grantHolders[id] = a
 				}
 			},
 			"return": func(t *rapid.T) {
-				f := returnFrame{w.r.ID(), agent.Draw(t, "agent")}
-				if !w.offered[f] {
+				f := offerRef{s.r.ID(), agent.Draw(t, "agent")}
+				if !s.offered[f] {
 					t.Skip("not offered")
 				}
-				if holder, ok := w.grantHolders[f.id]; ok && holder != f.agent {
+				if holder, ok := s.grantHolders[f.id]; ok && holder != f.agent {
 					t.Skip("another agent's grant")
 				}
-				delete(w.offered, f)
-				delete(w.grantHolders, f.id)
-				w.sentReturns = append(w.sentReturns, f)
-				w.r.HandleReturn(f.id, f.agent)
+				delete(s.offered, f)
+				delete(s.grantHolders, f.id)
+				s.sentReturns = append(s.sentReturns, f)
+				s.r.HandleReturn(f.id, f.agent)
 			},
 			"stale return": func(t *rapid.T) {
-				if len(w.sentReturns) == 0 {
+				if len(s.sentReturns) == 0 {
 					t.Skip("none sent")
 				}
-				f := rapid.SampledFrom(w.sentReturns).Draw(t, "frame")
-				w.r.HandleReturn(f.id, f.agent)
+				f := rapid.SampledFrom(s.sentReturns).Draw(t, "frame")
+				s.r.HandleReturn(f.id, f.agent)
 			},
 			"run": func(_ *rapid.T) {
-				for id := range w.grantHolders {
-					delete(w.grantHolders, id)
-					delete(w.offered, returnFrame{id, w.r.Holder()})
-					w.runs++
+				for id := range s.grantHolders {
+					delete(s.grantHolders, id)
+					delete(s.offered, offerRef{id, s.r.Holder()})
+					s.runs++
 				}
 			},
-			"link lost": func(t *rapid.T) { w.r.DropOffer(agent.Draw(t, "agent")) },
-			"broken":    func(*rapid.T) { w.r.Fail() },
+			"link lost": func(t *rapid.T) { s.r.DropOffer(agent.Draw(t, "agent")) },
+			"broken":    func(*rapid.T) { s.r.Fail() },
 			"renew": func(*rapid.T) {
-				id := w.newID()
-				before := w.r.State()
-				if w.r.Retry(id) == nil && before == Failed && !repeatable {
+				id := s.newID()
+				before := s.r.State()
+				if s.r.Retry(id) == nil && before == Failed && !repeatable {
 					t.Fatal("retried a request that may not be repeated")
 				}
 			},
-			"": func(t *rapid.T) { w.check(t, repeatable) },
+			"": func(t *rapid.T) { s.check(t, repeatable) },
 		})
 	})
 }
 
-func (w *simulation) check(t *rapid.T, repeatable bool) {
-	for id, n := range w.grantCounts {
+func (s *simulation) check(t *rapid.T, repeatable bool) {
+	for id, n := range s.grantCounts {
 		if n > 1 {
 			t.Fatalf("%d grants of %s", n, id)
 		}
 	}
-	if w.r.Outcome() == NotRun && w.runs+len(w.grantHolders) > 0 {
+	if s.r.Outcome() == NotRun && s.runs+len(s.grantHolders) > 0 {
 		t.Fatalf("not-run of a request that ran or may run")
 	}
-	if !repeatable && w.runs+len(w.grantHolders) > 1 {
-		t.Fatalf("ran or may run %d times", w.runs+len(w.grantHolders))
+	if !repeatable && s.runs+len(s.grantHolders) > 1 {
+		t.Fatalf("ran or may run %d times", s.runs+len(s.grantHolders))
 	}
 }
 
@@ -149,7 +149,7 @@
 
 // The first request with a key runs at its home, and a retry gets its answer.
 // If that answer is incomplete, the caller must not be told not-run.
-func TestJoinedRequestIsNeverNotRun(t *testing.T) {
+func TestJoinedRequestIsNotReportedAsNotRun(t *testing.T) {
 	a := Agent{"a", 1}
 	id := ident.Make(1, 1)
 	r := New(id, false)
