--- a/core/recent/recent.go
+++ b/core/recent/recent.go
@@ -14,8 +14,8 @@
 // Table holds at most a fixed number of values. It is not safe for concurrent
 // use.
 type Table[K comparable, V any] struct {
-	// max is the maximum length of elements. index maps each key to its
-	// element.
+	// max is the maximum length of elements. index maps each key to the index of
+	// its element.
 	max      int
 	index    map[K]int32
 	elements []element[K, V]
@@ -85,23 +85,23 @@
 
 // unlink removes element i from the order of use.
 func (t *Table[K, V]) unlink(i int32) {
-	s := &t.elements[i]
-	if s.newer >= 0 {
-		t.elements[s.newer].older = s.older
+	e := &t.elements[i]
+	if e.newer >= 0 {
+		t.elements[e.newer].older = e.older
 	} else {
-		t.newest = s.older
+		t.newest = e.older
 	}
-	if s.older >= 0 {
-		t.elements[s.older].newer = s.newer
+	if e.older >= 0 {
+		t.elements[e.older].newer = e.newer
 	} else {
-		t.oldest = s.newer
+		t.oldest = e.newer
 	}
 }
 
 // link adds element i to the order of use as the newest.
 func (t *Table[K, V]) link(i int32) {
-	s := &t.elements[i]
-	s.newer, s.older = -1, t.newest
+	e := &t.elements[i]
+	e.newer, e.older = -1, t.newest
 	if t.newest >= 0 {
 		t.elements[t.newest].newer = i
 	}
