--- a/core/ring/ring_test.go
+++ b/core/ring/ring_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	if err := r.TryPut(2); !errors.Is(err, ring.ErrFull) {
-		t.Fatalf("second Offer: %v", err)
+		t.Fatalf("second TryPut: %v", err)
 	}
 	if r.Len() != 1 || r.Cap() != 1 {
 		t.Fatalf("Len %d, Cap %d", r.Len(), r.Cap())
