--- a/core/wire/bound.go
+++ b/core/wire/bound.go
@@ -8,8 +8,8 @@
 
 // MaxFields is the maximum number of headers of a request or an answer. The decoder
 // allocates a slice of the length that a frame states, and a frame of a few bytes can
-// state four thousand million elements, which would exhaust the memory of the
-// process. So the slices of a message check the stated length first.
+// state 4 billion elements, which would exhaust the memory of the process. Therefore
+// the slice types of messages check the stated length first.
 const MaxFields = 256
 
 // Fields are the headers of a request or an answer.
--- a/core/wire/chunk.go
+++ b/core/wire/chunk.go
@@ -11,6 +11,7 @@
 // chunkFields is the number of fields of a Chunk on the wire.
 const chunkFields = 3
 
+// errChunk is the cause in the FrameError of a malformed Chunk.
 var errChunk = errors.New("not a chunk of an answer")
 
 // EncodeMsgpack writes the chunk as an array of its fields. Most frames are chunks,
--- a/core/wire/doc.go
+++ b/core/wire/doc.go
@@ -6,7 +6,7 @@
 //
 //	entry                         agent
 //	  | -- Offer (description) ---> |   queued in front of the endpoint
-//	  | <------- Claim ------------ |   the endpoint has a free place
+//	  | <------- Claim ------------ |   the endpoint has a free slot
 //	  | -- Grant (body) ----------> |   the only permission to run it
 //	  | <-- Head, Chunk..., End --- |   the answer, numbered, with a checksum
 //
--- a/core/wire/frame.go
+++ b/core/wire/frame.go
@@ -174,7 +174,7 @@
 
 // count adds the n bytes of a frame of kind k to the counters.
 func (r *Reader) count(k Kind, n uint64) {
-	if k.Control() {
+	if k.IsControl() {
 		r.controlBytes += n
 		return
 	}
--- a/core/wire/frame_test.go
+++ b/core/wire/frame_test.go
@@ -36,6 +36,7 @@
 	}
 }
 
+// Every kind of message must decode to a message that has the same encoding.
 func TestEveryKindRoundTrips(t *testing.T) {
 	all := sampleMessages()
 	if len(all) != int(kindLimit)-1 {
--- a/core/wire/hand.go
+++ b/core/wire/hand.go
@@ -49,8 +49,8 @@
 	Seq      uint32
 }
 
-// HandoverSlot is a slot and the time in Unix milliseconds before which records of
-// its keys may be lost, zero if none can be lost.
+// HandoverSlot is a slot and the time in Unix milliseconds before which records of its
+// keys may be lost, or zero if none can be lost.
 type HandoverSlot struct {
 	_msgpack   struct{} `msgpack:",as_array"`
 	Slot       uint32
--- a/core/wire/kind.go
+++ b/core/wire/kind.go
@@ -35,6 +35,7 @@
 	KindPlaceRequest
 	KindPlaceReply
 	KindPlaceReport
+	// kindLimit is one more than the largest kind.
 	kindLimit
 )
 
@@ -58,9 +59,9 @@
 	return kindNames[k]
 }
 
-// Control reports whether messages of this kind count as control traffic in
+// IsControl reports whether messages of this kind count as control traffic in
 // docs/CAPACITY.md: everything but callers' requests and answers.
-func (k Kind) Control() bool {
+func (k Kind) IsControl() bool {
 	switch k {
 	case KindGrant, KindHead, KindChunk, KindEnd:
 		return false
@@ -68,7 +69,7 @@
 	return true
 }
 
-// newMessage returns an empty message of kind k, nil if the kind is unknown.
+// newMessage returns an empty message of kind k, or nil if the kind is unknown.
 func newMessage(k Kind) Message {
 	switch k {
 	case KindHello:
--- a/core/wire/last_test.go
+++ b/core/wire/last_test.go
@@ -33,24 +33,24 @@
 
 // An agent writes its last answers and exits. The entry is busy at that moment, and
 // the next thing it does is to write to the closed connection. The answers arrived
-// before and must be handled. The link once closed its own connection as soon as a
-// write had failed. Only the 64 of 200 pieces that were in its buffer were handled
-// then; the rest was still in the kernel, and the link ended with "write: connection
-// reset by peer".
+// before and must be handled. If the link closed its own connection as soon as a write
+// failed, only the pieces in its buffer, 64 of 200, would be handled. The rest would
+// be lost in the kernel, and the link would end with "write: connection reset by
+// peer".
 func TestAnswersBeforePeerExitAreHandled(t *testing.T) {
 	// All pieces fit into the window of a new connection, so none is held back at the
 	// peer.
 	const pieces = 200
 	near, far := tcpPair(t)
 	l := New(near, Hello{}, Config{})
-	handling, goOn := make(chan struct{}), make(chan struct{})
+	handling, resume := make(chan struct{}), make(chan struct{})
 	handled := uint32(0)
 	ended := make(chan error, 1)
 	go func() {
 		ended <- l.Run(context.Background(), func(m Message) {
 			if handled == 0 {
 				close(handling)
-				<-goOn
+				<-resume
 			}
 			if c, ok := m.(*Chunk); ok && c.Seq == handled {
 				handled++
@@ -78,7 +78,7 @@
 			t.Fatal("writes to a closed peer still succeed")
 		}
 	}
-	close(goOn)
+	close(resume)
 	if err := <-ended; err == nil || handled != pieces {
 		t.Errorf("%d of %d pieces were handled; the link ended with %v", handled, pieces, err)
 	}
--- a/core/wire/late_test.go
+++ b/core/wire/late_test.go
@@ -9,15 +9,14 @@
 	"time"
 )
 
-// pausedConn is a connection of a process that is paused during a read. When the
-// process runs again, its expired timers fire before the bytes that arrived meanwhile
-// are read, as in the Go runtime.
+// pausedConn simulates a connection of a process that is paused during a read. When
+// the process runs again, its expired timers fire before the bytes that arrived
+// meanwhile are read, as in the Go runtime.
 type pausedConn struct {
 	net.Conn
 	mu           sync.Mutex
 	readDeadline time.Time
-	// pause receives from the Read that is to block, and that Read blocks until
-	// resume is closed.
+	// A Read that can send on pause does so and then blocks until resume is closed.
 	pause, resume chan struct{}
 }
 
@@ -80,7 +79,7 @@
 	ended := make(chan error, 2)
 	go func() { ended <- pausedLink.Run(ctx, func(m Message) { got <- m }) }()
 	go func() { ended <- peerLink.Run(ctx, func(Message) {}) }()
-	receiveOpening(t, got)
+	receiveFirstHeartbeat(t, got)
 	<-conn.pause
 	sent := peerLink.Counts().ControlOut
 	for conn.deadlineLeft() >= 0 || peerLink.Counts().ControlOut == sent {
--- a/core/wire/link.go
+++ b/core/wire/link.go
@@ -14,8 +14,8 @@
 // Timing and queue sizes of links. A peer counts as dead after three missed
 // heartbeats.
 const (
-	// DefaultHeartbeat is the default of the longest time in which a healthy peer
-	// sends nothing.
+	// DefaultHeartbeat is the default heartbeat period: the longest time for which a
+	// healthy peer sends nothing.
 	DefaultHeartbeat = time.Second
 	// MissedHeartbeats is the number of missed heartbeats after which a peer counts
 	// as dead.
@@ -70,9 +70,9 @@
 	// lastOut is the time of the last write in nanoseconds since start.
 	lastOut atomic.Int64
 	start   time.Time
-	// queued and written count messages. They are equal when the kernel has accepted
-	// every message that was sent.
-	queued, written atomic.Uint64
+	// queuedMessages and writtenMessages count messages. They are equal when the
+	// kernel has accepted every message that was sent.
+	queuedMessages, writtenMessages atomic.Uint64
 
 	controlIn, controlOut, dataIn, dataOut atomic.Uint64
 }
@@ -82,9 +82,9 @@
 	// Heartbeat is the longest time without a message while requests are on the link;
 	// zero means DefaultHeartbeat.
 	Heartbeat time.Duration
-	// Idle is the longest time without a message on a link that carries no requests
-	// and has no changed state to report. A value below Heartbeat means Heartbeat.
-	// The peer's Hello may ask for a shorter time.
+	// IdleHeartbeat is the longest time without a message on a link that carries no
+	// requests and has no changed state to report. A value below Heartbeat means
+	// Heartbeat. The peer's Hello may ask for a shorter time.
 	Idle time.Duration
 	// NewHeartbeat returns the heartbeat to send; nil sends an empty Heartbeat.
 	NewHeartbeat func() Message
@@ -122,7 +122,7 @@
 	if l.sendCtx.Err() != nil {
 		return ErrClosed
 	}
-	l.queued.Add(1)
+	l.queuedMessages.Add(1)
 	if err := l.sendQueue.TryPut(m); err != nil {
 		l.cancel(err)
 		return err
@@ -138,7 +138,7 @@
 	if l.sendCtx.Err() != nil {
 		return ErrClosed
 	}
-	l.queued.Add(1)
+	l.queuedMessages.Add(1)
 	if err := l.bulkQueue.TryPut(m); err == nil {
 		return nil
 	}
@@ -147,7 +147,7 @@
 	stopWatch := context.AfterFunc(l.sendCtx, cancel)
 	defer stopWatch()
 	if err := l.bulkQueue.Put(waitCtx, m); err != nil {
-		l.queued.Add(^uint64(0))
+		l.queuedMessages.Add(^uint64(0))
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -156,8 +156,8 @@
 	return nil
 }
 
-// Idle reports whether the kernel has accepted every message that was sent.
-func (l *Link) Idle() bool { return l.queued.Load() == l.written.Load() }
+// AllWritten reports whether the kernel has accepted every message that was sent.
+func (l *Link) Idle() bool { return l.queuedMessages.Load() == l.writtenMessages.Load() }
 
 // Close ends the link without writing what is queued. It does not wait for Run to
 // return.
@@ -185,16 +185,16 @@
 	defer l.cancel(ErrClosed)
 	stopWatch := context.AfterFunc(ctx, func() { l.cancel(context.Cause(ctx)) })
 	defer stopWatch()
-	written := make(chan struct{})
+	writerDone := make(chan struct{})
 	go func() {
-		defer close(written)
+		defer close(writerDone)
 		l.handleWriteEnd(l.writeLoop(l.ctx))
 	}()
 	stopClose := context.AfterFunc(l.ctx, func() { l.conn.Close() })
 	defer stopClose()
 	l.cancel(l.readLoop(handle))
 	l.conn.Close()
-	<-written
+	<-writerDone
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
--- a/core/wire/link_test.go
+++ b/core/wire/link_test.go
@@ -51,14 +51,16 @@
 	return ra.l, rb.l, ra.err, rb.err
 }
 
-// receiveOpening receives the heartbeat that opens a link.
-func receiveOpening(t *testing.T, got <-chan Message) {
+// receiveFirstHeartbeat receives the heartbeat that is the first message on a link.
+func receiveFirstHeartbeat(t *testing.T, got <-chan Message) {
 	t.Helper()
 	if m := <-got; m.Kind() != KindHeartbeat {
-		t.Fatalf("the link opened with %s", m.Kind())
+		t.Fatalf("the first message is %s", m.Kind())
 	}
 }
 
+// A message must arrive unchanged, the traffic counts of both ends must agree, and a
+// link that has ended must refuse messages.
 func TestLinkCarriesMessages(t *testing.T) {
 	keys := OneKey([]byte("k"))
 	a, b, errA, errB := handshakePair(t, keys, keys)
@@ -77,7 +79,7 @@
 	if err := a.Send(want); err != nil {
 		t.Fatal(err)
 	}
-	receiveOpening(t, got)
+	receiveFirstHeartbeat(t, got)
 	m := <-got
 	o, ok := m.(*Offer)
 	if !ok || o.ID != want.ID || o.Pool != want.Pool || string(o.KeyHash) != string(want.KeyHash) || o.KeyCreatedMS != want.KeyCreatedMS {
@@ -107,6 +109,8 @@
 	}
 }
 
+// The fleet key is being replaced: one process already uses the new key and the other
+// still uses the old one. Both accept both keys, so the link must open.
 func TestHandshakeAcceptsBothKeysDuringReplacement(t *testing.T) {
 	oldKey, newKey := []byte("old"), []byte("new")
 	_, _, errA, errB := handshakePair(t, Keys{Current: oldKey, Accepted: [][]byte{oldKey, newKey}}, Keys{Current: newKey, Accepted: [][]byte{newKey, oldKey}})
@@ -144,7 +148,7 @@
 	ended := make(chan error, 2)
 	go func() { ended <- a.Run(ctx, func(Message) {}) }()
 	go func() { ended <- b.Run(ctx, func(m Message) { got <- m }) }()
-	receiveOpening(t, got)
+	receiveFirstHeartbeat(t, got)
 	if m := <-got; m.Kind() != KindKeyStatus {
 		t.Fatalf("the first message is %s", m.Kind())
 	}
@@ -167,6 +171,6 @@
 	<-ended
 	<-ended
 	if !a.Idle() {
-		t.Fatal("the link is not idle although every message has arrived")
+		t.Fatal("AllWritten is false although every message has arrived")
 	}
 }
--- a/core/wire/message.go
+++ b/core/wire/message.go
@@ -33,15 +33,16 @@
 	Name        string
 	Zone        string
 	Incarnation uint64
-	// Nonce is newly generated for each connection; the peer's Proof covers it.
+	// Nonce is a random number generated for each connection; the peer's Proof covers
+	// it.
 	Nonce []byte
-	// IdleMS is the longest silence in milliseconds that the sender keeps and allows
-	// on a link without requests. The lower value of both ends applies; zero means
-	// the heartbeat period.
+	// IdleHeartbeatMS is the longest time in milliseconds for which the sender sends
+	// nothing, and for which the peer may send nothing, on a link without requests.
+	// The lower value of both ends applies; zero means the heartbeat period.
 	IdleMS uint32
 }
 
-// Idle returns IdleMS as a duration.
+// IdleHeartbeat returns IdleHeartbeatMS as a duration.
 func (h *Hello) Idle() time.Duration { return time.Duration(h.IdleMS) * time.Millisecond }
 
 // Proof proves that the sender holds the fleet key.
@@ -107,7 +108,7 @@
 	PromptTokens uint32
 	OutputTokens uint32
 	// CostMS is the estimated time in milliseconds for which the request occupies one
-	// of the endpoint's places.
+	// of the endpoint's slots.
 	CostMS uint32
 	// WaitedMS is the time in milliseconds since the request was accepted.
 	WaitedMS uint32
@@ -130,7 +131,7 @@
 	// request without a key. A request with a key is offered only to the key's home
 	// agent.
 	KeyHash []byte
-	// KeyCreatedMS is the time in Unix milliseconds at which the key was created,
+	// KeyCreatedMS is the time in Unix milliseconds at which the key was created, or
 	// zero if the key does not contain it.
 	KeyCreatedMS int64
 	// Digest is the hash of the request. It detects a key that is used for two
@@ -187,7 +188,7 @@
 	ReasonNone Reason = iota
 	// ReasonLeaving: the agent or its endpoint is stopping.
 	ReasonLeaving
-	// ReasonDisplaced: work of a higher tier took the request's place.
+	// ReasonDisplaced: work of a higher tier displaced the request.
 	ReasonDisplaced
 	// ReasonFull: the agent's queue is full.
 	ReasonFull
--- a/core/wire/pace.go
+++ b/core/wire/pace.go
@@ -26,23 +26,24 @@
 // period. So if a peer died unnoticed on an idle link, this is detected three
 // heartbeats after the next request is offered to it.
 type liveness struct {
-	heartbeat, idle time.Duration
-	conn            net.Conn
+	heartbeat, idleHeartbeat time.Duration
+	conn                     net.Conn
 
 	mu sync.Mutex
-	// lastRequest is the time of the last message of a request in either direction,
-	// and lastReceived the time at which the last message of any kind arrived.
-	lastRequest, lastReceived time.Time
+	// lastRequestAt is the time of the last message of a request in either direction,
+	// and lastReceivedAt the time at which the last message of any kind arrived.
+	lastRequestAt, lastReceivedAt time.Time
 	// readDeadline is the read deadline in force.
 	readDeadline time.Time
 }
 
 func newLiveness(conn net.Conn, heartbeat, idle time.Duration) *liveness {
 	now := time.Now()
-	return &liveness{heartbeat: heartbeat, idle: max(idle, heartbeat), conn: conn, lastRequest: now, lastReceived: now}
+	return &liveness{heartbeat: heartbeat, idleHeartbeat: max(idle, heartbeat), conn: conn, lastRequestAt: now, lastReceivedAt: now}
 }
 
-// belongsToRequest reports whether a message of kind k belongs to a request.
+// belongsToRequest reports whether a message of kind k counts as a message of a
+// request, which makes a link busy. Every kind does that is not listed here.
 func belongsToRequest(k Kind) bool {
 	switch k {
 	case KindHeartbeat, KindShedLevel, KindObjectUpdate, KindLeaseRequest, KindLeaseReply, KindFetch, KindFetchDone:
@@ -53,7 +54,7 @@
 
 // isBusy reports whether the link counts as carrying requests. The caller holds mu.
 func (p *liveness) isBusy(now time.Time) bool {
-	return now.Sub(p.lastRequest) < busyHeartbeats*p.heartbeat
+	return now.Sub(p.lastRequestAt) < busyHeartbeats*p.heartbeat
 }
 
 // period returns the time between heartbeats. The caller holds mu.
@@ -61,7 +62,7 @@
 	if p.isBusy(now) {
 		return p.heartbeat
 	}
-	return p.idle
+	return p.idleHeartbeat
 }
 
 // setReadDeadline sets the read deadline to three heartbeat periods after from. The
@@ -78,7 +79,7 @@
 func (p *liveness) recordReceived(now time.Time) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lastReceived = now
+	p.lastReceivedAt = now
 	if p.readDeadline.Sub(now) >= p.period(now)*MissedHeartbeats {
 		return nil
 	}
@@ -100,23 +101,23 @@
 func (p *liveness) extendIfAlive(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.lastReceived) >= p.period(now)*MissedHeartbeats {
+	if now.Sub(p.lastReceivedAt) >= p.period(now)*MissedHeartbeats {
 		return false
 	}
-	return p.setReadDeadline(p.lastReceived, now) == nil
+	return p.setReadDeadline(p.lastReceivedAt, now) == nil
 }
 
 // recordMessage notes that a message of kind k was sent or received. The first
 // message of a request on an idle link shortens the read deadline from the idle
 // period to the heartbeat period.
 func (p *liveness) recordMessage(k Kind, now time.Time) error {
-	if p.idle == p.heartbeat || !belongsToRequest(k) {
+	if p.idleHeartbeat == p.heartbeat || !belongsToRequest(k) {
 		return nil
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle := !p.isBusy(now)
-	p.lastRequest = now
+	p.lastRequestAt = now
 	if !idle {
 		return nil
 	}
--- a/core/wire/pace_test.go
+++ b/core/wire/pace_test.go
@@ -17,9 +17,11 @@
 	near, far := net.Pipe()
 	t.Cleanup(func() { near.Close(); far.Close() })
 	p = newLiveness(near, time.Second, testIdle)
-	return p, p.lastRequest
+	return p, p.lastRequestAt
 }
 
+// A busy link must send every heartbeat and an idle link one in eight. Only messages
+// of requests make a link busy.
 func TestIdleLinkSkipsHeartbeats(t *testing.T) {
 	p, start := newTestLiveness(t)
 	if p.maySkip(1, start.Add(5*time.Second)) {
@@ -95,6 +97,8 @@
 	}
 }
 
+// Both ends state an idle heartbeat period. The shorter one applies, and never less
+// than the heartbeat period.
 func TestShorterIdlePeriodApplies(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
@@ -106,12 +110,14 @@
 		{testIdle, 5 * time.Second, 5 * time.Second},
 	} {
 		l := New(near, Hello{IdleMS: uint32(v.peer.Milliseconds())}, Config{Heartbeat: time.Second, Idle: v.own})
-		if l.liveness.idle != v.want {
-			t.Errorf("own %v, peer's %v: got %v", v.own, v.peer, l.liveness.idle)
+		if l.liveness.idleHeartbeat != v.want {
+			t.Errorf("own %v, peer's %v: got %v", v.own, v.peer, l.liveness.idleHeartbeat)
 		}
 	}
 }
 
+// A heartbeat counts as changed for a different load or state of the sender, but not
+// for a new configuration version alone.
 func TestSameHeartbeat(t *testing.T) {
 	a := &Heartbeat{Load: Load{InFlight: 3}, ConfigVersion: 7}
 	if !sameHeartbeat(a, &Heartbeat{Load: Load{InFlight: 3}, ConfigVersion: 8}) {
--- a/core/wire/place.go
+++ b/core/wire/place.go
@@ -22,22 +22,22 @@
 	MayQueue bool
 }
 
-// PlaceReply answers a PlaceRequest. The place then belongs to the sender of the
+// PlaceReply answers a PlaceRequest. The placement then belongs to the sender of the
 // request until a PlaceReport ends it.
 type PlaceReply struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       uint64
-	// Decided is false if the receiver could not decide because it does not know the
-	// pool or its shard is empty.
+	// Decided is false if the receiver could not decide, because it does not know the
+	// pool or because its shard is empty.
 	Decided bool
 	// Endpoint is empty for a refusal. Addr and Slots are the endpoint's address and
 	// number of slots in the instance list of revision RosterRevision.
 	Endpoint, Addr string
 	Slots          int
 	RosterRevision int64
-	// RefusalReason is the reason of a refusal, an admit.Why. RetryAfterUS is the
-	// time until there should be room, and SlotIntervalUS the time until a slot is
-	// free for the next request, in microseconds.
+	// RefusalReason is the reason of a refusal, an admit.Reason. RetryAfterUS is the
+	// expected time until the request can be accepted, and SlotIntervalUS the time
+	// until a slot is free for the next request, in microseconds.
 	RefusalReason                uint8
 	RetryAfterUS, SlotIntervalUS int64
 	// FirstEventUS is the predicted time to the first event, WaitUS the part of it
@@ -56,7 +56,7 @@
 const (
 	// PlaceOpen means that the request is still running.
 	PlaceOpen uint8 = iota
-	// PlaceDropped ends the place without a result for the endpoint.
+	// PlaceDropped ends the placement without a result for the endpoint.
 	PlaceDropped
 	// PlaceDeclined means that the endpoint did not run the request.
 	PlaceDeclined
--- a/core/wire/shake.go
+++ b/core/wire/shake.go
@@ -13,8 +13,9 @@
 )
 
 const (
-	// nonceSize is in bytes.
-	nonceSize        = 16
+	// nonceSize is the size of a Hello's nonce in bytes.
+	nonceSize = 16
+	// handshakeTimeout bounds the duration of a handshake.
 	handshakeTimeout = 5 * time.Second
 )
 
--- a/core/wire/steady.go
+++ b/core/wire/steady.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// maxWrite is the largest single write to the connection in bytes. A frame can be a
+// maxWriteBytes is the largest single write to the connection in bytes. A frame can be a
 // thousand times as long, so the time that a whole frame takes does not show whether
 // the peer is reading.
-const maxWrite = 32 << 10
+const maxWriteBytes = 32 << 10
 
 // deadlineConn is a link's connection. Its deadlines only detect silence: every read
 // and every piece written extends them, so a frame may take as long as the
@@ -45,7 +45,7 @@
 		if err := s.extendWriteDeadline(time.Now()); err != nil {
 			return written, err
 		}
-		n, err := s.Conn.Write(p[written:min(len(p), written+maxWrite)])
+		n, err := s.Conn.Write(p[written:min(len(p), written+maxWriteBytes)])
 		written += n
 		if err != nil {
 			return written, err
--- a/core/wire/tally.go
+++ b/core/wire/tally.go
@@ -23,13 +23,13 @@
 	Seq  uint64
 	Full bool
 	// MissingFrom names the entries from which the sender has not received every
-	// tally. These send their tallies to it directly.
+	// tally. These entries then send their tallies to it directly.
 	MissingFrom []string
 	// Queues holds the tiers of pools in which the number of the sender's queued
 	// requests changed.
 	Queues []TierQueue
-	// UptimeMS is the time in milliseconds for which the sender had run when it sent
-	// the tally. It shows the tally's transit time. Zero means unknown.
+	// UptimeMS is how long the sender had been running when it sent the tally, in
+	// milliseconds. It shows the tally's transit time. Zero means unknown.
 	UptimeMS uint64
 	// Freshness holds the lists for which the sender has new evidence that it has the
 	// newest revision.
@@ -41,12 +41,12 @@
 	Suspects []Suspect
 	// Limits holds endpoints whose rate limit, or the sender's use of it, changed.
 	Limits []Limit
-	// Rollouts holds the roll-outs whose state or counts changed.
+	// Rollouts holds the rollouts whose state or counts changed.
 	Rollouts []Rollout
 }
 
-// HasChanges reports whether the tally contains more than the sign that its sender is
-// alive.
+// HasChanges reports whether the tally contains anything besides the information that
+// its sender is alive.
 func (t *Tally) HasChanges() bool {
 	return len(t.Customers)+len(t.Endpoints)+len(t.Queues)+len(t.Freshness)+len(t.Suspects)+len(t.Limits)+len(t.Rollouts) > 0
 }
@@ -57,16 +57,16 @@
 	_msgpack struct{} `msgpack:",as_array"`
 	// Fingerprint identifies the request.
 	Fingerprint []byte
-	// CompletedAgoMS is the age of the last completion, negative if the request never
-	// completed.
+	// CompletedAgoMS is the age of the last completion, or negative if the request
+	// never completed.
 	CompletedAgoMS int64
 	Crashes        []Crash
 	// QuarantinedAgoMS is the age of the beginning of the last quarantine,
 	// QuarantineLeftMS its remaining time and Quarantines the number of quarantines.
 	QuarantinedAgoMS, QuarantineLeftMS uint32
 	Quarantines                        uint16
-	// ProbedAgoMS is the age of a probe that has no outcome yet, negative if there is
-	// none. ProbeAborted is set if the last probe did not run.
+	// ProbedAgoMS is the age of a probe that has no outcome yet, or negative if there
+	// is none. ProbeAborted is set if the last probe did not run.
 	ProbedAgoMS  int64
 	ProbeAborted bool
 }
@@ -91,7 +91,7 @@
 	RefreshID uint32
 }
 
-// Limit is the sender's report on an endpoint that limits the rate of requests.
+// Limit is the sender's report on the rate limit of an endpoint.
 type Limit struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Endpoint string
@@ -110,8 +110,8 @@
 type Rollout struct {
 	_msgpack     struct{} `msgpack:",as_array"`
 	Pool, Target string
-	// DurationMS is the duration that the operator gave for the roll-out, and AgeMS
-	// the age of the order when the tally was sent, in milliseconds.
+	// DurationMS is the duration that the operator gave for the rollout, and AgeMS the
+	// age of the order when the tally was sent, in milliseconds.
 	DurationMS, AgeMS uint32
 	// Created is the platform's revision of the pool's first order of this name, and
 	// Revision a revision at which the platform held this order.
@@ -214,9 +214,9 @@
 
 // The values of Snapshot.Content.
 const (
-	// SnapshotConfig is the configuration.
+	// SnapshotConfig means that the body is the configuration.
 	SnapshotConfig uint8 = 1 + iota
-	// SnapshotRoster is the instance list.
+	// SnapshotRoster means that the body is the instance list.
 	SnapshotRoster
 )
 
--- a/core/wire/write.go
+++ b/core/wire/write.go
@@ -19,13 +19,13 @@
 	defer tick.Stop()
 	// The first message on a link is a heartbeat, so that the peer knows at once
 	// whether this process is stopping and how loaded it is.
-	l.queued.Add(1)
+	l.queuedMessages.Add(1)
 	lastHeartbeat := l.newHeartbeat()
 	buf, err := l.writeBatch(w, lastHeartbeat, false, nil)
 	if err != nil {
 		return err
 	}
-	sent, skipped := false, 0
+	hasSent, skippedHeartbeats := false, 0
 	for {
 		var m Message
 		bulk := false
@@ -35,21 +35,21 @@
 		case <-l.finish:
 			return l.writeRemaining(w, buf)
 		case m = <-l.sendQueue.Items():
-			sent = true
+			hasSent = true
 		case m = <-l.bulkQueue.Items():
-			sent, bulk = true, true
+			hasSent, bulk = true, true
 		case <-tick.C:
-			if sent {
-				sent, skipped = false, 0
+			if hasSent {
+				hasSent, skippedHeartbeats = false, 0
 				continue
 			}
 			m = l.newHeartbeat()
-			if sameHeartbeat(lastHeartbeat, m) && l.liveness.maySkip(skipped+1, time.Now()) {
-				skipped++
+			if sameHeartbeat(lastHeartbeat, m) && l.liveness.maySkip(skippedHeartbeats+1, time.Now()) {
+				skippedHeartbeats++
 				continue
 			}
-			lastHeartbeat, skipped = m, 0
-			l.queued.Add(1)
+			lastHeartbeat, skippedHeartbeats = m, 0
+			l.queuedMessages.Add(1)
 		}
 		if buf, err = l.writeBatch(w, m, bulk, buf); err != nil {
 			return err
@@ -82,15 +82,15 @@
 	return half.CloseWrite()
 }
 
-// maxBatch is the number of messages after which the writer flushes.
-const maxBatch = 256
+// maxBatchMessages is the number of messages after which the writer flushes.
+const maxBatchMessages = 256
 
 // writeBatch writes m and the messages queued behind it, and flushes once. Before
 // each message of SendWait it writes all queued messages of Send. bulk is set if m is
 // a message of SendWait.
 func (l *Link) writeBatch(w *bufio.Writer, m Message, bulk bool, buf []byte) ([]byte, error) {
 	count := uint64(0)
-	for more := true; more && count < maxBatch; {
+	for more := true; more && count < maxBatchMessages; {
 		for pending := true; bulk && pending; {
 			var control Message
 			if control, pending = tryReceive(l.sendQueue); !pending {
@@ -106,7 +106,7 @@
 		if buf, err = l.writeFrame(w, m, buf); err != nil {
 			return buf, err
 		}
-		if count++; count >= maxBatch {
+		if count++; count >= maxBatchMessages {
 			break
 		}
 		bulk = false
@@ -118,7 +118,7 @@
 	if err := w.Flush(); err != nil {
 		return buf, err
 	}
-	l.written.Add(count)
+	l.writtenMessages.Add(count)
 	return buf, nil
 }
 
@@ -142,7 +142,7 @@
 	if err := l.liveness.recordMessage(m.Kind(), time.Now()); err != nil {
 		return buf, err
 	}
-	if m.Kind().Control() {
+	if m.Kind().IsControl() {
 		l.controlOut.Add(uint64(len(buf)))
 	} else {
 		l.dataOut.Add(uint64(len(buf)))
