--- a/core/spec/check.go
+++ b/core/spec/check.go
@@ -19,6 +19,7 @@
 // ends.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9._-]{0,61}[A-Za-z0-9])?$`)
 
+// nameRemedy is the remedy for a name that namePattern does not match.
 const nameRemedy = "write up to 63 letters, digits, dots, dashes or underscores, with a letter or digit at both ends"
 
 // Check returns every problem of the class that can be found without other objects.
@@ -41,7 +42,8 @@
 	return ps
 }
 
-// EffectiveDeadline returns the class's deadline, DefaultDeadline if it states none.
+// EffectiveDeadline returns the class's deadline, or DefaultDeadline if it states
+// none.
 func (c Class) EffectiveDeadline() time.Duration {
 	if c.Deadline == 0 {
 		return DefaultDeadline
--- a/core/spec/decode.go
+++ b/core/spec/decode.go
@@ -150,7 +150,7 @@
 	return nil, fmt.Errorf("spec: cannot encode %T: use a Class, Customer, Model or Service", o)
 }
 
-// AppliedOf returns who wrote an object, nil if the content does not say.
+// AppliedOf returns who wrote an object, or nil if the content does not say.
 func AppliedOf(data []byte) *Applied {
 	var o struct {
 		Applied *Applied `json:"applied"`
--- a/core/spec/examples_test.go
+++ b/core/spec/examples_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// The example objects must have no problems.
 func TestExamples(t *testing.T) {
 	for _, name := range []string{"whistlepath", "vlk"} {
 		files, err := filepath.Glob(filepath.Join("..", "..", "examples", name, "*.yaml"))
--- a/core/spec/homes.go
+++ b/core/spec/homes.go
@@ -12,7 +12,7 @@
 	// Slots are the partitions of the key space. Their number never changes while the
 	// object exists.
 	Slots HomeSlots `json:"slots"`
-	// FormerOwners are the owners that lost slots recently; HomeSlot.PreviousOwner
+	// PreviousOwners are the owners that lost slots recently; HomeSlot.PreviousOwner
 	// refers to them.
 	FormerOwners []HomeOwner `json:"left,omitempty"`
 	// ConfirmedAtMS is set by each write that only confirms the epoch, in Unix
@@ -31,13 +31,13 @@
 type HomeSlot struct {
 	// Owner is an index into Homes.Owners, or -1 while no agent is known.
 	Owner int `json:"o"`
-	// LostBefore is the time in Unix milliseconds before which records may be lost,
+	// LostBefore is the time in Unix milliseconds before which records may be lost, or
 	// zero if none can be lost.
 	LostBefore int64 `json:"s,omitempty"`
 	// OwnedSinceEpoch is the epoch in which the owner took over the slot.
 	OwnedSinceEpoch int64 `json:"t"`
-	// PreviousOwner is one more than the index in Homes.FormerOwners of the previous
-	// owner, which may hand over its records; zero if there is none.
+	// PreviousOwner is one more than the index in Homes.PreviousOwners of the previous
+	// owner, which may hand over its records; it is zero if there is none.
 	PreviousOwner int `json:"f,omitempty"`
 }
 
--- a/core/spec/lines.go
+++ b/core/spec/lines.go
@@ -49,7 +49,7 @@
 	return path[:i], strings.TrimPrefix(path[i:], ".")
 }
 
-// childNode returns the node of a field or index in n and its line, nil if it does
+// childNode returns the node of a field or index in n and its line, or nil if it does
 // not exist.
 func childNode(n *yaml.Node, step string) (next *yaml.Node, line int) {
 	switch n.Kind {
--- a/core/spec/problem.go
+++ b/core/spec/problem.go
@@ -7,7 +7,7 @@
 
 // Problem is one error in an object or a settings file.
 type Problem struct {
-	// Line is the line in the file, zero if unknown.
+	// Line is the line in the file, or zero if unknown.
 	Line int `json:"line,omitempty"`
 	// Object is KIND/NAME, empty for settings.
 	Object string `json:"object,omitempty"`
@@ -47,7 +47,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the problems as an error, nil if there are none.
+// Err returns the problems as an error, or nil if there are none.
 func (ps Problems) Err() error {
 	if len(ps) == 0 {
 		return nil
--- a/core/spec/read.go
+++ b/core/spec/read.go
@@ -20,7 +20,7 @@
 	// Line is the line on which the object begins.
 	Line   int
 	Object Object
-	// IfVersion is the version on which the operator's change is based, zero if the
+	// IfVersion is the version on which the operator's change is based, or zero if the
 	// file does not state it.
 	IfVersion int64
 	node      *yaml.Node
--- a/core/spec/slots_test.go
+++ b/core/spec/slots_test.go
@@ -15,8 +15,8 @@
 		slot := rapid.Custom(func(t *rapid.T) HomeSlot {
 			return HomeSlot{
 				Owner:         rapid.IntRange(-1, 3).Draw(t, "owner"),
-				PreviousOwner: rapid.IntRange(0, 1).Draw(t, "from"),
-				LostBefore:    rapid.Int64Range(0, 2).Draw(t, "since"), OwnedSinceEpoch: rapid.Int64Range(1, 3).Draw(t, "took"),
+				PreviousOwner: rapid.IntRange(0, 1).Draw(t, "previousOwner"),
+				LostBefore:    rapid.Int64Range(0, 2).Draw(t, "lostBefore"), OwnedSinceEpoch: rapid.Int64Range(1, 3).Draw(t, "ownedSinceEpoch"),
 			}
 		})
 		want := Homes{Epoch: 3, Owners: []HomeOwner{}, Slots: rapid.SliceOf(slot).Draw(t, "slots")}
--- a/core/spec/spec_test.go
+++ b/core/spec/spec_test.go
@@ -37,10 +37,10 @@
 idempotent: [GET]
 `
 
+// A file has many mistakes. Reporting one at a time would cost the operator one
+// attempt for each, so all must be reported at once, each with its line, reason and
+// remedy.
 func TestAllProblemsAreReportedAtOnce(t *testing.T) {
-	// A file has many mistakes. Reporting one at a time would cost the operator one
-	// attempt for each, so all must be reported at once, each with its line, reason
-	// and remedy.
 	_, ps := Read([]byte(badObjects))
 	want := []struct {
 		line  int
@@ -147,6 +147,7 @@
 	}
 }
 
+// A duration must be written the way it was read.
 func TestDurationRoundTrip(t *testing.T) {
 	for _, text := range []string{"0s", "49ms", "1.5s", "10s", "5m", "5m10s", "10m", "1h", "10h", "1h0m5s", "20h30m"} {
 		var d Duration
@@ -156,6 +157,8 @@
 	}
 }
 
+// An object read from a file must decode from the stored form with the same content,
+// and its writer must be kept.
 func TestEncodeDecode(t *testing.T) {
 	items, ps := Read([]byte("kind: class\nname: swap\ntier: 1\ntarget: {first_token: 1.5s}\ndeadline: 2m\n"))
 	if len(ps) > 0 {
