--- a/core/store/accept.go
+++ b/core/store/accept.go
@@ -15,7 +15,7 @@
 	Kind    string `json:"kind"`
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
-	// InForce is the version that stays in force, zero if there is none.
+	// InForce is the version that stays in force, or zero if there is none.
 	InForce  int64         `json:"in_force"`
 	Problems spec.Problems `json:"problems"`
 	// object is the rejected version itself. It is sent to peers, so that they don't
@@ -62,7 +62,7 @@
 	defer s.mu.Unlock()
 	next := *s.snap.Load()
 	changed, rejected = s.acceptAll(&next, b.Events)
-	next.complete = max(next.complete, b.Version)
+	next.completeVersion = max(next.completeVersion, b.Version)
 	s.pruneTombstones(&next)
 	s.publish(&next)
 	return changed, rejected
@@ -99,14 +99,14 @@
 	if wasRejected && rejected.Version == o.Version {
 		return false, nil
 	}
-	if !known && o.Version <= next.pruned {
+	if !known && o.Version <= next.prunedVersion {
 		return false, nil
 	}
 	// An unknown or deleted object whose version is not newer than the complete
 	// version was deleted, whatever a peer or a lagging replica reports. The
 	// exception is an object whose newest version was rejected: a peer may still have
 	// its last good version.
-	if (!known || previous.deleted) && !wasRejected && o.Version <= next.complete {
+	if (!known || previous.deleted) && !wasRejected && o.Version <= next.completeVersion {
 		return false, nil
 	}
 	if ev.Deleted {
--- a/core/store/keys.go
+++ b/core/store/keys.go
@@ -14,7 +14,8 @@
 // keyMAC is the MAC of a key's hash under the process's own secret.
 type keyMAC [sha256.Size]byte
 
-// keyHolder is a customer that has a key, which is the index-th of its keys.
+// keyHolder is a customer that has a key. index is the index of the key in the
+// customer's list.
 type keyHolder struct {
 	customer string
 	index    int
@@ -136,16 +137,17 @@
 		if !ok {
 			continue
 		}
-		left := slices.DeleteFunc(append([]keyHolder{holders.first}, holders.more...), func(h keyHolder) bool { return h.customer == customer })
-		if len(left) == 0 {
+		remaining := slices.DeleteFunc(append([]keyHolder{holders.first}, holders.more...), func(h keyHolder) bool { return h.customer == customer })
+		if len(remaining) == 0 {
 			next.keys = next.keys.without(mac)
 			continue
 		}
-		next.keys = next.keys.with(mac, keyHolders{first: left[0], more: left[1:]})
+		next.keys = next.keys.with(mac, keyHolders{first: remaining[0], more: remaining[1:]})
 	}
 }
 
-// keyOf returns the MAC under which a key is indexed, false if its hash is malformed.
+// keyOf returns the MAC under which a key is indexed, or false if its hash is
+// malformed.
 func (s *Store) keyOf(k spec.Key) (keyMAC, bool) {
 	hash, ok := decodeHash(k)
 	if !ok {
@@ -154,7 +156,7 @@
 	return s.macOf(hash), true
 }
 
-// decodeHash decodes the hash of a key, false if it is malformed.
+// decodeHash decodes the hash of a key, or false if it is malformed.
 func decodeHash(k spec.Key) (hash [sha256.Size]byte, ok bool) {
 	if len(k.SHA256) != 2*sha256.Size {
 		return hash, false
--- a/core/store/list.go
+++ b/core/store/list.go
@@ -38,7 +38,7 @@
 		}
 	}
 	if kind == plat.AnyKind {
-		next.complete = max(next.complete, b.Version)
+		next.completeVersion = max(next.completeVersion, b.Version)
 		s.pruneTombstones(&next)
 	}
 	s.publish(&next)
@@ -78,7 +78,7 @@
 	}
 	var oldest []tombstone
 	next.records.each(func(id objectID, r record) bool {
-		if r.deleted && r.version <= next.complete {
+		if r.deleted && r.version <= next.completeVersion {
 			oldest = append(oldest, tombstone{id, r.version})
 		}
 		return true
@@ -86,7 +86,7 @@
 	slices.SortFunc(oldest, func(a, b tombstone) int { return cmp.Compare(a.version, b.version) })
 	for _, t := range oldest[:min(len(oldest), maxTombstones/2)] {
 		next.records = next.records.without(t.id)
-		next.pruned = max(next.pruned, t.version)
+		next.prunedVersion = max(next.prunedVersion, t.version)
 		next.tombstones--
 	}
 }
@@ -111,7 +111,7 @@
 
 // CompleteVersion returns the version up to which every object is known here: the
 // version from which to watch.
-func (s *Store) CompleteVersion() int64 { return s.snap.Load().complete }
+func (s *Store) CompleteVersion() int64 { return s.snap.Load().completeVersion }
 
 // Classes returns every class in force.
 func (s *Store) Classes() []spec.Class { return values(s.snap.Load().classes) }
--- a/core/store/model_test.go
+++ b/core/store/model_test.go
@@ -56,11 +56,11 @@
 // version at the time when the object was shown as deleted.
 type view struct{ newest, deletedAfter int64 }
 
+// Two processes read one platform through lagging replicas and repeated watch events,
+// and read each other's content, in any order. An object must never go back to an
+// older version or reappear after its deletion, and both processes must end at the
+// newest state.
 func TestObjectsNeverRevert(t *testing.T) {
-	// Two processes read one platform through lagging replicas and repeated watch
-	// events, and read each other's content, in any order. An object must never go
-	// back to an older version or reappear after its deletion, and both processes
-	// must end at the newest state.
 	rapid.Check(t, func(t *rapid.T) {
 		var h history
 		stores := []*Store{New(), New()}
--- a/core/store/store.go
+++ b/core/store/store.go
@@ -63,12 +63,12 @@
 	digest uint64
 	// tombstones is the number of deletions among records.
 	tombstones int
-	// complete is a version up to which every object is known. An unknown object with
-	// such a version was deleted.
-	complete int64
-	// pruned is the version of the newest deletion that is no longer remembered.
+	// completeVersion is a version up to which every object is known. An unknown
+	// object whose version is not newer was deleted.
+	completeVersion int64
+	// prunedVersion is the version of the newest deletion that is no longer remembered.
 	// Changes of unknown objects up to this version are ignored.
-	pruned int64
+	prunedVersion int64
 }
 
 // freeze makes the tables read-only. A table that was not changed is already frozen
--- a/core/store/store_test.go
+++ b/core/store/store_test.go
@@ -44,10 +44,10 @@
 	}
 }
 
+// An operator writes a class with a tier that does not exist directly to the platform,
+// without the command line's check. Requests of the class must continue under the last
+// good version, and the status must name the bad one.
 func TestRejectedObject(t *testing.T) {
-	// An operator writes a class with a tier that does not exist directly to the
-	// platform, without the command line's check. Requests of the class must continue
-	// under the last good version, and the status must name the bad one.
 	s := New()
 	accept(t, s, class(t, "swap", 1, 0))
 	_, err := s.Accept(class(t, "swap", 2, 9))
@@ -67,10 +67,10 @@
 	}
 }
 
+// After an outage, a process reads a list from a lagging replica. The list lacks the
+// newest class and still contains a deleted one. The newest class must stay in force,
+// or its callers would be refused.
 func TestListFromLaggingReplica(t *testing.T) {
-	// After an outage, a process reads a list from a lagging replica. The list lacks
-	// the newest class and still contains a deleted one. The newest class must stay
-	// in force, or its callers would be refused.
 	s := New()
 	accept(t, s, class(t, "swap", 1, 0), class(t, "old", 2, 1), class(t, "new", 9, 1))
 	accept(t, s, plat.Event{Deleted: true, Object: plat.Object{Kind: spec.KindClass, Name: "old", Version: 7}})
@@ -87,10 +87,10 @@
 	}
 }
 
+// A class is deleted, created again and deleted again. One process received the first
+// deletion and later a list without the class; a peer with older state still serves
+// it. Neither may restore the class at the other.
 func TestPeerWithDeletedObject(t *testing.T) {
-	// A class is deleted, created again and deleted again. One process received the
-	// first deletion and later a list without the class; a peer with older state
-	// still serves it. Neither may restore the class at the other.
 	deleted := plat.Event{Deleted: true, Object: plat.Object{Kind: spec.KindClass, Name: "swap", Version: 1}}
 	newer, older := New(), New()
 	newer.AcceptBatch(plat.Batch{Version: 1, Events: []plat.Event{deleted}})
@@ -106,10 +106,10 @@
 	}
 }
 
+// The newest version of a class is bad. One peer started after it was written and has
+// no good version; another has the previous one. A process that starts reads from
+// both, in either order, and must serve the class.
 func TestPeerWithoutGoodVersion(t *testing.T) {
-	// The newest version of a class is bad. One peer started after it was written and
-	// has no good version; another has the previous one. A process that starts reads
-	// from both, in either order, and must serve the class.
 	withGood, withoutGood := New(), New()
 	bad := class(t, "swap", 7, 9)
 	accept(t, withGood, class(t, "swap", 3, 0))
@@ -129,6 +129,8 @@
 	}
 }
 
+// A customer's keys must be valid from the version that adds them until the version
+// that removes them.
 func TestKeys(t *testing.T) {
 	s := New()
 	accept(t, s, customer(t, "league", 1, "k1", "k2"))
@@ -144,14 +146,14 @@
 	}
 }
 
+// An operator copies a customer's object for a new customer and forgets to change the
+// key. If the key were valid for one of them, that customer could read answers that
+// are charged to and kept for the other.
 func TestKeyOfTwoCustomers(t *testing.T) {
-	// An operator copies a customer's object for a new customer and forgets to change
-	// the key. If the key were valid for one of them, that customer could read
-	// answers that are charged to and kept for the other.
 	s := New()
 	accept(t, s, customer(t, "league", 1, "shared", "own"), customer(t, "copy", 2, "shared"))
 	if c, _, ok := s.CustomerByKey("shared"); ok {
-		t.Fatalf("the key opened %s", c.Name)
+		t.Fatalf("the key was accepted for %s", c.Name)
 	}
 	if _, _, ok := s.CustomerByKey("own"); !ok {
 		t.Fatal("the customer's other key must still work")
@@ -162,6 +164,8 @@
 	}
 }
 
+// Two stores must have the same digest exactly if they have the same objects in force,
+// however they got there.
 func TestDigest(t *testing.T) {
 	a, b := New(), New()
 	accept(t, a, class(t, "x", 1, 0), class(t, "y", 2, 0), class(t, "y", 3, 1))
@@ -175,9 +179,9 @@
 	}
 }
 
+// Objects are created and deleted all day. Their tombstones must not fill the memory
+// of a small instance, and no deleted object may reappear.
 func TestTombstonesAreBounded(t *testing.T) {
-	// Objects are created and deleted all day. Their tombstones must not fill the
-	// memory of a small instance, and no deleted object may reappear.
 	s := New()
 	for i := range int64(maxTombstones + 10) {
 		name := fmt.Sprint("c", i)
@@ -218,6 +222,7 @@
 	}
 }
 
+// BenchmarkFirstList measures the first list of 21,000 customers in an empty store.
 func BenchmarkFirstList(b *testing.B) {
 	batch := plat.Batch{Version: 21000}
 	for i := range 21000 {
--- a/core/store/table.go
+++ b/core/store/table.go
@@ -5,15 +5,15 @@
 	"maps"
 )
 
-// tableParts is the number of parts of a table. With 21,000 customers, a change
-// copies one part of about 80 entries instead of the whole table.
+// tableParts is the number of parts of a table. With 21,000 customers, a change copies
+// one part of about 80 elements instead of the whole table.
 const tableParts = 256
 
 var seed = maphash.MakeSeed()
 
-// table is a persistent map: once it can be read it is never changed. The first
-// change returns a copy that shares all parts but one, and further changes modify
-// that copy until it is frozen.
+// table is a persistent map: a frozen table is never changed. The first change of a
+// frozen table returns a copy that shares all parts but one, and further changes
+// modify that copy until it is frozen.
 type table[K comparable, V any] struct {
 	parts [tableParts]map[K]V
 	size  int
@@ -73,9 +73,10 @@
 // on.
 func (t *table[K, V]) freeze() { t.owned = nil }
 
+// frozen reports whether the table is read-only.
 func (t *table[K, V]) frozen() bool { return t.owned == nil }
 
-// each calls f for every entry until f returns false. The order is random.
+// each calls f for every key and its value until f returns false. The order is random.
 func (t *table[K, V]) each(f func(K, V) bool) {
 	for _, part := range t.parts {
 		for k, v := range part {
