--- a/core/feed/backoff.go
+++ b/core/feed/backoff.go
@@ -7,8 +7,8 @@
 
 // Pauses between calls after a failure. The longest pause bounds how late a process
 // notices that the platform is available again; a change of the configuration must be
-// in force after 9 s. The jitter prevents 420 entries from calling all at once when
-// an outage ends.
+// in force after at most 9 s. The jitter prevents 420 entries from calling all at once
+// when an outage ends.
 const (
 	minPause = 100 * time.Millisecond
 	maxPause = 5 * time.Second
--- a/core/feed/feed.go
+++ b/core/feed/feed.go
@@ -72,7 +72,7 @@
 	// set once a peer has returned a configuration.
 	peersMu     sync.Mutex
 	peersLoaded bool
-	// sleep is the function sleep, except in tests.
+	// sleep waits between calls. Tests replace it.
 	sleep func(ctx context.Context, d time.Duration)
 }
 
@@ -109,8 +109,8 @@
 // from the platform or from peers.
 func (f *Feed) Ready() <-chan struct{} { return f.ready }
 
-// LastContact returns the last call that the platform answered, the zero Contact
-// before the first.
+// LastContact returns the last call that the platform answered, or the zero Contact if
+// there was none yet.
 func (f *Feed) LastContact() Contact {
 	if c := f.lastContact.Load(); c != nil {
 		return *c
--- a/core/feed/feed_test.go
+++ b/core/feed/feed_test.go
@@ -143,6 +143,7 @@
 	return Note{}
 }
 
+// A class that is written while the feed runs must come into force.
 func TestFeedFollowsChanges(t *testing.T) {
 	p := newPlatform()
 	p.put("first")
@@ -156,9 +157,9 @@
 	}
 }
 
+// The platform is unavailable for a while, and a class is written as soon as it is
+// available again. Meanwhile the old classes must stay in force.
 func TestClassesStayInForceDuringOutage(t *testing.T) {
-	// The platform is unavailable for a while, and a class is written as soon as it
-	// is available again. Meanwhile the old classes must stay in force.
 	p := newPlatform()
 	p.put("first")
 	f := run(t, p)
@@ -174,10 +175,10 @@
 	f.waitForClass("second")
 }
 
+// A watch repeats its last events again and again, as a platform does when it fails
+// over to a replica. The process must neither go back to an older version nor call
+// without a pause.
 func TestRepeatedEventsAreIgnored(t *testing.T) {
-	// A watch repeats its last events again and again, as a platform does when it
-	// fails over to a replica. The process must neither go back to an older version
-	// nor call without a pause.
 	watches := make(chan struct{}, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b := plat.Batch{Version: 5, Events: []plat.Event{class("first", 5)}}
@@ -216,6 +217,8 @@
 	<-ended
 }
 
+// The gauges must show the configuration version, the state of the platform and the
+// counts of calls.
 func TestRegisterMetrics(t *testing.T) {
 	p := newPlatform()
 	p.put("first")
@@ -230,9 +233,9 @@
 	}
 }
 
+// An outage lasts longer than the platform keeps changes. The watch's version is then
+// refused every time, and only a new list shows what changed.
 func TestListsAgainAfterCompaction(t *testing.T) {
-	// An outage lasts longer than the platform keeps changes. The watch's version is
-	// then refused every time, and only a new list shows what changed.
 	p := newPlatform()
 	p.put("first")
 	f := run(t, p)
@@ -246,10 +249,10 @@
 	f.waitForClass("third")
 }
 
+// An instance is replaced while the platform is unavailable. One of its peers is dead,
+// one has an older version and one a newer version. It must serve the newer one, and
+// the platform's version once the platform is available.
 func TestStartReadsNewestFromPeers(t *testing.T) {
-	// An instance is replaced while the platform is unavailable. One of its peers is
-	// dead, one has an older version and one a newer version. It must serve the newer
-	// one, and the platform's version once the platform is available.
 	p := newPlatform()
 	for range 3 {
 		p.put("first")
@@ -274,9 +277,9 @@
 	}
 }
 
+// An instance is replaced while the platform accepts calls but does not answer. It
+// must serve its peers' configuration without waiting for the calls to fail.
 func TestStartDoesNotWaitForSlowPlatform(t *testing.T) {
-	// An instance is replaced while the platform accepts calls but does not answer.
-	// It must serve its peers' configuration without waiting for the calls to fail.
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer server.Close()
 	peer := func(context.Context) (plat.Batch, error) {
@@ -300,9 +303,9 @@
 	<-ended
 }
 
+// An instance is replaced while the newest version of a class is bad. The platform has
+// no other version, but the peers still have the last good one.
 func TestStartReadsLastGoodVersionFromPeers(t *testing.T) {
-	// An instance is replaced while the newest version of a class is bad. The
-	// platform has no other version, but the peers still have the last good one.
 	p := newPlatform()
 	p.put("first")
 	p.update(func() {
@@ -320,9 +323,9 @@
 	}
 }
 
+// The platform is unavailable and no peer answers. The process must report this and
+// must not become ready with an empty configuration.
 func TestNotReadyWithoutConfiguration(t *testing.T) {
-	// The platform is unavailable and no peer answers. The process must report this
-	// and must not become ready with an empty configuration.
 	p := newPlatform()
 	p.unavailable = true
 	f := run(t, p, func(context.Context) (plat.Batch, error) { return plat.Batch{}, errors.New("no route") })
@@ -336,9 +339,9 @@
 	}
 }
 
+// A peer sends everything in force over a link, which is more than the link's queue
+// can hold. Rejected versions and deletions are included.
 func TestFetchOverLink(t *testing.T) {
-	// A peer sends everything in force over a link, which is more than the link's
-	// queue can hold. Rejected versions and deletions are included.
 	const classes = 3000
 	have := store.New()
 	for i := range int64(classes) {
--- a/core/feed/gauge.go
+++ b/core/feed/gauge.go
@@ -7,7 +7,7 @@
 	"lycheepond/core/plat"
 )
 
-// AnswerAgeMS returns the time since the platform's last answer in milliseconds, -1
+// AnswerAgeMS returns the time since the platform's last answer in milliseconds, or -1
 // if there was none.
 func (f *Feed) AnswerAgeMS() int64 {
 	if c := f.LastContact(); !c.AnsweredAt.IsZero() {
--- a/core/feed/peer.go
+++ b/core/feed/peer.go
@@ -176,7 +176,7 @@
 			errs = append(errs, a.err)
 			continue
 		}
-		takeRoster(f.cfg.Store, &a.batch)
+		extractRoster(f.cfg.Store, &a.batch)
 		n, rejected := f.cfg.Store.AcceptList(plat.AnyKind, a.batch)
 		f.reportBatch(n, rejected)
 		changed += n
--- a/core/feed/roster.go
+++ b/core/feed/roster.go
@@ -13,7 +13,7 @@
 // classes and customers but no agent to dial.
 const rosterKind = "instances"
 
-// rosterEvent returns the instance list as an event for a peer, false if there is
+// rosterEvent returns the instance list as an event for a peer, or false if there is
 // none.
 func rosterEvent(s *store.Store) (plat.Event, bool) {
 	r := s.Roster()
@@ -24,9 +24,9 @@
 	return plat.Event{Object: plat.Object{Kind: rosterKind, Name: rosterKind, Version: r.Version, Data: data}}, true
 }
 
-// takeRoster removes the instance list from a peer's objects and puts it in force if
+// extractRoster removes the instance list from a peer's objects and puts it in force if
 // it is newer.
-func takeRoster(s *store.Store, b *plat.Batch) {
+func extractRoster(s *store.Store, b *plat.Batch) {
 	b.Events = slices.DeleteFunc(b.Events, func(ev plat.Event) bool {
 		if ev.Object.Kind != rosterKind {
 			return false
--- a/core/feed/roster_test.go
+++ b/core/feed/roster_test.go
@@ -18,7 +18,7 @@
 		t.Fatal("no instance list to send")
 	}
 	b := plat.Batch{Events: []plat.Event{class("first", 1), ev}}
-	takeRoster(got, &b)
+	extractRoster(got, &b)
 	if r := got.Roster(); r.Version != 5 || len(r.Instances) != 1 {
 		t.Errorf("got %+v", r)
 	}
@@ -27,7 +27,7 @@
 	}
 	got.AcceptRoster(plat.Roster{Version: 9})
 	b.Events = []plat.Event{ev}
-	takeRoster(got, &b)
+	extractRoster(got, &b)
 	if v := got.Roster().Version; v != 9 {
 		t.Errorf("an older instance list replaced a newer one: version %d", v)
 	}
