--- a/core/plat/calls.go
+++ b/core/plat/calls.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// countRefusal counts an answer with an error status.
-func (c *Calls) countRefusal(status int) {
+// countErrorStatus counts an answer with an error status.
+func (c *Calls) countErrorStatus(status int) {
 	switch {
 	case status == http.StatusConflict:
 		c.conflict.Add(1)
--- a/core/plat/client.go
+++ b/core/plat/client.go
@@ -15,11 +15,12 @@
 )
 
 const (
-	// MaxData is the largest object in bytes that the platform accepts.
-	MaxData = 1 << 20
-	// maxAnswer bounds the bytes read of one answer. A list of 21,000 customers is
+	// MaxObjectSize is the size in bytes of the largest object that the platform
+	// accepts.
+	MaxObjectSize = 1 << 20
+	// maxAnswerSize bounds the bytes read of one answer. A list of 21,000 customers is
 	// about 10 MB.
-	maxAnswer = 256 << 20
+	maxAnswerSize = 256 << 20
 	// callTimeout bounds a call that does not wait for changes. The platform normally
 	// answers within milliseconds; a slow one counts as unavailable and is called
 	// again later.
@@ -85,10 +86,10 @@
 // Put writes an object if its version is still ifVersion, which may be Absent or
 // Unconditional. It returns a *ConflictError if the version differs, an
 // *UncertainError if the reply was lost and the write may have taken effect, and
-// ErrTooLarge for more than MaxData bytes.
+// ErrTooLarge for more than MaxObjectSize bytes.
 func (c *Client) Put(ctx context.Context, kind, name string, data []byte, ifVersion int64) (Object, error) {
 	c.calls.put.Add(1)
-	if len(data) > MaxData {
+	if len(data) > MaxObjectSize {
 		return Object{}, ErrTooLarge
 	}
 	var o Object
@@ -172,13 +173,13 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		c.calls.countRefusal(resp.StatusCode)
+		c.calls.countErrorStatus(resp.StatusCode)
 		return q.statusError(resp)
 	}
 	if into == nil {
 		return nil
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(into); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerSize)).Decode(into); err != nil {
 		c.calls.failed.Add(1)
 		return q.callError(eris.Wrap(err, "answer cut short or not JSON"))
 	}
--- a/core/plat/client_test.go
+++ b/core/plat/client_test.go
@@ -18,6 +18,8 @@
 	return New(Config{BaseURL: server.URL + "/", Token: "t0", HTTP: server.Client()})
 }
 
+// Each call must have the method, path, condition and token that the platform expects,
+// and must be counted.
 func TestCalls(t *testing.T) {
 	var got []string
 	c := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
@@ -65,10 +67,10 @@
 	}
 }
 
+// The platform accepts a write and the connection breaks before the reply. If the
+// client reported a failure, an operator would repeat the write and could undo what
+// someone else has written since.
 func TestLostReplyIsUncertain(t *testing.T) {
-	// The platform accepts a write and the connection breaks before the reply. If the
-	// client reported a failure, an operator would repeat the write and could undo
-	// what someone else has written since.
 	c := newTestClient(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	var uncertain *UncertainError
 	if _, err := c.Put(context.Background(), "class", "swap", []byte("{}"), 3); !errors.As(err, &uncertain) {
@@ -83,9 +85,9 @@
 	}
 }
 
+// No process listens at the platform's address. The write certainly had no effect and
+// may be repeated.
 func TestUnreachablePlatformIsUnavailable(t *testing.T) {
-	// No process listens at the platform's address. The write certainly had no effect
-	// and may be repeated.
 	server := httptest.NewServer(http.NotFoundHandler())
 	c := New(Config{BaseURL: server.URL})
 	server.Close()
@@ -95,6 +97,8 @@
 	}
 }
 
+// Each error status must give the error that tells the caller whether a write may have
+// taken effect.
 func TestErrorStatuses(t *testing.T) {
 	var conflict *ConflictError
 	var unavailable *UnavailableError
--- a/core/plat/errors.go
+++ b/core/plat/errors.go
@@ -16,7 +16,7 @@
 // ErrCompacted reports a watch from a version whose changes the platform has dropped.
 var ErrCompacted = errors.New("plat: watch version is compacted: list again and watch from the list's version")
 
-// ErrTooLarge reports an object of more than MaxData bytes.
+// ErrTooLarge reports an object of more than MaxObjectSize bytes.
 var ErrTooLarge = errors.New("plat: object is larger than 1 MiB: split it")
 
 // ErrToken reports a platform token that is missing or wrong.
--- a/core/plat/object.go
+++ b/core/plat/object.go
@@ -42,7 +42,7 @@
 	RoleEntry    = "entry"
 )
 
-// Instance is one entry of the platform's instance list.
+// Instance is one element of the platform's instance list.
 type Instance struct {
 	Name   string            `json:"name"`
 	Role   string            `json:"role"`
@@ -72,7 +72,7 @@
 	return &ConflictError{kind: kind, name: name, current: current}
 }
 
-// Current returns the current version of the object, zero if it does not exist.
+// Current returns the current version of the object, or zero if it does not exist.
 func (e *ConflictError) Current() int64 { return e.current }
 
 // Error describes the conflict and the remedy.
