--- a/core/conf/check.go
+++ b/core/conf/check.go
@@ -13,13 +13,13 @@
 
 // Bounds of settings.
 const (
-	// minKeyLength is the minimum length of a fleet key in characters.
+	// minKeyLength is the minimum length of a fleet key in bytes.
 	minKeyLength = 16
 	minHeartbeat = 50 * time.Millisecond
 	maxHeartbeat = time.Minute
 	maxGrace     = time.Hour
-	// minRequestMemory is enough for one request with the largest body, in MiB.
-	minRequestMemory = 8
+	// minRequestMemoryMiB is enough for one request with the largest body.
+	minRequestMemoryMiB = 8
 )
 
 // checker collects the problems of settings.
@@ -122,8 +122,8 @@
 	for i, p := range e.Peers {
 		c.listenAddress("peers["+strconv.Itoa(i)+"]", p)
 	}
-	if e.RequestMemory < minRequestMemory {
-		c.add("request_memory", fmt.Sprintf("%d MiB is too little for one request", e.RequestMemory), fmt.Sprintf("write %d or more", minRequestMemory))
+	if e.RequestMemory < minRequestMemoryMiB {
+		c.add("request_memory", fmt.Sprintf("%d MiB is too little for one request", e.RequestMemory), fmt.Sprintf("write %d or more", minRequestMemoryMiB))
 	}
 	c.between("heartbeat", e.Heartbeat, minHeartbeat, maxHeartbeat)
 	c.between("idle_heartbeat", e.IdleHeartbeat, minHeartbeat, maxHeartbeat)
--- a/core/conf/conf.go
+++ b/core/conf/conf.go
@@ -14,8 +14,8 @@
 	// DefaultGrace is how long a planned stop waits for running requests. A long
 	// answer, such as a season slate or a brief, takes minutes.
 	DefaultGrace = 5 * time.Minute
-	// DefaultRequestMemory is in MiB, enough for about 4000 small requests.
-	DefaultRequestMemory = 256
+	// DefaultRequestMemoryMiB is enough for about 4000 small requests.
+	DefaultRequestMemoryMiB = 256
 	// DefaultLogLevel is the default log level.
 	DefaultLogLevel = "info"
 )
@@ -84,7 +84,7 @@
 	// Peers are the link addresses of other entries from which the configuration is
 	// read if the platform is unavailable at the start.
 	Peers []string `yaml:"peers"`
-	// RequestMemory is the maximum memory of all requests held at once, in MiB.
+	// RequestMemoryMiB is the maximum memory of all requests held at once, in MiB.
 	RequestMemory int `yaml:"request_memory"`
 	// Heartbeat and IdleHeartbeat are the heartbeat periods of links with and without
 	// requests.
@@ -141,7 +141,7 @@
 	e.Common.setDefaults()
 	e.Heartbeat, e.Grace = timingDefaults(e.Heartbeat, e.Grace)
 	if e.RequestMemory == 0 {
-		e.RequestMemory = DefaultRequestMemory
+		e.RequestMemory = DefaultRequestMemoryMiB
 	}
 	e.IdleHeartbeat = max(e.IdleHeartbeat, e.Heartbeat)
 }
--- a/core/conf/conf_test.go
+++ b/core/conf/conf_test.go
@@ -13,6 +13,7 @@
 	"lycheepond/core/spec"
 )
 
+// noEnv looks up a variable in an empty environment.
 func noEnv(string) (string, bool) { return "", false }
 
 const badEntry = `name: entry-a1
@@ -31,9 +32,9 @@
 tls: {cert: a.pem}
 `
 
+// A settings file has many mistakes. The process must report all of them with their
+// lines before it does anything else.
 func TestAllProblemsAreReportedAtOnce(t *testing.T) {
-	// A settings file has many mistakes. The process must report all of them with
-	// their lines before it does anything else.
 	var e Entry
 	err := Parse([]byte(badEntry), noEnv, &e)
 	var ps spec.Problems
@@ -64,9 +65,9 @@
 endpoint: {address: "http://127.0.0.1:9000", kind: engine, checks_fence: true}
 `
 
+// A secret from the environment may contain characters with a meaning in YAML. It must
+// be used unchanged. A missing variable must be named.
 func TestEnvironmentVariables(t *testing.T) {
-	// A secret from the environment may contain characters with a meaning in YAML. It
-	// must be used unchanged. A missing variable must be named.
 	env := map[string]string{"KEY": "0123456789: \"abcdef\" #x", "TOKEN": "t"}
 	var a Agent
 	err := Parse([]byte(goodAgent), func(n string) (string, bool) { v, ok := env[n]; return v, ok }, &a)
@@ -85,10 +86,9 @@
 	}
 }
 
+// The fleet key is replaced while the process runs: first both keys are accepted, then
+// the new one is used. A mistake in the file must leave the current keys in use.
 func TestKeysAreReloaded(t *testing.T) {
-	// The fleet key is replaced while the process runs: first both keys are accepted,
-	// then the new one is used. A mistake in the file must leave the current keys in
-	// use.
 	path := filepath.Join(t.TempDir(), "agent.yaml")
 	write := func(line string) {
 		text := strings.Replace(goodAgent, "fleet_key: ${KEY}", line, 1)
--- a/core/conf/direct.go
+++ b/core/conf/direct.go
@@ -41,19 +41,19 @@
 	Repeats RepeatBudget  `yaml:"repeats"`
 	// Tolerance is how far a customer's use may exceed its limit.
 	Tolerance Tolerance `yaml:"tolerance"`
-	// Rollouts bounds the requests that a bad version may receive during a roll-out.
+	// Rollouts limits the requests that a bad version may receive during a rollout.
 	Rollouts Rollouts `yaml:"rollouts"`
 }
 
-// Rollouts is a share of a pool's requests during its roll-out and a number of
-// requests on top. With a share of zero, roll-out orders are not followed and
-// endpoints of all versions are in service.
+// Rollouts limits the requests that a bad version may receive: to Share of the pool's
+// requests during its rollout plus Slack requests. With a share of zero, rollout
+// orders are not followed and endpoints of all versions are in service.
 type Rollouts struct {
 	Share float64 `yaml:"share"`
 	Slack float64 `yaml:"slack"`
 }
 
-// Tolerance is a share of a customer's limit and a number of units on top.
+// Tolerance is Share of a customer's limit plus Slack units.
 type Tolerance struct {
 	Share float64 `yaml:"over"`
 	Slack float64 `yaml:"slack"`
@@ -71,7 +71,7 @@
 // less bandwidth counts as having fewer cores.
 const mbitPerCore = 250
 
-// Capacity returns the capacity of the entry in thousandths of a core, zero if the
+// Capacity returns the capacity of the entry in thousandths of a core, or zero if the
 // settings do not state it.
 func (d *Direct) Capacity() uint32 {
 	cores := d.Processor.Share * cmp.Or(d.Processor.Speed, 1)
@@ -81,15 +81,15 @@
 	return uint32(1000 * min(max(cores, 0), 1000))
 }
 
-// RepeatBudget bounds the requests that all entries together may send again. In each
-// window it is a share of a pool's requests and a number of requests on top.
+// RepeatBudget limits the requests that all entries together may send again in each
+// window: to Ratio of a pool's requests plus Slack requests.
 type RepeatBudget struct {
 	Ratio float64 `yaml:"ratio"`
 	Slack float64 `yaml:"slack"`
 }
 
-// Bounds of MaxChangeDelay. Below the minimum, the platform would be called all the
-// time.
+// Bounds of MaxChangeDelay. Below the minimum, the entry would call the platform
+// almost continuously.
 const (
 	minChangeDelay = 200 * time.Millisecond
 	maxChangeDelay = time.Minute
--- a/core/conf/docs_test.go
+++ b/core/conf/docs_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// docs/OPERATIONS.md must list every setting.
 func TestEverySettingIsDocumented(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "OPERATIONS.md"))
 	if err != nil {
--- a/core/conf/examples_test.go
+++ b/core/conf/examples_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// The example settings must have no problems.
 func TestExamples(t *testing.T) {
 	env := func(name string) (string, bool) { return "value-of-" + name, true }
 	for name, into := range map[string]any{"entry.yaml": new(Entry), "agent.yaml": new(Agent), "direct-vlk.yaml": new(Direct), "direct-whistlepath.yaml": new(Direct)} {
--- a/core/conf/live.go
+++ b/core/conf/live.go
@@ -27,7 +27,7 @@
 	path string
 	read func(path string) (wire.Keys, error)
 	keys atomic.Pointer[wire.Keys]
-	// modTime is the file's modification time at the last reading; only Run uses it.
+	// modTime is the file's modification time when it was last read; only Run uses it.
 	modTime time.Time
 }
 
@@ -86,7 +86,7 @@
 		case <-hup:
 			onReload(l.Reload())
 		case <-t.C:
-			if l.changed() {
+			if l.hasChanged() {
 				onReload(l.Reload())
 			}
 		}
@@ -102,8 +102,8 @@
 	return ctx.Err()
 }
 
-// changed reports whether the file's modification time has changed.
-func (l *LiveKeys) changed() bool {
+// hasChanged reports whether the file's modification time has changed.
+func (l *LiveKeys) hasChanged() bool {
 	info, err := os.Stat(l.path)
 	if err != nil || info.ModTime().Equal(l.modTime) {
 		return false
