--- a/core/certs/certs.go
+++ b/core/certs/certs.go
@@ -2,9 +2,9 @@
 // certificates can be replaced without a restart.
 //
 // Processes dial each other at the addresses in the instance list, and instances are
-// replaced at any time. So a peer is trusted because the fleet's own certificate
-// authority signed its certificate, not because of a host name in it. The handshake
-// of package wire identifies the peer.
+// replaced at any time. Therefore a peer is trusted if the fleet's own certificate
+// authority signed its certificate, whatever host name the certificate contains. The
+// handshake of package wire identifies the peer.
 package certs
 
 import (
@@ -154,7 +154,7 @@
 			return s.latest().cert, nil
 		},
 		// The standard check requires a host name and cannot follow a replaced
-		// authority. verify does the rest of it.
+		// authority. verify makes the other checks.
 		InsecureSkipVerify: true,
 		VerifyConnection:   s.verify,
 	}
--- a/core/certs/certs_test.go
+++ b/core/certs/certs_test.go
@@ -119,9 +119,9 @@
 	return <-result, clientErr
 }
 
+// A process of another fleet, or one without a certificate, dials a link port. The
+// connection must fail before any message is exchanged.
 func TestPeersNeedFleetCertificate(t *testing.T) {
-	// A process of another fleet, or one without a certificate, dials a link port.
-	// The connection must fail before any message is exchanged.
 	ours, theirs := newAuthority(t, "ours"), newAuthority(t, "theirs")
 	server := newSource(t, ours.write(t, t.TempDir(), ours))
 	if s, c := handshakeErrors(t, server, newSource(t, ours.write(t, t.TempDir(), ours)).Client()); s != nil || c != nil {
@@ -139,10 +139,10 @@
 	}
 }
 
+// The fleet's authority is replaced while the processes run. Links opened after the
+// files changed must use the new one, and incomplete files must not make the process
+// lose its certificate.
 func TestCertificatesAreReplacedWithoutRestart(t *testing.T) {
-	// The fleet's authority is replaced while the processes run. Links opened after
-	// the files changed must use the new one, and incomplete files must not make the
-	// process lose its certificate.
 	older, newer := newAuthority(t, "older"), newAuthority(t, "newer")
 	dir := t.TempDir()
 	files := older.write(t, dir, older)
@@ -167,9 +167,9 @@
 	}
 }
 
+// An agent restarts with a certificate of the new authority. An entry that has only
+// dialled with the old one must reach it again.
 func TestDialerUsesReplacedAuthority(t *testing.T) {
-	// An agent restarts with a certificate of the new authority. An entry that has
-	// only dialled with the old one must reach it again.
 	older, newer := newAuthority(t, "older"), newAuthority(t, "newer")
 	dir := t.TempDir()
 	files := older.write(t, dir, older)
