--- a/core/boot/boot.go
+++ b/core/boot/boot.go
@@ -21,7 +21,7 @@
 	exitSettings = 2
 )
 
-// Program is a program that runs until a signal stops it. T is the type of its
+// Program describes a program that runs until a signal stops it. T is the type of its
 // settings.
 type Program[T any] struct {
 	// Name and Description appear in the help text.
--- a/core/boot/hup_test.go
+++ b/core/boot/hup_test.go
@@ -25,7 +25,7 @@
 	if path := os.Getenv(childEnv); path != "" {
 		os.Args = []string{"program", "--config", path}
 		p := Program[conf.Agent]{Name: "program", Run: func(context.Context, *conf.Agent, string) error {
-			// A signal to the own thread is delivered before the call returns.
+			// A signal to the calling thread is delivered before the call returns.
 			runtime.LockOSThread()
 			return syscall.Tgkill(os.Getpid(), syscall.Gettid(), syscall.SIGHUP)
 		}}
