--- a/core/bearer/bearer_test.go
+++ b/core/bearer/bearer_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// Only a request with the right token is allowed, and any request if no token is set.
 func TestAllows(t *testing.T) {
 	for _, tc := range []struct {
 		name, token, sent string
@@ -13,7 +14,7 @@
 		{"right", "secret", "Bearer secret", true},
 		{"wrong", "secret", "Bearer secre", false},
 		{"missing", "secret", "", false},
-		{"none demanded", "", "", true},
+		{"no token set", "", "", true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := httptest.NewRequest("GET", "/status", nil)
