--- a/core/report/report.go
+++ b/core/report/report.go
@@ -8,7 +8,7 @@
 )
 
 // Entry is the status of an entry. Leaving is set once a planned stop has begun, and
-// Running counts the requests in the entry.
+// RunningRequests is the number of requests in the entry.
 type Entry struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
@@ -35,7 +35,8 @@
 	InFlight  int    `json:"in_flight"`
 	Queued    int    `json:"queued"`
 	ShedLevel int    `json:"shed_level"`
-	// Unlinked counts the live agents of the pool to which the entry has no link.
+	// UnlinkedAgents is the number of live agents of the pool to which the entry has
+	// no link.
 	Unlinked int     `json:"unlinked"`
 	Agents   []Agent `json:"agents"`
 }
