--- a/core/logs/docs_test.go
+++ b/core/logs/docs_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// docs/OPERATIONS.md must list every event.
 func TestEveryEventIsDocumented(t *testing.T) {
 	source, err := os.ReadFile("event.go")
 	if err != nil {
--- a/core/logs/event.go
+++ b/core/logs/event.go
@@ -2,8 +2,8 @@
 
 import "go.uber.org/zap"
 
-// Event is the name of what happened. Each log line has one under the key "event", so
-// that alerts need not match texts. docs/OPERATIONS.md lists all events.
+// Event is the name of an event in the log. Each line has one under the key "event",
+// so that alerts need not match message texts. docs/OPERATIONS.md lists all events.
 type Event string
 
 // The events. A name is never reused with another meaning.
--- a/core/logs/logs_test.go
+++ b/core/logs/logs_test.go
@@ -9,6 +9,8 @@
 	"lycheepond/core/ident"
 )
 
+// A line must be JSON with the event, process, level, request and time under the
+// documented keys.
 func TestLineFormat(t *testing.T) {
 	var out bytes.Buffer
 	l := NewTo(&out, "info", "entry-a1")
@@ -23,10 +25,9 @@
 	}
 }
 
+// A burst refuses thousands of requests a second, and each refusal writes a line. The
+// log must not cost more than the refusals, and other events must still be written.
 func TestRateIsBounded(t *testing.T) {
-	// A burst refuses thousands of requests a second, and each refusal writes a line.
-	// The log must not cost more than the refusals, and other events must still be
-	// written.
 	var out bytes.Buffer
 	l := NewTo(&out, "info", "entry-a1")
 	const burst = 20000
--- a/core/logs/queue.go
+++ b/core/logs/queue.go
@@ -23,9 +23,9 @@
 // that stops reading would block the process, and every request in it, at the next
 // line. Lines that find no room are dropped and counted.
 type Queue struct {
-	w       io.Writer
-	lines   chan []byte
-	dropped atomic.Int64
+	w            io.Writer
+	lines        chan []byte
+	droppedLines atomic.Int64
 }
 
 // NewQueue returns a queue for w. It writes nothing until Run.
@@ -37,7 +37,7 @@
 	select {
 	case q.lines <- append([]byte(nil), line...):
 	default:
-		q.dropped.Add(1)
+		q.droppedLines.Add(1)
 	}
 	return len(line), nil
 }
@@ -71,7 +71,7 @@
 				continue
 			}
 		default:
-			if n := q.dropped.Swap(0); n > 0 {
+			if n := q.droppedLines.Swap(0); n > 0 {
 				batch = append(batch, fmt.Sprintf("{\"level\":\"warn\",\"event\":%q,\"lines\":%d}\n", EventLinesDropped, n)...)
 			}
 			if len(batch) == 0 {
--- a/core/logs/queue_test.go
+++ b/core/logs/queue_test.go
@@ -26,6 +26,7 @@
 	<-ended
 }
 
+// Lines that find no room in the queue are dropped. Their number must be written.
 func TestQueueReportsDroppedLines(t *testing.T) {
 	var out bytes.Buffer
 	q := NewQueue(&out)
--- a/core/logs/server.go
+++ b/core/logs/server.go
@@ -46,7 +46,7 @@
 			}
 			count()
 			LogPanic(l, v, zap.String("path", r.URL.Path))
-			if o.started {
+			if o.answerStarted {
 				// Closing the connection shows the caller that the answer is
 				// incomplete.
 				panic(http.ErrAbortHandler)
@@ -68,7 +68,7 @@
 // trackedWriter records whether an answer has begun.
 type trackedWriter struct {
 	http.ResponseWriter
-	started bool
+	answerStarted bool
 }
 
 // Unwrap returns the wrapped writer for http.ResponseController.
@@ -85,12 +85,12 @@
 
 // WriteHeader records the beginning of the answer.
 func (o *trackedWriter) WriteHeader(status int) {
-	o.started = o.started || status >= http.StatusOK
+	o.answerStarted = o.answerStarted || status >= http.StatusOK
 	o.ResponseWriter.WriteHeader(status)
 }
 
 // Write records the beginning of the answer.
 func (o *trackedWriter) Write(p []byte) (int, error) {
-	o.started = true
+	o.answerStarted = true
 	return o.ResponseWriter.Write(p)
 }
