--- a/core/meter/meter_test.go
+++ b/core/meter/meter_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// Counters, gauges and histograms must be written as text and, on request, as JSON.
 func TestServeHTTP(t *testing.T) {
 	s := New()
 	s.Counter("requests", Outcome("complete"), Tier(0)).Inc(3)
@@ -33,10 +34,10 @@
 	}
 }
 
+// 21,000 customers send requests, most of them rarely. The busy ones must get their
+// own histograms, also if they start late, and the memory must not grow with the
+// number of customers.
 func TestOwnHistogramsAreBounded(t *testing.T) {
-	// 21,000 customers send requests, most of them rarely. The busy ones must get
-	// their own histograms, also if they start late, and the memory must not grow
-	// with the number of customers.
 	s := New()
 	top := s.CustomerHistograms("latency_ms")
 	for i := range 21000 {
--- a/core/meter/proc.go
+++ b/core/meter/proc.go
@@ -13,8 +13,8 @@
 	s.GaugeFunc("process_goroutines", func() int64 { return int64(runtime.NumGoroutine()) })
 }
 
-// cpuMS returns the user and system processor time used so far in milliseconds, zero
-// if it cannot be read.
+// cpuMS returns the user and system processor time used so far in milliseconds, or
+// zero if it cannot be read.
 func cpuMS() int64 {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -23,7 +23,7 @@
 	return (u.Utime.Nano() + u.Stime.Nano()) / 1e6
 }
 
-// heapBytes returns the bytes of live heap objects, zero if they cannot be read.
+// heapBytes returns the bytes of live heap objects, or zero if they cannot be read.
 func heapBytes() int64 {
 	sample := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(sample)
--- a/core/meter/set.go
+++ b/core/meter/set.go
@@ -27,8 +27,6 @@
 	Key, Value string
 }
 
-// Labels that several metrics share.
-
 // Class labels a metric with a class.
 func Class(name string) Label { return Label{"class", name} }
 
--- a/core/meter/top.go
+++ b/core/meter/top.go
@@ -35,6 +35,8 @@
 	observations    uint64
 }
 
+// ownHistogram is the histogram of one customer and the number of its observations,
+// halved with each decay.
 type ownHistogram struct {
 	histogram metrics.Histogram
 	count     uint64
--- a/core/meter/write.go
+++ b/core/meter/write.go
@@ -12,6 +12,7 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
+// quantiles are the quantiles of a Summary, in the order of its fields.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
 // Summary holds the values of a histogram.
@@ -64,8 +65,8 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { serve(w, r, s.Read().withoutCustomers()) })
 }
 
-// customerLabel is how a full name begins its labels if the metric is that of a
-// customer.
+// customerLabel is the beginning of the labels in the full name of a customer's
+// metric.
 var customerLabel = "{" + Customer("").Key + "="
 
 // withoutCustomers removes the metrics of individual customers from r and returns it.
