--- a/core/ident/ident_test.go
+++ b/core/ident/ident_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// An ID must contain the incarnation of the entry, and another counter must give
+// another ID.
 func TestMakeKeepsIncarnation(t *testing.T) {
 	id := Make(0xfeedface01020304, 7)
 	if got := id.Incarnation(); got != 0xfeedface01020304 {
@@ -12,6 +14,7 @@
 	}
 }
 
+// Parse must accept the output of String and reject any other text.
 func TestParse(t *testing.T) {
 	id := Make(1, 2)
 	for _, tc := range []struct {
