--- a/core/homes/hand_test.go
+++ b/core/homes/hand_test.go
@@ -113,7 +113,7 @@
 				for _, v := range c.views {
 					if !c.stopped[v] && v.CheckOwnership(c.now, key, v.Table().Epoch) == Owned {
 						n++
-						if _, ok := v.receivedSince[slot]; ok {
+						if _, ok := v.receivedLostBefore[slot]; ok {
 							actingAfterHandover++
 						}
 					}
