--- a/agent/links/links.go
+++ b/agent/links/links.go
@@ -141,7 +141,7 @@
 	}
 	owner := s.cfg.Owner
 	link := wire.New(conn, hello, wire.Config{
-		Heartbeat: s.cfg.Heartbeat, Idle: s.cfg.Self.Idle(),
+		Heartbeat: s.cfg.Heartbeat, IdleHeartbeat: s.cfg.Self.IdleHeartbeat(),
 		NewHeartbeat: func() wire.Message { return &wire.Heartbeat{Load: owner.Load(), Leaving: owner.Load().Leaving} },
 	})
 	p := &slot.Peer{Name: hello.Name, Incarnation: hello.Incarnation, Send: link.Send, SendWait: link.SendWait}
--- a/agent/node.go
+++ b/agent/node.go
@@ -85,7 +85,7 @@
 	n.links = links.New(links.Config{
 		Self: wire.Hello{
 			Role: wire.RoleAgent, Name: cfg.Name, Zone: cfg.Zone, Incarnation: incarnation,
-			IdleMS: uint32(cfg.IdleHeartbeat.Std().Milliseconds()),
+			IdleHeartbeatMS: uint32(cfg.IdleHeartbeat.Std().Milliseconds()),
 		},
 		Keys: n.liveKeys.Keys, Heartbeat: cfg.Heartbeat.Std(),
 		Owner: n.owner, Log: n.log, WrapTLS: n.certs.Accept,
--- a/agent/slot/hand.go
+++ b/agent/slot/hand.go
@@ -169,7 +169,7 @@
 	}
 	h.part.Last = true
 	for _, s := range h.plan.Slots {
-		since := max(s.Since, o.evictedBeforeMS)
+		since := max(s.LostBefore, o.evictedBeforeMS)
 		h.part.Slots = append(h.part.Slots, wire.HandoverSlot{Slot: uint32(s.Slot), LostBefore: since})
 	}
 }
@@ -262,7 +262,7 @@
 	}
 	slotList := make([]homes.SlotHandover, 0, len(m.Slots))
 	for _, s := range m.Slots {
-		slotList = append(slotList, homes.SlotHandover{Slot: int(s.Slot), Since: s.LostBefore})
+		slotList = append(slotList, homes.SlotHandover{Slot: int(s.Slot), LostBefore: s.LostBefore})
 	}
 	view.AcceptHandover(id.from, id.epoch, slotList)
 	logs.Info(o.log, logs.EventKeyTakenOver, zap.String("pool", m.Pool), zap.String("from", m.From.Name), zap.Int("slots", len(slotList)))
--- a/agent/slot/hand_test.go
+++ b/agent/slot/hand_test.go
@@ -19,7 +19,7 @@
 func movedTable(epoch int64) spec.Homes {
 	t := homesTable(epoch, startWallMS+time.Hour.Milliseconds())
 	t.Owners[0] = spec.HomeOwner{Name: "n", Incarnation: successorIncarnation}
-	t.FormerOwners = []spec.HomeOwner{{Name: "a", Incarnation: selfIncarnation}}
+	t.PreviousOwners = []spec.HomeOwner{{Name: "a", Incarnation: selfIncarnation}}
 	for i := range t.Slots {
 		t.Slots[i].PreviousOwner = 1
 	}
@@ -252,7 +252,7 @@
 		Records: wire.KeyRecords{{Key: []byte("k")}}, Last: true, Slots: wire.HandoverSlots{{}, {Slot: 1}, {Slot: 2}, {Slot: 3}},
 	})
 	expectNone[*wire.HandoverAck](q)
-	if len(successor.o.keys) != maxKeys || successor.o.homeViews[testPool].RecordsSince([]byte("k")) == 0 {
+	if len(successor.o.keys) != maxKeys || successor.o.homeViews[testPool].LostBefore([]byte("k")) == 0 {
 		t.Errorf("%d records", len(successor.o.keys))
 	}
 }
--- a/agent/slot/keys.go
+++ b/agent/slot/keys.go
@@ -69,7 +69,7 @@
 // been used before this agent's records begin.
 func (o *Owner) admitNewKey(_ time.Duration, r *record) bool {
 	m := r.offer
-	since := max(o.homeViews[m.Pool].RecordsSince(m.KeyHash), o.evictedBeforeMS)
+	since := max(o.homeViews[m.Pool].LostBefore(m.KeyHash), o.evictedBeforeMS)
 	if !homes.MayRun(m.KeyCreatedMS, since, o.cfg.WallMS()) {
 		o.sendKeyStatus(r, ident.ID{}, wire.KeyUnknown)
 		return false
--- a/core/conf/check.go
+++ b/core/conf/check.go
@@ -122,8 +122,8 @@
 	for i, p := range e.Peers {
 		c.listenAddress("peers["+strconv.Itoa(i)+"]", p)
 	}
-	if e.RequestMemory < minRequestMemoryMiB {
-		c.add("request_memory", fmt.Sprintf("%d MiB is too little for one request", e.RequestMemory), fmt.Sprintf("write %d or more", minRequestMemoryMiB))
+	if e.RequestMemoryMiB < minRequestMemoryMiB {
+		c.add("request_memory", fmt.Sprintf("%d MiB is too little for one request", e.RequestMemoryMiB), fmt.Sprintf("write %d or more", minRequestMemoryMiB))
 	}
 	c.between("heartbeat", e.Heartbeat, minHeartbeat, maxHeartbeat)
 	c.between("idle_heartbeat", e.IdleHeartbeat, minHeartbeat, maxHeartbeat)
--- a/core/conf/conf.go
+++ b/core/conf/conf.go
@@ -85,7 +85,7 @@
 	// read if the platform is unavailable at the start.
 	Peers []string `yaml:"peers"`
 	// RequestMemoryMiB is the maximum memory of all requests held at once, in MiB.
-	RequestMemory int `yaml:"request_memory"`
+	RequestMemoryMiB int `yaml:"request_memory"`
 	// Heartbeat and IdleHeartbeat are the heartbeat periods of links with and without
 	// requests.
 	Heartbeat     spec.Duration `yaml:"heartbeat"`
@@ -140,8 +140,8 @@
 func (e *Entry) setDefaults() {
 	e.Common.setDefaults()
 	e.Heartbeat, e.Grace = timingDefaults(e.Heartbeat, e.Grace)
-	if e.RequestMemory == 0 {
-		e.RequestMemory = DefaultRequestMemoryMiB
+	if e.RequestMemoryMiB == 0 {
+		e.RequestMemoryMiB = DefaultRequestMemoryMiB
 	}
 	e.IdleHeartbeat = max(e.IdleHeartbeat, e.Heartbeat)
 }
--- a/core/feed/peer.go
+++ b/core/feed/peer.go
@@ -40,7 +40,7 @@
 			conn.Close()
 			return plat.Batch{}, eris.Wrapf(err, "feed: peer %s", address)
 		}
-		return fetch(ctx, wire.New(conn, peer, wire.Config{Idle: own.Idle()}))
+		return fetch(ctx, wire.New(conn, peer, wire.Config{IdleHeartbeat: own.IdleHeartbeat()}))
 	}
 }
 
--- a/core/homes/check.go
+++ b/core/homes/check.go
@@ -34,7 +34,7 @@
 		return &TableError{fmt.Sprintf("%d slots", len(t.Slots))}
 	}
 	for i, s := range t.Slots {
-		if s.Owner < -1 || s.Owner >= len(t.Owners) || s.OwnedSinceEpoch < 1 || s.OwnedSinceEpoch > t.Epoch || s.LostBefore < 0 || s.PreviousOwner < 0 || s.PreviousOwner > len(t.FormerOwners) {
+		if s.Owner < -1 || s.Owner >= len(t.Owners) || s.OwnedSinceEpoch < 1 || s.OwnedSinceEpoch > t.Epoch || s.LostBefore < 0 || s.PreviousOwner < 0 || s.PreviousOwner > len(t.PreviousOwners) {
 			return &TableError{fmt.Sprintf("slot %d", i)}
 		}
 	}
--- a/core/homes/hand.go
+++ b/core/homes/hand.go
@@ -27,8 +27,8 @@
 			continue
 		}
 		if index[previous] == 0 {
-			next.FormerOwners = append(next.FormerOwners, previous)
-			index[previous] = len(next.FormerOwners)
+			next.PreviousOwners = append(next.PreviousOwners, previous)
+			index[previous] = len(next.PreviousOwners)
 		}
 		s.PreviousOwner = index[previous]
 	}
@@ -53,10 +53,10 @@
 		return spec.HomeOwner{}, false
 	}
 	f := t.Slots[slot].PreviousOwner
-	if f <= 0 || f > len(t.FormerOwners) {
+	if f <= 0 || f > len(t.PreviousOwners) {
 		return spec.HomeOwner{}, false
 	}
-	return t.FormerOwners[f-1], true
+	return t.PreviousOwners[f-1], true
 }
 
 // lostSlot is a slot that this agent owned until the table assigned it to
@@ -74,8 +74,8 @@
 // Records of keys created before LostBefore, in Unix milliseconds, may be lost.
 // LostBefore is zero if none can be lost.
 type SlotHandover struct {
-	Slot  int
-	Since int64
+	Slot       int
+	LostBefore int64
 }
 
 // Handover lists the slots that one change of the table moved from this agent
@@ -137,7 +137,7 @@
 		if at < 0 {
 			at, out = len(out), append(out, Handover{To: g.newOwner, Epoch: g.epoch})
 		}
-		out[at].Slots = append(out[at].Slots, SlotHandover{Slot: i, Since: g.lostBefore})
+		out[at].Slots = append(out[at].Slots, SlotHandover{Slot: i, LostBefore: g.lostBefore})
 	}
 	return out
 }
@@ -159,7 +159,7 @@
 	for _, s := range slots {
 		if v.ExpectsHandover(s.Slot, from, epoch) {
 			delete(v.actFrom, s.Slot)
-			v.receivedLostBefore[s.Slot] = s.Since
+			v.receivedLostBefore[s.Slot] = s.LostBefore
 		}
 	}
 }
--- a/core/homes/hand_test.go
+++ b/core/homes/hand_test.go
@@ -155,7 +155,7 @@
 	const since = startMillis - 1000
 	old, successor, table := viewsBeforeHandover(since)
 	key := make([]byte, 8)
-	if successor.CheckOwnership(time.Second, key, table.Epoch) != NoLease || successor.RecordsSince(key) <= startMillis {
+	if successor.CheckOwnership(time.Second, key, table.Epoch) != NoLease || successor.LostBefore(key) <= startMillis {
 		t.Fatal("acts before the records were received")
 	}
 	handovers := old.Handovers(time.Second)
@@ -163,21 +163,21 @@
 		t.Fatalf("%d handovers", len(handovers))
 	}
 	successor.AcceptHandover(old.self, handovers[0].Epoch, handovers[0].Slots)
-	if successor.CheckOwnership(time.Second, key, table.Epoch) != Owned || successor.RecordsSince(key) != since {
-		t.Fatalf("owns %d, since %d", successor.CheckOwnership(time.Second, key, table.Epoch), successor.RecordsSince(key))
+	if successor.CheckOwnership(time.Second, key, table.Epoch) != Owned || successor.LostBefore(key) != since {
+		t.Fatalf("owns %d, since %d", successor.CheckOwnership(time.Second, key, table.Epoch), successor.LostBefore(key))
 	}
 	table.Epoch++
 	successor.Update(time.Second, table)
 	successor.ExtendLease(time.Second, 0, table.Epoch)
-	if successor.CheckOwnership(time.Second, key, table.Epoch) != Owned || successor.RecordsSince(key) != since {
+	if successor.CheckOwnership(time.Second, key, table.Epoch) != Owned || successor.LostBefore(key) != since {
 		t.Fatal("a new epoch without a change of the slot undoes the handover")
 	}
 	third := owners("c")
 	table, _ = ReassignSlots(table, third, startMillis+5000)
 	successor.Update(2*time.Second, table)
 	for _, s := range successor.Handovers(2 * time.Second)[0].Slots {
-		if s.Since != since {
-			t.Fatalf("slot %d is handed over again with since %d", s.Slot, s.Since)
+		if s.LostBefore != since {
+			t.Fatalf("slot %d is handed over again with since %d", s.Slot, s.LostBefore)
 		}
 	}
 }
@@ -200,13 +200,13 @@
 func TestTableForgetsPreviousOwners(t *testing.T) {
 	table, _ := ReassignSlots(spec.Homes{}, owners("a", "b", "c"), startMillis)
 	table, _ = ReassignSlots(table, owners("b", "c"), startMillis)
-	if len(table.FormerOwners) != 1 {
-		t.Fatalf("previous owners %v", table.FormerOwners)
+	if len(table.PreviousOwners) != 1 {
+		t.Fatalf("previous owners %v", table.PreviousOwners)
 	}
 	later := startMillis + TakeoverDelay(DefaultLease).Milliseconds() + keepPreviousMillis + 1
 	table, _ = ReassignSlots(table, owners("c"), later)
-	if len(table.FormerOwners) != 1 || table.FormerOwners[0].Name != "b" {
-		t.Fatalf("previous owners %v", table.FormerOwners)
+	if len(table.PreviousOwners) != 1 || table.PreviousOwners[0].Name != "b" {
+		t.Fatalf("previous owners %v", table.PreviousOwners)
 	}
 }
 
--- a/core/homes/holder.go
+++ b/core/homes/holder.go
@@ -119,7 +119,7 @@
 
 // LostBefore returns the time before which records of the key may be lost, in
 // Unix milliseconds.
-func (v *View) RecordsSince(key []byte) int64 {
+func (v *View) LostBefore(key []byte) int64 {
 	if len(v.table.Slots) == 0 {
 		return 0
 	}
--- a/core/homes/homes_test.go
+++ b/core/homes/homes_test.go
@@ -185,7 +185,7 @@
 	if v.CheckOwnership(begin-1, []byte("k"), 2) != NoLease || v.CheckOwnership(begin, []byte("k"), 2) != Owned {
 		t.Fatal("does not wait until the previous lease has expired")
 	}
-	if v.RecordsSince([]byte("k")) == 0 {
+	if v.LostBefore([]byte("k")) == 0 {
 		t.Fatal("the table does not show that records were lost")
 	}
 }
--- a/core/place/model_test.go
+++ b/core/place/model_test.go
@@ -35,7 +35,7 @@
 func newFleetModel(n, slots int) *fleetModel {
 	m := &fleetModel{agents: makeAgents(n, "z1"), busyUntil: make([][]time.Duration, n), speed: make([]float64, n)}
 	for i := range m.agents {
-		m.agents[i].Bound = slots
+		m.agents[i].InFlightBound = slots
 		m.busyUntil[i] = make([]time.Duration, slots)
 		m.caches = append(m.caches, recent.New[uint64, bool](4))
 		m.speed[i] = 1
@@ -111,7 +111,7 @@
 // of the requests share one prefix, the others forty.
 func (m *fleetModel) run(p *Placer, loadFraction float64, withPrefix bool) (p99 time.Duration) {
 	rnd := rand.New(rand.NewPCG(3, 3))
-	slots := float64(len(m.agents) * m.agents[0].Bound)
+	slots := float64(len(m.agents) * m.agents[0].InFlightBound)
 	gap := time.Duration(float64(decodeTime) / slots / loadFraction)
 	refreshedAt := -loadLag
 	var out []int
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -78,8 +78,8 @@
 	Zone string
 	// InFlight, InFlightBound, Queued and QueuedCost are the agent's last
 	// reported load, plus what this entry has offered to it since.
-	InFlight, Bound, Queued int
-	QueuedCost              time.Duration
+	InFlight, InFlightBound, Queued int
+	QueuedCost                      time.Duration
 	// Slow and Leaving are reported by the agent. Full means that it returned
 	// an offer a moment ago because it had no room.
 	Slow, Leaving, Full bool
@@ -182,14 +182,14 @@
 // delayed by the prefill.
 func (p *Placer) saving(promptTokens, assumedTokens int, a *Agent) time.Duration {
 	prefill := prefillsPerMiss * time.Duration(min(assumedTokens, promptTokens)) * p.cfg.PrefillPerToken
-	return prefill + prefill*time.Duration(min(a.InFlight, a.Bound))/prefillStallDivisor
+	return prefill + prefill*time.Duration(min(a.InFlight, a.InFlightBound))/prefillStallDivisor
 }
 
 // expectedDelay returns the time that req would lose at a: its wait in the
 // queue, its share of the slowdown of a full batch, and the penalty for another
 // zone.
 func (p *Placer) expectedDelay(req *Request, a *Agent) time.Duration {
-	bound := max(a.Bound, 1)
+	bound := max(a.InFlightBound, 1)
 	busy := a.InFlight + a.Queued
 	delay := req.Work / batchSlowdownDivisor * time.Duration(min(busy, bound)) / time.Duration(bound)
 	if busy >= bound {
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -13,7 +13,7 @@
 func makeAgents(n int, zone string) []Agent {
 	all := make([]Agent, n)
 	for i := range all {
-		all[i] = Agent{Name: fmt.Sprint(zone, "-", i), Zone: zone, Bound: 8}
+		all[i] = Agent{Name: fmt.Sprint(zone, "-", i), Zone: zone, InFlightBound: 8}
 	}
 	return all
 }
@@ -45,7 +45,7 @@
 		{"own zone first", func([]Agent) {}, func(g []int) bool { return g[2]+g[3] == 0 && g[0] > 300 && g[1] > 300 }},
 		{"own zone while slightly busier", func(a []Agent) {
 			for i := range a {
-				a[i].Bound = 100
+				a[i].InFlightBound = 100
 			}
 			a[0].InFlight, a[1].InFlight = 3, 3
 		}, func(g []int) bool { return g[2]+g[3] == 0 }},
--- a/core/report/report.go
+++ b/core/report/report.go
@@ -10,11 +10,11 @@
 // Entry is the status of an entry. Leaving is set once a planned stop has begun, and
 // RunningRequests is the number of requests in the entry.
 type Entry struct {
-	Name    string `json:"name"`
-	Zone    string `json:"zone"`
-	Ready   bool   `json:"ready"`
-	Leaving bool   `json:"leaving"`
-	Running int    `json:"running"`
+	Name            string `json:"name"`
+	Zone            string `json:"zone"`
+	Ready           bool   `json:"ready"`
+	Leaving         bool   `json:"leaving"`
+	RunningRequests int    `json:"running"`
 	// ConfigVersion is the newest version in force. Entries with the same
 	// ConfigDigest have the same objects in force.
 	ConfigVersion int64  `json:"config_version"`
@@ -37,8 +37,8 @@
 	ShedLevel int    `json:"shed_level"`
 	// UnlinkedAgents is the number of live agents of the pool to which the entry has
 	// no link.
-	Unlinked int     `json:"unlinked"`
-	Agents   []Agent `json:"agents"`
+	UnlinkedAgents int     `json:"unlinked"`
+	Agents         []Agent `json:"agents"`
 }
 
 // Agent is an entry's view of an agent.
--- a/core/spec/homes.go
+++ b/core/spec/homes.go
@@ -14,7 +14,7 @@
 	Slots HomeSlots `json:"slots"`
 	// PreviousOwners are the owners that lost slots recently; HomeSlot.PreviousOwner
 	// refers to them.
-	FormerOwners []HomeOwner `json:"left,omitempty"`
+	PreviousOwners []HomeOwner `json:"left,omitempty"`
 	// ConfirmedAtMS is set by each write that only confirms the epoch, in Unix
 	// milliseconds of the writer's clock. No decision depends on it.
 	ConfirmedAtMS int64 `json:"touched"`
--- a/core/waitq/await_test.go
+++ b/core/waitq/await_test.go
@@ -100,7 +100,7 @@
 	taken := 0
 	for round := range rounds {
 		for e := range entries {
-			c := waitq.Contention{OwnSameTier: 1, SameTier: entries - 1, FreeSlots: 1}
+			c := waitq.Contention{OwnRequests: 1, SameTierRequests: entries - 1, FreeSlots: 1}
 			if waitq.Draw(fmt.Sprint("entry-", e), "endpoint-7", time.Duration(round)*waitq.DrawInterval) < c.Share() {
 				taken++
 			}
@@ -120,11 +120,11 @@
 		blocked    bool
 		share      float64
 	}{
-		{"alone", waitq.Contention{OwnSameTier: 1, FreeSlots: 2}, false, 1},
-		{"nothing free, no other requests", waitq.Contention{OwnSameTier: 1}, false, 1},
-		{"others of the same tier", waitq.Contention{OwnSameTier: 1, SameTier: 3, FreeSlots: 1}, false, 0.25},
-		{"higher tiers need all free slots", waitq.Contention{HigherTier: 3, OwnSameTier: 1, FreeSlots: 2}, true, 0},
-		{"higher tiers leave half of the slots", waitq.Contention{HigherTier: 2, OwnSameTier: 1, FreeSlots: 4}, false, 0.5},
+		{"alone", waitq.Contention{OwnRequests: 1, FreeSlots: 2}, false, 1},
+		{"nothing free, no other requests", waitq.Contention{OwnRequests: 1}, false, 1},
+		{"others of the same tier", waitq.Contention{OwnRequests: 1, SameTierRequests: 3, FreeSlots: 1}, false, 0.25},
+		{"higher tiers need all free slots", waitq.Contention{HigherTierRequests: 3, OwnRequests: 1, FreeSlots: 2}, true, 0},
+		{"higher tiers leave half of the slots", waitq.Contention{HigherTierRequests: 2, OwnRequests: 1, FreeSlots: 4}, false, 0.5},
 	} {
 		if got := tt.contention.Blocked(); got != tt.blocked {
 			t.Errorf("%s: blocked %v", tt.name, got)
--- a/core/waitq/share.go
+++ b/core/waitq/share.go
@@ -31,24 +31,24 @@
 type Contention struct {
 	// HigherTierRequests and SameTierRequests count the requests of higher tiers and of the
 	// same tier that wait at other entries.
-	HigherTier, SameTier int
+	HigherTierRequests, SameTierRequests int
 	// OwnRequests counts the requests of the same tier that wait at this entry, including
 	// the one to be sent.
-	OwnSameTier int
+	OwnRequests int
 	// FreeSlots is the number of slots that appear to be free.
 	FreeSlots int
 }
 
 // Blocked reports whether the requests of higher tiers need all free slots.
-func (c Contention) Blocked() bool { return c.HigherTier > c.FreeSlots }
+func (c Contention) Blocked() bool { return c.HigherTierRequests > c.FreeSlots }
 
 // Share returns the share of the free slots that is meant for this entry's requests. If
 // each entry took every free slot it learned of, a freed slot would be taken by all entries
 // with queued requests, while the engine serves only one.
 func (c Contention) Share() float64 {
-	share := float64(c.OwnSameTier) / float64(max(c.OwnSameTier+c.SameTier, 1))
-	if c.HigherTier > 0 {
-		share *= float64(max(c.FreeSlots-c.HigherTier, 0)) / float64(max(c.FreeSlots, 1))
+	share := float64(c.OwnRequests) / float64(max(c.OwnRequests+c.SameTierRequests, 1))
+	if c.HigherTierRequests > 0 {
+		share *= float64(max(c.FreeSlots-c.HigherTierRequests, 0)) / float64(max(c.FreeSlots, 1))
 	}
 	return share
 }
--- a/core/wire/link.go
+++ b/core/wire/link.go
@@ -85,7 +85,7 @@
 	// IdleHeartbeat is the longest time without a message on a link that carries no
 	// requests and has no changed state to report. A value below Heartbeat means
 	// Heartbeat. The peer's Hello may ask for a shorter time.
-	Idle time.Duration
+	IdleHeartbeat time.Duration
 	// NewHeartbeat returns the heartbeat to send; nil sends an empty Heartbeat.
 	NewHeartbeat func() Message
 }
@@ -101,7 +101,7 @@
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	sendCtx, stopSends := context.WithCancel(ctx)
-	live := newLiveness(conn, cfg.Heartbeat, min(cfg.Idle, peer.Idle()))
+	live := newLiveness(conn, cfg.Heartbeat, min(cfg.IdleHeartbeat, peer.IdleHeartbeat()))
 	return &Link{
 		conn: conn, timedConn: &deadlineConn{Conn: conn, liveness: live, writeTimeout: cfg.Heartbeat * MissedHeartbeats},
 		peer: peer, sendQueue: ring.New[Message](queueSize), bulkQueue: ring.New[Message](queueSize), done: make(chan struct{}),
@@ -157,7 +157,7 @@
 }
 
 // AllWritten reports whether the kernel has accepted every message that was sent.
-func (l *Link) Idle() bool { return l.queuedMessages.Load() == l.writtenMessages.Load() }
+func (l *Link) AllWritten() bool { return l.queuedMessages.Load() == l.writtenMessages.Load() }
 
 // Close ends the link without writing what is queued. It does not wait for Run to
 // return.
--- a/core/wire/link_test.go
+++ b/core/wire/link_test.go
@@ -170,7 +170,7 @@
 	cancel()
 	<-ended
 	<-ended
-	if !a.Idle() {
+	if !a.AllWritten() {
 		t.Fatal("AllWritten is false although every message has arrived")
 	}
 }
--- a/core/wire/message.go
+++ b/core/wire/message.go
@@ -39,11 +39,13 @@
 	// IdleHeartbeatMS is the longest time in milliseconds for which the sender sends
 	// nothing, and for which the peer may send nothing, on a link without requests.
 	// The lower value of both ends applies; zero means the heartbeat period.
-	IdleMS uint32
+	IdleHeartbeatMS uint32
 }
 
 // IdleHeartbeat returns IdleHeartbeatMS as a duration.
-func (h *Hello) Idle() time.Duration { return time.Duration(h.IdleMS) * time.Millisecond }
+func (h *Hello) IdleHeartbeat() time.Duration {
+	return time.Duration(h.IdleHeartbeatMS) * time.Millisecond
+}
 
 // Proof proves that the sender holds the fleet key.
 type Proof struct {
--- a/core/wire/pace_test.go
+++ b/core/wire/pace_test.go
@@ -88,7 +88,7 @@
 			}
 		}
 	}()
-	l := New(near, Hello{IdleMS: 3_600_000}, Config{Heartbeat: 5 * time.Millisecond, Idle: time.Hour})
+	l := New(near, Hello{IdleHeartbeatMS: 3_600_000}, Config{Heartbeat: 5 * time.Millisecond, IdleHeartbeat: time.Hour})
 	if err := l.Send(new(Offer)); err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 		{0, testIdle, time.Second},
 		{testIdle, 5 * time.Second, 5 * time.Second},
 	} {
-		l := New(near, Hello{IdleMS: uint32(v.peer.Milliseconds())}, Config{Heartbeat: time.Second, Idle: v.own})
+		l := New(near, Hello{IdleHeartbeatMS: uint32(v.peer.Milliseconds())}, Config{Heartbeat: time.Second, IdleHeartbeat: v.own})
 		if l.liveness.idleHeartbeat != v.want {
 			t.Errorf("own %v, peer's %v: got %v", v.own, v.peer, l.liveness.idleHeartbeat)
 		}
--- a/entry/agents/dial.go
+++ b/entry/agents/dial.go
@@ -80,7 +80,7 @@
 		conn.Close()
 		return fmt.Errorf("%w: want agent %q, got %q", errWrongAgent, p.name, hello.Name)
 	}
-	link := wire.New(conn, hello, wire.Config{Heartbeat: s.cfg.Heartbeat, Idle: s.cfg.Self.Idle(), NewHeartbeat: s.cfg.NewHeartbeat})
+	link := wire.New(conn, hello, wire.Config{Heartbeat: s.cfg.Heartbeat, IdleHeartbeat: s.cfg.Self.IdleHeartbeat(), NewHeartbeat: s.cfg.NewHeartbeat})
 	// The link is up only after the agent's first message, which holds its load.
 	// Before that a leaving agent would look like any other, and a request granted
 	// to it would be cut off when it ends.
--- a/entry/direct/canary.go
+++ b/entry/direct/canary.go
@@ -101,7 +101,7 @@
 	}
 	now := time.Now()
 	e := d.trialEndpoint(j, p, now)
-	if e == nil || d.view.queueCounts.contention(poolTier{p.name, j.Tier}, 0, 0).HigherTier > 0 || p.queue.CountAhead(d.queuePosition(j, p)) > 0 {
+	if e == nil || d.view.queueCounts.contention(poolTier{p.name, j.Tier}, 0, 0).HigherTierRequests > 0 || p.queue.CountAhead(d.queuePosition(j, p)) > 0 {
 		return nil, admit.Decision{}, false
 	}
 	_, knownEntries := d.cfg.EntryCounts()
--- a/entry/direct/wait.go
+++ b/entry/direct/wait.go
@@ -86,7 +86,7 @@
 		return a, dec, nil
 	}
 	maxWait := waitq.MaxWait(j.Route.Target, j.firstEventDue().Sub(now), dec.FirstEvent-dec.SlotWait)
-	if expectedWait := time.Duration(requestsAhead+c.HigherTier+c.SameTier+1) * dec.SlotInterval; expectedWait > maxWait {
+	if expectedWait := time.Duration(requestsAhead+c.HigherTierRequests+c.SameTierRequests+1) * dec.SlotInterval; expectedWait > maxWait {
 		dec.RetryAfter = max(dec.RetryAfter, expectedWait)
 		return a, dec, nil
 	}
@@ -122,7 +122,7 @@
 // queue yet, otherwise zero. The caller holds d.mu.
 func (d *Director) contention(joining int, p *pool, j *Job, opts queueOptions) waitq.Contention {
 	if opts.shard != nil {
-		return waitq.Contention{OwnSameTier: 1}
+		return waitq.Contention{OwnRequests: 1}
 	}
 	now := time.Now()
 	key := poolTier{j.Pool.Name, j.Tier}
--- a/entry/direct/waits.go
+++ b/entry/direct/waits.go
@@ -117,16 +117,16 @@
 // contention returns the requests that compete with one of a tier for the free slots. own is
 // how many requests of that tier wait at this entry, including that one.
 func (s *queueCounts) contention(key poolTier, own, free int) waitq.Contention {
-	c := waitq.Contention{OwnSameTier: own, FreeSlots: free}
+	c := waitq.Contention{OwnRequests: own, FreeSlots: free}
 	for t, n := range s.peerTotals {
 		if t.pool != key.pool {
 			continue
 		}
 		switch order := t.tier.Compare(key.tier); {
 		case order < 0:
-			c.HigherTier += n
+			c.HigherTierRequests += n
 		case order == 0:
-			c.SameTier += n
+			c.SameTierRequests += n
 		}
 	}
 	return c
--- a/entry/follow/age.go
+++ b/entry/follow/age.go
@@ -51,7 +51,7 @@
 // too old or fresh again. It is called with mu held.
 func (k *Knowledge) recordAge(l *listKnowledge, age time.Duration, revision int64) {
 	meter.UpdateMS(l.ageHistogram, age)
-	isOld := k.cfg.Rule.IsTooOld(age)
+	isOld := k.cfg.Policy.IsTooOld(age)
 	if isOld {
 		l.worstAge = max(l.worstAge, age)
 	}
@@ -59,7 +59,7 @@
 		return
 	}
 	fields := []zap.Field{
-		zap.String("list", l.name), zap.Duration("age", age), zap.Duration("bound", k.cfg.Rule.MaxAge),
+		zap.String("list", l.name), zap.Duration("age", age), zap.Duration("bound", k.cfg.Policy.MaxAge),
 		zap.Duration("worst", l.worstAge), zap.Int64("revision", revision),
 	}
 	l.isOld, l.worstAge = isOld, 0
--- a/entry/follow/known.go
+++ b/entry/follow/known.go
@@ -21,8 +21,8 @@
 // KnowledgeConfig holds the settings and callbacks of a Knowledge.
 type KnowledgeConfig struct {
 	// Self is the name of this entry.
-	Self string
-	Rule fresh.Policy
+	Self   string
+	Policy fresh.Policy
 	// Revisions returns the revisions in force.
 	Revisions func() (config, roster int64)
 	// ReachablePeers returns the names of the reachable peers.
@@ -109,7 +109,7 @@
 	checkID := fresh.NewCheckID(k.cfg.Self, k.checks)
 	l.claims.RecordCheck(fresh.Claim{Revision: revision, At: sent.Sub(k.start), CheckID: checkID})
 	gained := k.update(l, inForce)
-	isNewStep := gained >= k.cfg.Rule.StepTime()
+	isNewStep := gained >= k.cfg.Policy.StepTime()
 	if isNewStep {
 		l.hasOwnEvidence = true
 	}
@@ -148,7 +148,7 @@
 		gained = max(gained, k.update(l, inForce))
 	}
 	k.mu.Unlock()
-	if gained >= k.cfg.Rule.StepTime() {
+	if gained >= k.cfg.Policy.StepTime() {
 		k.cfg.RelaySoon()
 	}
 }
@@ -191,7 +191,7 @@
 		if !ok || c.CheckID == l.sentCheckID && !l.hasOwnEvidence {
 			continue
 		}
-		if !l.hasOwnEvidence && now-l.sentAt < time.Duration(resendShare*float64(k.cfg.Rule.MaxAge)) {
+		if !l.hasOwnEvidence && now-l.sentAt < time.Duration(resendShare*float64(k.cfg.Policy.MaxAge)) {
 			continue
 		}
 		l.hasOwnEvidence, l.sentCheckID, l.sentAt = false, c.CheckID, now
@@ -212,7 +212,7 @@
 	if !ok {
 		return 0
 	}
-	policy, age := k.cfg.Rule, k.now()-c.At
+	policy, age := k.cfg.Policy, k.now()-c.At
 	if age < policy.FirstCheckAge() {
 		return min(policy.FirstCheckAge()-age, policy.StepTime())
 	}
@@ -227,7 +227,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, l := range k.lists {
-		if l.any && k.cfg.Rule.IsTooOld(now-l.verifiedAt) {
+		if l.any && k.cfg.Policy.IsTooOld(now-l.verifiedAt) {
 			l.oldRequests.Inc(1)
 		}
 	}
--- a/entry/follow/known_test.go
+++ b/entry/follow/known_test.go
@@ -23,7 +23,7 @@
 func newTestKnowledge(name string) *testKnowledge {
 	k := &testKnowledge{metrics: meter.New()}
 	k.Knowledge = NewKnowledge(KnowledgeConfig{
-		Self: name, Rule: fresh.Policy{MaxAge: 2 * time.Second}, Revisions: func() (int64, int64) { return k.config, k.roster },
+		Self: name, Policy: fresh.Policy{MaxAge: 2 * time.Second}, Revisions: func() (int64, int64) { return k.config, k.roster },
 		ReachablePeers: func() []string { return k.reachable }, SendTallySoon: func() { k.urgentSends++ }, RelaySoon: func() { k.urgentSends++ }, Metrics: k.metrics, Log: zap.NewNop(),
 	})
 	return k
--- a/entry/keys/relay_test.go
+++ b/entry/keys/relay_test.go
@@ -28,7 +28,7 @@
 				t.Errorf("%s: %s is not recognized as a handover", tc.name, m.Kind())
 			}
 		}
-		if got := !b.Link().Idle(); got != tc.want {
+		if got := !b.Link().AllWritten(); got != tc.want {
 			t.Errorf("%s: passed on %v", tc.name, got)
 		}
 	}
--- a/entry/mesh/ask.go
+++ b/entry/mesh/ask.go
@@ -57,8 +57,8 @@
 // handleReply handles a message that a peer sends over a link that this entry
 // dialled.
 func (m *Mesh) handleReply(peer string, msg wire.Message) {
-	if reply, ok := msg.(*wire.PlaceReply); ok && m.cfg.OnPlaceAck != nil {
-		m.cfg.OnPlaceAck(peer, reply)
+	if reply, ok := msg.(*wire.PlaceReply); ok && m.cfg.OnPlaceReply != nil {
+		m.cfg.OnPlaceReply(peer, reply)
 	}
 }
 
--- a/entry/mesh/mesh.go
+++ b/entry/mesh/mesh.go
@@ -82,7 +82,7 @@
 	// OnPlaceReply handles a peer's reply to a placement message of this entry.
 	// OnLinkClosed is called when the link over which such messages were sent has
 	// ended. Both may be nil.
-	OnPlaceAck   func(peer string, m *wire.PlaceReply)
+	OnPlaceReply func(peer string, m *wire.PlaceReply)
 	OnLinkClosed func(peer string)
 	// OnPeerLost is called when a peer has become silent.
 	OnPeerLost func(peer string)
--- a/entry/node.go
+++ b/entry/node.go
@@ -70,7 +70,7 @@
 	n.fleetKeys = conf.NewLiveKeys(path, cfg.Keys(), conf.EntryKeys)
 	n.self = wire.Hello{
 		Role: wire.RoleEntry, Name: cfg.Name, Zone: cfg.Zone, Incarnation: newIncarnation(),
-		IdleMS: uint32(cfg.IdleHeartbeat.Std().Milliseconds()),
+		IdleHeartbeatMS: uint32(cfg.IdleHeartbeat.Std().Milliseconds()),
 	}
 	n.tally = tally.New(n.meter, n.log)
 	return n
@@ -223,7 +223,7 @@
 	n.feed.RegisterMetrics(n.meter)
 	n.meter.RegisterProcess()
 	n.sched = sched.New(ctx, sched.Config{
-		MemoryLimit: int64(n.cfg.RequestMemory) << 20,
+		MemoryLimit: int64(n.cfg.RequestMemoryMiB) << 20,
 		Incarnation: n.self.Incarnation, Zone: n.cfg.Zone, Now: n.now, Log: n.log,
 		Pool:       func(name string) *agents.Members { return n.agents.Pool(name) },
 		EntryCount: n.entryCount,
--- a/entry/peers/peers.go
+++ b/entry/peers/peers.go
@@ -92,7 +92,7 @@
 		logs.Warn(p.cfg.Log, logs.EventLinkRefused, zap.String("remote", conn.RemoteAddr().String()), zap.Error(err))
 		return
 	}
-	p.serveFetches(ctx, wire.New(conn, peer, wire.Config{Heartbeat: p.cfg.Heartbeat, Idle: p.cfg.Self.Idle(), NewHeartbeat: p.cfg.NewHeartbeat}))
+	p.serveFetches(ctx, wire.New(conn, peer, wire.Config{Heartbeat: p.cfg.Heartbeat, IdleHeartbeat: p.cfg.Self.IdleHeartbeat(), NewHeartbeat: p.cfg.NewHeartbeat}))
 }
 
 // serveFetches answers the fetches of one link, one at a time. A fetch that arrives
--- a/entry/sched/pick.go
+++ b/entry/sched/pick.go
@@ -42,7 +42,7 @@
 // placementAgent returns an agent's state as the placer needs it.
 func placementAgent(now time.Duration, peer *agents.Peer, l *wire.Load) place.Agent {
 	return place.Agent{
-		Name: peer.Name(), Zone: peer.Zone(), InFlight: int(l.InFlight), Bound: max(1, int(l.InFlightBound)),
+		Name: peer.Name(), Zone: peer.Zone(), InFlight: int(l.InFlight), InFlightBound: max(1, int(l.InFlightBound)),
 		Queued: int(l.Queued) + peer.UncountedOffers(), QueuedCost: time.Duration(l.QueuedCostMS) * time.Millisecond,
 		Slow: l.Slow, Full: peer.IsFull(now),
 	}
--- a/entry/status.go
+++ b/entry/status.go
@@ -6,7 +6,7 @@
 func (n *node) status() report.Entry {
 	s := report.Entry{
 		Name: n.cfg.Name, Zone: n.cfg.Zone, Ready: n.ready.Load(), Leaving: n.leaving.Load(),
-		Running: n.sched.Running(), ConfigVersion: n.store.Version(), ConfigDigest: n.store.Digest(),
+		RunningRequests: n.sched.Running(), ConfigVersion: n.store.Version(), ConfigDigest: n.store.Digest(),
 		PlatformUnavailable: n.feed.PlatformUnavailable(), PlatformAnswerAgeMS: n.feed.AnswerAgeMS(), Rejected: n.store.Rejected(), Pools: []report.Pool{}, Traffic: n.agents.Counts(),
 	}
 	for _, p := range n.pools() {
@@ -22,7 +22,7 @@
 	if m == nil {
 		return status
 	}
-	status.Unlinked = m.UnlinkedLive
+	status.UnlinkedAgents = m.UnlinkedLive
 	for _, p := range m.Peers {
 		l, _ := p.Load()
 		_, version := p.ServedModel()
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -112,7 +112,7 @@
 		{"failed part", func(_ context.CancelFunc, fail chan<- error) { fail <- failure }, failure},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			cfg := &conf.Entry{Listen: freePort(t), RequestMemory: 1, Grace: spec.Duration(4 * time.Second)}
+			cfg := &conf.Entry{Listen: freePort(t), RequestMemoryMiB: 1, Grace: spec.Duration(4 * time.Second)}
 			cfg.Name, cfg.Zone, cfg.Platform.Address, cfg.Log.Level = "entry-1", "z", emptyPlatform(t), "error"
 			n := newNode(cfg, "")
 			work, end := context.WithCancel(t.Context())
--- a/lychee/survey/survey.go
+++ b/lychee/survey/survey.go
@@ -216,7 +216,7 @@
 	if e.State == StateSilent {
 		return
 	}
-	e.Name, e.Zone, e.ConfigVersion, e.RunningRequests = status.Name, status.Zone, status.ConfigVersion, status.Running
+	e.Name, e.Zone, e.ConfigVersion, e.RunningRequests = status.Name, status.Zone, status.ConfigVersion, status.RunningRequests
 	e.PlatformAway, e.PlatformAnswerAgeMS, e.Rejections = status.PlatformUnavailable, status.PlatformAnswerAgeMS, status.Rejected
 	e.IsOutdated = status.ConfigDigest != expectedDigest
 	e.State = StateNotReady
