--- a/core/bound/bound_test.go
+++ b/core/bound/bound_test.go
@@ -11,9 +11,9 @@
 	return engine{tokenInterval: 20 * time.Millisecond, slope: 0.1, slots: 64, prefillRate: 8000, kvTokens: 64000, speed: 1}
 }
 
-// Engines of several generations start with a bound that knows nothing about
-// them. If the bound becomes too low, goodput is lost; if it becomes too high,
-// answers are late.
+// A new bound knows nothing about its engine, which may be of any of several
+// generations. If the bound settles too low, goodput is lost; if it settles too
+// high, answers are late.
 func TestBoundMatchesEngine(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
@@ -33,9 +33,9 @@
 			e, b := tc.e, New(Config{})
 			e.drive(b, 2*time.Minute, e.withinBound(b), jobsEstimatedAt(400, 200, tc.estimateFactor))
 			got := e.onTimeTokens / e.now.Seconds()
-			t.Logf("%.0f tokens/s in target at bound %d; best constant bound %d gives %.0f; wasted prefill %.2f%%", got, b.Limit(), n, want, 100*e.wastedShare())
+			t.Logf("%.0f tokens/s within target at bound %d; best constant bound %d gives %.0f; wasted prefill %.2f%%", got, b.Limit(), n, want, 100*e.wastedShare())
 			if got < 0.85*want {
-				t.Errorf("%.0f tokens/s in target, the best constant bound gives %.0f", got, want)
+				t.Errorf("%.0f tokens/s within target, the best constant bound gives %.0f", got, want)
 			}
 			if e.wastedShare() > 0.02 {
 				t.Errorf("%.1f%% of the prefill was wasted", 100*e.wastedShare())
@@ -44,9 +44,9 @@
 	}
 }
 
-// The nightly change makes an engine twice as fast, or reduces it to 0.6 of its
-// speed. With the bound of the day before, callers would get late answers or
-// half of the goodput.
+// A nightly change makes an engine twice as fast, or reduces it to 0.6 of its
+// speed. If the bound stayed as it was the day before, half of the goodput would
+// be lost or answers would be late.
 func TestBoundAdaptsToSpeedChange(t *testing.T) {
 	for _, speed := range []float64{2, 0.6} {
 		e, b := mediumEngine(), New(Config{})
@@ -59,17 +59,17 @@
 		changed.speed = speed
 		want, n := bestConstantBound(changed, time.Minute, 400, 200)
 		got := e.onTimeTokens / 60
-		t.Logf("speed %g: %.0f tokens/s in target at bound %d, best %d gives %.0f", speed, got, b.Limit(), n, want)
+		t.Logf("speed %g: %.0f tokens/s within target at bound %d, best %d gives %.0f", speed, got, b.Limit(), n, want)
 		if got < 0.85*want {
-			t.Errorf("speed %g: %.0f tokens/s in target 30 s after the change, best %.0f", speed, got, want)
+			t.Errorf("speed %g: %.0f tokens/s within target 30 s after the change, best %.0f", speed, got, want)
 		}
 	}
 }
 
-// An engine drops to an eighth of its speed in the middle of its streams and
-// reports nothing. Every new request would be slow until the endpoint is
-// avoided. After it has recovered, this must be detected with only little work
-// at risk.
+// An engine drops to an eighth of its speed while it is streaming answers, and
+// does not report it. Every new request is slow until the endpoint is marked
+// slow. From then on at most one request may be in flight, and that must be
+// enough to detect the recovery.
 func TestSlowdownAndRecovery(t *testing.T) {
 	e, b := mediumEngine(), New(Config{})
 	next := jobs(400, 200)
@@ -78,26 +78,26 @@
 		t.Fatal("marked slow at its usual pace")
 	}
 	e.speed = 0.125
-	from := e.now
+	changedAt := e.now
 	for !b.Slow() {
 		e.drive(b, tick, e.withinBound(b), next)
-		if e.now-from > 3*time.Second {
+		if e.now-changedAt > 3*time.Second {
 			t.Fatal("not marked slow within 3 s")
 		}
 	}
-	t.Logf("marked slow after %v", e.now-from)
+	t.Logf("marked slow after %v", e.now-changedAt)
 	e.drive(b, time.Minute, e.withinBound(b), next)
 	if b.Limit() > 1 {
 		t.Fatalf("bound %d of a slow endpoint", b.Limit())
 	}
-	e.speed, from = 1, e.now
+	e.speed, changedAt = 1, e.now
 	for b.Slow() {
 		e.drive(b, tick, e.withinBound(b), next)
-		if e.now-from > 10*time.Second {
+		if e.now-changedAt > 10*time.Second {
 			t.Fatal("recovery not detected within 10 s")
 		}
 	}
-	t.Logf("recovery detected after %v", e.now-from)
+	t.Logf("recovery detected after %v", e.now-changedAt)
 	e.drive(b, 20*time.Second, e.withinBound(b), next)
 	if b.Limit() < 8 {
 		t.Fatalf("bound %d 20 s after the recovery", b.Limit())
@@ -116,9 +116,9 @@
 		want    int
 	}{
 		{"a queue", []Report{{Running: 12, Waiting: 4}}, 12},
-		{"one that just arrived", []Report{{Running: 12, Waiting: 1}}, 40},
-		{"one that stays", []Report{{Running: 12, Waiting: 1}, {Running: 12, Waiting: 1}}, 12},
-		{"from before the cut", []Report{{Running: 12, Waiting: 4}, {Running: 3, Waiting: 4, Age: 5 * s}}, 12},
+		{"one request that just arrived", []Report{{Running: 12, Waiting: 1}}, 40},
+		{"one request in two reports", []Report{{Running: 12, Waiting: 1}, {Running: 12, Waiting: 1}}, 12},
+		{"report from before the cut", []Report{{Running: 12, Waiting: 4}, {Running: 3, Waiting: 4, Age: 5 * s}}, 12},
 		{"no queue", []Report{{Running: 12}, {Running: 12}}, 40},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -134,14 +134,14 @@
 	}
 }
 
-// After a cut, the answers of the requests that were too many still arrive, all
-// of them late. They must not cut the bound again.
+// After a cut, the answers to requests that were dispatched before it still
+// arrive, all of them late. They must not cut the bound again.
 func TestLateAnswersCutOnce(t *testing.T) {
 	b, now := New(Config{}), 10*time.Second
 	late := Sample{FirstToken: 3 * time.Second, FirstTokenTarget: time.Second, PromptTokens: 100, InFlight: 20}
-	early := Sample{FirstToken: 100 * time.Millisecond, FirstTokenTarget: time.Second, PromptTokens: 100, InFlight: 1}
-	b.Observe(0, early)
-	b.Observe(0, early)
+	onTime := Sample{FirstToken: 100 * time.Millisecond, FirstTokenTarget: time.Second, PromptTokens: 100, InFlight: 1}
+	b.Observe(0, onTime)
+	b.Observe(0, onTime)
 	b.search.set(0, 40)
 	for b.Limit() == 40 {
 		b.Observe(now, late)
@@ -151,11 +151,12 @@
 		b.Observe(now+time.Duration(i)*100*time.Millisecond, late)
 	}
 	if b.Limit() != cut {
-		t.Fatalf("bound %d after %d", b.Limit(), cut)
+		t.Fatalf("bound %d after a cut to %d", b.Limit(), cut)
 	}
 }
 
 // A frozen engine sends no byte and ends no request, so there are no samples.
+// The silence alone must mark it slow.
 func TestSilenceMarksSlow(t *testing.T) {
 	e, b := mediumEngine(), New(Config{})
 	e.drive(b, 20*time.Second, e.withinBound(b), jobs(400, 200))
@@ -177,31 +178,31 @@
 		b.RecordDispatch(Work{Cost: time.Second})
 	}
 	long, short := Work{Tier: 1, Cost: 100 * time.Second}, Work{Tier: 1, Cost: time.Second}
-	r := InFlight{}
-	for b.CheckFit(0, r, long) == Fits {
+	inFlight := InFlight{}
+	for b.CheckFit(0, inFlight, long) == Fits {
 		if !b.RecordDispatch(long) {
-			t.Fatal("work that is a hundred times as long is not classified as long")
+			t.Fatal("work with a hundred times the usual cost is not classified as long")
 		}
-		r.Count++
-		r.LongCount++
+		inFlight.Count++
+		inFlight.LongCount++
 	}
-	if r.Count != 6 || b.CheckFit(0, r, long) != NoLongSlot || b.CheckFit(0, r, short) != Fits {
-		t.Fatalf("%d long jobs, then %d for long and %d for short", r.Count, b.CheckFit(0, r, long), b.CheckFit(0, r, short))
+	if inFlight.Count != 6 || b.CheckFit(0, inFlight, long) != NoLongSlot || b.CheckFit(0, inFlight, short) != Fits {
+		t.Fatalf("%d long requests in flight, then Fit %d for long and %d for short work", inFlight.Count, b.CheckFit(0, inFlight, long), b.CheckFit(0, inFlight, short))
 	}
-	low := long
-	low.Tier = 3
-	if b.CheckFit(0, InFlight{Count: 4, LongCount: 4}, low) != NoLongSlot || b.CheckFit(0, InFlight{Count: 3, LongCount: 3}, low) != Fits {
+	longLowTier := long
+	longLowTier.Tier = 3
+	if b.CheckFit(0, InFlight{Count: 4, LongCount: 4}, longLowTier) != NoLongSlot || b.CheckFit(0, InFlight{Count: 3, LongCount: 3}, longLowTier) != Fits {
 		t.Fatal("long work of the lowest tier does not get exactly half of the slots")
 	}
 	for now := range time.Minute / time.Second {
 		b.CheckFit(now*time.Second, InFlight{Count: 3, LongCount: 3}, short)
 	}
-	if b.CheckFit(time.Minute, InFlight{Count: 6, LongCount: 6}, low) != Fits {
-		t.Fatal("slots stay reserved that short work has not used for a minute")
+	if b.CheckFit(time.Minute, InFlight{Count: 6, LongCount: 6}, longLowTier) != Fits {
+		t.Fatal("slots that short work has not used for a minute stay reserved")
 	}
 	b.RecordDispatch(Work{Tier: 0, Cost: 50 * time.Second})
 	long.Tier = 0
-	if b.CheckFit(0, r, long) != Fits {
+	if b.CheckFit(0, inFlight, long) != Fits {
 		t.Fatal("the highest tier waits for a slot reserved for lower tiers")
 	}
 }
@@ -240,8 +241,8 @@
 			"report": func(*rapid.T) {
 				b.ObserveReport(now, Report{Running: num("running", 50), Waiting: num("waiting", 3), KVUsed: int64(num("used", 2000)), KVTotal: int64(num("total", 2000)), Age: dur("age")})
 			},
-			"silence": func(*rapid.T) { b.ObserveSilence(dur("silence")) },
-			"long":    func(*rapid.T) { b.RecordDispatch(Work{Cost: dur("cost")}) },
+			"silence":  func(*rapid.T) { b.ObserveSilence(dur("silence")) },
+			"dispatch": func(*rapid.T) { b.RecordDispatch(Work{Cost: dur("cost")}) },
 			"": func(t *rapid.T) {
 				if l := b.Limit(); l < 2 || l > 40 {
 					t.Fatalf("bound %d", l)
@@ -254,13 +255,13 @@
 	})
 }
 
-func BenchmarkRoom(b *testing.B) {
-	w := New(Config{})
-	w.ObserveReport(0, Report{KVUsed: 10, KVTotal: 2000})
+func BenchmarkCanDispatch(b *testing.B) {
+	bound := New(Config{})
+	bound.ObserveReport(0, Report{KVUsed: 10, KVTotal: 2000})
 	b.ReportAllocs()
 	for n := range b.N {
 		now := time.Duration(n) * time.Millisecond
-		w.CanDispatch(now, InFlight{Count: 3, Tokens: 3000}, Work{Tier: 1, Tokens: 900, Cost: time.Second})
-		w.Observe(now, Sample{BetweenTokens: 20 * time.Millisecond, BetweenTokensTarget: betweenTarget, InFlight: 4})
+		bound.CanDispatch(now, InFlight{Count: 3, Tokens: 3000}, Work{Tier: 1, Tokens: 900, Cost: time.Second})
+		bound.Observe(now, Sample{BetweenTokens: 20 * time.Millisecond, BetweenTokensTarget: betweenTarget, InFlight: 4})
 	}
 }
