--- a/core/homes/handover_test.go
+++ b/core/homes/handover_test.go
@@ -18,8 +18,8 @@
 	// confirmed is the last time at which an entry confirmed the epoch at the
 	// platform.
 	confirmed time.Duration
-	// views holds a view for every process so far. stopped marks the processes
-	// that have promised not to act again.
+	// views holds the view of every process that was ever started. stopped
+	// marks the processes that have promised never to act again.
 	views   []*View
 	stopped map[*View]bool
 	// inTransit holds the handovers that were sent. They may be lost, delayed
@@ -32,12 +32,13 @@
 	handover Handover
 }
 
+// draw returns the view of a random process.
 func (c *cluster) draw(name string) *View {
 	return c.views[rapid.IntRange(0, len(c.views)-1).Draw(c.t, name)]
 }
 
 // alive returns the newest incarnation of each agent that has not stopped. It
-// may leave out one agent, which an entry considers dead, rightly or wrongly.
+// may leave out one agent that an entry considers dead, rightly or wrongly.
 func (c *cluster) alive() []spec.HomeOwner {
 	newest := make(map[string]spec.HomeOwner)
 	for _, v := range c.views {
@@ -56,6 +57,7 @@
 	return out
 }
 
+// step advances the time and performs one random action.
 func (c *cluster) step() {
 	c.now += rapid.SampledFrom([]time.Duration{0, 0, 0, 200 * time.Millisecond, time.Second, 12 * time.Second}).Draw(c.t, "elapsed")
 	switch rapid.IntRange(0, 7).Draw(c.t, "action") {
@@ -131,12 +133,13 @@
 }
 
 // viewsBeforeHandover returns the views of an agent that stops and of its
-// successor, both with the new table, and that table.
-func viewsBeforeHandover(since int64) (old, successor *View, table spec.Homes) {
+// successor, both with the new table, and that table. lostBefore is the value
+// that all slots have before the change, in Unix milliseconds.
+func viewsBeforeHandover(lostBefore int64) (old, successor *View, table spec.Homes) {
 	names := owners("a", "b")
 	table, _ = ReassignSlots(spec.Homes{}, names, startMillis)
 	for i := range table.Slots {
-		table.Slots[i].LostBefore = since
+		table.Slots[i].LostBefore = lostBefore
 	}
 	old, successor = NewView(names[0]), NewView(names[1])
 	old.Update(0, table)
@@ -148,12 +151,12 @@
 	return old, successor, table
 }
 
-// An agent is stopped as planned. Its successor must serve the keys at once and
-// have all records. When the slot is handed over again, the Since of the first
-// handover must be passed on.
+// An agent is stopped as planned and hands its records over. Its successor must
+// act for the keys at once and consider no further records lost. When it hands
+// the slots over in turn, it must pass on the LostBefore that it received.
 func TestHandoverTakesEffectAtOnce(t *testing.T) {
-	const since = startMillis - 1000
-	old, successor, table := viewsBeforeHandover(since)
+	const lostBefore = startMillis - 1000
+	old, successor, table := viewsBeforeHandover(lostBefore)
 	key := make([]byte, 8)
 	if successor.CheckOwnership(time.Second, key, table.Epoch) != NoLease || successor.LostBefore(key) <= startMillis {
 		t.Fatal("acts before the records were received")
@@ -163,21 +166,21 @@
 		t.Fatalf("%d handovers", len(handovers))
 	}
 	successor.AcceptHandover(old.self, handovers[0].Epoch, handovers[0].Slots)
-	if successor.CheckOwnership(time.Second, key, table.Epoch) != Owned || successor.LostBefore(key) != since {
-		t.Fatalf("owns %d, since %d", successor.CheckOwnership(time.Second, key, table.Epoch), successor.LostBefore(key))
+	if successor.CheckOwnership(time.Second, key, table.Epoch) != Owned || successor.LostBefore(key) != lostBefore {
+		t.Fatalf("ownership %d, LostBefore %d", successor.CheckOwnership(time.Second, key, table.Epoch), successor.LostBefore(key))
 	}
 	table.Epoch++
 	successor.Update(time.Second, table)
 	successor.ExtendLease(time.Second, 0, table.Epoch)
-	if successor.CheckOwnership(time.Second, key, table.Epoch) != Owned || successor.LostBefore(key) != since {
+	if successor.CheckOwnership(time.Second, key, table.Epoch) != Owned || successor.LostBefore(key) != lostBefore {
 		t.Fatal("a new epoch without a change of the slot undoes the handover")
 	}
 	third := owners("c")
 	table, _ = ReassignSlots(table, third, startMillis+5000)
 	successor.Update(2*time.Second, table)
 	for _, s := range successor.Handovers(2 * time.Second)[0].Slots {
-		if s.LostBefore != since {
-			t.Fatalf("slot %d is handed over again with since %d", s.Slot, s.LostBefore)
+		if s.LostBefore != lostBefore {
+			t.Fatalf("slot %d is handed over again with LostBefore %d", s.Slot, s.LostBefore)
 		}
 	}
 }
@@ -210,10 +213,10 @@
 	}
 }
 
-// An agent is considered dead while it is only disconnected. The agent that
-// took over its slots is stopped before the lease of the first one has expired.
-// Its handover says nothing about the first agent, so no other agent may act
-// because of it.
+// An agent is considered dead while it is only disconnected. The second agent,
+// which took over its slots, is stopped before the lease of the first has
+// expired. A handover from the second agent would not mean that the first has
+// stopped, so no other agent may act because of it.
 func TestNoHandoverBeforeOwnerMayAct(t *testing.T) {
 	names := owners("a", "b", "c")
 	table, _ := ReassignSlots(spec.Homes{}, names, startMillis)
@@ -228,8 +231,8 @@
 	second.Update(2*time.Second, table)
 	third.Update(2*time.Second, table)
 	third.ExtendLease(2*time.Second, 0, table.Epoch)
-	for _, g := range second.Handovers(2 * time.Second) {
-		third.AcceptHandover(names[1], g.Epoch, g.Slots)
+	for _, handover := range second.Handovers(2 * time.Second) {
+		third.AcceptHandover(names[1], handover.Epoch, handover.Slots)
 	}
 	key := make([]byte, 8)
 	for slot := range DefaultSlots {
--- a/core/homes/homes_test.go
+++ b/core/homes/homes_test.go
@@ -11,8 +11,10 @@
 	"lycheepond/core/spec"
 )
 
+// startMillis is the time at which the tests begin, in Unix milliseconds.
 const startMillis = int64(1_800_000_000_000)
 
+// owners returns the first incarnation of each named agent.
 func owners(names ...string) []spec.HomeOwner {
 	var out []spec.HomeOwner
 	for _, n := range names {
@@ -45,27 +47,28 @@
 	}
 }
 
-// An agent is lost. Only its keys may become unknown. If other slots moved as
-// well, every failure would refuse retries in the whole pool.
+// An agent is lost and restarts. Only the outcomes of its own keys may become
+// unknown. If other slots moved as well, every failure would cause retries to be
+// refused in the whole pool.
 func TestReassignSlotsMovesOnlyOrphans(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := make([]spec.HomeOwner, rapid.IntRange(2, 12).Draw(t, "agents"))
-		for i := range all {
-			all[i] = spec.HomeOwner{Name: fmt.Sprintf("a%02d", i), Incarnation: 1}
+		agents := make([]spec.HomeOwner, rapid.IntRange(2, 12).Draw(t, "agents"))
+		for i := range agents {
+			agents[i] = spec.HomeOwner{Name: fmt.Sprintf("a%02d", i), Incarnation: 1}
 		}
-		table, _ := ReassignSlots(spec.Homes{}, all, startMillis)
+		table, _ := ReassignSlots(spec.Homes{}, agents, startMillis)
 		now := startMillis
 		for range rapid.IntRange(1, 6).Draw(t, "changes") {
 			now += rapid.Int64Range(1, 100_000).Draw(t, "elapsed")
-			i := rapid.IntRange(0, len(all)-1).Draw(t, "lost")
-			all[i].Incarnation++
-			next, changed := ReassignSlots(table, all, now)
+			i := rapid.IntRange(0, len(agents)-1).Draw(t, "lost")
+			agents[i].Incarnation++
+			next, changed := ReassignSlots(table, agents, now)
 			if changed != (next.Epoch == table.Epoch+1) {
 				t.Fatalf("changed %v from epoch %d to %d", changed, table.Epoch, next.Epoch)
 			}
 			for s := range table.Slots {
 				before, after := table.Owners[table.Slots[s].Owner], next.Owners[next.Slots[s].Owner]
-				if before.Name != all[i].Name && (before != after || table.Slots[s] != next.Slots[s] && table.Slots[s].LostBefore != next.Slots[s].LostBefore) {
+				if before.Name != agents[i].Name && (before != after || table.Slots[s] != next.Slots[s] && table.Slots[s].LostBefore != next.Slots[s].LostBefore) {
 					t.Fatalf("slot %d moved from %v to %v", s, before, after)
 				}
 				if before != after && next.Slots[s].LostBefore < now+table.Lease.Std().Milliseconds() {
@@ -82,14 +85,14 @@
 // table again.
 func TestReassignSlotsIsDeterministic(t *testing.T) {
 	table, _ := ReassignSlots(spec.Homes{}, owners("a", "b", "c"), startMillis)
-	one, _ := ReassignSlots(table, owners("c", "a"), startMillis)
-	two, _ := ReassignSlots(table, owners("a", "c"), startMillis)
-	for i := range one.Slots {
-		if one.Slots[i] != two.Slots[i] {
+	first, _ := ReassignSlots(table, owners("c", "a"), startMillis)
+	second, _ := ReassignSlots(table, owners("a", "c"), startMillis)
+	for i := range first.Slots {
+		if first.Slots[i] != second.Slots[i] {
 			t.Fatalf("slot %d differs", i)
 		}
 	}
-	if _, changed := ReassignSlots(one, owners("c", "a"), startMillis+1); changed {
+	if _, changed := ReassignSlots(first, owners("c", "a"), startMillis+1); changed {
 		t.Fatal("the result was changed again")
 	}
 	if same, changed := ReassignSlots(table, nil, startMillis); changed || same.Epoch != 1 {
@@ -163,7 +166,7 @@
 		t.Fatal("the confirmation of another epoch extended the lease")
 	}
 	if v.CheckOwnership(0, key, 2) != NotHome {
-		t.Fatal("acts under an unknown epoch")
+		t.Fatal("acts for a key offered under an unknown epoch")
 	}
 }
 
@@ -180,9 +183,9 @@
 	}
 	next, _ := ReassignSlots(table, []spec.HomeOwner{self}, startMillis)
 	v.Update(time.Second, next)
-	begin := time.Second + TakeoverDelay(DefaultLease)
-	v.ExtendLease(begin-time.Second, 0, 2)
-	if v.CheckOwnership(begin-1, []byte("k"), 2) != NoLease || v.CheckOwnership(begin, []byte("k"), 2) != Owned {
+	takeoverAt := time.Second + TakeoverDelay(DefaultLease)
+	v.ExtendLease(takeoverAt-time.Second, 0, 2)
+	if v.CheckOwnership(takeoverAt-1, []byte("k"), 2) != NoLease || v.CheckOwnership(takeoverAt, []byte("k"), 2) != Owned {
 		t.Fatal("does not wait until the previous lease has expired")
 	}
 	if v.LostBefore([]byte("k")) == 0 {
@@ -195,9 +198,9 @@
 func TestMayRun(t *testing.T) {
 	skew, retention := MaxClockSkew.Milliseconds(), Retention.Milliseconds()
 	for _, c := range []struct {
-		name        string
-		made, since int64
-		want        bool
+		name                            string
+		createdMillis, lostBeforeMillis int64
+		want                            bool
 	}{
 		{"key without a time, nothing lost", 0, 0, true},
 		{"key without a time, records lost", 0, startMillis - retention, false},
@@ -209,7 +212,7 @@
 		{"clock ahead within the skew", startMillis + skew, startMillis, true},
 		{"clock far ahead hides the age", startMillis + 1000*skew, startMillis - 1, false},
 	} {
-		if got := MayRun(c.made, c.since, startMillis); got != c.want {
+		if got := MayRun(c.createdMillis, c.lostBeforeMillis, startMillis); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -228,13 +231,13 @@
 		t.Fatal(err)
 	}
 	for name, damage := range map[string]func(*spec.Homes){
-		"no epoch":        func(h *spec.Homes) { h.Epoch = 0 },
-		"endless lease":   func(h *spec.Homes) { h.Lease = 1 << 62 },
-		"no lease":        func(h *spec.Homes) { h.Lease = 0 },
-		"no slots":        func(h *spec.Homes) { h.Slots = nil },
-		"unknown owner":   func(h *spec.Homes) { h.Slots[3].Owner = 2 },
-		"unknown left":    func(h *spec.Homes) { h.Slots[3].PreviousOwner = 1 },
-		"taken in future": func(h *spec.Homes) { h.Slots[3].OwnedSinceEpoch = 2 },
+		"no epoch":                   func(h *spec.Homes) { h.Epoch = 0 },
+		"lease that overflows":       func(h *spec.Homes) { h.Lease = 1 << 62 },
+		"no lease":                   func(h *spec.Homes) { h.Lease = 0 },
+		"no slots":                   func(h *spec.Homes) { h.Slots = nil },
+		"unknown owner":              func(h *spec.Homes) { h.Slots[3].Owner = 2 },
+		"unknown previous owner":     func(h *spec.Homes) { h.Slots[3].PreviousOwner = 1 },
+		"owned since a future epoch": func(h *spec.Homes) { h.Slots[3].OwnedSinceEpoch = 2 },
 	} {
 		bad, _ := ReassignSlots(spec.Homes{}, owners("a", "b"), startMillis)
 		damage(&bad)
