--- a/core/once/once_test.go
+++ b/core/once/once_test.go
@@ -13,8 +13,9 @@
 // TestMain sets a fixed seed, so that every run checks the same histories.
 func TestMain(m *testing.M) { os.Exit(fixed.Run(m, fixed.Seed, 3000)) }
 
-// returnFrame is a Return that an agent has sent.
-type returnFrame struct {
+// offer identifies an offer by the ID that was offered and the agent that got
+// it.
+type offer struct {
 	id    ident.ID
 	agent Agent
 }
@@ -24,14 +25,14 @@
 	r *Request
 	// offered holds the offers that have reached an agent and were not
 	// returned.
-	offered map[returnFrame]bool
+	offered map[offer]bool
 	// grantHolders maps an ID to the agent that holds its grant and may still
-	// run it.
+	// run the request.
 	grantHolders map[ident.ID]Agent
 	grantCounts  map[ident.ID]int
-	// sentReturns holds every Return sent so far. Each may arrive again at any
-	// time.
-	sentReturns []returnFrame
+	// sentReturns holds the offer of every Return sent so far. Each Return may
+	// arrive again at any time.
+	sentReturns []offer
 	runs        int
 	lastID      uint64
 }
@@ -49,14 +50,14 @@
 	agents := []Agent{{"a", 1}, {"a", 2}}
 	rapid.Check(t, func(t *rapid.T) {
 		repeatable := rapid.Bool().Draw(t, "repeatable")
-		sim := &simulation{offered: map[returnFrame]bool{}, grantHolders: map[ident.ID]Agent{}, grantCounts: map[ident.ID]int{}}
+		sim := &simulation{offered: map[offer]bool{}, grantHolders: map[ident.ID]Agent{}, grantCounts: map[ident.ID]int{}}
 		sim.r = New(sim.newID(), repeatable)
 		agent := rapid.SampledFrom(agents)
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": func(t *rapid.T) {
 				a := agent.Draw(t, "agent")
 				if sim.r.Offer(a) {
-					sim.offered[returnFrame{sim.r.ID(), a}] = true
+					sim.offered[offer{sim.r.ID(), a}] = true
 				}
 			},
 			"claim": func(t *rapid.T) {
@@ -68,35 +69,35 @@
 				}
 			},
 			"return": func(t *rapid.T) {
-				f := returnFrame{sim.r.ID(), agent.Draw(t, "agent")}
-				if !sim.offered[f] {
+				o := offer{sim.r.ID(), agent.Draw(t, "agent")}
+				if !sim.offered[o] {
 					t.Skip("not offered")
 				}
-				if holder, ok := sim.grantHolders[f.id]; ok && holder != f.agent {
+				if holder, ok := sim.grantHolders[o.id]; ok && holder != o.agent {
 					t.Skip("another agent's grant")
 				}
-				delete(sim.offered, f)
-				delete(sim.grantHolders, f.id)
-				sim.sentReturns = append(sim.sentReturns, f)
-				sim.r.HandleReturn(f.id, f.agent)
+				delete(sim.offered, o)
+				delete(sim.grantHolders, o.id)
+				sim.sentReturns = append(sim.sentReturns, o)
+				sim.r.HandleReturn(o.id, o.agent)
 			},
 			"stale return": func(t *rapid.T) {
 				if len(sim.sentReturns) == 0 {
-					t.Skip("none sent")
+					t.Skip("no Return sent")
 				}
-				f := rapid.SampledFrom(sim.sentReturns).Draw(t, "frame")
-				sim.r.HandleReturn(f.id, f.agent)
+				o := rapid.SampledFrom(sim.sentReturns).Draw(t, "return")
+				sim.r.HandleReturn(o.id, o.agent)
 			},
 			"run": func(_ *rapid.T) {
 				for id := range sim.grantHolders {
 					delete(sim.grantHolders, id)
-					delete(sim.offered, returnFrame{id, sim.r.Holder()})
+					delete(sim.offered, offer{id, sim.r.Holder()})
 					sim.runs++
 				}
 			},
-			"link lost": func(t *rapid.T) { sim.r.DropOffer(agent.Draw(t, "agent")) },
-			"broken":    func(*rapid.T) { sim.r.Fail() },
-			"renew": func(*rapid.T) {
+			"link lost":      func(t *rapid.T) { sim.r.DropOffer(agent.Draw(t, "agent")) },
+			"attempt failed": func(*rapid.T) { sim.r.Fail() },
+			"retry": func(*rapid.T) {
 				id := sim.newID()
 				before := sim.r.State()
 				if sim.r.Retry(id) == nil && before == Failed && !repeatable {
@@ -108,6 +109,7 @@
 	})
 }
 
+// check compares the state of the Request with the true state of the agents.
 func (s *simulation) check(t *rapid.T, repeatable bool) {
 	for id, n := range s.grantCounts {
 		if n > 1 {
@@ -115,16 +117,16 @@
 		}
 	}
 	if s.r.Outcome() == NotRun && s.runs+len(s.grantHolders) > 0 {
-		t.Fatalf("not-run of a request that ran or may run")
+		t.Fatalf("not-run reported for a request that ran or may run")
 	}
 	if !repeatable && s.runs+len(s.grantHolders) > 1 {
 		t.Fatalf("ran or may run %d times", s.runs+len(s.grantHolders))
 	}
 }
 
-// An agent has no room and returns an offer, and a copy of that frame is
-// delayed. The same agent then gets the request again, claims it and runs it.
-// The delayed copy must not be mistaken for the statement that the request was
+// An agent has no free slot and returns an offer, and a copy of that Return is
+// delayed. The same agent then gets the request again under a new ID, claims it
+// and runs it. The delayed copy must not be taken to mean that the request was
 // not run.
 func TestDelayedCopyOfReturn(t *testing.T) {
 	a := Agent{"a", 1}
@@ -147,8 +149,9 @@
 	}
 }
 
-// The first request with a key runs at its home, and a retry gets its answer.
-// If that answer is incomplete, the caller must not be told not-run.
+// The first request with a key runs at the key's home, and a retry gets its
+// answer. If that answer is incomplete, the outcome reported for the retry must
+// not be not-run.
 func TestJoinedRequestIsNeverNotRun(t *testing.T) {
 	a := Agent{"a", 1}
 	id := ident.Make(1, 1)
@@ -181,7 +184,8 @@
 	}
 }
 
-// An answer can't be repeated after the caller has received its first byte.
+// A request must not be retried after the caller has received the first byte of
+// an answer.
 func TestDeliveredAnswerIsNotRetried(t *testing.T) {
 	a := Agent{"a", 1}
 	id := ident.Make(1, 1)
