--- a/core/health/health.go
+++ b/core/health/health.go
@@ -21,7 +21,7 @@
 	// ServerError is a complete answer with a server error. Some requests cause one at any
 	// endpoint.
 	ServerError
-	// Broken is an answer that broke off, was malformed or never came.
+	// Broken is an answer that broke off, was malformed or did not arrive.
 	Broken
 	// Unreachable means that no connection could be made.
 	Unreachable
